--- a/badgerbend/api.py
+++ b/badgerbend/api.py
@@ -1,4 +1,7 @@
-"""The interface of `Aggregator`: settings, events, actions. It holds no decision and no tuned value."""
+"""The interface of `Aggregator`: settings, events and actions. It holds no decision and no tuned value.
+
+Times are milliseconds on any clock that does not go backwards; weights and shares are fractions of one.
+"""
 
 from __future__ import annotations
 
@@ -10,34 +13,51 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a health check ended."""
 
     OK = 0
     ERROR = 1  # the server answered with an error; the part may have run
-    FULL = 2  # turned away unread
-    TIMEOUT = 3  # no answer in time; it may have run, or run still
+    REJECTED = 2  # the server's queue was full: rejected unread
+    TIMEOUT = 3  # no answer in time; it may have run, or may run still
     CONNECT_FAILED = 4  # no connection in time
     RESET = 5  # the connection broke; it may have run
-    CANCELLED = 6  # called off; it may have run
-    MOOT = 7  # never left the broker
+    CANCELLED = 6  # cancelled after it was sent; it may have run
+    NOT_SENT = 7  # cancelled before it left the broker
 
     @property
     def never_ran(self) -> bool:
         """Whether this outcome proves that the attempt had no effect."""
-        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+
+    @property
+    def label(self) -> str:
+        """The word for this outcome in metric labels, logs and status pages, which is part of their interface."""
+        return _OUTCOME_LABELS.get(self, self.name)
+
+
+_OUTCOME_LABELS = {Outcome.REJECTED: "FULL", Outcome.NOT_SENT: "MOOT"}
 
 
-class NodeState(IntEnum):
-    GONE = 0
+class EndpointState(IntEnum):
+    """What the endpoint list states about a server."""
+
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
+    @property
+    def label(self) -> str:
+        """The word for this state in metric labels, which is part of their interface."""
+        return "gone" if self is EndpointState.REMOVED else self.name.lower()
+
+
+class UpdateKind(IntEnum):
+    """What an update of the endpoint list contains."""
 
-class ViewKind(IntEnum):
-    DELTA = 0
-    FULL = 1
-    CACHED = 2
-    FAILED = 3
+    DELTA = 0  # the endpoints that changed
+    FULL = 1  # all endpoints: one that is not named has been removed
+    CACHED = 2  # all endpoints, from a cache that may be out of date
+    FAILED = 3  # nothing: the call to discovery failed
 
 
 # -- settings
@@ -45,63 +65,71 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryClass:
-    aim_ms: float  # an answer within this earns its full worth
-    deadline_ms: float  # the client's patience over all its tries
-    effect: str  # "safe", "keyed" or "unsafe" to repeat
-    repeat_window_ms: float  # keyed: repeats are dropped for this long
-    late_worth: float  # share of the worth kept after the aim
-    worth: float
-    need: float  # weight of the parts that make a whole answer
-    floor: float  # least weight that an answer may rest on
-    partial: float  # worth of an answer not marked whole, times share over need
-    second_step: int  # parts fetched after the first answer; 0 for none
+    """What the clients of one class of queries expect."""
+
+    latency_objective_ms: float  # an answer within this earns the full value
+    deadline_ms: float  # how long the client waits, over all of its attempts
+    effect: str  # "safe", "keyed" (idempotent with an idempotency key) or "unsafe" to repeat
+    idempotency_window_ms: float  # keyed: servers drop repeats for this long
+    late_value_share: float  # share of the value that an answer after the latency objective still earns
+    priority_weight: float
+    complete_weight: float  # weight of the parts that make a complete answer
+    minimum_weight: float  # least weight of parts that an answer may be made from
+    partial_value: float  # value of a partial answer, times its share of the complete weight
+    follow_up_parts: int  # parts fetched in a second step, after the first answer; 0 for none
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    quota_per_s: float  # over all brokers
+    """A tenant's quota."""
+
+    quota_per_s: float  # queries a second, over all brokers
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """What the decisions are configured with."""
+
     classes: tuple[QueryClass, ...]
     tenants: tuple[Tenant, ...]
-    broker: int
-    brokers: int
+    broker_index: int
+    broker_count: int
     zone: int
-    cells: int
-    reach: int  # consecutive cells that hold a shard
+    cell_count: int
+    cells_per_shard: int  # consecutive cells that hold a shard
     parts_per_call: int
-    max_attempts: int
-    max_open: int
-    second_copies: bool
-    cancel: bool
-    probing: bool
-    retry_after: bool
+    max_attempts: int  # of one part, the first one included
+    max_open: int  # queries and parts that the broker may hold at once
+    hedging: bool  # whether a part may have more than one attempt in flight
+    cancel: bool  # whether attempts in flight may be cancelled
+    health_checks: bool
+    retry_after: bool  # whether a rejection may state when to come back
     max_retry_after_ms: float
-    conn_idle_ms: float  # an idle connection is closed after this
+    connection_idle_ms: float  # servers close a connection that has been idle for this long
     connect_timeout_ms: float
-    list_by_asking: bool
-    must_ask_ms: float  # where the list is asked: a broker silent for longer counts as told
-    over_share_worth: float
-    cold_from: float
-    cold_ms: float
-    overload_factor: float
-    fall_ms: float
-    extra_free: float | None  # further attempts: free ones in a window; None where no budget is stated
-    extra_share: float | None
-    extra_window_ms: float | None
-    told_ms: float = math.inf  # where asked: what the list has counts as told so long after, whatever became of a call
+    polls_endpoint_list: bool  # whether discovery must be polled, because it pushes nothing
+    max_poll_interval_ms: float  # where the list is polled: after this long without a poll, changes count as notified
+    over_quota_weight: float  # factor on the priority weight of queries beyond their tenant's quota
+    slow_start_from: float  # share of its capacity that a server bears right after its start
+    slow_start_ms: float  # time after which it bears all of it
+    overload_factor: float  # multiple of its usual load that makes a server fail
+    overload_window_ms: float  # the window over which that load is counted
+    retry_budget_min: float | None  # further attempts in a window that are always allowed; None: no retry budget
+    retry_budget_share: float | None  # further attempts allowed for each part taken in the window
+    retry_budget_window_ms: float | None
+    max_notification_delay_ms: float = math.inf  # where polled: a change counts as notified after this, come what may
 
 
 # -- events
 
 
 @dataclass(frozen=True, slots=True)
-class NodeLine:
+class Endpoint:
+    """One server, as the endpoint list states it."""
+
     node: int
     cell: int
-    state: NodeState
+    state: EndpointState
     started_ms: float  # 0: long ago
     zone: int
     kind: int
@@ -109,13 +137,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
-    kind: ViewKind
-    lines: tuple[NodeLine, ...]
+class EndpointUpdate:
+    """A watch event, or the answer to a poll, of the endpoint list."""
+
+    kind: UpdateKind
+    endpoints: tuple[Endpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Part:
+    """One part of a query: what one shard has to answer."""
+
     id: int
     shard: int
     weight: float
@@ -124,9 +156,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
+    """A client's query has arrived."""
+
     id: int
     number: int
-    cls: int
+    class_index: int
     tenant: int
     key: int
     time_left_ms: float
@@ -136,25 +170,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MoreParts:
-    """The second step of a query that was answered once."""
+class FollowUpParts:
+    """The parts of the second step of a query that was answered once."""
 
     number: int
     parts: tuple[Part, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Completed:
+class AttemptCompleted:
+    """An attempt has ended."""
+
     part: int
     attempt: int
     node: int
     outcome: Outcome
     elapsed_ms: float
-    report: tuple[float, ...]
+    report: tuple[float, ...]  # the server's load report
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
+class AttemptStarted:
+    """A server has acknowledged an attempt."""
+
     part: int
     attempt: int
     node: int
@@ -162,17 +200,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class ClientDisconnected:
+    """The client of a query has left; nothing more is to be done for it."""
+
     id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Alarm:
+class TimerFired:
+    """A timer set by `SetTimer` has fired."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class HealthCheckCompleted:
+    """A health check has ended."""
+
     node: int
     outcome: Outcome
     elapsed_ms: float
@@ -180,30 +224,43 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
+class PeerMessage:
+    """Another broker has sent a message."""
+
     peer: int
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """What is known of a server: what a usual part took there, and how long ago that was seen."""
+class EndpointObservation:
+    """What was observed of a server: what a usual part took there, and how long ago that was seen."""
 
     node: int
     time_ms: float
     age_ms: float
-    dead: bool  # it refused or broke connections since it was heard
+    dead: bool  # it refused or broke connections since it last answered
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
-    """What a broker has seen. As an event: what others have seen, for where this one has seen nothing itself."""
+class Observations:
+    """What a broker has observed. As an event: what others observed, for where this one has seen nothing itself."""
 
-    nodes: tuple[Seen, ...]
+    nodes: tuple[EndpointObservation, ...]
     answers: tuple[tuple[float, float, bool], ...]  # of parts: age, latency, censored; the oldest first
 
 
-Event = View | Query | MoreParts | Completed | Started | Gone | Alarm | Probed | Message | Known
+Event = (
+    EndpointUpdate
+    | Query
+    | FollowUpParts
+    | AttemptCompleted
+    | AttemptStarted
+    | ClientDisconnected
+    | TimerFired
+    | HealthCheckCompleted
+    | PeerMessage
+    | Observations
+)
 
 
 # -- actions
@@ -211,123 +268,159 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Send the next attempt of a part to a server."""
+
     part: int
     node: int
     timeout_ms: float
-    begin_ms: float = math.inf  # not begun by then, its first byte must not leave any more
+    start_within_ms: float = math.inf  # if its first byte has not left by then, it must not leave any more
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
+    """Cancel an attempt in flight."""
+
     part: int
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
+    """Answer a query from the parts that are in."""
+
     query: int
-    whole: bool
+    complete: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
+    """Reject a query that had no effect; the client may repeat it."""
+
     query: int
     retry_after_ms: float
-    why: str = field(default="", compare=False)  # for the log; nothing rests on it
+    reason: str = field(default="", compare=False)  # for the log; nothing rests on it
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
+    """Fail a query that may have had an effect."""
+
     query: int
-    why: str = field(default="", compare=False)
+    reason: str = field(default="", compare=False)
 
 
 @dataclass(frozen=True, slots=True)
-class SetAlarm:
+class SetTimer:
+    """Call back with `TimerFired`; it replaces a timer set before."""
+
     after_ms: float
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class StartHealthCheck:
+    """Check a server's health."""
+
     node: int
 
 
 @dataclass(frozen=True, slots=True)
-class CloseIdle:
+class CloseIdleConnections:
+    """Close idle connections to a server."""
+
     node: int
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendToPeer:
+    """Send a message to another broker."""
+
     peer: int | None  # None: all of them
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Follow:
-    """Ask discovery for changes from now on, or no longer."""
+class FollowEndpointList:
+    """Poll discovery for changes from now on, or no longer."""
 
-    on: bool
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class ReadList:
-    """Ask discovery once for the whole list."""
+class FetchEndpointList:
+    """Fetch the complete endpoint list from discovery, once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
-Action = Send | Cancel | Answer | Refuse | Fail | SetAlarm | Probe | CloseIdle | Tell | Follow | ReadList | Log
+Action = (
+    Send
+    | Cancel
+    | Answer
+    | Reject
+    | Fail
+    | SetTimer
+    | StartHealthCheck
+    | CloseIdleConnections
+    | SendToPeer
+    | FollowEndpointList
+    | FetchEndpointList
+    | Log
+)
 
 
-# -- beside the module
+# -- collaborators of the decisions
 
 
-class Sites(Protocol):
-    """Preference among sites, and limits on what goes to each. Without one all servers stand alike.
+class SitePreference(Protocol):
+    """Preference among sites, and limits on what is sent to each. Without one all servers are equal.
 
-    It is called within a step, in the order of the decisions, and is as pure as the module.
+    It is called within a step, in the order of the decisions, and is as pure as they are.
     """
 
-    def hear(self, now_ms: float, events: Sequence[Event]) -> None:
-        """All that happens, before the module decides on it."""
+    def observe(self, now_ms: float, events: Sequence[Event]) -> None:
+        """Takes note of all that happened, before any decision on it."""
 
-    def takes(self, query: Query, over_quota: bool, fewest: int) -> bool:
-        """Whether a query is let in; fewest: so many of its parts make a whole answer."""
+    def admits(self, query: Query, over_quota: bool, fewest: int) -> bool:
+        """Whether a query is admitted; fewest: how many of its parts make a complete answer."""
 
-    def spares(self) -> bool:
+    def allows_surplus(self) -> bool:
         """Whether parts beyond the fewest may be sent now."""
 
     def rank(self, shard: int) -> int:
         """How near the nearest site is that a part of this shard may go to now: greater is nearer, 0 for none."""
 
-    def among(self, shard: int, nodes: Sequence[int], safe: bool) -> Sequence[int]:
+    def eligible(self, shard: int, nodes: Sequence[int], safe: bool) -> Sequence[int]:
         """Those of a shard's servers, all admitted, that a part may go to now; none: it must wait.
 
-        safe: it may be lost, or run twice, without harm. What was returned last is what `sent` is told of.
+        safe: it may be lost, or run twice, without harm. `attempt_sent` refers to what was returned last.
         """
 
-    def pace(self, node: int) -> float:
-        """What a warm server's share is of what this broker may send to its site, in parts a millisecond; 0 where
+    def site_rate(self, node: int) -> float:
+        """A warm server's share of the rate at which this broker may send to its site, in parts a millisecond; 0 where
         no limit holds there."""
 
-    def sent(self, part: int, attempt: int, node: int) -> None: ...
+    def attempt_sent(self, part: int, attempt: int, node: int) -> None:
+        """An attempt was sent to a server."""
 
 
-class Allowance(Protocol):
-    """What a broker may send to what is cold, where brokers share that out by demand. Without one each keeps to its
-    own share. It is called within a step, and is as pure as the module."""
+class SlowStartBudget(Protocol):
+    """What a broker may send to servers that are warming up, where brokers share that out by demand.
+
+    Without one each broker keeps to its own share. It is called within a step, and is as pure as the decisions.
+    """
 
-    def usual(self, now_ms: float, node: int, own: float, times: float, part: int, among: int) -> float:
-        """The pace, in parts a millisecond and as if the server were warm, from which what it may be sent follows.
+    def server_rate(self, now_ms: float, node: int, own: float, times: float, part: int, among: int) -> float:
+        """The rate, in parts a millisecond and as if the server were warm, from which follows what it may be sent.
 
-        own: this broker's own; times: so much of it may go there now, as cold as it is; part: one that would go there
-        or to another of so many servers, among.
+        own: this broker's own rate; times: the share of it that may go there now, given how warm the server is; part:
+        one that would go there or to another of `among` servers.
         """
 
-    def site(self, now_ms: float, name: str, own: float, wanted: float) -> float:
-        """What may go to a site on its way back, in parts a millisecond. wanted: what this broker would send."""
+    def recovering_site_rate(self, now_ms: float, name: str, own: float, wanted: float) -> float:
+        """What may go to a recovering site, in parts a millisecond. wanted: what this broker would send."""
--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -17,10 +17,12 @@
 from badgerbend.discovery.keyed import KeyedList, keyed_directory
 from badgerbend.discovery.lines import consul_directory
 from badgerbend.discovery.watch import Watch
-from badgerbend.duties_front import handle_duties
 from badgerbend.generation import Generation, Generations, Shared
 from badgerbend.graphql.front import GraphQLFront
 from badgerbend.graphql.schema import Subgraph, subgraph
+from badgerbend.lease_service.http import handle_duties
+from badgerbend.lease_service.service import LeaseService
+from badgerbend.lease_service.slow_start import broker_budget
 from badgerbend.log import get
 from badgerbend.logic import Aggregator
 from badgerbend.metrics import Metrics
@@ -28,8 +30,6 @@
 from badgerbend.net.server import Exchange, HttpServer, ServerLimits
 from badgerbend.peering.service import Learning
 from badgerbend.pools import ServerPools
-from badgerbend.rota.dealing import slices_of
-from badgerbend.rota.service import Rota
 from badgerbend.runtime.driver import Driver
 from badgerbend.runtime.loop import now_ms
 from badgerbend.sites.tiers import Tiers
@@ -66,9 +66,12 @@
     tiers = Tiers
 
     def __init__(
-        self, settings: Settings, graph: Subgraph, folder: Path = Path(),  # noqa: B008
+        self,
+        settings: Settings,
+        graph: Subgraph,
+        folder: Path = Path(),  # noqa: B008
         clock: Callable[[], float] = time.monotonic,
-    ) -> None:  # fmt: skip
+    ) -> None:
         loop = asyncio.get_running_loop()
         self.settings, self.loop = settings, loop
         self.log = get(part="broker")
@@ -85,31 +88,34 @@
         if settings.sites is not None:
             self.siting = Siting(settings, settings.sites, folder, self.pools.of, now_ms, self.metrics, self.tiers)
         preference = self.preference()
-        slices = slices_of(settings)
+        slices = broker_budget(settings)
         if self.siting is not None:
             self.siting.tiers.allowance = slices
         shared = Shared(
             loop, self.directory, self.watch, self.pools.of, self.metrics, self.decisions, preference, slices
-        )  # fmt: skip
+        )
         self.generations = Generations(settings, graph, shared)
         self.learning: Learning | None = None
         if settings.peers is not None or settings.snapshot is not None:
             self.learning = Learning(settings, self.driver, self.directory, self.metrics.trouble)
-        self.rota: Rota | None = None
+        self.rota: LeaseService | None = None
         if settings.duties is not None:
-            self.rota = Rota(
+            self.rota = LeaseService(
                 settings, settings.duties, folder, self.driver, self.directory, self.pools.of, slices, clock
-            )  # fmt: skip
+            )
         self._newest(self.generations.newest)
         self.generations.on_newest = self._newest
         self.feeding = self._feeding(folder)
         self.server = HttpServer(
             self._route,
             ServerLimits(
-                listen.max_connections, listen.max_head_bytes, listen.max_body_bytes,
-                listen.read_timeout_ms / 1000.0, listen.idle_timeout_ms / 1000.0,
+                listen.max_connections,
+                listen.max_head_bytes,
+                listen.max_body_bytes,
+                listen.read_timeout_ms / 1000.0,
+                listen.idle_timeout_ms / 1000.0,
             ),
-        )  # fmt: skip
+        )
         self.port = 0
         self._sweeper: asyncio.TimerHandle | None = None
         self._counts: dict[str, int] = {}
@@ -122,9 +128,16 @@
     def _consul_watch(self) -> KeyedList | Watch:
         settings, index = self.settings, self.settings.identity.index
         return Watch(
-            ConsulTarget(settings.discovery), self.directory, self.loop, now_ms, time.time, self._view,
-            self.metrics.trouble, settings.seed + index, f"badgerbend/{index}",
-        )  # fmt: skip
+            ConsulTarget(settings.discovery),
+            self.directory,
+            self.loop,
+            now_ms,
+            time.time,
+            self._view,
+            self.metrics.trouble,
+            settings.seed + index,
+            f"badgerbend/{index}",
+        )
 
     def _feeding(self, folder: Path) -> Feeding | None:
         """The broker's part in the feed, whose code is loaded only where the settings ask for it."""
@@ -135,7 +148,7 @@
         listed = self.watch if isinstance(self.watch, KeyedList) else None
         return Feeding(self.settings, self.settings.feed, folder, self.generations, self.metrics, listed)
 
-    def _view(self, view: api.View) -> None:
+    def _view(self, view: api.EndpointUpdate) -> None:
         self.generations.view(view)
 
     @property
@@ -155,7 +168,7 @@
             if part is not None:
                 part.driver = generation.driver
 
-    def preference(self) -> api.Sites | None:
+    def preference(self) -> api.SitePreference | None:
         """What the module prefers among sites by."""
         return self.siting.tiers if self.siting is not None else None
 
@@ -171,7 +184,7 @@
         if self.siting is not None:
             self.siting.start()
         # a first event, so that the module asks for the list where that is its part, and for its first alarm
-        self.driver.view(api.View(api.ViewKind.CACHED, ()))
+        self.driver.view(api.EndpointUpdate(api.UpdateKind.CACHED, ()))
         if self.feeding is not None:
             self.feeding.start()
         self._sweeper = self.loop.call_later(SWEEP_S, self._sweep)
@@ -220,7 +233,7 @@
     def _taken(self) -> None:
         """A list is in force: what hangs on the whole of it."""
         states = [known.line.state for known in self.directory.known.values()]
-        counts = {s.name.lower(): states.count(s) for s in api.NodeState}
+        counts = {s.label: states.count(s) for s in api.EndpointState}
         if counts != self._counts:
             self._counts = counts
             for state, n in counts.items():
--- a/badgerbend/cli.py
+++ b/badgerbend/cli.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from badgerbend.broker import Broker, read_subgraph
-from badgerbend.cli_duties import duties, voters
+from badgerbend.cli_leases import duties, voters
 from badgerbend.config import decode
 from badgerbend.config.reading import form_name, load
 from badgerbend.config.settings import Settings
@@ -24,7 +24,7 @@
 from badgerbend.knowledge.record import Record
 from badgerbend.net.fetch import fetch
 from badgerbend.process import BAD_SETTINGS, CANNOT_START, serve, stop
-from badgerbend.snapshot.store import BadSnapshot, read
+from badgerbend.snapshot.store import SnapshotError, read
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, help="An aggregator that spreads queries over shards.")
 GAP_S = 6.0  # after each event of a scene, acts are looked for so long
@@ -149,7 +149,7 @@
 def _snapshot(file: Path) -> Record:
     try:
         return read(file, time.time())
-    except (BadSnapshot, OSError) as err:
+    except (SnapshotError, OSError) as err:
         stop(f"{file}: {err}", BAD_SETTINGS)
 
 
@@ -197,8 +197,20 @@
         title=f"broker at {port}, own site {found['own']}: demand {found['demand_per_s']} parts/s, "
         f"keeps {keeps['by_load']:.0%} by load, {keeps['by_time']:.0%} by time"
     )
-    shown = ("name", "tier", "state", "share", "turns", "success", "used", "room_per_s", "sent_per_s",
-             "spilled_per_s", "allowed_per_s", "failing")  # fmt: skip
+    shown = (
+        "name",
+        "tier",
+        "state",
+        "share",
+        "turns",
+        "success",
+        "used",
+        "room_per_s",
+        "sent_per_s",
+        "spilled_per_s",
+        "allowed_per_s",
+        "failing",
+    )
     for heading in shown:
         table.add_column(heading.replace("_per_s", "/s"))
     for site in found["sites"]:
--- a/badgerbend/cli_duties.py
+++ b/badgerbend/cli_leases.py
@@ -11,11 +11,11 @@
 from rich.console import Console
 from rich.table import Table
 
-from badgerbend.ledger.store import BadStore, create, read_owner
-from badgerbend.ledger.store import read as read_store
 from badgerbend.net.fetch import fetch
-from badgerbend.net.seal import BadKey, read_key
+from badgerbend.net.seal import KeyFileError, read_key
 from badgerbend.process import BAD_SETTINGS, CANNOT_START, stop
+from badgerbend.wal.store import StoreError, create, read_owner
+from badgerbend.wal.store import read as read_store
 
 duties = typer.Typer(no_args_is_help=True, help="Duties that one broker holds at a time: who holds them, hand-over.")
 voters = typer.Typer(no_args_is_help=True, help="Those who agree on duties: their stores, their state, who votes.")
@@ -62,7 +62,7 @@
         stop(f"{name} is none of the voters that are named; for one that joins later name none", BAD_SETTINGS)
     try:
         create(folder, name, voter)
-    except (BadStore, OSError) as err:
+    except (StoreError, OSError) as err:
         stop(str(err), BAD_SETTINGS)
     print(f"{folder}: the store of {name}, " + (f"one of {len(voter)}" if voter else "to be added by the others"))
 
@@ -73,7 +73,7 @@
     try:
         owner = read_owner(folder)
         number, kept, length = read_store(folder)
-    except (BadStore, OSError) as err:
+    except (StoreError, OSError) as err:
         stop(str(err), BAD_SETTINGS)
     log_, names = kept.log, ", ".join(kept.log.voters()[0]) or "not known yet"
     print(f"{folder}: {owner.name}, term {kept.term}, voted for {kept.voted or 'nobody'}")
@@ -126,5 +126,5 @@
     try:
         token = read_key(key).decode("latin-1")
         return str(uvloop.run(fetch(port, f"/duties/{path}", host, "POST", token))["said"])
-    except (ConnectionError, BadKey) as err:
+    except (ConnectionError, KeyFileError) as err:
         stop(f"{host}:{port}: {err}", CANNOT_START)
--- a/badgerbend/config/published.py
+++ b/badgerbend/config/published.py
@@ -15,9 +15,20 @@
 from badgerbend.config.settings import Settings
 from badgerbend.config.sexpr import Atom, Form, SettingsError, Symbol
 
-CHANGEABLE = frozenset({
-    "class_", "field", "entity", "servers", "attempts", "tenant", "documents", "advice", "max_open", "over_share_worth",
-})  # fmt: skip
+CHANGEABLE = frozenset(
+    {
+        "class_",
+        "field",
+        "entity",
+        "servers",
+        "attempts",
+        "tenant",
+        "documents",
+        "advice",
+        "max_open",
+        "over_share_worth",
+    }
+)
 POOL_FIELDS = frozenset({"connect_timeout_ms", "idle_ms", "max_answer_bytes"})  # of servers: connections stay open
 SITES_FIELDS = frozenset({"class_", "tenant", "servers", "over_share_worth"})  # what preference among sites rests on
 DUTIES_FIELDS = frozenset({"servers"})  # what cold allowance rests on
--- a/badgerbend/consensus/durability.py
+++ b/badgerbend/consensus/durability.py
@@ -8,7 +8,7 @@
 from collections import deque
 from collections.abc import Sequence
 
-from badgerbend.consensus.messages import Append, Entry, Message, Record, Snapshot
+from badgerbend.consensus.messages import Entry, LogEntries, Message, Record, Snapshot
 from badgerbend.consensus.pending import HeldMessage, UnsyncedEntries
 
 
@@ -32,7 +32,7 @@
     def write_entries(self, entries: Sequence[Entry]) -> None:
         """Entries in a row, in the place of all that stood from the first one's index on."""
         self._replaced_after(entries[0].index - 1)
-        self.unsynced.append(UnsyncedEntries(self.write(Append(tuple(entries))), entries[-1].index))
+        self.unsynced.append(UnsyncedEntries(self.write(LogEntries(tuple(entries))), entries[-1].index))
 
     def write_snapshot(self, snapshot: Snapshot, last_index: int) -> None:
         """A snapshot that replaces the log's beginning; last_index: of the log as it is then."""
--- a/badgerbend/consensus/events.py
+++ b/badgerbend/consensus/events.py
@@ -8,21 +8,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
+class EntryApplied:
     """An entry is committed, and the machine was given it if it is a command."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
-class Leads:
+class BecameLeader:
     """This voter leads, and knows all that was ever acknowledged."""
 
     term: int
 
 
 @dataclass(frozen=True, slots=True)
-class Follows:
+class BecameFollower:
     """This voter does not lead, or no longer. leader: empty while unknown."""
 
     term: int
@@ -30,10 +30,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Confirmed:
+class ReadConfirmed:
     """At some moment after `read` was called this voter was the leader, and knew all acknowledged before it."""
 
     token: int
 
 
-Event = Applied | Leads | Follows | Confirmed
+Event = EntryApplied | BecameLeader | BecameFollower | ReadConfirmed
--- a/badgerbend/consensus/log.py
+++ b/badgerbend/consensus/log.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from badgerbend.consensus.messages import Append, Entry, Kind, Record, Snapshot, Vote
+from badgerbend.consensus.messages import Entry, EntryKind, HardState, LogEntries, Record, Snapshot
 
 EMPTY = Snapshot(0, 0, (), b"")
 
@@ -75,13 +75,13 @@
     def voters(self) -> tuple[tuple[str, ...], int]:
         """Who votes by the latest word on it, committed or not, and that word's index."""
         for entry in reversed(self.entries):
-            if entry.kind is Kind.VOTERS:
+            if entry.kind is EntryKind.VOTERS:
                 return entry.voters(), entry.index
         return self.snapshot.voters, self.base
 
 
 @dataclass(slots=True)
-class Kept:
+class PersistentState:
     """What a voter's disk says: the sum of its records."""
 
     term: int = 0
@@ -91,11 +91,11 @@
     def add(self, record: Record) -> None:
         """Raises ValueError for one that cannot follow what came before it."""
         match record:
-            case Vote(term, voted):
+            case HardState(term, voted):
                 if term < self.term or (term == self.term and self.voted and voted != self.voted):
                     raise ValueError(f"a vote in term {term} after one in term {self.term}")
                 self.term, self.voted = term, voted
-            case Append(entries):
+            case LogEntries(entries):
                 if not self.log.base < entries[0].index <= self.log.last_index + 1:
                     raise ValueError(f"entry {entries[0].index} after {self.log.last_index}")
                 self.log.append(entries)
@@ -104,9 +104,9 @@
 
     def records(self) -> list[Record]:
         """The fewest records that say the same. Added up, they are a copy."""
-        out: list[Record] = [Vote(self.term, self.voted)]
+        out: list[Record] = [HardState(self.term, self.voted)]
         if self.log.snapshot != EMPTY:
             out.append(self.log.snapshot)
         if self.log.entries:
-            out.append(Append(tuple(self.log.entries)))
+            out.append(LogEntries(tuple(self.log.entries)))
         return out
--- a/badgerbend/consensus/messages.py
+++ b/badgerbend/consensus/messages.py
@@ -11,17 +11,17 @@
 
 import msgspec
 
-MOST_BYTES = 1300  # of a message: with seal and envelope it stays within one Ethernet frame
-MOST_COMMAND = 900  # bytes of one entry's data
-MOST_VOTERS = 9
+MAX_MESSAGE_BYTES = 1300  # of a message: with seal and envelope it stays within one Ethernet frame
+MAX_COMMAND_BYTES = 900  # bytes of one entry's data
+MAX_VOTERS = 9
 T = TypeVar("T")
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 TextOrNone = Annotated[str, msgspec.Meta(max_length=64)]
 Number = Annotated[int, msgspec.Meta(ge=0, lt=1 << 62)]
-Names = Annotated[tuple[Text, ...], msgspec.Meta(max_length=MOST_VOTERS)]
+Names = Annotated[tuple[Text, ...], msgspec.Meta(max_length=MAX_VOTERS)]
 
 
-class Kind(IntEnum):
+class EntryKind(IntEnum):
     """What an entry is for."""
 
     NOOP = 0  # a leader's first: what it commits commits all before it
@@ -32,8 +32,8 @@
 class Entry(msgspec.Struct, array_like=True, frozen=True):
     index: Number
     term: Number
-    kind: Kind
-    data: Annotated[bytes, msgspec.Meta(max_length=MOST_COMMAND)] = b""
+    kind: EntryKind
+    data: Annotated[bytes, msgspec.Meta(max_length=MAX_COMMAND_BYTES)] = b""
 
     def voters(self) -> tuple[str, ...]:
         """Of an entry of kind VOTERS."""
@@ -43,14 +43,14 @@
 # -- what is kept, in the order of its writing
 
 
-class Vote(msgspec.Struct, array_like=True, frozen=True, tag=1):
+class HardState(msgspec.Struct, array_like=True, frozen=True, tag=1):
     """The term a voter is in, and whom it gave its vote in it; empty: nobody yet."""
 
     term: Number
     voted: TextOrNone
 
 
-class Append(msgspec.Struct, array_like=True, frozen=True, tag=2):
+class LogEntries(msgspec.Struct, array_like=True, frozen=True, tag=2):
     """Entries in a row. Whatever the log held from the first one's index on is gone."""
 
     entries: tuple[Entry, ...]
@@ -65,13 +65,13 @@
     state: bytes
 
 
-Record = Vote | Append | Snapshot
+Record = HardState | LogEntries | Snapshot
 
 
 # -- what is said; each is of a term and from a voter
 
 
-class AskVote(msgspec.Struct, array_like=True, frozen=True, tag=1):
+class RequestVote(msgspec.Struct, array_like=True, frozen=True, tag=1):
     """pre: only asks whether it would be given; nobody's term changes by it. ceded: its leader told it to."""
 
     term: Number
@@ -82,14 +82,14 @@
     ceded: bool
 
 
-class Voted(msgspec.Struct, array_like=True, frozen=True, tag=2):
+class RequestVoteReply(msgspec.Struct, array_like=True, frozen=True, tag=2):
     term: Number
     source: Text
     pre: bool
     granted: bool
 
 
-class Feed(msgspec.Struct, array_like=True, frozen=True, tag=3):
+class AppendEntries(msgspec.Struct, array_like=True, frozen=True, tag=3):
     """Entries after `prev_index`, none for a heartbeat. beat: numbers the leader's rounds, for reads."""
 
     term: Number
@@ -101,7 +101,7 @@
     beat: Number
 
 
-class Fed(msgspec.Struct, array_like=True, frozen=True, tag=4):
+class AppendEntriesReply(msgspec.Struct, array_like=True, frozen=True, tag=4):
     """ok: all up to `index` is here and kept. Else `index` is where it may fit."""
 
     term: Number
@@ -111,7 +111,7 @@
     beat: Number
 
 
-class Install(msgspec.Struct, array_like=True, frozen=True, tag=5):
+class InstallSnapshot(msgspec.Struct, array_like=True, frozen=True, tag=5):
     """A piece of a snapshot, from `offset` of its `size` bytes on."""
 
     term: Number
@@ -125,7 +125,7 @@
     beat: Number
 
 
-class Installed(msgspec.Struct, array_like=True, frozen=True, tag=6):
+class InstallSnapshotReply(msgspec.Struct, array_like=True, frozen=True, tag=6):
     """So much of the snapshot at `index` is here; once `kept`, all of it, and on disk."""
 
     term: Number
@@ -136,14 +136,22 @@
     beat: Number
 
 
-class Cede(msgspec.Struct, array_like=True, frozen=True, tag=7):
+class TimeoutNow(msgspec.Struct, array_like=True, frozen=True, tag=7):
     """The leader wants its receiver to stand at once."""
 
     term: Number
     source: Text
 
 
-Message = AskVote | Voted | Feed | Fed | Install | Installed | Cede
+Message = (
+    RequestVote
+    | RequestVoteReply
+    | AppendEntries
+    | AppendEntriesReply
+    | InstallSnapshot
+    | InstallSnapshotReply
+    | TimeoutNow
+)
 
 _encoder = msgspec.msgpack.Encoder()
 _message_decoder = msgspec.msgpack.Decoder(Message)
@@ -151,16 +159,16 @@
 _names_decoder = msgspec.msgpack.Decoder(Names)
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """Bytes that are none of ours, or out of bounds."""
 
 
-def read(decoder: msgspec.msgpack.Decoder[T], data: bytes) -> T:
+def decode_typed(decoder: msgspec.msgpack.Decoder[T], data: bytes) -> T:
     """What bytes of anybody's say, by a decoder of typed arrays. Raises Malformed."""
     try:
         return decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as err:
-        raise Malformed(str(err)) from err
+        raise MalformedMessageError(str(err)) from err
 
 
 def encode(message: Message | Record) -> bytes:
@@ -179,18 +187,18 @@
 
 def decode(data: bytes) -> Message:
     """Raises Malformed."""
-    message = read(_message_decoder, data)
-    if isinstance(message, Feed):
+    message = decode_typed(_message_decoder, data)
+    if isinstance(message, AppendEntries):
         _check(message.entries, message.prev_index)
     return message
 
 
 def decode_record(data: bytes) -> Record:
     """Raises Malformed."""
-    record = read(_record_decoder, data)
-    if isinstance(record, Append):
+    record = decode_typed(_record_decoder, data)
+    if isinstance(record, LogEntries):
         if not record.entries:
-            raise Malformed("nothing to append")
+            raise MalformedMessageError("nothing to append")
         _check(record.entries, record.entries[0].index - 1)
     return record
 
@@ -198,10 +206,10 @@
 def _check(entries: tuple[Entry, ...], prev: int) -> None:
     for entry in entries:
         if entry.index != prev + 1:
-            raise Malformed("entries out of order")
+            raise MalformedMessageError("entries out of order")
         prev = entry.index
-        if entry.kind is Kind.VOTERS:
+        if entry.kind is EntryKind.VOTERS:
             try:
                 entry.voters()
             except (msgspec.MsgspecError, UnicodeDecodeError) as err:
-                raise Malformed(f"voters: {err}") from err
+                raise MalformedMessageError(f"voters: {err}") from err
--- a/badgerbend/consensus/raft.py
+++ b/badgerbend/consensus/raft.py
@@ -17,34 +17,43 @@
 from collections.abc import Sequence
 
 from badgerbend.consensus.durability import Durability
-from badgerbend.consensus.events import Applied, Confirmed, Event, Follows, Leads
-from badgerbend.consensus.log import Kept
+from badgerbend.consensus.events import BecameFollower, BecameLeader, EntryApplied, Event, ReadConfirmed
+from badgerbend.consensus.log import PersistentState
 from badgerbend.consensus.messages import (
-    MOST_COMMAND,
-    MOST_VOTERS,
-    AskVote,
-    Cede,
+    MAX_COMMAND_BYTES,
+    MAX_VOTERS,
+    AppendEntries,
+    AppendEntriesReply,
     Entry,
-    Fed,
-    Feed,
-    Install,
-    Installed,
-    Kind,
+    EntryKind,
+    HardState,
+    InstallSnapshot,
+    InstallSnapshotReply,
     Message,
     Record,
+    RequestVote,
+    RequestVoteReply,
     Snapshot,
-    Vote,
-    Voted,
+    TimeoutNow,
     encode_names,
 )
 from badgerbend.consensus.pending import OwnVote, PendingRead, Transfer
 from badgerbend.consensus.quorum import is_majority, majority_index
 from badgerbend.consensus.replication import Leadership, Progress, outstanding, snapshot_piece
 from badgerbend.consensus.snapshots import IncomingSnapshot, compacted
-from badgerbend.consensus.types import Machine, Role, Tuning
+from badgerbend.consensus.types import RaftConfig, Role, StateMachine
 
 # Events and types are part of this module's interface: who uses Raft needs them.
-__all__ = ["Applied", "Confirmed", "Follows", "Leads", "Machine", "Raft", "Role", "Tuning"]
+__all__ = [
+    "BecameFollower",
+    "BecameLeader",
+    "EntryApplied",
+    "Raft",
+    "RaftConfig",
+    "ReadConfirmed",
+    "Role",
+    "StateMachine",
+]
 
 JOINED_WITHIN = 8  # a newcomer so many entries behind has caught up
 
@@ -52,7 +61,9 @@
 class Raft:
     """One voter, or one that waits to become one. `kept` is what its disk holds; it is the machine's to load."""
 
-    def __init__(self, name: str, kept: Kept, machine: Machine, tuning: Tuning, seed: int, now: float) -> None:
+    def __init__(
+        self, name: str, kept: PersistentState, machine: StateMachine, tuning: RaftConfig, seed: int, now: float
+    ) -> None:
         self.name, self.machine, self.tuning, self.rng = name, machine, tuning, random.Random(seed)
         self.term, self.voted, self.log = kept.term, kept.voted, kept.log
         if self.log.base:
@@ -78,28 +89,32 @@
     def receive(self, now: float, message: Message) -> None:
         if message.source == self.name:
             return
-        if isinstance(message, AskVote):
+        if isinstance(message, RequestVote):
             self._asked(now, message)
             return
-        granted_ahead = isinstance(message, Voted) and message.pre and message.granted
+        granted_ahead = isinstance(message, RequestVoteReply) and message.pre and message.granted
         if message.term > self.term and not granted_ahead:
             self._follow(now, message.term, "")
         if message.term < self.term:
-            if isinstance(message, Feed | Install):  # a leader of the past learns that it is one
-                self._send(message.source, Fed(self.term, self.name, False, self.log.last_index, 0), self.disk.seq)
+            if isinstance(message, AppendEntries | InstallSnapshot):  # a leader of the past learns that it is one
+                self._send(
+                    message.source,
+                    AppendEntriesReply(self.term, self.name, False, self.log.last_index, 0),
+                    self.disk.seq,
+                )
             return
         match message:
-            case Voted():
+            case RequestVoteReply():
                 self._counted(now, message)
-            case Feed():
+            case AppendEntries():
                 self._fed(now, message)
-            case Fed():
+            case AppendEntriesReply():
                 self._acknowledged(now, message)
-            case Install():
+            case InstallSnapshot():
                 self._installing(now, message)
-            case Installed():
+            case InstallSnapshotReply():
                 self._installed(now, message)
-            case Cede():
+            case TimeoutNow():
                 if self.role is Role.FOLLOWER and message.source == self.leader and self.name in self.voters:
                     self._stand(now, ceded=True)
 
@@ -128,9 +143,9 @@
     def propose(self, now: float, data: bytes) -> int | None:
         """A command for the log: its index, or None where this voter does not lead or hands over. It stands once
         `Applied` tells of an entry with that index and this term; another in its place says that it was lost."""
-        if self.role is not Role.LEADER or self.transferring is not None or len(data) > MOST_COMMAND:
+        if self.role is not Role.LEADER or self.transferring is not None or len(data) > MAX_COMMAND_BYTES:
             return None
-        return self._add(now, Kind.COMMAND, data)
+        return self._add(now, EntryKind.COMMAND, data)
 
     def read(self, now: float, token: int) -> bool:
         """Asks for `Confirmed(token)`; False where this voter does not lead. No word comes if it is deposed."""
@@ -150,7 +165,7 @@
             self.progress.setdefault(name, Progress(self.log.last_index + 1, now))
             self._beat(now)
         else:
-            self._add(now, Kind.VOTERS, encode_names(tuple(voter for voter in self.voters if voter != name)))
+            self._add(now, EntryKind.VOTERS, encode_names(tuple(voter for voter in self.voters if voter != name)))
         return None
 
     def _change_refused(self, name: str, votes: bool) -> str | None:
@@ -160,8 +175,8 @@
             return "another change is under way"
         if votes == (name in self.voters):
             return "nothing to change"
-        if votes and len(self.voters) >= MOST_VOTERS:
-            return f"there are {MOST_VOTERS} voters already"
+        if votes and len(self.voters) >= MAX_VOTERS:
+            return f"there are {MAX_VOTERS} voters already"
         if not votes and len(self.voters) == 1:
             return "the last voter stays"
         return None
@@ -214,7 +229,7 @@
     def _stand(self, now: float, ceded: bool = False) -> None:
         self.role, self.leader, self.votes = Role.CANDIDATE, "", set()
         self.term, self.voted = self.term + 1, self.name
-        self._own_vote = OwnVote(self.disk.write(Vote(self.term, self.name)), self.term)
+        self._own_vote = OwnVote(self.disk.write(HardState(self.term, self.name)), self.term)
         self.deadline = self._new_deadline(now)
         self._ask(pre=False, ceded=ceded)
 
@@ -222,13 +237,13 @@
         log, term = self.log, self.term + pre
         for name in self.voters:
             if name != self.name:
-                message = AskVote(term, self.name, log.last_index, log.last_term, pre, ceded)
+                message = RequestVote(term, self.name, log.last_index, log.last_term, pre, ceded)
                 self._send(name, message, 0 if pre else self.disk.seq)
 
-    def _asked(self, now: float, request: AskVote) -> None:
+    def _asked(self, now: float, request: RequestVote) -> None:
         """One who heard a leader lately gives nobody a thought: who was cut off or removed disturbs no one."""
         if request.term < self.term:
-            self._send(request.source, Voted(self.term, self.name, request.pre, False), self.disk.seq)
+            self._send(request.source, RequestVoteReply(self.term, self.name, request.pre, False), self.disk.seq)
             return
         if not request.ceded and (self.role is Role.LEADER or now - self.heard_at < self.tuning.election_s):
             return
@@ -238,27 +253,27 @@
         else:
             self._answer_vote(now, request, up_to_date)
 
-    def _answer_pre_vote(self, request: AskVote, up_to_date: bool) -> None:
+    def _answer_pre_vote(self, request: RequestVote, up_to_date: bool) -> None:
         granted = up_to_date and request.term > self.term
         term = request.term if granted else self.term
-        self._send(request.source, Voted(term, self.name, True, granted), self.disk.seq)
+        self._send(request.source, RequestVoteReply(term, self.name, True, granted), self.disk.seq)
 
-    def _answer_vote(self, now: float, request: AskVote, up_to_date: bool) -> None:
+    def _answer_vote(self, now: float, request: RequestVote, up_to_date: bool) -> None:
         if request.term > self.term:
             self._follow(now, request.term, "")
         granted = up_to_date and self.voted in ("", request.source)
         if granted and not self.voted:
             self.voted = request.source
-            self.disk.write(Vote(self.term, request.source))
+            self.disk.write(HardState(self.term, request.source))
         if granted:
             self.deadline = self._new_deadline(now)
-        self._send(request.source, Voted(self.term, self.name, False, granted), self._promised())
+        self._send(request.source, RequestVoteReply(self.term, self.name, False, granted), self._promised())
 
     def _promised(self) -> int:
         """The write that must be on disk before a promise is made on what was decided so far."""
         return self.disk.seq
 
-    def _counted(self, now: float, answer: Voted) -> None:
+    def _counted(self, now: float, answer: RequestVoteReply) -> None:
         asked = Role.ASKING if answer.pre else Role.CANDIDATE
         if answer.granted and self.role is asked and answer.term == self.term + answer.pre:
             self._vote_for_me(now, answer.source)
@@ -276,23 +291,23 @@
         following = self.log.last_index + 1
         self.progress = {n: Progress(following, now) for n in self.voters if n != self.name}
         self.beat, self.reads = 0, []
-        self._add(now, Kind.NOOP, b"")
+        self._add(now, EntryKind.NOOP, b"")
         self._beat(now)
 
     def _follow(self, now: float, term: int, leader: str) -> None:
         """Follows in this term, which is its own or a later one."""
         if term > self.term:
             self.term, self.voted = term, ""
-            self.disk.write(Vote(term, ""))
+            self.disk.write(HardState(term, ""))
         led = self.role is Role.LEADER
         if led or leader != self.leader:
-            self.events.append(Follows(term, leader))
+            self.events.append(BecameFollower(term, leader))
         self.role, self.leader, self.transferring, self.joining = Role.FOLLOWER, leader, None, ""
         self.reads, self.progress, self.beat_at = [], {}, math.inf
         self.deadline = self._new_deadline(now)
 
     # -- the leader's log
-    def _add(self, now: float, kind: Kind, data: bytes) -> int:
+    def _add(self, now: float, kind: EntryKind, data: bytes) -> int:
         entry = Entry(self.log.last_index + 1, self.term, kind, data)
         self._append((entry,))
         for name in list(self.progress):
@@ -315,7 +330,7 @@
         for message in outstanding(self._leadership(), self.log, self.progress[name], heartbeat):
             self._send(name, message, 0)
 
-    def _acknowledged(self, now: float, answer: Fed) -> None:
+    def _acknowledged(self, now: float, answer: AppendEntriesReply) -> None:
         progress = self._heard(now, answer)
         if progress is None:
             return
@@ -327,7 +342,7 @@
             self._advance(now)
         self._go_on(now, answer.source)
 
-    def _installed(self, now: float, answer: Installed) -> None:
+    def _installed(self, now: float, answer: InstallSnapshotReply) -> None:
         progress = self._heard(now, answer)
         if progress is None:
             return
@@ -342,7 +357,7 @@
                 return
         self._go_on(now, answer.source)
 
-    def _heard(self, now: float, answer: Fed | Installed) -> Progress | None:
+    def _heard(self, now: float, answer: AppendEntriesReply | InstallSnapshotReply) -> Progress | None:
         """Notes a follower's answer; None where this voter does not lead or the other is no follower of it."""
         progress = self.progress.get(answer.source) if self.role is Role.LEADER else None
         if progress is not None:
@@ -356,7 +371,7 @@
         self._feed(name)
         if name == self.joining and self.progress[name].match + JOINED_WITHIN >= self.log.last_index:
             self.joining = ""
-            self._add(now, Kind.VOTERS, encode_names((*self.voters, name)))
+            self._add(now, EntryKind.VOTERS, encode_names((*self.voters, name)))
         self._cede_if_level(now)
 
     def _cede_if_level(self, now: float) -> None:
@@ -365,7 +380,7 @@
             return
         to = self.transferring.to
         if self.progress[to].match == self.log.last_index:
-            self._send(to, Cede(self.term, self.name), 0)
+            self._send(to, TimeoutNow(self.term, self.name), 0)
 
     def _confirm(self) -> None:
         """Confirms reads whose round of heartbeats a majority has answered."""
@@ -375,7 +390,7 @@
             if read.beat > self.beat or not is_majority(answered, self.voters):
                 return
             self.reads.pop(0)
-            self.events.append(Confirmed(read.token))
+            self.events.append(ReadConfirmed(read.token))
 
     def _advance(self, now: float) -> None:
         """Commits what most voters have on disk, once that reaches an entry of this term (3.6.2: an earlier term's
@@ -389,12 +404,14 @@
         return self.log.term_at(index) == self.term
 
     # -- the follower's log
-    def _fed(self, now: float, message: Feed) -> None:
+    def _fed(self, now: float, message: AppendEntries) -> None:
         self._leader_is(now, message.source)
         base = self.log.base
         if message.prev_index >= base and self.log.term_at(message.prev_index) != message.prev_term:
             hint = self.log.last_possible_match(message.prev_index, message.prev_term, self.commit)
-            self._send(message.source, Fed(self.term, self.name, False, hint, message.beat), self._promised())
+            self._send(
+                message.source, AppendEntriesReply(self.term, self.name, False, hint, message.beat), self._promised()
+            )
             return
         entries = [e for e in message.entries if e.index > base]  # what is compacted was committed, and so the same
         missing = self.log.missing(entries)
@@ -404,14 +421,16 @@
         if min(message.commit, matched) > self.commit:
             self.commit = min(message.commit, matched)
             self._apply(now)
-        self._send(message.source, Fed(self.term, self.name, True, matched, message.beat), self._promised())
+        self._send(
+            message.source, AppendEntriesReply(self.term, self.name, True, matched, message.beat), self._promised()
+        )
 
     def _leader_is(self, now: float, name: str) -> None:
         if self.role is not Role.FOLLOWER or self.leader != name:
             self._follow(now, self.term, name)
         self.heard_at, self.deadline = now, self._new_deadline(now)
 
-    def _installing(self, now: float, message: Install) -> None:
+    def _installing(self, now: float, message: InstallSnapshot) -> None:
         self._leader_is(now, message.source)
         if message.index <= self.commit:
             self._incoming = None
@@ -422,7 +441,7 @@
         incoming = self._incoming
         incoming.add(message)
         if not incoming.whole:
-            so_far = Installed(self.term, self.name, message.index, incoming.received, False, message.beat)
+            so_far = InstallSnapshotReply(self.term, self.name, message.index, incoming.received, False, message.beat)
             self._send(message.source, so_far, 0)
             return
         self._incoming = None
@@ -432,20 +451,20 @@
         self.commit = self.applied = snapshot.index
         self._acknowledge_snapshot(message)
 
-    def _acknowledge_snapshot(self, message: Install) -> None:
-        kept = Installed(self.term, self.name, message.index, 0, True, message.beat)
+    def _acknowledge_snapshot(self, message: InstallSnapshot) -> None:
+        kept = InstallSnapshotReply(self.term, self.name, message.index, 0, True, message.beat)
         self._send(message.source, kept, self._promised())
 
     def _apply(self, now: float) -> None:
         while self.applied < self.commit:
             entry = self.log.at(self.applied + 1)
             self.applied = entry.index
-            if entry.kind is Kind.COMMAND:
+            if entry.kind is EntryKind.COMMAND:
                 self.machine.apply(entry.index, entry.data)
-            self.events.append(Applied(entry))
+            self.events.append(EntryApplied(entry))
         if self.ready and self._told_lead != self.term:
             self._told_lead = self.term
-            self.events.append(Leads(self.term))
+            self.events.append(BecameLeader(self.term))
         if self.applied - self.log.base >= self.tuning.compact:
             self._keep(compacted(self.log, self.applied, self.machine.dump()))
         if self.role is Role.LEADER and self.name not in self.voters and self.voters_index <= self.commit:
@@ -466,7 +485,7 @@
     def _read_voters(self, changed_from: int) -> None:
         """Who votes, by the log as it is now; only a word on it, or the loss of one, changes that."""
         if changed_from > self.voters_index and not any(
-            e.kind is Kind.VOTERS for e in self.log.after(max(changed_from - 1, self.log.base))
+            e.kind is EntryKind.VOTERS for e in self.log.after(max(changed_from - 1, self.log.base))
         ):
             return
         self.voters, self.voters_index = self.log.voters()
--- a/badgerbend/consensus/replication.py
+++ b/badgerbend/consensus/replication.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from badgerbend.consensus.log import Log
-from badgerbend.consensus.messages import MOST_BYTES, Entry, Feed, Install, Snapshot, size_of
+from badgerbend.consensus.messages import MAX_MESSAGE_BYTES, AppendEntries, Entry, InstallSnapshot, Snapshot, size_of
 
 HEAD_BYTES = 300  # of a message: all but its entries or its piece
 PIPELINE = 4  # messages on the way to one follower, between its answers
@@ -59,9 +59,11 @@
         self.offset = 0
 
 
-def outstanding(leadership: Leadership, log: Log, progress: Progress, heartbeat: bool) -> list[Feed | Install]:
+def outstanding(
+    leadership: Leadership, log: Log, progress: Progress, heartbeat: bool
+) -> list[AppendEntries | InstallSnapshot]:
     """What the follower lacks, as far as may be in flight at once. heartbeat: send a message if it lacks nothing."""
-    messages = list[Feed | Install]()
+    messages = list[AppendEntries | InstallSnapshot]()
     while progress.in_flight < PIPELINE and (heartbeat or progress.next <= log.last_index):
         heartbeat = False
         progress.in_flight += 1
@@ -73,7 +75,7 @@
         entries = _entries_for_one_message(log, previous)
         progress.next += len(entries)
         messages.append(
-            Feed(
+            AppendEntries(
                 leadership.term, leadership.leader, previous, previous_term, entries, leadership.commit, leadership.beat
             )
         )
@@ -82,7 +84,7 @@
 
 def _entries_for_one_message(log: Log, previous: int) -> tuple[Entry, ...]:
     """Entries after an index, as many as fit; at least one if there is one."""
-    entries, room = list[Entry](), MOST_BYTES - HEAD_BYTES
+    entries, room = list[Entry](), MAX_MESSAGE_BYTES - HEAD_BYTES
     for entry in log.after(previous):
         room -= size_of(entry)
         if entries and room < 0:
@@ -91,11 +93,18 @@
     return tuple(entries)
 
 
-def snapshot_piece(leadership: Leadership, snapshot: Snapshot, acknowledged: int) -> Install:
+def snapshot_piece(leadership: Leadership, snapshot: Snapshot, acknowledged: int) -> InstallSnapshot:
     """The piece of a snapshot that follows its first `acknowledged` bytes."""
     offset = min(acknowledged, len(snapshot.state))
-    piece = snapshot.state[offset : offset + MOST_BYTES - HEAD_BYTES]
-    return Install(
-        leadership.term, leadership.leader, snapshot.index, snapshot.term, snapshot.voters,
-        offset, len(snapshot.state), piece, leadership.beat,
-    )  # fmt: skip
+    piece = snapshot.state[offset : offset + MAX_MESSAGE_BYTES - HEAD_BYTES]
+    return InstallSnapshot(
+        leadership.term,
+        leadership.leader,
+        snapshot.index,
+        snapshot.term,
+        snapshot.voters,
+        offset,
+        len(snapshot.state),
+        piece,
+        leadership.beat,
+    )
--- a/badgerbend/consensus/types.py
+++ b/badgerbend/consensus/types.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """What the log is for. The same commands in the same order leave the same state, wherever."""
 
     def apply(self, index: int, data: bytes) -> None: ...
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tuning:
+class RaftConfig:
     """election_s: who hears no leader for one to two of these stands; beat_s: a leader is heard so often.
 
     compact: a snapshot is taken after so many entries.
--- a/badgerbend/discovery/directory.py
+++ b/badgerbend/discovery/directory.py
@@ -28,7 +28,7 @@
     name: str
     address: tuple[str, int]
     cell: int
-    state: api.NodeState
+    state: api.EndpointState
     started: float
     zone: int
     kind: int
@@ -36,7 +36,7 @@
 
 
 Form = Callable[[Any], Entry]  # raises AttributeError, KeyError, TypeError or ValueError for what is no row
-Leaving = Callable[[Any], tuple[str, api.NodeState] | None]  # name and state of a row that says READY not; the same
+Leaving = Callable[[Any], tuple[str, api.EndpointState] | None]  # name and state of a row that says READY not; the same
 NO_ROW = (msgspec.DecodeError, AttributeError, KeyError, TypeError, ValueError, RecursionError)
 
 
@@ -45,7 +45,7 @@
     number: int
     started: float  # as the list states it
     started_ms: float  # on this broker's clock; 0: long ago
-    line: api.NodeLine
+    line: api.Endpoint
     address: tuple[str, int]
 
 
@@ -66,7 +66,7 @@
         self.next = 1
         self.told = False  # the module knows all that stands here
 
-    def read(self, rows: Sequence[msgspec.Raw], now_ms: float, unix_s: float) -> tuple[api.View, list[str]]:
+    def read(self, rows: Sequence[msgspec.Raw], now_ms: float, unix_s: float) -> tuple[api.EndpointUpdate, list[str]]:
         """A whole list at once, and what was wrong with lines that were left out. Raises ListError.
 
         An empty list, or one without a single usable line, is an error and not news: a directory that has lost
@@ -77,7 +77,7 @@
             pass
         reading.take()
         self.told = True
-        return api.View(api.ViewKind.FULL, tuple(k.line for k in self.known.values())), reading.wrong
+        return api.EndpointUpdate(api.UpdateKind.FULL, tuple(k.line for k in self.known.values())), reading.wrong
 
     def _known(self, entry: Entry, now_ms: float, unix_s: float) -> _Known:
         if not entry.name or not entry.address[0] or not 0 < entry.address[1] < 65536:
@@ -97,7 +97,7 @@
             started_ms = max(now_ms - age_ms, 0.0) if started else 0.0
         else:
             started_ms = old.started_ms if started == old.started else now_ms
-        line = api.NodeLine(number, entry.cell, entry.state, started_ms, entry.zone, entry.kind, entry.size)
+        line = api.Endpoint(number, entry.cell, entry.state, started_ms, entry.zone, entry.kind, entry.size)
         return _Known(number, started, started_ms, line, entry.address)
 
 
@@ -131,7 +131,7 @@
         self.directory, self.rows, self.now_ms, self.unix_s = directory, rows, now_ms, unix_s
         self.whole, self.left = whole, left
         self.lines: dict[str, _Known] = {}
-        self.changed: dict[str, api.NodeLine] = {}
+        self.changed: dict[str, api.Endpoint] = {}
         self.wrong: list[str] = []
         self.first = not directory.told
 
@@ -157,7 +157,7 @@
             name, known = found
         if name in self.lines:
             self.wrong.append(f"line {place}: {name} comes twice")
-            if known.line.state == api.NodeState.READY:
+            if known.line.state == api.EndpointState.READY:
                 return  # of two, the one that wants nothing new
         old = directory.known.get(name)
         if old is None or old.line != known.line:
@@ -191,7 +191,7 @@
         if not self.lines:
             raise ListError(f"no usable line among {len(self.rows)}")
         left = {name: known.line for name, known in directory.known.items() if name not in self.lines}
-        self.changed |= {name: replace(line, state=api.NodeState.GONE) for name, line in left.items()}
+        self.changed |= {name: replace(line, state=api.EndpointState.REMOVED) for name, line in left.items()}
         directory.known = self.lines
         directory.addresses = {known.number: known.address for known in directory.known.values()}
         directory.names = {known.number: name for name, known in directory.known.items()}
@@ -202,9 +202,9 @@
         for name in self.left:
             if (old := directory.known.get(name)) is not None:
                 self._remove(name, old)
-                self.changed[name] = replace(old.line, state=api.NodeState.GONE)
+                self.changed[name] = replace(old.line, state=api.EndpointState.REMOVED)
         for name, known in self.lines.items():
-            if known.line.state == api.NodeState.GONE:
+            if known.line.state == api.EndpointState.REMOVED:
                 self._remove(name, known)
             else:
                 directory.known[name] = known
@@ -217,12 +217,12 @@
         directory.addresses.pop(known.line.node, None)
         directory.names.pop(known.line.node, None)
 
-    def news(self) -> Iterator[api.View]:
+    def news(self) -> Iterator[api.EndpointUpdate]:
         """What the module is told, a view a step; at least one, since a list was heard."""
         if self.first:
-            yield api.View(api.ViewKind.FULL, tuple(k.line for k in self.directory.known.values()))
+            yield api.EndpointUpdate(api.UpdateKind.FULL, tuple(k.line for k in self.directory.known.values()))
         else:
             changed = tuple(self.changed.values())
             for at in range(0, max(len(changed), 1), SLICE):
-                yield api.View(api.ViewKind.DELTA, changed[at : at + SLICE])
+                yield api.EndpointUpdate(api.UpdateKind.DELTA, changed[at : at + SLICE])
         self.directory.told = True
--- a/badgerbend/discovery/keyed.py
+++ b/badgerbend/discovery/keyed.py
@@ -16,7 +16,7 @@
 from badgerbend.discovery.members import parse_address
 from badgerbend.discovery.watch import Clock, Timer
 
-STATES = {"ready": api.NodeState.READY, "draining": api.NodeState.DRAINING, "gone": api.NodeState.GONE}
+STATES = {"ready": api.EndpointState.READY, "draining": api.EndpointState.DRAINING, "gone": api.EndpointState.REMOVED}
 MOST_TOLD = 5  # rows left out that are named at once
 
 
@@ -38,14 +38,14 @@
     read = msgspec.convert(fields, NodeRow)
     return Entry(
         name, parse_address(read.address), read.cell, STATES[read.state], read.started, read.zone, read.kind, read.size
-    )  # fmt: skip
+    )
 
 
-def leaving(row: Any) -> tuple[str, api.NodeState] | None:
+def leaving(row: Any) -> tuple[str, api.EndpointState] | None:
     """A row without all its fields; a state not known here is none to send anything new in."""
     name, fields = row
-    state = STATES.get(fields.get("state", "ready"), api.NodeState.DRAINING)
-    return None if state == api.NodeState.READY else (name, state)
+    state = STATES.get(fields.get("state", "ready"), api.EndpointState.DRAINING)
+    return None if state == api.EndpointState.READY else (name, state)
 
 
 def keyed_directory(cells: int) -> Directory:
@@ -66,7 +66,7 @@
         clock: Clock,
         now_ms: Callable[[], float],
         unix_s: Callable[[], float],
-        on_view: Callable[[api.View], None],
+        on_view: Callable[[api.EndpointUpdate], None],
         on_trouble: Callable[[str, str], None],
     ) -> None:
         self.directory, self.clock, self.now_ms, self.unix_s = directory, clock, now_ms, unix_s
@@ -131,7 +131,9 @@
         self._take_at_once(self._removal(len(self._left)))
         if not self.directory.known:
             return False
-        self.on_view(api.View(api.ViewKind.FULL, tuple(known.line for known in self.directory.known.values())))
+        self.on_view(
+            api.EndpointUpdate(api.UpdateKind.FULL, tuple(known.line for known in self.directory.known.values()))
+        )
         self.directory.told = True
         self._heard()
         return False
--- a/badgerbend/discovery/lines.py
+++ b/badgerbend/discovery/lines.py
@@ -30,18 +30,24 @@
     if not isinstance(port, int) or isinstance(port, bool):
         raise ValueError(f"port {port!r}")
     return Entry(
-        name, (host, port), int(meta["cell"]), _state(row), float(meta.get("started", 0)), int(meta.get("zone", 0)),
-        int(meta.get("kind", 0)), float(meta.get("size", 1)),
-    )  # fmt: skip
-
-
-def _state(row: Any) -> api.NodeState:
+        name,
+        (host, port),
+        int(meta["cell"]),
+        _state(row),
+        float(meta.get("started", 0)),
+        int(meta.get("zone", 0)),
+        int(meta.get("kind", 0)),
+        float(meta.get("size", 1)),
+    )
+
+
+def _state(row: Any) -> api.EndpointState:
     checks = row.get("Checks") or []
     if any(c.get("CheckID", "").startswith(MAINTENANCE) and c["Status"] != "passing" for c in checks):
-        return api.NodeState.DRAINING
+        return api.EndpointState.DRAINING
     states = {c["Status"] for c in checks}
     if not states <= {"passing", "warning", "critical"}:
         raise ValueError(f"unknown status among {sorted(states)}")
     if "critical" in states:
-        return api.NodeState.GONE
-    return api.NodeState.DRAINING if "warning" in states else api.NodeState.READY
+        return api.EndpointState.REMOVED
+    return api.EndpointState.DRAINING if "warning" in states else api.EndpointState.READY
--- a/badgerbend/discovery/members.py
+++ b/badgerbend/discovery/members.py
@@ -53,7 +53,7 @@
     state: str
     size: str
     started: str
-    states: Mapping[str, api.NodeState]
+    states: Mapping[str, api.EndpointState]
 
 
 def parse_address(text: object) -> tuple[str, int]:
@@ -72,9 +72,15 @@
         if not isinstance(uid, str) or not isinstance(cell, int) or isinstance(cell, bool):
             raise ValueError("no id or no cell")
         return Entry(
-            uid, parse_address(row[names.address]), cell, names.states[row[names.state]], float(started) / 1000.0,
-            _place(zones, row.get(names.zone)), _place(kinds, row.get(names.kind)), float(row.get(names.size, 1.0)),
-        )  # fmt: skip
+            uid,
+            parse_address(row[names.address]),
+            cell,
+            names.states[row[names.state]],
+            float(started) / 1000.0,
+            _place(zones, row.get(names.zone)),
+            _place(kinds, row.get(names.kind)),
+            float(row.get(names.size, 1.0)),
+        )
 
     return entry
 
@@ -82,9 +88,9 @@
 def leaving(names: Names) -> Leaving:
     """A row without all its fields; a state not known here is none to send anything new in."""
 
-    def read(row: Any) -> tuple[str, api.NodeState] | None:
-        state = names.states.get(row.get(names.state), api.NodeState.DRAINING)
-        return None if state == api.NodeState.READY else (row[names.id], state)
+    def read(row: Any) -> tuple[str, api.EndpointState] | None:
+        state = names.states.get(row.get(names.state), api.EndpointState.DRAINING)
+        return None if state == api.EndpointState.READY else (row[names.id], state)
 
     return read
 
--- a/badgerbend/discovery/watch.py
+++ b/badgerbend/discovery/watch.py
@@ -74,7 +74,7 @@
         clock: Clock,
         now_ms: Callable[[], float],
         unix_s: Callable[[], float],
-        on_view: Callable[[api.View], None],
+        on_view: Callable[[api.EndpointUpdate], None],
         on_trouble: Callable[[str, str], None],
         seed: int,
         agent: str,
@@ -258,7 +258,7 @@
         self.on_failed()
         if self.asks:
             self.following = False
-            self.on_view(api.View(api.ViewKind.FAILED, ()))
+            self.on_view(api.EndpointUpdate(api.UpdateKind.FAILED, ()))
         elif self.following:
             pace = self.target.pace
             wait = min(pace.first_wait * 2.0 ** min(self.failures - 1, 10), pace.most_wait)
--- a/badgerbend/feed/commands.py
+++ b/badgerbend/feed/commands.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from badgerbend.consensus.messages import MOST_COMMAND
+from badgerbend.consensus.messages import MAX_COMMAND_BYTES
 from badgerbend.feed.content import hashed
-from badgerbend.feed.errors import TooLarge
+from badgerbend.feed.errors import TooLargeError
 from badgerbend.feed.messages import MOST_CHANGES, Number, Publication, read
 
-PART_BYTES = MOST_COMMAND - 60  # of a publication's bytes in one entry: the rest is the command's head
+PART_BYTES = MAX_COMMAND_BYTES - 60  # of a publication's bytes in one entry: the rest is the command's head
 MOST_PARTS = 400
 WHOLE_BYTES = 8  # of the hash that tells two publications of one revision apart
 MOST_PUBLICATION = PART_BYTES * MOST_PARTS  # bytes of an encoded publication
@@ -40,7 +40,7 @@
     """The commands that publish it, in order. Raises TooLarge."""
     data = _encoder.encode(publication)
     if len(data) > MOST_PUBLICATION or len(publication.changes) > MOST_CHANGES:
-        raise TooLarge(f"a publication of {len(data)} bytes; {MOST_PUBLICATION} at most")
+        raise TooLargeError(f"a publication of {len(data)} bytes; {MOST_PUBLICATION} at most")
     pieces = [data[at : at + PART_BYTES] for at in range(0, len(data), PART_BYTES)]
     checkpoint, whole = publication.checkpoint, hashed(data)[:WHOLE_BYTES]
     return [
--- a/badgerbend/feed/configuration.py
+++ b/badgerbend/feed/configuration.py
@@ -12,7 +12,7 @@
 Settings = TypeVar("Settings")
 
 
-class UnusableConfiguration(Exception):
+class UnusableConfigurationError(Exception):
     """A configuration that this process cannot use; the text names the line and the field."""
 
 
@@ -37,7 +37,7 @@
         """Checks a configuration; what is wrong with it, or nothing. It is in force after the next `turn`."""
         try:
             settings = self.read(data)
-        except UnusableConfiguration as error:
+        except UnusableConfigurationError as error:
             self.refused = (revision, str(error))
             return str(error)
         self.refused = None
--- a/badgerbend/feed/control.py
+++ b/badgerbend/feed/control.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from badgerbend.duties.holder import Holder
-from badgerbend.duties.voter import Voter
 from badgerbend.feed.machine import PUBLISH, FeedMachine
 from badgerbend.feed.messages import Change, Summary, encode
 from badgerbend.feed.publisher import Publisher
 from badgerbend.feed.relay import Relay
+from badgerbend.leases.holder import LeaseHolder
+from badgerbend.leases.voter import Voter
 
 MOST_SUMMARY = 1200  # bytes: within one datagram, with its seal and head
 
@@ -71,7 +71,7 @@
     def __init__(
         self,
         voter: Voter,
-        holder: Holder,
+        holder: LeaseHolder,
         machine: FeedMachine,
         publisher: Publisher,
         relay: Relay,
--- a/badgerbend/feed/errors.py
+++ b/badgerbend/feed/errors.py
@@ -7,37 +7,37 @@
     """Something that was received cannot be used; the text says what and why."""
 
 
-class Malformed(FeedError):
+class MalformedMessageError(FeedError):
     """Bytes that are no message of this version, or out of bounds."""
 
 
-class BadSignature(FeedError):
+class SignatureError(FeedError):
     """A publication or a snapshot that the publisher did not sign."""
 
 
-class TamperedChanges(FeedError):
+class TamperedChangesError(FeedError):
     """The changes of a publication are not those that the publisher signed."""
 
 
-class DigestMismatch(FeedError):
+class DigestMismatchError(FeedError):
     """The content after a change is not what the publisher signed."""
 
 
-class OldEpoch(FeedError):
+class StaleEpochError(FeedError):
     """A publication of a publisher whose lease is over."""
 
 
-class RevisionGap(FeedError):
+class RevisionGapError(FeedError):
     """A publication that does not follow the revision held."""
 
 
-class OutOfSequence(FeedError):
+class OutOfSequenceError(FeedError):
     """A message that has no place in the state of this connection."""
 
 
-class NoProgress(FeedError):
+class NoProgressError(FeedError):
     """A relay that announces revisions and does not send them."""
 
 
-class TooLarge(FeedError):
+class TooLargeError(FeedError):
     """A change that does not fit into one publication."""
--- a/badgerbend/feed/follower.py
+++ b/badgerbend/feed/follower.py
@@ -14,7 +14,14 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from badgerbend.feed.errors import BadSignature, DigestMismatch, FeedError, NoProgress, OldEpoch, OutOfSequence
+from badgerbend.feed.errors import (
+    DigestMismatchError,
+    FeedError,
+    NoProgressError,
+    OutOfSequenceError,
+    SignatureError,
+    StaleEpochError,
+)
 from badgerbend.feed.framing import frame
 from badgerbend.feed.log import NOTHING, PublicationLog, Retention
 from badgerbend.feed.messages import (
@@ -194,7 +201,7 @@
                 case SnapshotPiece():
                     self._snapshot_piece(message)
                 case _:
-                    raise OutOfSequence(f"{type(message).__name__} from a relay")
+                    raise OutOfSequenceError(f"{type(message).__name__} from a relay")
         except FeedError as error:
             self.unusable(now, attempt, error)
 
@@ -203,7 +210,7 @@
         if attempt != self.attempt or self.relay is None:
             return
         self._actions.append(Rejected(self.relay.name, error))
-        own_fault = isinstance(error, DigestMismatch) and self._assembly is None  # the replica's, no snapshot's
+        own_fault = isinstance(error, DigestMismatchError) and self._assembly is None  # the replica's, no snapshot's
         if not own_fault:
             self._avoided[self.relay.name] = now + self.tuning.distrust
         self._drop_connection()
@@ -329,7 +336,7 @@
             return
         self._behind_since = min(self._behind_since, now)
         if now - self._behind_since > self.tuning.behind_most:
-            raise NoProgress(f"revision {message.revision} announced, {self.log.revision} sent")
+            raise NoProgressError(f"revision {message.revision} announced, {self.log.revision} sent")
 
     def _leave_stale(self, now: float) -> bool:
         """Leaves a relay that is cut off from the agreed log, if another may be tried; whether it did."""
@@ -344,13 +351,13 @@
 
     def _published(self, publication: Publication) -> None:
         if self._assembly is not None:
-            raise OutOfSequence("a publication amid a snapshot")
+            raise OutOfSequenceError("a publication amid a snapshot")
         if publication.checkpoint.revision <= self.log.revision:
             return  # it held that already
         self._verify(publication.checkpoint)
         try:
             self.log.append(publication)
-        except DigestMismatch:
+        except DigestMismatchError:
             self._damaged = True
             raise
         self._install(publication.changes)
@@ -358,10 +365,10 @@
     def _begin_snapshot(self, message: SnapshotBegin) -> None:
         checkpoint = message.checkpoint
         if self._assembly is not None or not self._replaces(checkpoint):
-            raise OutOfSequence(f"a snapshot of revision {checkpoint.revision} at {self.log.revision}")
+            raise OutOfSequenceError(f"a snapshot of revision {checkpoint.revision} at {self.log.revision}")
         self._verify(checkpoint)
         if checkpoint.epoch < self.log.epoch:
-            raise OldEpoch(f"a snapshot of epoch {checkpoint.epoch} after {self.log.epoch}")
+            raise StaleEpochError(f"a snapshot of epoch {checkpoint.epoch} after {self.log.epoch}")
         self._assembly, self.phase = SnapshotAssembly(message), Phase.LOADING
         self._take_whole_snapshot()  # of an empty content no piece follows
 
@@ -373,7 +380,7 @@
 
     def _snapshot_piece(self, message: SnapshotPiece) -> None:
         if self._assembly is None:
-            raise OutOfSequence("a piece of no snapshot")
+            raise OutOfSequenceError("a piece of no snapshot")
         self._assembly.add(message)
         self._behind_since = math.inf
         self._take_whole_snapshot()
@@ -390,7 +397,7 @@
 
     def _verify(self, checkpoint: Checkpoint) -> None:
         if not self.verifier.verify(checkpoint.signed_bytes(), checkpoint.signature):
-            raise BadSignature(f"revision {checkpoint.revision} is not signed by the publisher")
+            raise SignatureError(f"revision {checkpoint.revision} is not signed by the publisher")
 
     def _install(self, changes: tuple[Change, ...]) -> None:
         self._behind_since = math.inf
--- a/badgerbend/feed/framing.py
+++ b/badgerbend/feed/framing.py
@@ -6,7 +6,7 @@
 import zlib
 from collections.abc import Iterator
 
-from badgerbend.feed.errors import Malformed
+from badgerbend.feed.errors import MalformedMessageError
 from badgerbend.feed.messages import MOST_FRAME, Message, decode, encode
 
 HEAD = struct.Struct(">II")  # length and CRC-32 of the message's bytes
@@ -32,14 +32,14 @@
             while len(self._buffer) - start >= HEAD.size:
                 length, checksum = HEAD.unpack_from(self._buffer, start)
                 if length > MOST_FRAME:
-                    raise Malformed(f"a frame of {length} bytes; {MOST_FRAME} at most")
+                    raise MalformedMessageError(f"a frame of {length} bytes; {MOST_FRAME} at most")
                 end = start + HEAD.size + length
                 if len(self._buffer) < end:
                     return
                 body = bytes(self._buffer[start + HEAD.size : end])
                 start = end
                 if zlib.crc32(body) != checksum:
-                    raise Malformed("a frame whose checksum does not fit")
+                    raise MalformedMessageError("a frame whose checksum does not fit")
                 yield decode(body)
         finally:
             del self._buffer[:start]
--- a/badgerbend/feed/log.py
+++ b/badgerbend/feed/log.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from badgerbend.feed.content import Content, hashed
-from badgerbend.feed.errors import DigestMismatch, OldEpoch, RevisionGap, TamperedChanges
+from badgerbend.feed.errors import DigestMismatchError, RevisionGapError, StaleEpochError, TamperedChangesError
 from badgerbend.feed.framing import frame
 from badgerbend.feed.messages import (
     DIGEST_BYTES,
@@ -78,22 +78,22 @@
         """Raises RevisionGap, OldEpoch, TamperedChanges or DigestMismatch; then nothing has changed."""
         checkpoint = publication.checkpoint
         if checkpoint.revision != self.revision + 1:
-            raise RevisionGap(f"revision {checkpoint.revision} after {self.revision}")
+            raise RevisionGapError(f"revision {checkpoint.revision} after {self.revision}")
         if checkpoint.epoch < self.epoch:
-            raise OldEpoch(f"epoch {checkpoint.epoch} after {self.epoch}")
+            raise StaleEpochError(f"epoch {checkpoint.epoch} after {self.epoch}")
         if changes_digest(publication.changes) != checkpoint.changes:
-            raise TamperedChanges(f"revision {checkpoint.revision}: other changes than were signed")
+            raise TamperedChangesError(f"revision {checkpoint.revision}: other changes than were signed")
         undo = self.content.apply(publication.changes)
         if self.content.digest() != checkpoint.content:
             self.content.apply(undo)
-            raise DigestMismatch(f"revision {checkpoint.revision}: other content than was signed")
+            raise DigestMismatchError(f"revision {checkpoint.revision}: other content than was signed")
         self.checkpoint = checkpoint
         self._retain(publication)
 
     def reset(self, content: Content, checkpoint: Checkpoint) -> None:
         """Takes over a whole snapshot. Raises DigestMismatch; then nothing has changed."""
         if content.digest() != checkpoint.content:
-            raise DigestMismatch(f"snapshot of revision {checkpoint.revision}: other content than was signed")
+            raise DigestMismatchError(f"snapshot of revision {checkpoint.revision}: other content than was signed")
         self.content, self.checkpoint, self._before = content, checkpoint, checkpoint
         self._retained.clear()
         self._bytes = 0
--- a/badgerbend/feed/machine.py
+++ b/badgerbend/feed/machine.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from badgerbend.duties.table import Table
 from badgerbend.feed.commands import PublishPart, decode_part, decode_publication
 from badgerbend.feed.content import Content
 from badgerbend.feed.errors import FeedError
 from badgerbend.feed.log import PublicationLog, Retention
 from badgerbend.feed.messages import Change, Checkpoint, Publication
+from badgerbend.leases.table import LeaseTable
 
 PUBLISH = "publish"  # the duty whose holder publishes
 
@@ -34,7 +34,7 @@
     """`consensus.raft.Machine`. on_change is called when the log of publications has grown or was replaced."""
 
     def __init__(self, retention: Retention, on_change: Callable[[], None] = lambda: None) -> None:
-        self.table = Table()
+        self.table = LeaseTable()
         self.log = PublicationLog(retention)
         self.on_change = on_change
         self.last_error: FeedError | None = None  # why the last publication that did not stand did not
--- a/badgerbend/feed/messages.py
+++ b/badgerbend/feed/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from badgerbend.feed.errors import Malformed
+from badgerbend.feed.errors import MalformedMessageError
 
 MOST_FRAME = 512 * 1024  # bytes of one message: a publication or a piece of a snapshot, with room
 MOST_CHANGES = 8192  # of one publication
@@ -150,7 +150,7 @@
     try:
         return decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as err:
-        raise Malformed(str(err)) from err
+        raise MalformedMessageError(str(err)) from err
 
 
 def decode(data: bytes) -> Message:
--- a/badgerbend/feed/relay.py
+++ b/badgerbend/feed/relay.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from badgerbend.feed.errors import FeedError, OutOfSequence
+from badgerbend.feed.errors import FeedError, OutOfSequenceError
 from badgerbend.feed.framing import frame
 from badgerbend.feed.log import PublicationLog
 from badgerbend.feed.messages import MOST_LAGGARDS, Heartbeat, Hello, Laggard, Message, Status, Summary
@@ -69,9 +69,21 @@
     """One follower's connection."""
 
     __slots__ = (
-        "name", "phase", "epoch", "position", "digest", "in_force", "refused", "reason",
-        "wants_snapshot", "image", "next_piece", "in_flight", "blocked_since", "heard_at",
-    )  # fmt: skip
+        "name",
+        "phase",
+        "epoch",
+        "position",
+        "digest",
+        "in_force",
+        "refused",
+        "reason",
+        "wants_snapshot",
+        "image",
+        "next_piece",
+        "in_flight",
+        "blocked_since",
+        "heard_at",
+    )
 
     def __init__(self, now: float) -> None:
         self.name = ""
@@ -148,7 +160,7 @@
                 case Status():
                     self._status(session, message)
                 case _:
-                    raise OutOfSequence(f"{type(message).__name__} from a follower")
+                    raise OutOfSequenceError(f"{type(message).__name__} from a follower")
         except FeedError as error:
             self.unusable(now, number, error)
 
@@ -207,7 +219,7 @@
     # -- messages of followers
     def _hello(self, now: float, number: int, session: _Session, message: Hello) -> None:
         if session.phase is not Phase.GREETING:
-            raise OutOfSequence("a second hello")
+            raise OutOfSequenceError("a second hello")
         session.name, session.epoch = message.name, message.epoch
         session.position, session.digest = message.revision, message.digest
         session.in_force = message.revision
@@ -224,7 +236,7 @@
 
     def _status(self, session: _Session, message: Status) -> None:
         if session.phase is Phase.GREETING:
-            raise OutOfSequence("a status before the hello")
+            raise OutOfSequenceError("a status before the hello")
         session.in_force, session.refused, session.reason = message.in_force, message.refused, message.reason
 
     # -- streaming
--- a/badgerbend/feed/snapshot.py
+++ b/badgerbend/feed/snapshot.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 
 from badgerbend.feed.content import Content
-from badgerbend.feed.errors import Malformed, OutOfSequence
+from badgerbend.feed.errors import MalformedMessageError, OutOfSequenceError
 from badgerbend.feed.framing import frame
 from badgerbend.feed.messages import (
     MOST_PIECE,
@@ -78,7 +78,7 @@
     def add(self, piece: SnapshotPiece) -> None:
         """Raises OutOfSequence or Malformed."""
         if piece.index != self._next or self.whole:
-            raise OutOfSequence(f"piece {piece.index} of a snapshot, {self._next} was due")
+            raise OutOfSequenceError(f"piece {piece.index} of a snapshot, {self._next} was due")
         self.content.apply(decode_changes(_unpacked(piece.packed)))
         self._next += 1
 
@@ -89,7 +89,7 @@
     try:
         data = unpacker.decompress(packed, 2 * MOST_PIECE)
     except zlib.error as err:
-        raise Malformed(f"a piece that does not unpack: {err}") from err
+        raise MalformedMessageError(f"a piece that does not unpack: {err}") from err
     if not unpacker.eof:
-        raise Malformed(f"a piece that is cut short or larger than {2 * MOST_PIECE} bytes")
+        raise MalformedMessageError(f"a piece that is cut short or larger than {2 * MOST_PIECE} bytes")
     return data
--- a/badgerbend/feednet/control.py
+++ b/badgerbend/feed_service/control.py
@@ -8,9 +8,7 @@
 from pathlib import Path
 
 from badgerbend.consensus import messages as voting
-from badgerbend.consensus.types import Tuning
-from badgerbend.duties.holder import Holder, Terms
-from badgerbend.duties.messages import Leave, Told, Want
+from badgerbend.consensus.types import RaftConfig
 from badgerbend.feed.control import Abandoned, Action, ControlNode, ControlTuning, Propose, Report
 from badgerbend.feed.log import Retention
 from badgerbend.feed.machine import PUBLISH, FeedMachine
@@ -18,19 +16,21 @@
 from badgerbend.feed.publisher import Check, Problem, Progress, Publisher, PublisherTuning
 from badgerbend.feed.relay import Relay, RelayTuning
 from badgerbend.feed.signature import Signer
-from badgerbend.feednet import control_wire
-from badgerbend.feednet.control_wire import Proposal
-from badgerbend.feednet.relay import RelayServer
-from badgerbend.feednet.timer import Clock, WakeUp, monotonic
+from badgerbend.feed_service import control_wire
+from badgerbend.feed_service.control_wire import Proposal
+from badgerbend.feed_service.relay import RelayServer
+from badgerbend.feed_service.timer import Clock, WakeUp, monotonic
+from badgerbend.lease_service import wire
+from badgerbend.lease_service.local_voter import LocalVoter
+from badgerbend.leases.holder import LeaseHolder, LeaseTiming
+from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
 from badgerbend.net.seal import Seal
 from badgerbend.net.udp import Address, SealedSocket, address_text
-from badgerbend.rota import wire
-from badgerbend.rota.voting import Ballot
 
 MOST_TURNS = 64  # in which the parts of one machine answer each other at once
 
 
-class NotPublishing(Exception):
+class NotPublishingError(Exception):
     """Another machine holds the lease on publishing, or nobody does for now."""
 
 
@@ -44,8 +44,8 @@
     relay: Address
     keys: tuple[bytes, ...]
     retention: Retention = Retention()
-    voting: Tuning = Tuning()
-    terms: Terms = Terms()
+    voting: RaftConfig = RaftConfig()
+    terms: LeaseTiming = LeaseTiming()
     publishing: PublisherTuning = PublisherTuning()
     relaying: RelayTuning = RelayTuning()
     control: ControlTuning = ControlTuning()
@@ -68,11 +68,19 @@
         self.own = settings.voters[settings.name]
         now, seed = clock(), life << 8
         machine = FeedMachine(settings.retention)
-        self.ballot = Ballot(
-            settings.store, settings.voting, settings.terms, seed + 1, clock, self._to_voter, self._to_candidate,
-            note, self._after, machine,
-        )  # fmt: skip
-        self.holder = Holder(
+        self.ballot = LocalVoter(
+            settings.store,
+            settings.voting,
+            settings.terms,
+            seed + 1,
+            clock,
+            self._to_voter,
+            self._to_candidate,
+            note,
+            self._after,
+            machine,
+        )
+        self.holder = LeaseHolder(
             settings.name,
             address_text(self.own),
             {PUBLISH: True},
@@ -117,7 +125,7 @@
     def submit(self, changes: Iterable[Change]) -> tuple[Problem, ...]:
         """Takes all of these changes for publication, or none of them and says why. Raises NotPublishing."""
         if not self.publishes:
-            raise NotPublishing(f"{self.holder.duties[PUBLISH].holder or 'nobody'} publishes")
+            raise NotPublishingError(f"{self.holder.duties[PUBLISH].holder or 'nobody'} publishes")
         problems = self.publisher.submit(self.clock(), changes)
         self._after()
         return problems
@@ -132,7 +140,7 @@
             return
         try:
             message = control_wire.read(body)
-        except control_wire.Malformed:
+        except control_wire.MalformedMessageError:
             self.refused += 1
             return
         self._heard(message, source)
@@ -140,22 +148,22 @@
 
     def _heard(self, message: control_wire.Said, source: Address) -> None:
         match message:
-            case Want() | Leave():
+            case LeaseRequest() | LeaseReturn():
                 self.ballot.from_broker(message, source)
-            case Told():
+            case LeaseReply():
                 self.holder.told(self.clock(), message)
             case Proposal(command):
                 self._proposed(command)
             case Summary():
                 self.publisher.heard(self.clock(), message)
             case (
-                voting.AskVote()
-                | voting.Voted()
-                | voting.Feed()
-                | voting.Fed()
-                | voting.Install()
-                | voting.Installed()
-                | voting.Cede()
+                voting.RequestVote()
+                | voting.RequestVoteReply()
+                | voting.AppendEntries()
+                | voting.AppendEntriesReply()
+                | voting.InstallSnapshot()
+                | voting.InstallSnapshotReply()
+                | voting.TimeoutNow()
             ):
                 self.ballot.from_voter(message)
             case _:
@@ -171,13 +179,13 @@
         if address is not None:
             self.send(address, wire.voter_body(message))
 
-    def _to_candidate(self, address: Address, message: Told) -> None:
+    def _to_candidate(self, address: Address, message: LeaseReply) -> None:
         if address == self.own:
             self.loop.call_soon(self._told_self, message)
         else:
             self.send(address, wire.broker_body(message))
 
-    def _told_self(self, message: Told) -> None:
+    def _told_self(self, message: LeaseReply) -> None:
         if not self._closed:
             self.holder.told(self.clock(), message)
             self._after()
--- a/badgerbend/feednet/control_wire.py
+++ b/badgerbend/feed_service/control_wire.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass
 
-from badgerbend.feed.errors import Malformed as MalformedSummary
+from badgerbend.feed.errors import MalformedMessageError as MalformedSummary
 from badgerbend.feed.messages import Summary, decode, encode
-from badgerbend.rota import wire
+from badgerbend.lease_service import wire
 
 PROPOSAL, SUMMARY = b"p", b"u"
-Malformed = wire.Malformed
+MalformedMessageError = wire.MalformedMessageError
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
     try:
         message = decode(data)
     except MalformedSummary as error:
-        raise Malformed(str(error)) from error
+        raise MalformedMessageError(str(error)) from error
     if not isinstance(message, Summary):
-        raise Malformed(f"{type(message).__name__} where a summary was due")
+        raise MalformedMessageError(f"{type(message).__name__} where a summary was due")
     return message
--- a/badgerbend/feednet/follower.py
+++ b/badgerbend/feed_service/follower.py
@@ -8,8 +8,8 @@
 from badgerbend.feed.errors import FeedError
 from badgerbend.feed.follower import Action, Connect, Disconnect, Follower, Install, Rejected, Send
 from badgerbend.feed.messages import Change, Message
-from badgerbend.feednet.stream import MessageStream
-from badgerbend.feednet.timer import Clock, WakeUp, monotonic
+from badgerbend.feed_service.stream import MessageStream
+from badgerbend.feed_service.timer import Clock, WakeUp, monotonic
 
 
 class FollowerOwner(Protocol):
--- a/badgerbend/feednet/relay.py
+++ b/badgerbend/feed_service/relay.py
@@ -8,8 +8,8 @@
 from badgerbend.feed.errors import FeedError
 from badgerbend.feed.messages import Message
 from badgerbend.feed.relay import Close, Relay, SendTo
-from badgerbend.feednet.stream import MessageStream
-from badgerbend.feednet.timer import Clock, WakeUp, monotonic
+from badgerbend.feed_service.stream import MessageStream
+from badgerbend.feed_service.timer import Clock, WakeUp, monotonic
 
 BACKLOG = 4096  # connections that wait to be accepted: a zone's followers return at once
 ROUNDS = 16  # of catching up in one turn of the loop; the rest comes in the next
--- a/badgerbend/feednet/stream.py
+++ b/badgerbend/feed_service/stream.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Protocol, cast
 
-from badgerbend.feed.errors import FeedError, Malformed
+from badgerbend.feed.errors import FeedError, MalformedMessageError
 from badgerbend.feed.framing import FrameReader
 from badgerbend.feed.messages import Message
 
@@ -71,7 +71,7 @@
                 if self._ended:
                     return
                 self.owner.stream_message(self, message)
-        except Malformed as error:
+        except MalformedMessageError as error:
             if not self._ended:
                 self.owner.stream_unusable(self, error)
 
--- a/badgerbend/feeding.py
+++ b/badgerbend/feeding.py
@@ -11,12 +11,12 @@
 from badgerbend.config.settings import Settings
 from badgerbend.config.sexpr import SettingsError
 from badgerbend.discovery.keyed import KeyedList
-from badgerbend.feed.configuration import ConfigurationInForce, UnusableConfiguration
+from badgerbend.feed.configuration import ConfigurationInForce, UnusableConfigurationError
 from badgerbend.feed.errors import FeedError
 from badgerbend.feed.follower import Follower, FollowerTuning, RelayAddress
 from badgerbend.feed.messages import Change
 from badgerbend.feed.signature import Ed25519Verifier
-from badgerbend.feednet.follower import FollowerClient
+from badgerbend.feed_service.follower import FollowerClient
 from badgerbend.generation import Generations
 from badgerbend.graphql.schema import SchemaError, Subgraph, subgraph
 from badgerbend.log import get
@@ -151,11 +151,11 @@
             settings = settings_in_force(self.own, data.decode(), key)
             return Usable(settings, self._graph(settings))
         except UnicodeDecodeError as error:
-            raise UnusableConfiguration(f"{key}: not UTF-8 at byte {error.start}") from error
+            raise UnusableConfigurationError(f"{key}: not UTF-8 at byte {error.start}") from error
         except SettingsError as error:
-            raise UnusableConfiguration(str(error)) from error
+            raise UnusableConfigurationError(str(error)) from error
         except SchemaError as error:
-            raise UnusableConfiguration(f"{key}: schema: {error}") from error
+            raise UnusableConfigurationError(f"{key}: schema: {error}") from error
 
     def _graph(self, settings: Settings) -> Subgraph:
         """The subgraph of settings; the one in force where nothing that it is made of has changed."""
--- a/badgerbend/frames/channel.py
+++ b/badgerbend/frames/channel.py
@@ -197,7 +197,7 @@
                 self.since = self.loop.time()
                 self._write(data)
             for a in late:
-                self.owner.ended(a, Outcome.MOOT, None)
+                self.owner.ended(a, Outcome.NOT_SENT, None)
 
     def _write(self, data: bytes) -> None:
         assert self.transport is not None
--- a/badgerbend/frames/transport.py
+++ b/badgerbend/frames/transport.py
@@ -63,14 +63,14 @@
     def send(self, node: int, attempts: Sequence[Attempt]) -> None:
         address = self.address_of(node)
         if address is None or node in self.leaving:
-            self._all(attempts, Outcome.MOOT)
+            self._all(attempts, Outcome.NOT_SENT)
             return
         if self.addresses.get(node, address) != address:  # a list is in force, and not told to its end
             self._retire(node)
         channel = self._channel(node, attempts) or self._open(node, address)
         if channel is None:
             self.trouble("no room for connections", f"{self.open} open")
-            self._all(attempts, Outcome.MOOT)
+            self._all(attempts, Outcome.NOT_SENT)
             return
         for attempt in attempts:
             attempt.handle = channel
@@ -94,7 +94,7 @@
         that heard of it had decided already: waiting for a connection it would outlast the grace."""
         self.leaving.add(node)
         for channel in list(self.channels.get(node, ())):
-            self._all(channel.withdraw(), Outcome.MOOT)
+            self._all(channel.withdraw(), Outcome.NOT_SENT)
 
     def ready(self, node: int) -> None:
         """The node takes work, also one that drained."""
@@ -201,4 +201,4 @@
         self.retired.update(channels)
         self.addresses.pop(node, None)
         for channel in channels:
-            self._all(channel.withdraw(), Outcome.MOOT)
+            self._all(channel.withdraw(), Outcome.NOT_SENT)
--- a/badgerbend/generation.py
+++ b/badgerbend/generation.py
@@ -30,7 +30,7 @@
 MOST_LIVING = 16  # generations at once: each holds a module with every server of the list
 MOST_ANSWERS = 400  # answers of servers handed from one generation to the next
 
-Decisions = Callable[[api.Settings, int, api.Sites | None, api.Allowance | None], Aggregator]
+Decisions = Callable[[api.Settings, int, api.SitePreference | None, api.SlowStartBudget | None], Aggregator]
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,30 +44,30 @@
     pool_of: Callable[[int], Pool | None]
     metrics: Metrics
     decisions: Decisions
-    preference: api.Sites | None
-    allowance: api.Allowance | None
+    preference: api.SitePreference | None
+    allowance: api.SlowStartBudget | None
     ids: Iterator[int] = field(default_factory=lambda: count(1))
 
 
 class HeirDriver(Driver):
     """A driver whose own knowledge goes on from that of the generation before."""
 
-    _inherited = api.Known((), ())
+    _inherited = api.Observations((), ())
     _inherited_ms = 0.0
 
-    def inherit(self, seen: api.Known) -> None:
+    def inherit(self, seen: api.Observations) -> None:
         """What earlier generations of this broker have seen: told to the module, and counted as seen here."""
         self._inherited, self._inherited_ms = seen, self.schedule.now_ms()
         self.learn(seen)
 
-    def known(self) -> api.Known:
+    def known(self) -> api.Observations:
         """What this broker has seen itself under this configuration and those before it."""
         own, before = super().known(), self._inherited
         passed = self.schedule.now_ms() - self._inherited_ms
         seen = {old.node: replace(old, age_ms=old.age_ms + passed) for old in before.nodes}
         seen |= {new.node: new for new in own.nodes}
         older = tuple((age + passed, took, censored) for age, took, censored in before.answers)
-        return api.Known(tuple(seen.values()), (*older, *own.answers)[-MOST_ANSWERS:])
+        return api.Observations(tuple(seen.values()), (*older, *own.answers)[-MOST_ANSWERS:])
 
 
 class Generation:
@@ -88,7 +88,7 @@
         )
         self.driver = HeirDriver(
             module, decisions, self.transport, shared.servers, self.schedule, self.answers, shared.ids
-        )  # fmt: skip
+        )
         self.front = GraphQLFront(settings, graph, self.driver, self.schedule.now_ms)
         self.schedule.turn = self._turn
 
@@ -97,13 +97,13 @@
         """Whether nothing that began under this configuration is under way."""
         return self.driver.idle and not self.front.operations
 
-    def begin(self, directory: Directory, seen: api.Known) -> None:
+    def begin(self, directory: Directory, seen: api.Observations) -> None:
         """The first events: the list as it stands, and what earlier generations have seen of its servers."""
         lines = tuple(known.line for known in directory.known.values())
-        self.driver.view(api.View(api.ViewKind.CACHED, lines))
+        self.driver.view(api.EndpointUpdate(api.UpdateKind.CACHED, lines))
         listed = tuple(one for one in seen.nodes if one.node in directory.names)
         if listed or seen.answers:
-            self.driver.inherit(api.Known(listed, seen.answers))
+            self.driver.inherit(api.Observations(listed, seen.answers))
 
     def end(self) -> None:
         """Takes no turn any more."""
@@ -154,7 +154,7 @@
         self.earlier.append(before)
         self._idle(before)
 
-    def view(self, view: api.View) -> None:
+    def view(self, view: api.EndpointUpdate) -> None:
         """News of the list, for all generations that still decide by it."""
         for generation in self.living:
             generation.driver.view(view)
--- a/badgerbend/graphql/documents.py
+++ b/badgerbend/graphql/documents.py
@@ -229,9 +229,13 @@
         if len(pieces) > 1:
             selections = tuple(s for n, _ in pieces for s in (n.selection_set.selections if n.selection_set else ()))
             node = FieldNode(
-                name=node.name, alias=node.alias, arguments=node.arguments, directives=node.directives,
-                selection_set=SelectionSetNode(selections=selections), loc=node.loc,
-            )  # fmt: skip
+                name=node.name,
+                alias=node.alias,
+                arguments=node.arguments,
+                directives=node.directives,
+                selection_set=SelectionSetNode(selections=selections),
+                loc=node.loc,
+            )
         name = node.name.value
         definition = self.root.fields.get(name)
         if definition is None:  # introspection
--- a/badgerbend/graphql/fetch.py
+++ b/badgerbend/graphql/fetch.py
@@ -102,18 +102,29 @@
                         declared.append(f"${alias}{inner}: {kind.rstrip('!')}")
             for a in group:
                 mine = _fetch(a)
-                parts.append({
-                    "alias": alias, "count": len(mine.representations), "trace": mine.asked.trace,
-                    "query": a.query_id, "field": mine.field, "block": mine.block, "kind": mine.kind,
-                    "attempt": a.number, "retry": mine.asked.is_retry, "key": mine.asked.key,
-                })  # fmt: skip
+                parts.append(
+                    {
+                        "alias": alias,
+                        "count": len(mine.representations),
+                        "trace": mine.asked.trace,
+                        "query": a.query_id,
+                        "field": mine.field,
+                        "block": mine.block,
+                        "kind": mine.kind,
+                        "attempt": a.number,
+                        "retry": mine.asked.is_retry,
+                        "key": mine.asked.key,
+                    }
+                )
         kind = "mutation" if _fetch(groups[0][0]).template.mutation else "query"
         head = f"({', '.join(declared)})" if declared else ""
-        return msgspec.json.encode({
-            "query": f"{kind}{head} {{ {' '.join(texts)} }}",
-            "variables": variables,
-            "extensions": {"badgerbend": {"parts": parts}},
-        })  # fmt: skip
+        return msgspec.json.encode(
+            {
+                "query": f"{kind}{head} {{ {' '.join(texts)} }}",
+                "variables": variables,
+                "extensions": {"badgerbend": {"parts": parts}},
+            }
+        )
 
     def cancel(self, attempt: Attempt) -> None:
         """Waits for this part no longer; the call is called off once nobody waits for any of its parts."""
@@ -141,7 +152,7 @@
         answer: dict[str, Any] = {}
         if outcome is None:
             if reply.status in (429, 503) and NOT_RUN in reply.headers:
-                outcome = Outcome.FULL
+                outcome = Outcome.REJECTED
             else:
                 answer = _decoded(reply) or {}
                 outcome = None if answer else Outcome.ERROR
--- a/badgerbend/graphql/fields.py
+++ b/badgerbend/graphql/fields.py
@@ -143,15 +143,24 @@
         name = get_named_type(self.root.definition.type).name
         return [
             PartPlan(
-                shards[block], 1 / len(chosen), None,
+                shards[block],
+                1 / len(chosen),
+                None,
                 Fetch(
-                    self.root.detail, asked.arguments, asked.asked,
+                    self.root.detail,
+                    asked.arguments,
+                    asked.asked,
                     [{"__typename": name, "id": row[IDENTITY]} for row in rows],
-                    block, "entities", self.root.key, (), None, tuple(id(row) for row in rows),
+                    block,
+                    "entities",
+                    self.root.key,
+                    (),
+                    None,
+                    tuple(id(row) for row in rows),
                 ),
             )
             for block, rows in chosen.items()
-        ]  # fmt: skip
+        ]
 
 
 class EntitiesField(FieldQuery):
--- a/badgerbend/graphql/front.py
+++ b/badgerbend/graphql/front.py
@@ -33,7 +33,11 @@
 
 JSON, RESPONSE_JSON = b"application/json; charset=utf-8", b"application/graphql-response+json; charset=utf-8"
 TIME_LEFT, RETRY, TENANT, KEY = (
-    b"badgerbend-time-left-ms", b"badgerbend-retry", b"badgerbend-tenant", b"idempotency-key")  # fmt: skip
+    b"badgerbend-time-left-ms",
+    b"badgerbend-retry",
+    b"badgerbend-tenant",
+    b"idempotency-key",
+)
 
 
 class Body(msgspec.Struct):
@@ -205,22 +209,42 @@
             if self.prepared.mutation:
                 many = isinstance(named, list)
                 parts = [
-                    self._part(b, len(blocks), Fetch(
-                        root.template, {**shared, f"a_{mapped.blocks}": [b] if many else b}, self.asked, [], b,
-                        "mutation", root.key,
-                    ))
+                    self._part(
+                        b,
+                        len(blocks),
+                        Fetch(
+                            root.template,
+                            {**shared, f"a_{mapped.blocks}": [b] if many else b},
+                            self.asked,
+                            [],
+                            b,
+                            "mutation",
+                            root.key,
+                        ),
+                    )
                     for b in blocks
-                ]  # fmt: skip
+                ]
                 query = MutationField(root, parts, self._done, many)
             else:
                 size = len(root.checks) if root.direct else None
                 parts = [
-                    self._part(b, len(blocks), Fetch(
-                        root.template, shared, self.asked, [{"__typename": mapped.entity, "id": str(b)}], b, "rows",
-                        root.key, root.checks, size,
-                    ))
+                    self._part(
+                        b,
+                        len(blocks),
+                        Fetch(
+                            root.template,
+                            shared,
+                            self.asked,
+                            [{"__typename": mapped.entity, "id": str(b)}],
+                            b,
+                            "rows",
+                            root.key,
+                            root.checks,
+                            size,
+                        ),
+                    )
                     for b in blocks
-                ]  # fmt: skip
+                ]
                 first = arguments.get(mapped.first_by) if mapped.first_by else None
                 if isinstance(first, int) and first < 0:
                     raise GraphQLError(f"{mapped.first_by} must not be negative", root.node, extensions=BAD_INPUT)
@@ -260,13 +284,24 @@
             raise GraphQLError("representations are empty", root.node, extensions=BAD_INPUT)
         assert root.template is not None
         parts = [
-            self._part(block, len(by_block), Fetch(
-                root.template, self.passed, self.asked, [one for _, one in some], block, "entities",
-                root.key, (), None,
-                tuple(place for place, _ in some),
-            ))
+            self._part(
+                block,
+                len(by_block),
+                Fetch(
+                    root.template,
+                    self.passed,
+                    self.asked,
+                    [one for _, one in some],
+                    block,
+                    "entities",
+                    root.key,
+                    (),
+                    None,
+                    tuple(place for place, _ in some),
+                ),
+            )
             for block, some in by_block.items()
-        ]  # fmt: skip
+        ]
         return class_name, parts, len(given)
 
     @staticmethod
@@ -316,10 +351,14 @@
 
     def _execute(self) -> ExecutionResult:
         return execute_sync(
-            self.front.subgraph.schema, self.prepared.document, self.values, variable_values=self.raw,
+            self.front.subgraph.schema,
+            self.prepared.document,
+            self.values,
+            variable_values=self.raw,
             operation_name=self.prepared.operation.name.value if self.prepared.operation.name else None,
-            field_resolver=_resolve, type_resolver=_type_of,
-        )  # fmt: skip
+            field_resolver=_resolve,
+            type_resolver=_type_of,
+        )
 
     def _direct(self) -> ExecutionResult:
         """The answer without the executor: rows that passed their checks, and refusals, which are null and an error."""
@@ -378,8 +417,10 @@
             weight = 0.0
         kind = {
             b"application/graphql-response+json": RESPONSE_JSON,
-            b"application/json": JSON, b"application/*": JSON, b"*/*": JSON,
-        }.get(name)  # fmt: skip
+            b"application/json": JSON,
+            b"application/*": JSON,
+            b"*/*": JSON,
+        }.get(name)
         if kind is not None and weight > 0 and (best is None or (weight, -place) > best[:2]):
             best = (weight, -place, kind)
     return best[2] if best else None
--- a/badgerbend/knowledge/record.py
+++ b/badgerbend/knowledge/record.py
@@ -48,7 +48,7 @@
     chosen: Annotated[tuple[tuple[int, int, int], ...], msgspec.Meta(max_length=200)] = ()  # m, k, r
 
 
-class BadRecord(Exception):
+class RecordError(Exception):
     """Bytes that are no record of this version, or out of bounds."""
 
 
@@ -63,18 +63,18 @@
 def decode(data: bytes) -> Record:
     """Raises BadRecord."""
     if len(data) > MOST_BYTES:
-        raise BadRecord(f"{len(data)} bytes")
+        raise RecordError(f"{len(data)} bytes")
     try:
         record = _DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as err:
-        raise BadRecord(str(err)) from err
+        raise RecordError(str(err)) from err
     if record.version != VERSION:
-        raise BadRecord(f"version {record.version}; this broker reads {VERSION}")
+        raise RecordError(f"version {record.version}; this broker reads {VERSION}")
     return record
 
 
 def export(
-    known: api.Known,
+    known: api.Observations,
     names: Mapping[int, str],
     broker: int,
     zone: int,
--- a/badgerbend/knowledge/trust.py
+++ b/badgerbend/knowledge/trust.py
@@ -63,7 +63,7 @@
 
     def weigh(
         self, records: Mapping[str, Record], numbers: Mapping[str, int], now_ms: float, own: bool = False
-    ) -> api.Known:
+    ) -> api.Observations:
         """A prior from peers' records, by peer's name; `numbers` are this broker's for servers by name.
 
         own: the record is this broker's own, from before a restart: a sole witness, but no stranger.
@@ -93,8 +93,8 @@
             if usual and (len(lines_of) * 2 > len(heard) or len(heard) <= 2):  # a server that one liar invents is none
                 ratio = _lower_middle([r for r, _ in lines_of])
                 age = _lower_middle([-a for _, a in lines_of])  # of ages the greater of two
-                nodes.append(api.Seen(node, max(ratio, 1.0) * usual, -age, False))
-        return api.Known(tuple(nodes), answers)
+                nodes.append(api.EndpointObservation(node, max(ratio, 1.0) * usual, -age, False))
+        return api.Observations(tuple(nodes), answers)
 
     def _few(self, lines: dict[int, tuple[float, float]]) -> dict[int, tuple[float, float]]:
         """Only the slowest share of what a sole witness says; the others count as usual."""
--- a/badgerbend/duties_front.py
+++ b/badgerbend/lease_service/http.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
+from badgerbend.lease_service.service import LeaseService
 from badgerbend.net.server import Exchange
-from badgerbend.rota.service import Rota
 
 JSON, TEXT = b"application/json", b"text/plain"
 
 
-def handle_duties(rota: Rota | None, exchange: Exchange, path: bytes) -> None:
+def handle_duties(rota: LeaseService | None, exchange: Exchange, path: bytes) -> None:
     """Answers a request for a path that begins with /duties."""
     if rota is None:
         exchange.respond(404, b"no duties are set\n", TEXT)
--- a/badgerbend/rota/voting.py
+++ b/badgerbend/lease_service/local_voter.py
@@ -8,18 +8,18 @@
 from pathlib import Path
 
 from badgerbend.consensus import messages as voting
-from badgerbend.consensus.types import Tuning
-from badgerbend.duties.holder import Terms
-from badgerbend.duties.messages import Leave, Told, Want
-from badgerbend.duties.voter import TableMachine, Voter
-from badgerbend.ledger.store import Store
-from badgerbend.ledger.writer import Writer
+from badgerbend.consensus.types import RaftConfig
+from badgerbend.leases.holder import LeaseTiming
+from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
+from badgerbend.leases.voter import LeaseStateMachine, Voter
 from badgerbend.net.udp import Address
+from badgerbend.wal.store import Store
+from badgerbend.wal.writer import Writer
 
 BROKERS = 4096  # whose addresses are remembered
 
 
-class Ballot:
+class LocalVoter:
     """Raises BadStore or OSError where its store cannot be used. send_voter, send_broker: the socket's.
 
     machine: what the agreed log drives, a bare table of leases unless said otherwise.
@@ -28,15 +28,15 @@
     def __init__(
         self,
         folder: Path,
-        tuning: Tuning,
-        terms: Terms,
+        tuning: RaftConfig,
+        terms: LeaseTiming,
         seed: int,
         clock: Callable[[], float],
         send_voter: Callable[[str, voting.Message], None],
-        send_broker: Callable[[Address, Told], None],
+        send_broker: Callable[[Address, LeaseReply], None],
         note: Callable[..., None],
         changed: Callable[[], None],
-        machine: TableMachine | None = None,
+        machine: LeaseStateMachine | None = None,
     ) -> None:
         self.clock, self.note, self.changed = clock, note, changed
         self.send_voter, self.send_broker = send_voter, send_broker
@@ -52,7 +52,7 @@
             self.voter.from_voter(self.clock(), message)
             self.flush()
 
-    def from_broker(self, message: Want | Leave, source: Address) -> None:
+    def from_broker(self, message: LeaseRequest | LeaseReturn, source: Address) -> None:
         if self.broken is not None:
             return
         self.brokers[message.source] = source
--- a/badgerbend/rota/probing.py
+++ b/badgerbend/lease_service/probing.py
@@ -10,16 +10,16 @@
 from badgerbend.config.fleet import Duties
 from badgerbend.discovery.directory import Directory
 from badgerbend.discovery.members import parse_address
-from badgerbend.duties.fence import Fence
-from badgerbend.duties.holder import Holder
-from badgerbend.duties.messages import Doubt, Found
-from badgerbend.duties.probing import Prober, doubted, learned, said
+from badgerbend.lease_service import wire
+from badgerbend.leases.fencing import FencingGuard
+from badgerbend.leases.holder import LeaseHolder
+from badgerbend.leases.messages import ProbeReport, SuspicionReport
+from badgerbend.leases.probing import Prober, doubted, learned, said
 from badgerbend.net.client import End, Pool, Reply
 from badgerbend.net.udp import Address, address_text
-from badgerbend.rota import wire
 from badgerbend.runtime.driver import Driver
 
-PROBE = "probe"  # the duty's name; where there are sites, each has one of its own
+PROBING_DUTY = "probe"  # the duty's name; where there are sites, each has one of its own
 DOUBT_S = 1.0  # doubts are said so often, for as long as they last
 PROBE_S = 1.0  # a probe that is not answered by then has failed
 LOOK_S = 0.05  # how often a prober looks at what is due
@@ -47,7 +47,7 @@
     def send(self, address: Address, body: bytes, still: Callable[[], bool] | None = None) -> None: ...
 
 
-class Probing:
+class ProbingDuty:
     """duty: its name at this broker's site. pool_of: connections to a server, by its number."""
 
     def __init__(
@@ -56,7 +56,7 @@
         duties: Duties,
         duty: str,
         broker: str,
-        fence: Fence,
+        fence: FencingGuard,
         driver: Driver,
         directory: Directory,
         pool_of: Callable[[int], Pool | None],
@@ -72,7 +72,7 @@
         self._doubts: asyncio.TimerHandle | None = None
         self._looks: asyncio.TimerHandle | None = None
 
-    def start(self, holder: Holder) -> None:
+    def start(self, holder: LeaseHolder) -> None:
         self._doubts = self.socket.loop.call_later(DOUBT_S * holder.rng.random(), self._say_doubts, holder)
         self._looks = self.socket.loop.call_later(LOOK_S, self._look, holder)
 
@@ -87,7 +87,7 @@
         return self.socket.may_act(self.duty)
 
     # -- doubts
-    def _say_doubts(self, holder: Holder) -> None:
+    def _say_doubts(self, holder: LeaseHolder) -> None:
         wait_s = DOUBT_S * holder.rng.uniform(0.8, 1.2)
         self._doubts = self.socket.loop.call_later(wait_s, self._say_doubts, holder)
         doubts = doubted(self.driver.known(), self.directory.names)
@@ -97,14 +97,14 @@
         if self.may_act() is not None:
             self.heard_doubt(doubt, self.socket.own)
         elif holder.duties[self.duty].holder != self.broker:
-            self.socket.to_holder(self.duty, wire.act_body(doubt))
+            self.socket.to_holder(self.duty, wire.peer_body(doubt))
 
-    def heard_doubt(self, doubt: Doubt, source: Address) -> None:
+    def heard_doubt(self, doubt: SuspicionReport, source: Address) -> None:
         if doubt.duty == self.duty and self.may_act() is not None:
             self.prober.doubt(self.clock(), doubt, address_text(source))
 
     # -- probes
-    def _look(self, holder: Holder) -> None:
+    def _look(self, holder: LeaseHolder) -> None:
         self._looks = self.socket.loop.call_later(LOOK_S, self._look, holder)
         if self.may_act() is None:
             self.prober.stop()
@@ -119,7 +119,7 @@
             _Probe(self, server, pool)
         self._judge_self(holder)
 
-    def _judge_self(self, holder: Holder) -> None:
+    def _judge_self(self, holder: LeaseHolder) -> None:
         """A prober that gets no answer from any server, though others doubt but some, says that it fails."""
         now = self.clock()
         if not self.prober.servers:
@@ -142,9 +142,9 @@
             if at == address_text(self.socket.own):
                 self.heard_found(found)
             else:
-                self.socket.send(parse_address(at), wire.act_body(found), lambda: self.may_act() == epoch)
+                self.socket.send(parse_address(at), wire.peer_body(found), lambda: self.may_act() == epoch)
 
-    def heard_found(self, found: Found) -> None:
+    def heard_found(self, found: ProbeReport) -> None:
         """Under an older epoch than was seen it takes no effect, whoever says it."""
         if found.duty != self.duty or not self.fence.admits(found.duty, found.epoch):
             return
@@ -157,7 +157,7 @@
 class _Probe:
     """One question to one server, and its one end."""
 
-    def __init__(self, probing: Probing, server: str, pool: Pool) -> None:
+    def __init__(self, probing: ProbingDuty, server: str, pool: Pool) -> None:
         self.probing, self.server, self.began = probing, server, probing.clock()
         head = _HEAD % (pool.host.encode(), pool.port, len(_BODY))
         self.call = pool.request(head + _BODY, self.replied)
--- a/badgerbend/rota/service.py
+++ b/badgerbend/lease_service/service.py
@@ -13,37 +13,48 @@
 from badgerbend.config.fleet import Duties
 from badgerbend.config.settings import Settings
 from badgerbend.consensus import messages as voting
-from badgerbend.consensus.types import Tuning
+from badgerbend.consensus.types import RaftConfig
 from badgerbend.discovery.directory import Directory
 from badgerbend.discovery.members import parse_address
-from badgerbend.duties.allowance import Slices
-from badgerbend.duties.fence import Fence
-from badgerbend.duties.holder import Holder, Terms
-from badgerbend.duties.messages import Ask, Dealt, Doubt, Found, Leave, Told, Want
-from badgerbend.ledger.store import BadStore
+from badgerbend.lease_service import wire
+from badgerbend.lease_service.local_voter import LocalVoter
+from badgerbend.lease_service.probing import PROBING_DUTY, ProbingDuty
+from badgerbend.lease_service.slow_start import SLOW_START_DUTY, BudgetExchange, broker_name
+from badgerbend.lease_service.status import LeaseServiceStatus, duty_statuses, vote_counts, vote_status
+from badgerbend.leases.fencing import FencingGuard
+from badgerbend.leases.holder import LeaseHolder, LeaseTiming
+from badgerbend.leases.messages import (
+    BudgetReply,
+    BudgetRequest,
+    LeaseReply,
+    LeaseRequest,
+    LeaseReturn,
+    ProbeReport,
+    SuspicionReport,
+)
+from badgerbend.leases.slow_start import BrokerBudget
 from badgerbend.log import get
 from badgerbend.metrics import Metrics
 from badgerbend.net.client import Pool
 from badgerbend.net.seal import Seal, bears, read_key
 from badgerbend.net.udp import Address, SealedSocket, address_text
-from badgerbend.rota import wire
-from badgerbend.rota.dealing import DEAL, Dealing, broker_name
-from badgerbend.rota.probing import PROBE, Probing
-from badgerbend.rota.status import RotaStatus, duty_statuses, vote_counts, vote_status
-from badgerbend.rota.voting import Ballot
 from badgerbend.runtime.driver import Driver
+from badgerbend.wal.store import StoreError
 
 HAND_OVER_S = 0.3  # leadership is awaited to be taken at the end of the process
 
 
-def terms_of(duties: Duties) -> Terms:
-    return Terms(
-        duties.lease_ms / 1000.0, duties.clock_rate, duties.ask_ms / 1000.0,
-        min(duties.lease_ms / 8, duties.ask_ms / 4) / 1000.0, duties.stall_ms / 1000.0,
-    )  # fmt: skip
+def lease_timing(duties: Duties) -> LeaseTiming:
+    return LeaseTiming(
+        duties.lease_ms / 1000.0,
+        duties.clock_rate,
+        duties.ask_ms / 1000.0,
+        min(duties.lease_ms / 8, duties.ask_ms / 4) / 1000.0,
+        duties.stall_ms / 1000.0,
+    )
 
 
-class Rota(SealedSocket):
+class LeaseService(SealedSocket):
     """Built and used on one running loop. Raises BadKey, BadStore or OSError where it cannot start."""
 
     def __init__(
@@ -54,7 +65,7 @@
         driver: Driver,
         directory: Directory,
         pool_of: Callable[[int], Pool | None],
-        slices: Slices | None = None,
+        slices: BrokerBudget | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.settings, self.duties, self.folder = settings, duties, folder
@@ -64,19 +75,27 @@
         super().__init__(Seal(self.keys, self.life))
         self.driver, self.clock = driver, clock
         self.log = get(part="duties")
-        self.terms = terms_of(duties)
+        self.terms = lease_timing(duties)
         self.voters = {v.name: parse_address(v.address) for v in duties.voter}
-        self.ballot: Ballot | None = None
-        self.holder: Holder | None = None
-        self.fence = Fence()
+        self.ballot: LocalVoter | None = None
+        self.holder: LeaseHolder | None = None
+        self.fence = FencingGuard()
         home = settings.sites.home(settings.identity.zone) if settings.sites is not None else None
-        self.duty = f"{PROBE}:{home.name}" if home is not None else PROBE
-        self.probing = Probing(
-            self, duties, self.duty, self.name, self.fence, driver, directory, pool_of, clock,
-        )  # fmt: skip
-        self.dealing: Dealing | None = None
+        self.duty = f"{PROBING_DUTY}:{home.name}" if home is not None else PROBING_DUTY
+        self.probing = ProbingDuty(
+            self,
+            duties,
+            self.duty,
+            self.name,
+            self.fence,
+            driver,
+            directory,
+            pool_of,
+            clock,
+        )
+        self.dealing: BudgetExchange | None = None
         if slices is not None:
-            self.dealing = Dealing(slices, directory, settings.servers.cold_ms, driver.schedule.now_ms)
+            self.dealing = BudgetExchange(slices, directory, settings.servers.cold_ms, driver.schedule.now_ms)
         self.dealt = 0  # answers to brokers that asked for an allowance
         self._timer: asyncio.TimerHandle | None = None
         self._asking: asyncio.TimerHandle | None = None
@@ -86,21 +105,28 @@
         """Binds, votes where it has a store, and stands for its duties; returns the port."""
         duties = self.duties
         if duties.store is not None:
-            tuning = Tuning(duties.election_ms / 1000.0, duties.beat_ms / 1000.0)
-            self.ballot = Ballot(
-                self.folder / duties.store, tuning, self.terms, self._seed(1), self.clock, self._to_voter,
-                self._to_broker, self._note, self._after,
-            )  # fmt: skip
+            tuning = RaftConfig(duties.election_ms / 1000.0, duties.beat_ms / 1000.0)
+            self.ballot = LocalVoter(
+                self.folder / duties.store,
+                tuning,
+                self.terms,
+                self._seed(1),
+                self.clock,
+                self._to_voter,
+                self._to_broker,
+                self._note,
+                self._after,
+            )
             if self.ballot.name != self.name:
                 named = self.ballot.name
                 self.ballot.close()
-                raise BadStore(f"{self.folder / duties.store}: the store of {named}, and this is {self.name}")
+                raise StoreError(f"{self.folder / duties.store}: the store of {named}, and this is {self.name}")
         port = await self.open(duties.host, duties.port)
         if duties.advertise is not None:
             self.own = parse_address(duties.advertise)
-        stands = dict.fromkeys([self.duty] * duties.probing + [DEAL] * (self.dealing is not None), True)
+        stands = dict.fromkeys([self.duty] * duties.probing + [SLOW_START_DUTY] * (self.dealing is not None), True)
         at, voters = address_text(self.own), tuple(self.voters)
-        self.holder = Holder(self.name, at, stands, voters, self.terms, self._seed(2), self.clock())
+        self.holder = LeaseHolder(self.name, at, stands, voters, self.terms, self._seed(2), self.clock())
         if duties.probing:
             self.probing.start(self.holder)
         if self.dealing is not None:
@@ -133,29 +159,29 @@
     def body(self, body: bytes, source: Address) -> None:
         try:
             message = wire.read(body)
-        except wire.Malformed:
+        except wire.MalformedMessageError:
             self.refused += 1
             return
         match message:
-            case Want() | Leave():
+            case LeaseRequest() | LeaseReturn():
                 if self.ballot is not None:
                     self.ballot.from_broker(message, source)
-            case Told():
+            case LeaseReply():
                 self._told(message)
-            case Doubt():
+            case SuspicionReport():
                 self.probing.heard_doubt(message, source)
-            case Found():
+            case ProbeReport():
                 self.probing.heard_found(message)
-            case Ask():
+            case BudgetRequest():
                 self._heard_ask(message, source)
-            case Dealt():
+            case BudgetReply():
                 self._heard_dealt(message)
             case _:
                 if self.ballot is not None:
                     self.ballot.from_voter(message)
         self._after()
 
-    def _told(self, message: Told) -> None:
+    def _told(self, message: LeaseReply) -> None:
         if self.holder is not None:
             before = self.holder.held()
             self.holder.told(self.clock(), message)
@@ -168,13 +194,13 @@
         if address is not None:
             self.send(address, wire.voter_body(message))
 
-    def _to_broker(self, address: Address, message: Told) -> None:
+    def _to_broker(self, address: Address, message: LeaseReply) -> None:
         if address == self.own:
             self.loop.call_soon(self._told_self, message)
         else:
             self.send(address, wire.broker_body(message))
 
-    def _told_self(self, message: Told) -> None:
+    def _told_self(self, message: LeaseReply) -> None:
         if not self._closed:
             self._told(message)
             self._after()
@@ -228,32 +254,32 @@
     def _ask(self) -> None:
         assert self.holder is not None and self.dealing is not None
         self._asking = self.loop.call_later(self.dealing.every_s * self.holder.rng.uniform(0.8, 1.2), self._ask)
-        if self.may_act(DEAL) is None:
+        if self.may_act(SLOW_START_DUTY) is None:
             self.dealing.rest()
         for ask in self.dealing.asks():  # the dealer asks itself in the same way: its share is seen like any other
-            self.to_holder(DEAL, wire.act_body(ask))
+            self.to_holder(SLOW_START_DUTY, wire.peer_body(ask))
 
-    def _heard_ask(self, ask: Ask, source: Address) -> None:
+    def _heard_ask(self, ask: BudgetRequest, source: Address) -> None:
         """An answer is an act: told under the epoch in force now, or not at all."""
         if self.dealing is None:
             return
-        dealt = self.dealing.asked(self.clock() * 1000.0, self.may_act(DEAL), ask)
+        dealt = self.dealing.asked(self.clock() * 1000.0, self.may_act(SLOW_START_DUTY), ask)
         if dealt is not None:
             self.dealt += 1
-            self.send(source, wire.act_body(dealt), lambda: self.may_act(DEAL) == dealt.epoch)
+            self.send(source, wire.peer_body(dealt), lambda: self.may_act(SLOW_START_DUTY) == dealt.epoch)
 
-    def _heard_dealt(self, dealt: Dealt) -> None:
-        if self.dealing is not None and dealt.duty == DEAL and self.fence.admits(dealt.duty, dealt.epoch):
+    def _heard_dealt(self, dealt: BudgetReply) -> None:
+        if self.dealing is not None and dealt.duty == SLOW_START_DUTY and self.fence.admits(dealt.duty, dealt.epoch):
             self.dealing.told(dealt)
 
     # -- for people
     def _note(self, what: str, **values: object) -> None:
         self.log.info(what, **values)
 
-    def status(self) -> RotaStatus:
+    def status(self) -> LeaseServiceStatus:
         """For a person: who holds what as this broker was last told, and the vote's state where it has one."""
         now = self.clock()
-        return RotaStatus(
+        return LeaseServiceStatus(
             name=self.name,
             leader=self.holder.leader if self.holder is not None else "",
             duties=duty_statuses(self.holder, now) if self.holder is not None else [],
--- a/badgerbend/rota/dealing.py
+++ b/badgerbend/lease_service/slow_start.py
@@ -9,10 +9,12 @@
 from badgerbend import api
 from badgerbend.config.settings import Settings
 from badgerbend.discovery.directory import Directory
-from badgerbend.duties.allowance import Dealer, Lengths, Slices
-from badgerbend.duties.messages import Ask, Dealt
+from badgerbend.leases.messages import BudgetReply, BudgetRequest
+from badgerbend.leases.slow_start import BrokerBudget, BudgetAllocator, BudgetTiming
 
-DEAL = "cold"  # the duty's name: one for the whole fleet, since brokers of all sites may send to a cold server
+SLOW_START_DUTY = (
+    "cold"  # the duty's name: one for the whole fleet, since brokers of all sites may send to a cold server
+)
 ASKS = 4.0  # times that a broker asks while a slice lasts: three may be lost
 
 
@@ -21,21 +23,21 @@
     return f"broker-{settings.identity.index}"
 
 
-def slices_of(settings: Settings) -> Slices | None:
+def broker_budget(settings: Settings) -> BrokerBudget | None:
     """What a broker is dealt, for its decisions; None where nothing is dealt."""
     duties = settings.duties
     if duties is None or not duties.dealing:
         return None
-    lengths = Lengths(duties.slice_ms, duties.clock_rate)
-    return Slices(broker_name(settings), DEAL, lengths, int(time.time() * 1000))
+    lengths = BudgetTiming(duties.slice_ms, duties.clock_rate)
+    return BrokerBudget(broker_name(settings), SLOW_START_DUTY, lengths, int(time.time() * 1000))
 
 
-class Dealing:
+class BudgetExchange:
     """now_ms: the clock of the decisions, by which own slices are counted. cold_ms: a server is cold for so long."""
 
-    def __init__(self, slices: Slices, directory: Directory, cold_ms: float, now_ms: Callable[[], float]) -> None:
+    def __init__(self, slices: BrokerBudget, directory: Directory, cold_ms: float, now_ms: Callable[[], float]) -> None:
         self.slices, self.directory, self.cold_ms, self.now_ms = slices, directory, cold_ms, now_ms
-        self.dealer = Dealer(slices.name, DEAL, slices.lengths)
+        self.dealer = BudgetAllocator(slices.name, SLOW_START_DUTY, slices.lengths)
         self.epoch = 0  # under which this broker deals
         self.unheard = 0  # asks since the last answer
 
@@ -44,22 +46,24 @@
         """How often to ask, before the chance in it."""
         return self.slices.lengths.slice_ms / 1000.0 / ASKS
 
-    def asks(self) -> list[Ask]:
+    def asks(self) -> list[BudgetRequest]:
         """What to say to the dealer now; nothing while nothing is cold."""
         now = self.now_ms()
         cold = {
             known.number: (name, known.started)
             for name, known in self.directory.known.items()
-            if known.line.state == api.NodeState.READY and known.started_ms and now - known.started_ms < self.cold_ms
+            if known.line.state == api.EndpointState.READY
+            and known.started_ms
+            and now - known.started_ms < self.cold_ms
         }
         self.slices.listed(now, cold)
         asks = self.slices.ask(now)
         self.unheard = self.unheard + 1 if asks else 0
         return asks
 
-    def asked(self, clock_ms: float, epoch: int | None, ask: Ask) -> Dealt | None:
+    def asked(self, clock_ms: float, epoch: int | None, ask: BudgetRequest) -> BudgetReply | None:
         """A broker's word; epoch: under which this one may act at this moment. What to answer, if anything."""
-        if ask.duty != DEAL:
+        if ask.duty != SLOW_START_DUTY:
             return None
         if epoch is None:
             self.rest()
@@ -75,7 +79,7 @@
             self.epoch = 0
             self.dealer.stop()
 
-    def told(self, dealt: Dealt) -> None:
+    def told(self, dealt: BudgetReply) -> None:
         self.unheard = 0
         self.slices.told(self.now_ms(), dealt)
 
@@ -88,5 +92,8 @@
                 {"thing": name, "own_per_s": t.own * 1000.0, "dealt_per_s": t.pace * 1000.0 if now < t.until else None}
                 for name, t in sorted(things.items())
             ],
-            "slices": own.dealt, "dealt": self.dealer.slices, "books": len(self.dealer.books), "unheard": self.unheard,
-        }  # fmt: skip
+            "slices": own.dealt,
+            "dealt": self.dealer.slices,
+            "books": len(self.dealer.books),
+            "unheard": self.unheard,
+        }
--- a/badgerbend/rota/status.py
+++ b/badgerbend/lease_service/status.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from badgerbend.duties.holder import Holder
-from badgerbend.rota.voting import Ballot
+from badgerbend.lease_service.local_voter import LocalVoter
+from badgerbend.leases.holder import LeaseHolder
 
 
 class DutyStatus(msgspec.Struct, frozen=True):
@@ -50,7 +50,7 @@
     leases: list[LeaseStatus]
 
 
-class RotaStatus(msgspec.Struct, frozen=True):
+class LeaseServiceStatus(msgspec.Struct, frozen=True):
     """vote: None where this broker has no store. dealing: None where nothing is dealt."""
 
     name: str
@@ -68,7 +68,7 @@
     bytes: int
 
 
-def duty_statuses(holder: Holder, now: float) -> list[DutyStatus]:
+def duty_statuses(holder: LeaseHolder, now: float) -> list[DutyStatus]:
     return [
         DutyStatus(
             duty=name,
@@ -81,7 +81,7 @@
     ]
 
 
-def vote_status(ballot: Ballot, now: float) -> VoteStatus:
+def vote_status(ballot: LocalVoter, now: float) -> VoteStatus:
     raft = ballot.voter.raft
     return VoteStatus(
         name=ballot.name,
@@ -102,7 +102,7 @@
     )
 
 
-def vote_counts(ballot: Ballot) -> dict[str, int]:
+def vote_counts(ballot: LocalVoter) -> dict[str, int]:
     """By name, for the metrics."""
     raft = ballot.voter.raft
     return {
--- a/badgerbend/rota/wire.py
+++ b/badgerbend/lease_service/wire.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from badgerbend.consensus import messages as voting
-from badgerbend.duties import messages as saying
+from badgerbend.leases import messages as saying
 
 VOTING, SAYING, ACTING = b"v", b"s", b"a"
-Said = voting.Message | saying.Message | saying.Act
-Malformed = voting.Malformed
+Said = voting.Message | saying.Message | saying.PeerMessage
+MalformedMessageError = voting.MalformedMessageError
 
 
 def voter_body(message: voting.Message) -> bytes:
@@ -18,7 +18,7 @@
     return SAYING + saying.encode(message)
 
 
-def act_body(act: saying.Act) -> bytes:
+def peer_body(act: saying.PeerMessage) -> bytes:
     return ACTING + saying.encode(act)
 
 
@@ -30,5 +30,5 @@
         case b"s":
             return saying.decode(body[1:])
         case b"a":
-            return saying.decode_act(body[1:])
-    raise Malformed(f"letter {body[:1]!r}")
+            return saying.decode_peer_message(body[1:])
+    raise MalformedMessageError(f"letter {body[:1]!r}")
--- a/badgerbend/duties/fence.py
+++ b/badgerbend/leases/fencing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Fence:
+class FencingGuard:
     """One receiver's, of all duties. What it has seen should outlive it where its effects do."""
 
     def __init__(self) -> None:
--- a/badgerbend/duties/holder.py
+++ b/badgerbend/leases/holder.py
@@ -12,14 +12,14 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from badgerbend.duties.messages import Leave, Line, Stand, Told, Want
+from badgerbend.leases.messages import Candidacy, LeaseReply, LeaseRequest, LeaseReturn, LeaseState
 
 ASKED_MOST = 64  # requests whose time of sending is remembered
 MISSED = 2  # unanswered requests after which another voter is asked
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class LeaseTiming:
     """Times in seconds, the same for the whole fleet.
 
     lease_s: a lease's length. rate: bound on how much faster or slower than real time any clock runs. ask_s: a
@@ -57,11 +57,18 @@
     heard: bool = False  # anything of it, in this life
 
 
-class Holder:
+class LeaseHolder:
     """One broker. at: where others reach it. near: the duties it stands for, and whether it is at their own site."""
 
     def __init__(
-        self, name: str, at: str, near: dict[str, bool], voters: tuple[str, ...], terms: Terms, seed: int, now: float
+        self,
+        name: str,
+        at: str,
+        near: dict[str, bool],
+        voters: tuple[str, ...],
+        terms: LeaseTiming,
+        seed: int,
+        now: float,
     ) -> None:
         self.name, self.at, self.voters, self.terms = name, at, voters, terms
         self.rng = random.Random(seed)
@@ -69,7 +76,7 @@
         self.load = 0.0
         self.leader = ""  # as last told; empty: any voter is asked
         self.gone = False
-        self.out: list[tuple[str, Want | Leave]] = []
+        self.out: list[tuple[str, LeaseRequest | LeaseReturn]] = []
         self._seq = self.rng.getrandbits(48)  # an answer to an earlier life of this name fits no request of this one
         self._sent: OrderedDict[int, float] = OrderedDict()
         self._unanswered = 0
@@ -106,7 +113,7 @@
             self._elsewhere()
         self._ask(now)
 
-    def told(self, now: float, message: Told) -> None:
+    def told(self, now: float, message: LeaseReply) -> None:
         """A voter's word."""
         self._notice(now)
         sent = self._sent.get(message.seq)
@@ -132,7 +139,7 @@
         if sent is not None and message.leads and message.wait_s and not self.held():
             self._next = max(self._next, now + message.wait_s * self.rng.uniform(0.8, 1.0))
 
-    def _line(self, now: float, line: Line, sent: float | None) -> None:
+    def _line(self, now: float, line: LeaseState, sent: float | None) -> None:
         mine = self.duties.get(line.duty)
         if mine is None or line.epoch < mine.holder_epoch:  # an answer that was overtaken
             return
@@ -195,8 +202,10 @@
         self._sent[self._seq] = now
         if len(self._sent) > ASKED_MOST:
             self._sent.popitem(last=False)
-        stands = tuple(Stand(name, d.epoch, d.near, d.failing) for name, d in self.duties.items())
-        self.out.append((self._asked, Want(self.name, self._seq, self.at, self.load, self.name in self.voters, stands)))
+        stands = tuple(Candidacy(name, d.epoch, d.near, d.failing) for name, d in self.duties.items())
+        self.out.append(
+            (self._asked, LeaseRequest(self.name, self._seq, self.at, self.load, self.name in self.voters, stands))
+        )
         self._unanswered += 1
         wait = self.terms.lease_s / 4 if self.held() else self.terms.ask_s
         if self._unanswered > 1 or not self.leader:
@@ -213,10 +222,10 @@
         """To all voters, since nobody may be left to say it again: one of them leads."""
         self._seq += 1
         for voter in self.voters:
-            self.out.append((voter, Leave(self.name, self._seq, held, gone)))
+            self.out.append((voter, LeaseReturn(self.name, self._seq, held, gone)))
         self._next = min(self._next, now + self.terms.answer_s)
 
-    def take(self) -> list[tuple[str, Want | Leave]]:
+    def take(self) -> list[tuple[str, LeaseRequest | LeaseReturn]]:
         """What is to be sent, and to which voter."""
         out, self.out = self.out, []
         return out
--- a/badgerbend/duties/keeper.py
+++ b/badgerbend/leases/manager.py
@@ -11,9 +11,18 @@
 import random
 from dataclasses import dataclass
 
-from badgerbend.duties.holder import Terms
-from badgerbend.duties.messages import MOST_WAIT_S, Command, Free, Grant, Leave, Line, Stand, Want
-from badgerbend.duties.table import Table
+from badgerbend.leases.holder import LeaseTiming
+from badgerbend.leases.messages import (
+    MAX_WAIT_S,
+    Candidacy,
+    Command,
+    GrantLease,
+    LeaseRequest,
+    LeaseReturn,
+    LeaseState,
+    ReleaseLease,
+)
+from badgerbend.leases.table import LeaseTable
 
 FRESH = 3.0  # a candidate not heard for so many times `ask_s` stands no more
 STEADY = 5.0  # leases: somebody better placed for so long is worth a hand-over, and no sooner after the last
@@ -54,10 +63,10 @@
     better_since: float = math.inf
 
 
-class Keeper:
+class LeaseManager:
     """One voter's; it does something only while that one leads."""
 
-    def __init__(self, table: Table, terms: Terms, seed: int) -> None:
+    def __init__(self, table: LeaseTable, terms: LeaseTiming, seed: int) -> None:
         self.table, self.terms, self.rng = table, terms, random.Random(seed)
         self.leading, self.lead_at = False, math.inf
         self.candidates: dict[str, dict[str, _Candidate]] = {}
@@ -98,7 +107,7 @@
         return TAKEN_UP * self.terms.answer_s
 
     # -- brokers
-    def want(self, now: float, want: Want) -> bool:
+    def want(self, now: float, want: LeaseRequest) -> bool:
         """A broker shows itself; whether there is something to renew, once this voter's lead is confirmed."""
         renews = False
         for stand in want.stands:
@@ -123,18 +132,18 @@
         if len(often) < ENOUGH:
             often.add(name)
 
-    def wait_s(self, want: Want) -> float:
+    def wait_s(self, want: LeaseRequest) -> float:
         """How long a broker that showed itself may stay silent: not at all if it is heard often for any duty."""
         if any(want.source in self.often.get(s.duty, ()) for s in want.stands):
             return 0.0
         most = min((len(self.candidates.get(s.duty, ())) for s in want.stands), default=0)
-        return min(self.terms.ask_s * min(most / ENOUGH, SELDOM), MOST_WAIT_S)
+        return min(self.terms.ask_s * min(most / ENOUGH, SELDOM), MAX_WAIT_S)
 
     def silent(self, duty: str) -> list[str]:
         """Candidates that are not heard often, and so would hear late of a new holder."""
         return sorted(self.candidates.get(duty, {}).keys() - self.often.get(duty, set()))
 
-    def renew(self, received: float, want: Want) -> list[Line]:
+    def renew(self, received: float, want: LeaseRequest) -> list[LeaseState]:
         """The answer to a `want` that came then, now that the lead is confirmed."""
         lines = []
         for stand in want.stands:
@@ -147,29 +156,29 @@
             lines.append(self.line(stand.duty, renewed, yields))
         return lines
 
-    def lines(self, want: Want) -> list[Line]:
+    def lines(self, want: LeaseRequest) -> list[LeaseState]:
         """The answer to a `want` that renews nothing."""
         return [self.line(stand.duty) for stand in want.stands]
 
-    def line(self, duty: str, renewed: bool = False, yields: bool = False) -> Line:
+    def line(self, duty: str, renewed: bool = False, yields: bool = False) -> LeaseState:
         lease = self.table.lease(duty)
         one = self.candidates.get(duty, {}).get(lease.holder)
-        return Line(duty, lease.holder, one.at if one is not None else "", lease.epoch, renewed, yields)
+        return LeaseState(duty, lease.holder, one.at if one is not None else "", lease.epoch, renewed, yields)
 
-    def leave(self, leave: Leave) -> list[Command]:
+    def leave(self, leave: LeaseReturn) -> list[Command]:
         """Leases given back end at once; who has gone is chosen no more."""
         out: list[Command] = []
         for duty, epoch in leave.held:
             held, lease = self.holds.get(duty), self.table.lease(duty)
             if held is not None and held.epoch == epoch and lease.holder == leave.source and not held.closing:
                 held.closing = True
-                out.append(Free(duty, epoch))
+                out.append(ReleaseLease(duty, epoch))
         if leave.gone:
             for standing in self.candidates.values():
                 standing.pop(leave.source, None)
         return out
 
-    def _holds(self, name: str, stand: Stand) -> bool:
+    def _holds(self, name: str, stand: Candidacy) -> bool:
         lease = self.table.lease(stand.duty)
         return bool(stand.epoch) and lease.holder == name and lease.epoch == stand.epoch
 
@@ -182,7 +191,7 @@
             if held is not None:
                 if now >= held.ends and not held.closing:
                     held.closing = True
-                    out.append(Free(duty, held.epoch))
+                    out.append(ReleaseLease(duty, held.epoch))
                     self._silent(duty)
                 held.replaced = held.replaced or self._fails(now, duty, held)
                 self._compare(now, duty, held)
@@ -190,7 +199,7 @@
                 best = self._best(now, duty)
                 if best is not None:
                     self.proposed[duty] = now + AGAIN_S
-                    out.append(Grant(duty, best, self.table.lease(duty).epoch))
+                    out.append(GrantLease(duty, best, self.table.lease(duty).epoch))
         return out
 
     def _silent(self, duty: str) -> None:
@@ -200,9 +209,9 @@
 
     def refused(self, command: Command) -> None:
         """A command did not get into the log: it may be proposed again."""
-        if isinstance(command, Free) and command.duty in self.holds:
+        if isinstance(command, ReleaseLease) and command.duty in self.holds:
             self.holds[command.duty].closing = False
-        elif isinstance(command, Grant):
+        elif isinstance(command, GrantLease):
             self.proposed.pop(command.duty, None)
 
     def _settled(self) -> float:
--- a/badgerbend/duties/probing.py
+++ b/badgerbend/leases/probing.py
@@ -10,14 +10,14 @@
 from dataclasses import dataclass, field
 
 from badgerbend import api
-from badgerbend.duties.messages import MOST_SERVERS, Doubt, Found, Row
+from badgerbend.leases.messages import MAX_SERVERS, ProbeReport, ProbeResult, SuspicionReport
 
 SLOW = 3.0  # so many times the middle of all servers' times is doubted
 DOUBTED_S = 5.0  # a doubt that is not said again counts so long
 ASKERS_MOST = 4096
 
 
-def doubted(known: api.Known, names: dict[int, str]) -> list[str]:
+def doubted(known: api.Observations, names: dict[int, str]) -> list[str]:
     """The servers that a broker has found dead or far slower than the others itself, the worst first."""
     times = sorted(s.time_ms for s in known.nodes)
     middle = times[len(times) // 2] if times else 0.0
@@ -40,7 +40,7 @@
         self.servers: dict[str, _Doubted] = {}
         self.probes = 0
 
-    def doubt(self, now: float, doubt: Doubt, at: str) -> None:
+    def doubt(self, now: float, doubt: SuspicionReport, at: str) -> None:
         """Another broker's word; at: where it is told."""
         for server in doubt.servers:
             one = self.servers.setdefault(server, _Doubted())
@@ -60,27 +60,27 @@
         self.probes += len(out)
         return out
 
-    def found(self, now: float, epoch: int, server: str, served: bool, took_ms: float) -> list[tuple[str, Found]]:
+    def found(self, now: float, epoch: int, server: str, served: bool, took_ms: float) -> list[tuple[str, ProbeReport]]:
         """What to tell, and whom: those who doubt that server."""
         one = self.servers.get(server)
         if one is None or not one.flying:
             return []
         one.flying = False
-        row = Row(server, served, took_ms, max(now - one.asked_at, 0.0) * 1000.0)
-        return [(at, Found(self.name, self.duty, epoch, (row,))) for at in one.askers]
+        row = ProbeResult(server, served, took_ms, max(now - one.asked_at, 0.0) * 1000.0)
+        return [(at, ProbeReport(self.name, self.duty, epoch, (row,))) for at in one.askers]
 
     def stop(self) -> None:
         """No longer the holder: all is forgotten, and who doubts will say so to the next."""
         self.servers = {}
 
 
-def said(doubts: Sequence[str], name: str, duty: str) -> Doubt:
+def said(doubts: Sequence[str], name: str, duty: str) -> SuspicionReport:
     """As many as one datagram names, the worst."""
-    return Doubt(name, duty, tuple(doubts[:MOST_SERVERS]))
+    return SuspicionReport(name, duty, tuple(doubts[:MAX_SERVERS]))
 
 
-def learned(found: Found, numbers: dict[str, int]) -> api.Known:
+def learned(found: ProbeReport, numbers: dict[str, int]) -> api.Observations:
     """What a finding tells the decisions, for where they have no sight of their own."""
     rows = [row for row in found.rows if row.server in numbers]
-    seen = (api.Seen(numbers[row.server], row.took_ms, row.age_ms, not row.served) for row in rows)
-    return api.Known(tuple(seen), ())
+    seen = (api.EndpointObservation(numbers[row.server], row.took_ms, row.age_ms, not row.served) for row in rows)
+    return api.Observations(tuple(seen), ())
--- a/badgerbend/duties/allowance.py
+++ b/badgerbend/leases/slow_start.py
@@ -23,7 +23,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from badgerbend.duties.messages import MOST_SERVERS, Ask, Dealt, Need, Slice
+from badgerbend.leases.messages import MAX_SERVERS, BudgetDemand, BudgetGrant, BudgetReply, BudgetRequest
 
 ASKS_MOST = 8  # datagrams in which one broker asks at once: 128 things, the most uneven of them
 LIFE_BITS = 20  # asks of one life: 1,000,000, and a day has 400,000 quarters of a second
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lengths:
+class BudgetTiming:
     """Times in milliseconds. slice_ms: how long a slice lasts. rate: the bound on how far any clock is off."""
 
     slice_ms: float
@@ -79,10 +79,10 @@
     heard: int = 0  # the ask whose answer is in force
 
 
-class Slices:
+class BrokerBudget:
     """What one broker was dealt: the module's `api.Allowance`. Times in ms of the clock of the decisions."""
 
-    def __init__(self, name: str, duty: str, lengths: Lengths, life: int) -> None:
+    def __init__(self, name: str, duty: str, lengths: BudgetTiming, life: int) -> None:
         """life: greater than that of any earlier process of this name, as the time of its start in ms."""
         self.name, self.duty, self.lengths = name, duty, lengths
         self.nodes: dict[int, _Thing] = {}
@@ -92,7 +92,7 @@
         self._seq = life << LIFE_BITS  # an answer to an earlier life fits no ask of this one
 
     # -- asked by the decisions
-    def usual(self, now_ms: float, node: int, own: float, times: float, part: int, among: int) -> float:
+    def server_rate(self, now_ms: float, node: int, own: float, times: float, part: int, among: int) -> float:
         """See `api.Allowance`."""
         thing = self.nodes.get(node)
         if thing is None:
@@ -102,7 +102,7 @@
             thing.wanted += 1.0 / (max(among, 1) * max(times, 1e-6))
         return self._now(thing, now_ms, own)
 
-    def site(self, now_ms: float, name: str, own: float, wanted: float) -> float:
+    def recovering_site_rate(self, now_ms: float, name: str, own: float, wanted: float) -> float:
         """See `api.Allowance`."""
         thing = self.sites.setdefault(f"site {name}", _Thing(f"site {name}", 0.0))
         thing.wanted = wanted
@@ -124,34 +124,34 @@
         for node in [n for n, t in self.nodes.items() if n not in cold and now_ms >= t.kept_until]:
             del self.nodes[node]  # sooner would break the word given on it, if the list takes it back
 
-    def ask(self, now_ms: float) -> list[Ask]:
+    def ask(self, now_ms: float) -> list[BudgetRequest]:
         """What to tell the dealer now: wants and own shares, also where nothing is wanted, for that is what others
         may be given. Empty where nothing is cold."""
-        needs = list[Need]()
+        needs = list[BudgetDemand]()
         for thing in self.nodes.values():
             pace = thing.wanted / max(now_ms - thing.since, 1.0)
-            needs.append(Need(thing.name, thing.started, thing.own, pace, self._heard(thing, now_ms)))
+            needs.append(BudgetDemand(thing.name, thing.started, thing.own, pace, self._heard(thing, now_ms)))
             thing.wanted, thing.since = 0.0, now_ms
             thing.counted.clear()
         for thing in list(self.sites.values()):
             if thing.own > 0.0:
-                needs.append(Need(thing.name, 0.0, thing.own, thing.wanted, self._heard(thing, now_ms)))
+                needs.append(BudgetDemand(thing.name, 0.0, thing.own, thing.wanted, self._heard(thing, now_ms)))
                 thing.own = 0.0  # stated anew as long as it comes back
             elif now_ms >= thing.kept_until:
                 del self.sites[thing.name]
         needs.sort(key=lambda n: (-abs(n.wanted - n.own), n.thing))
-        asks = list[Ask]()
-        for i in range(0, min(len(needs), ASKS_MOST * MOST_SERVERS), MOST_SERVERS):
+        asks = list[BudgetRequest]()
+        for i in range(0, min(len(needs), ASKS_MOST * MAX_SERVERS), MAX_SERVERS):
             self._seq += 1
             self.asked[self._seq] = now_ms
-            asks.append(Ask(self.name, self.duty, self._seq, tuple(needs[i : i + MOST_SERVERS])))
+            asks.append(BudgetRequest(self.name, self.duty, self._seq, tuple(needs[i : i + MAX_SERVERS])))
         self.asked = {seq: at for seq, at in self.asked.items() if at > now_ms - self.lengths.slice_ms}
         return asks
 
     def _heard(self, thing: _Thing, now_ms: float) -> int:
         return thing.heard if now_ms < thing.kept_until else 0
 
-    def told(self, now_ms: float, dealt: Dealt) -> None:
+    def told(self, now_ms: float, dealt: BudgetReply) -> None:
         """A dealer's act, which the fence let through. One for an ask that is forgotten or over changes nothing."""
         asked = self.asked.get(dealt.seq)
         if asked is None or now_ms >= asked + self.lengths.held_ms:
@@ -181,10 +181,10 @@
     out: dict[int, tuple[float, float]] = field(default_factory=dict)
 
 
-class Dealer:
+class BudgetAllocator:
     """The holder's books: by thing and start, by broker. Times in milliseconds of its own clock."""
 
-    def __init__(self, name: str, duty: str, lengths: Lengths) -> None:
+    def __init__(self, name: str, duty: str, lengths: BudgetTiming) -> None:
         self.name, self.duty, self.lengths = name, duty, lengths
         self.books: dict[tuple[str, float], dict[str, _Row]] = {}
         self.since = math.inf  # when this broker began to act
@@ -198,10 +198,10 @@
     def stop(self) -> None:
         self.books, self.since = {}, math.inf
 
-    def ask(self, now_ms: float, epoch: int, ask: Ask) -> Dealt | None:
+    def ask(self, now_ms: float, epoch: int, ask: BudgetRequest) -> BudgetReply | None:
         """The answer to a broker's word, to be sent at once. None while slices of the last dealer may be out."""
         self._sweep(now_ms)
-        slices = list[Slice]()
+        slices = list[BudgetGrant]()
         for need in ask.needs:
             row = self.books.setdefault((need.thing, need.started), {}).setdefault(
                 ask.source, _Row(need.own, need.wanted)
@@ -214,7 +214,7 @@
             if now_ms >= self.since + self.lengths.booked_ms:
                 slices.append(self._deal(now_ms, ask, need))
         self.slices += len(slices)
-        return Dealt(self.name, self.duty, epoch, ask.seq, tuple(slices)) if slices else None
+        return BudgetReply(self.name, self.duty, epoch, ask.seq, tuple(slices)) if slices else None
 
     def holds(self, now_ms: float, row: _Row) -> float:
         """The most that a broker may send at any time while a slice dealt now lasts."""
@@ -225,13 +225,13 @@
         keeps = max(pace for seq, (pace, _) in row.out.items() if seq >= row.heard)  # it may have heard of any of them
         return max(live, min(keeps, row.own) if kept else row.own)
 
-    def _deal(self, now_ms: float, ask: Ask, need: Need) -> Slice:
+    def _deal(self, now_ms: float, ask: BudgetRequest, need: BudgetDemand) -> BudgetGrant:
         book = self.books[need.thing, need.started]
         rest = sum(r.own for r in book.values())
         rest -= sum(self.holds(now_ms, r) for broker, r in book.items() if broker != ask.source)
         pace = max(min(fair(book, ask.source), rest), 0.0)
         book[ask.source].out[ask.seq] = pace, now_ms
-        return Slice(need.thing, need.started, pace)
+        return BudgetGrant(need.thing, need.started, pace)
 
     def _sweep(self, now_ms: float) -> None:
         """Forgets what is over, and brokers that ask no more: they are back at their own shares."""
--- a/badgerbend/duties/table.py
+++ b/badgerbend/leases/table.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from badgerbend.consensus.messages import Malformed
-from badgerbend.duties.messages import Free, Grant, Put, decode_command
+from badgerbend.consensus.messages import MalformedMessageError
+from badgerbend.leases.messages import GrantLease, PutFact, ReleaseLease, decode_command
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
 NONE = Lease()
 
 
-class Table:
+class LeaseTable:
     """`consensus.raft.Machine`. An epoch is the log's index of its grant: it only grows, over all duties."""
 
     def __init__(self) -> None:
@@ -49,17 +49,17 @@
         """A command that no longer fits what stands changes nothing: two leaders' words may cross."""
         try:
             command = decode_command(data)
-        except Malformed:  # of a later version, perhaps: skipped by all alike
+        except MalformedMessageError:  # of a later version, perhaps: skipped by all alike
             return
         match command:
-            case Grant(duty, holder, over):
+            case GrantLease(duty, holder, over):
                 lease = self.lease(duty)
                 if not lease.holder and lease.epoch == over:
                     self.leases[duty] = Lease(holder, index)
-            case Free(duty, epoch):
+            case ReleaseLease(duty, epoch):
                 if self.lease(duty).epoch == epoch and self.lease(duty).holder:
                     self.leases[duty] = Lease("", epoch)
-            case Put(key, value, over):
+            case PutFact(key, value, over):
                 fact = self.facts.get(key)
                 if (fact.index if fact else 0) == over:
                     if value:
--- a/badgerbend/duties/voter.py
+++ b/badgerbend/leases/voter.py
@@ -10,57 +10,66 @@
 from typing import Protocol
 
 from badgerbend.consensus import messages as voting
-from badgerbend.consensus.log import Kept
-from badgerbend.consensus.raft import Applied, Confirmed, Follows, Leads, Machine, Raft, Role, Tuning
-from badgerbend.duties.holder import Terms
-from badgerbend.duties.keeper import Keeper
-from badgerbend.duties.messages import Command, Leave, Line, Told, Want, encode
-from badgerbend.duties.table import Table
+from badgerbend.consensus.log import PersistentState
+from badgerbend.consensus.raft import (
+    BecameFollower,
+    BecameLeader,
+    EntryApplied,
+    Raft,
+    RaftConfig,
+    ReadConfirmed,
+    Role,
+    StateMachine,
+)
+from badgerbend.leases.holder import LeaseTiming
+from badgerbend.leases.manager import LeaseManager
+from badgerbend.leases.messages import Command, LeaseReply, LeaseRequest, LeaseReturn, LeaseState, encode
+from badgerbend.leases.table import LeaseTable
 
 DUE_S = 0.05  # how often a leader looks at leases: small beside any of them
 MOST_PENDING = 4096  # renewals that wait for their round
 
 
 @dataclass(slots=True)
-class Out:
+class VoterOutput:
     """What a voter wants done, in this order. writes: numbered, to be told to `saved` once on disk."""
 
     writes: list[tuple[int, voting.Record]] = field(default_factory=list)
     to_voters: list[tuple[str, voting.Message]] = field(default_factory=list)
-    to_brokers: list[tuple[str, Told]] = field(default_factory=list)
+    to_brokers: list[tuple[str, LeaseReply]] = field(default_factory=list)
     notes: list[tuple[str, dict[str, object]]] = field(default_factory=list)  # for the log
 
 
-class TableMachine(Machine, Protocol):
+class LeaseStateMachine(StateMachine, Protocol):
     """A machine of the agreed log that holds the table of leases beside state of its own."""
 
     @property
-    def table(self) -> Table: ...
+    def table(self) -> LeaseTable: ...
 
 
 class Voter:
     """`kept`: what its disk holds. machine: what the log drives, a bare table of leases unless said otherwise."""
 
     raft_kind: type[Raft] = Raft
-    keeper_kind: type[Keeper] = Keeper
+    keeper_kind: type[LeaseManager] = LeaseManager
 
     def __init__(
         self,
         name: str,
-        kept: Kept,
-        tuning: Tuning,
-        terms: Terms,
+        kept: PersistentState,
+        tuning: RaftConfig,
+        terms: LeaseTiming,
         seed: int,
         now: float,
-        machine: TableMachine | None = None,
+        machine: LeaseStateMachine | None = None,
     ) -> None:
         self.name, self.terms = name, terms
-        self.table = Table() if machine is None else machine.table
+        self.table = LeaseTable() if machine is None else machine.table
         self.raft = self.raft_kind(name, kept, self.table if machine is None else machine, tuning, seed, now)
         self.keeper = self.keeper_kind(self.table, terms, seed + 1)
-        self.told: list[tuple[str, Told]] = []
+        self.told: list[tuple[str, LeaseReply]] = []
         self.notes: list[tuple[str, dict[str, object]]] = []
-        self.pending: dict[int, tuple[float, Want]] = {}
+        self.pending: dict[int, tuple[float, LeaseRequest]] = {}
         self.renewals = 0
         self.confirmed_at = -math.inf
         """The latest time at which the machine surely held all that was agreed on.
@@ -79,14 +88,14 @@
     # -- what happens
     def from_voter(self, now: float, message: voting.Message) -> None:
         self.raft.receive(now, message)
-        if isinstance(message, voting.Feed):
+        if isinstance(message, voting.AppendEntries):
             self._heard_leader(now, message)
         self._after(now)
 
-    def from_broker(self, now: float, message: Want | Leave) -> None:
+    def from_broker(self, now: float, message: LeaseRequest | LeaseReturn) -> None:
         if not self.leads:
             self._tell(message, ())
-        elif isinstance(message, Leave):
+        elif isinstance(message, LeaseReturn):
             self._propose(now, self.keeper.leave(message))
             self._tell(message, ())
         elif not self.keeper.want(now, message):
@@ -133,9 +142,9 @@
             self._token += 1
             self._confirming = (self._token, now)
 
-    def take(self) -> Out:
+    def take(self) -> VoterOutput:
         writes, to_voters, _ = self.raft.take()
-        out = Out(writes, to_voters, self.told, self.notes)
+        out = VoterOutput(writes, to_voters, self.told, self.notes)
         self.told, self.notes = [], []
         return out
 
@@ -151,20 +160,20 @@
             events, self.raft.events = self.raft.events, []
             for event in events:
                 match event:
-                    case Leads(term):
+                    case BecameLeader(term):
                         self.keeper.lead(now)
                         self._due_at = now
                         self.notes.append(("leads", {"term": term}))
-                    case Follows(term, leader):
+                    case BecameFollower(term, leader):
                         self.keeper.rest()
                         self.pending, self._confirming = {}, None
                         self.notes.append(("follows", {"term": term, "leader": leader}))
-                    case Confirmed(token):
+                    case ReadConfirmed(token):
                         self._confirmed(token)
-                    case Applied():
+                    case EntryApplied():
                         self._applied(now)
 
-    def _heard_leader(self, now: float, message: voting.Feed) -> None:
+    def _heard_leader(self, now: float, message: voting.AppendEntries) -> None:
         """A leader knows what was agreed on once it has committed an entry of its own term; not before."""
         raft = self.raft
         follows = raft.role is Role.FOLLOWER and (raft.term, raft.leader) == (message.term, message.source)
@@ -188,11 +197,11 @@
         for duty in self.keeper.changed(now):
             lease = self.table.lease(duty)
             self.notes.append(("granted", {"duty": duty, "holder": lease.holder, "epoch": lease.epoch}))
-            told = Told(self.name, 0, self.name, True, (self.keeper.line(duty),))
+            told = LeaseReply(self.name, 0, self.name, True, (self.keeper.line(duty),))
             self.told += [(name, told) for name in (lease.holder, *self.keeper.silent(duty))]
         self._due_at = now  # a duty that fell free is given on at once
 
-    def _tell(self, to: Want | Leave, lines: tuple[Line, ...] | list[Line]) -> None:
+    def _tell(self, to: LeaseRequest | LeaseReturn, lines: tuple[LeaseState, ...] | list[LeaseState]) -> None:
         leader = self.raft.leader if not self.leads else self.name
-        wait_s = self.keeper.wait_s(to) if self.leads and isinstance(to, Want) else 0.0
-        self.told.append((to.source, Told(self.name, to.seq, leader, self.leads, tuple(lines), wait_s)))
+        wait_s = self.keeper.wait_s(to) if self.leads and isinstance(to, LeaseRequest) else 0.0
+        self.told.append((to.source, LeaseReply(self.name, to.seq, leader, self.leads, tuple(lines), wait_s)))
