--- a/badgerbend/logic.py
+++ b/badgerbend/logic.py
@@ -48,7 +48,7 @@
 
 # -- Knowledge. On call: what this broker has seen; none of it outlives a restart.
 class _Node:
-    def __init__(self, line: api.NodeLine) -> None:
+    def __init__(self, line: api.Endpoint) -> None:
         self.id, self.cell, self.zone, self.ready, self.started = line.node, line.cell, line.zone, False, -1.0
         self.cold_since, self.tokens, self.tokens_at = -inf, 0.0, 0.0
         self.out: dict[tuple[int, int], float] = {}  # our attempts out: when sent
@@ -78,9 +78,9 @@
 
 class _Query:
     def __init__(self, event: api.Query, cls: api.QueryClass, now: float) -> None:
-        self.id, self.number, self.cls, self.aim_at = event.id, event.number, cls, now + cls.aim_ms
+        self.id, self.number, self.cls, self.aim_at = event.id, event.number, cls, now + cls.latency_objective_ms
         self.end_at = now + (event.time_left_ms if isfinite(event.time_left_ms) else 0.0) - LAST_MS
-        if cls.late_worth <= 0:  # worthless after its aim: ended there, which frees its servers
+        if cls.late_value_share <= 0:  # worthless after its aim: ended there, which frees its servers
             self.end_at = min(self.end_at, self.aim_at)
         self.parts, self.held = list[_Part](), list[_Part]()  # held: not sent, spares of an any-m query
         self.step, self.got, self.landed, self.look_at = 1, 0.0, 0, 0.0
@@ -95,9 +95,12 @@
 
 class Aggregator:
     def __init__(
-        self, settings: api.Settings, seed: int, sites: api.Sites | None = None,
-        allowance: api.Allowance | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        settings: api.Settings,
+        seed: int,
+        sites: api.SitePreference | None = None,
+        allowance: api.SlowStartBudget | None = None,
+    ) -> None:
         self.set, self.rng, self.sites, self.allowance = settings, random.Random(seed), sites, allowance
         self.now, self.began, self.acts = 0.0, inf, list[api.Action]()
         self.nodes, self.parts = dict[int, _Node](), dict[int, _Part]()
@@ -122,54 +125,54 @@
     def step(self, now_ms: float, events: list[api.Event]) -> list[api.Action]:
         self.now, self.acts, self.began = now_ms, [], min(self.began, now_ms)
         if self.sites:
-            self.sites.hear(now_ms, events)
-        for e in sorted(events, key=lambda e: not isinstance(e, api.View)):  # a drain counts at once
+            self.sites.observe(now_ms, events)
+        for e in sorted(events, key=lambda e: not isinstance(e, api.EndpointUpdate)):  # a drain counts at once
             match e:
-                case api.Completed() if (e.part, e.attempt) in self.attempts:
+                case api.AttemptCompleted() if (e.part, e.attempt) in self.attempts:
                     self._completed(e)
                 case api.Query():
                     self._arrived(e)
-                case api.MoreParts(number) if number in self.by_number:
+                case api.FollowUpParts(number) if number in self.by_number:
                     self._second_step(self.by_number[number], e.parts)
-                case api.View():
+                case api.EndpointUpdate():
                     self._view(e)
-                case api.Gone(rid) if rid in self.queries:
+                case api.ClientDisconnected(rid) if rid in self.queries:
                     self._end(self.queries[rid], None)
-                case api.Known():
+                case api.Observations():
                     self._learn(e)
-        if self.set.list_by_asking and now_ms >= self.ask_at:
-            self.acts.append(api.Follow(True))
-            self.ask_at = now_ms + self.set.must_ask_ms / 2  # an answer that never comes is a failure too
+        if self.set.polls_endpoint_list and now_ms >= self.ask_at:
+            self.acts.append(api.FollowEndpointList(True))
+            self.ask_at = now_ms + self.set.max_poll_interval_ms / 2  # an answer that never comes is a failure too
         if now_ms >= self.alarm_at:
             self._look()
         next_look = now_ms + (TICK_MS if self.queries else PERIOD_MS)
         next_look = min([next_look, *(q.end_at for q in self.queries.values() if q.end_at > now_ms)])
         if not now_ms < self.alarm_at <= next_look:
             self.alarm_at = next_look
-            self.acts.append(api.SetAlarm(next_look - now_ms, 0))
+            self.acts.append(api.SetTimer(next_look - now_ms, 0))
         return self.acts
 
     # -- Following the list. On call: where it tells only on asking, calls that fail are spaced out.
-    def _view(self, view: api.View) -> None:
+    def _view(self, view: api.EndpointUpdate) -> None:
         """A failed call is repeated after a random wait that doubles up to the time in which we must have
         asked: all brokers calling back at once kept it out of reach for most. Harm: later news afterwards."""
-        if view.kind == api.ViewKind.FAILED:
-            wait = self.set.must_ask_ms * min(1.0, 2.0**self.unheard / ASK_FIRST)
-            wait = min(wait, self.set.told_ms * TOLD_SHARE)
+        if view.kind == api.UpdateKind.FAILED:
+            wait = self.set.max_poll_interval_ms * min(1.0, 2.0**self.unheard / ASK_FIRST)
+            wait = min(wait, self.set.max_notification_delay_ms * TOLD_SHARE)
             self.ask_at, self.unheard = self.now + wait * self.rng.uniform(0.5, 1.0), self.unheard + 1
             return
-        self.ask_at, self.unheard = (self.ask_at if view.kind == api.ViewKind.CACHED else inf), 0
-        moved = view.kind != api.ViewKind.DELTA
+        self.ask_at, self.unheard = (self.ask_at if view.kind == api.UpdateKind.CACHED else inf), 0
+        moved = view.kind != api.UpdateKind.DELTA
         for node in self.nodes.values() if moved else ():
             node.ready = False  # a server missing from a whole list has left
-        for line in view.lines:
+        for line in view.endpoints:
             node = self.nodes.setdefault(line.node, _Node(line))
             before = node.cell, node.ready
             if line.started_ms > node.started:
                 self.killing_at = self.now if node.ready else self.killing_at  # nobody missed it
                 node.started = line.started_ms
                 self._renew(node, line.started_ms or -inf)
-            node.cell, node.ready = line.cell, line.state == api.NodeState.READY
+            node.cell, node.ready = line.cell, line.state == api.EndpointState.READY
             moved = moved or before != (node.cell, node.ready)
         if moved:
             self.holders, self.nodes = {}, {i: n for i, n in self.nodes.items() if n.ready or n.out}
@@ -181,14 +184,14 @@
         node.tokens, node.tokens_at, node.time_at = self.rng.random(), self.now, -inf  # not due all at once
 
     # -- Learning from others. On call: only of servers that this broker has seen nothing of itself.
-    def known(self) -> api.Known:
+    def known(self) -> api.Observations:
         """What this broker has seen itself; never what it was told. Changes nothing."""
         own = [n for n in self.nodes.values() if n.ready and not n.told and n.time_at > -inf]
-        seen = [api.Seen(n.id, n.time, self.now - n.time_at, n.died_at < inf) for n in own]
+        seen = [api.EndpointObservation(n.id, n.time, self.now - n.time_at, n.died_at < inf) for n in own]
         rows = [(self.now - at, ms, gone) for at, ms, gone in self.record if at > self.learned_at]
-        return api.Known(tuple(seen), tuple(rows))
+        return api.Observations(tuple(seen), tuple(rows))
 
-    def _learn(self, news: api.Known) -> None:
+    def _learn(self, news: api.Observations) -> None:
         """Times keep their ages and so fade as own ones do; none is taken of before a server's start.
         Harm: what was true elsewhere need not be here, until the first own answer."""
         for line in news.nodes:
@@ -221,7 +224,7 @@
 
     def _note(self, *names: str) -> None:
         for what in names:
-            self._count(what, max(WINDOW_MS, self.set.extra_window_ms or 0.0) + TICK_MS)  # older: of no use
+            self._count(what, max(WINDOW_MS, self.set.retry_budget_window_ms or 0.0) + TICK_MS)  # older: of no use
             self.seen[what].append(self.now)
 
     def _count(self, what: str, window: float) -> int:
@@ -250,7 +253,7 @@
             return k
         if (m, k) not in self.chosen:
             draws = [self.rng.choices(self.latencies, cum_weights=self.weights, k=k) for _ in range(DRAWS)]
-            rate, room = self._rate("queries"), self.sound * PARALLEL / self.set.brokers  # others send alike
+            rate, room = self._rate("queries"), self.sound * PARALLEL / self.set.broker_count  # others send alike
             best, least, most = m, inf, 0.0
             for r in range(k, m - 1, -1):
                 xs = [sorted(d[:r])[m - 1] for d in draws]
@@ -264,13 +267,13 @@
 
     # -- Replica choice. On call: fewest of our own parts out among the sound holders, ties at random.
     def _holders(self, shard: int) -> list[_Node]:
-        cell = shard % self.set.cells
+        cell = shard % self.set.cell_count
         if not self.holders:  # the list has changed: one walk over it serves all shards
             self.by_cell = {}
             for place, node in enumerate(n for n in self.nodes.values() if n.ready):
                 self.by_cell.setdefault(node.cell, []).append((place, node))
         if cell not in self.holders:
-            cells = [(cell + i) % self.set.cells for i in range(self.set.reach)]
+            cells = [(cell + i) % self.set.cell_count for i in range(self.set.cells_per_shard)]
             near = sorted((row for c in cells for row in self.by_cell.get(c, [])), key=lambda row: row[0])
             self.holders[cell] = [node for _, node in near]
         return self.holders[cell]
@@ -289,7 +292,9 @@
 
     def _warmth(self, node: _Node) -> float:
         age = 0.0 if node.died_at < inf else max(self.now - node.cold_since, 0.0)  # dead: it may start unseen
-        return min(1.0, self.set.cold_from + (1 - self.set.cold_from) * age / max(self.set.cold_ms, 1.0))
+        return min(
+            1.0, self.set.slow_start_from + (1 - self.set.slow_start_from) * age / max(self.set.slow_start_ms, 1.0)
+        )
 
     def _admits(self, node: _Node, part: _Part) -> bool:
         """Slow start: a cold server gets tokens at our own pace to a warm one, times its least warmth and
@@ -300,11 +305,11 @@
             return True
         usual = self._rate("sends") / max(1, self.sound)
         if self.sites:  # after an outage in which little was sent, what is let back is the measure
-            usual = max(usual, self.sites.pace(node.id))
+            usual = max(usual, self.sites.site_rate(node.id))
         times = warmth * self.set.overload_factor * COLD_PACE
         if self.allowance and node.died_at == inf:
             among = len(self._holders(part.shard))
-            usual = self.allowance.usual(self.now, node.id, usual, times, part.id, among)
+            usual = self.allowance.server_rate(self.now, node.id, usual, times, part.id, among)
         pace = times * usual
         node.tokens, node.tokens_at = min(1.0, node.tokens + pace * (self.now - node.tokens_at)), self.now
         return node.tokens >= 1.0
@@ -335,24 +340,24 @@
         if not self.sites:
             return pool
         ids = [n.id for n in pool if n.died_at == inf] or [n.id for n in pool]
-        chosen = set(self.sites.among(part.shard, ids, part.query.cls.effect == "safe")) if ids else ()
+        chosen = set(self.sites.eligible(part.shard, ids, part.query.cls.effect == "safe")) if ids else ()
         return [n for n in pool if n.id in chosen]
 
     # -- Admission. On call: what is turned away, and only while our parts wait for servers.
     def _arrived(self, e: api.Query) -> None:
-        cls = self.set.classes[e.cls]
+        cls = self.set.classes[e.class_index]
         query = _Query(e, cls, self.now)
         self._note("queries", "taken")
         self.queries[query.id] = self.by_number[query.number] = query
         self._take_parts(query, e.parts)
-        most, over = REFUSE_AT * cls.aim_ms, False
+        most, over = REFUSE_AT * cls.latency_objective_ms, False
         if e.tenant < len(self.set.tenants):
             self._note(f"tenant {e.tenant}")
-            quota = self.set.tenants[e.tenant].quota_per_s / self.set.brokers / 1000
+            quota = self.set.tenants[e.tenant].quota_per_s / self.set.broker_count / 1000
             over = self._rate(f"tenant {e.tenant}") > quota
-            most = REFUSE_OVER_QUOTA_AT * cls.aim_ms if over else most
-        fewest = query.fewest(cls.need)
-        barred = self.sites and not self.sites.takes(e, over, fewest)
+            most = REFUSE_OVER_QUOTA_AT * cls.latency_objective_ms if over else most
+        fewest = query.fewest(cls.complete_weight)
+        barred = self.sites and not self.sites.admits(e, over, fewest)
         if not query.parts or barred or self._foreseen(query) >= min(most, query.end_at - self.now):
             why = "no site takes it" if barred else "foreseen to be late"
             self._end(query, self._give_up(query, why))
@@ -366,7 +371,7 @@
         query.held = self.rng.sample(query.parts, len(query.parts))
         if sites := self.sites:  # the nearest first; and spares only where they go to nobody's cost
             query.held.sort(key=lambda part: sites.rank(part.shard))
-            query.wanted = query.wanted if sites.spares() else fewest
+            query.wanted = query.wanted if sites.allows_surplus() else fewest
         for _ in range(1 if query.scout else query.wanted):
             self._try(query.held.pop())
 
@@ -374,7 +379,7 @@
         """That a query which needs all its parts gets them, by how others fared with its cells lately; what
         was not seen speaks neither way. Guards against work on queries that lose one part of ten. Harm: after
         a trouble it takes some answers, or seconds, until all are let in again."""
-        return prod(self._fared(cell) for cell in {p.shard % self.set.cells for p in query.parts})
+        return prod(self._fared(cell) for cell in {p.shard % self.set.cell_count for p in query.parts})
 
     def _in_time(self, query: _Query) -> float:
         """The chance that the least it may be answered with comes while its client waits, by recent answers;
@@ -382,7 +387,7 @@
         to foresee it by. Harm: that answers came to be quicker is noticed in seconds only."""
         left, k = (query.end_at - self.now) / (1 + query.scout), len(query.parts)
         p = sum(ms <= left for ms in self.answered) / len(self.answered) if self.answered else 1.0
-        least = query.fewest(min(query.cls.need, query.cls.floor))
+        least = query.fewest(min(query.cls.complete_weight, query.cls.minimum_weight))
         return sum(comb(k, n) * p**n * (1 - p) ** (k - n) for n in range(least, k + 1))
 
     def _fared(self, cell: int) -> float:
@@ -394,8 +399,8 @@
         """One lost query is one loss, shared by the cells that lost it. A client with less time than its
         class should have tells nothing of cells without an answer."""
         whole = isinstance(last, api.Answer) and query.whole
-        lost = {p.shard % self.set.cells for p in query.parts if not (whole or p.done)}
-        for cell in {p.shard % self.set.cells for p in query.parts if p.tries}:
+        lost = {p.shard % self.set.cell_count for p in query.parts if not (whole or p.done)}
+        for cell in {p.shard % self.set.cell_count for p in query.parts if p.tries}:
             if cell not in lost or query.end_at >= query.aim_at:
                 share, weight = self._fared(cell), LAST_WEIGHT / (len(lost) if cell in lost else 1)
                 self.fared[cell] = share + ((cell not in lost) - share) * weight, self.now
@@ -405,7 +410,7 @@
         servers took lately, by order statistic of recent answers over their mean; its slowest at least."""
         if not self.late or not self.attempts:
             return 0.0
-        k, m = len(query.parts), query.fewest(min(query.cls.need, query.cls.floor))
+        k, m = len(query.parts), query.fewest(min(query.cls.complete_weight, query.cls.minimum_weight))
         holders = [self._holders(p.shard) for p in query.parts]
         known = [[n for n in held if n.time_at > self.now - FADE_MS / 2] or held for held in holders]
         times = sorted(min((self._time(n, FADE_MS / 2) for n in held), default=0.0) for held in known)[:m]
@@ -413,7 +418,7 @@
             drawn = [self.rng.choices(self.answered, k=k) for _ in range(DRAWS)]
             self.spread[m, k] = sum(sorted(d)[m - 1] for d in drawn) / DRAWS / fmean(self.answered)
         wait = max(times[-1], sum(times) / m * self.spread[m, k])
-        return wait * (SECOND_STEP if query.cls.second_step else 1.0)
+        return wait * (SECOND_STEP if query.cls.follow_up_parts else 1.0)
 
     def _time(self, node: _Node, fade_ms: float = FADE_MS) -> float:
         """What a usual part takes there: its last answers, fading to what all take, or its oldest age."""
@@ -446,14 +451,14 @@
 
     def _begin_by(self, part: _Part) -> float:  # what may have run is sent again only within the window
         first = min(part.maybe_ran.values(), default=inf) if part.query.cls.effect == "keyed" else inf
-        return first + part.query.cls.repeat_window_ms - END_EARLY_MS
+        return first + part.query.cls.idempotency_window_ms - END_EARLY_MS
 
     def _may_retry(self, part: _Part) -> bool:
         """What the class and the attempt budget allow; the budget is counted a tick to the safe side."""
         s = self.set
-        if self._spent(part) or (part.out and not s.second_copies):
+        if self._spent(part) or (part.out and not s.hedging):
             return False
-        window, free, each = s.extra_window_ms, s.extra_free or 0.0, s.extra_share or 0.0
+        window, free, each = s.retry_budget_window_ms, s.retry_budget_min or 0.0, s.retry_budget_share or 0.0
         return window is None or self._count("extra", window + TICK_MS) + 1 <= (
             free + each * self._count("taken", window - TICK_MS)
         )
@@ -474,7 +479,9 @@
         spent = sum(p.weight for p in undone if not p.out and self._spent(p))
         stuck = self._kills(query) and not any(p.out for p in undone)
         stuck = stuck and not any(self._unsure(n) for n in query.deaths)  # its server may answer yet
-        return stuck or spent > 1.0 - min(cls.floor, cls.need if query.step == 1 else 1.0) + ROUNDING
+        return (
+            stuck or spent > 1.0 - min(cls.minimum_weight, cls.complete_weight if query.step == 1 else 1.0) + ROUNDING
+        )
 
     def _try(self, part: _Part) -> bool:
         """Sends a part, once more if need be. A second copy costs `credit`, paid back if first to answer: few
@@ -493,19 +500,19 @@
         node.tokens -= self._warmth(node) < 1.0
         idle, begin_ms = self._idle(node), self._begin_by(part) - self.now
         if self._distrusts(idle, part):
-            self.acts.append(api.CloseIdle(node.id))
+            self.acts.append(api.CloseIdleConnections(node.id))
             idle = inf
         self.attempts[part.id, part.tries] = part.out[part.tries] = _Attempt(node, self.now, idle)
         node.link_at = self.now
         node.out[part.id, part.tries] = part.maybe_ran[part.tries] = self.now
         part.used.append(node)
         if self.sites:
-            self.sites.sent(part.id, part.tries, node.id)
+            self.sites.attempt_sent(part.id, part.tries, node.id)
         part.tries += 1
         self.acts.append(api.Send(part.id, node.id, max(part.query.end_at - self.now, 1.0), begin_ms))
         return True
 
-    def _completed(self, e: api.Completed) -> None:
+    def _completed(self, e: api.AttemptCompleted) -> None:
         attempt = self.attempts.pop((e.part, e.attempt))
         node, took, ok = attempt.node, self.now - attempt.sent, e.outcome == Outcome.OK
         del node.out[e.part, e.attempt]
@@ -517,7 +524,7 @@
             self._judge(attempt, lost=False)
         elif e.outcome == Outcome.RESET or took > (self.late or inf) or failed:
             node.link_at = -inf
-            self.acts.extend([] if node.out else [api.CloseIdle(node.id)])
+            self.acts.extend([] if node.out else [api.CloseIdleConnections(node.id)])
             self._judge(attempt, lost=True)
         self.record.append((self.now, took, not ok))
         died = e.outcome == Outcome.RESET and e.elapsed_ms > BEGUN_MS  # sooner is as good as refused
@@ -531,7 +538,7 @@
             self.killing_at = self.now if failed and node.scouted else self.killing_at
         part = self.parts.get(e.part)
         usual = took / (self._late_after(part) / self.late if part and self.late else 1.0)
-        if e.outcome in (Outcome.FULL, Outcome.ERROR, Outcome.RESET) or slow_link:  # quick, but not idle
+        if e.outcome in (Outcome.REJECTED, Outcome.ERROR, Outcome.RESET) or slow_link:  # quick, but not idle
             usual = max(self._time(node) + self.usual, self.late)
         if ok or (self.late and usual > self._time(node)):
             old = self._time(node) if self.usual else usual
@@ -553,7 +560,7 @@
         if died:
             node.scouted = node.scouted or (query.scout and not query.clean)
             query.deaths.add(node.id)
-        if e.outcome == Outcome.FULL and part.tries > 1 and not self._spent(part):
+        if e.outcome == Outcome.REJECTED and part.tries > 1 and not self._spent(part):
             query.look_at = min(query.look_at, self.now + TICK_MS)  # at once it finds the same queues full
         elif (part.out or not self._try(part)) and self._hopeless(query):
             self._end(query, self._give_up(query, "no attempt is left"))
@@ -573,7 +580,7 @@
     # -- Connections. On call: one idle for longer than lately was safe is shut; the part opens another.
     def _idle(self, node: _Node) -> float:
         idle = 0.0 if node.out else self.now - node.link_at
-        return idle if idle < self.set.conn_idle_ms else inf
+        return idle if idle < self.set.connection_idle_ms else inf
 
     def _distrusts(self, idle: float, part: _Part) -> bool:
         stale = (self.idle_most <= idle and self.now < self.idle_until) or (part.once and idle > PERIOD_MS)
@@ -597,7 +604,7 @@
     def _look(self) -> None:
         if self.now - self.refreshed >= PERIOD_MS:
             self._refresh()
-        for query in [q for q in self.queries.values() if q.parts and q.cls.floor < q.cls.need]:
+        for query in [q for q in self.queries.values() if q.parts and q.cls.minimum_weight < q.cls.complete_weight]:
             self._settle(query)
         for query in list(self.queries.values()):
             if self.now >= query.end_at:
@@ -612,7 +619,7 @@
                         for n, attempt in list(part.out.items()):
                             self._judge(attempt, lost=True)  # for now
                             if self._may_retry(part) and self._distrusts(attempt.idle, part):
-                                self.acts.extend([api.Cancel(part.id, n), api.CloseIdle(attempt.node.id)])
+                                self.acts.extend([api.Cancel(part.id, n), api.CloseIdleConnections(attempt.node.id)])
                                 del part.out[n]
                         self._try(part)
                 if self._hopeless(query):
@@ -623,15 +630,19 @@
         """Answers when a whole answer is in. Exception: a class that may be answered in part is at its aim,
         or a late mark before it ahead of a second step, if what is in is worth more than a late whole one."""
         cls, first = query.cls, query.step == 1
-        need = cls.need - ROUNDING if first and cls.need < 1 else inf  # without an any-m step all must be in
+        need = (
+            cls.complete_weight - ROUNDING if first and cls.complete_weight < 1 else inf
+        )  # without an any-m step all must be in
         whole = query.landed == len(query.parts) or query.got >= need
         if not whole:
-            early = END_EARLY_MS + (min(self.late, cls.aim_ms / 2) if first and cls.second_step else 0.0)
-            pays = cls.partial * query.got / cls.need > cls.late_worth
-            if self.now < query.aim_at - early or not pays or not cls.floor <= query.got < cls.need:
+            early = END_EARLY_MS + (
+                min(self.late, cls.latency_objective_ms / 2) if first and cls.follow_up_parts else 0.0
+            )
+            pays = cls.partial_value * query.got / cls.complete_weight > cls.late_value_share
+            if self.now < query.aim_at - early or not pays or not cls.minimum_weight <= query.got < cls.complete_weight:
                 return
         query.whole = query.whole and whole
-        if first and cls.second_step:
+        if first and cls.follow_up_parts:
             self.acts.append(api.Answer(query.id, query.whole))
             self._drop_parts(query)
             query.parts, query.held = [], []
@@ -640,11 +651,11 @@
 
     def _give_up(self, query: _Query, why: str) -> api.Action:
         """Answers from what is in where the floor allows, refuses if a repeat is harmless, else fails."""
-        cls, last_step = query.cls, query.step == 2 or not query.cls.second_step
-        if last_step and query.parts and cls.floor < cls.need and query.got >= cls.floor:
+        cls, last_step = query.cls, query.step == 2 or not query.cls.follow_up_parts
+        if last_step and query.parts and cls.minimum_weight < cls.complete_weight and query.got >= cls.minimum_weight:
             return api.Answer(query.id, False)
         if cls.effect == "safe" or not any(p.maybe_ran for p in query.parts):
-            return api.Refuse(query.id, self.set.max_retry_after_ms if self.set.retry_after else 0.0, why)
+            return api.Reject(query.id, self.set.max_retry_after_ms if self.set.retry_after else 0.0, why)
         return api.Fail(query.id, why)
 
     def _end(self, query: _Query, last: api.Action | None) -> None:
--- a/badgerbend/membership/messages.py
+++ b/badgerbend/membership/messages.py
@@ -78,7 +78,7 @@
 _DECODER = msgspec.msgpack.Decoder(Message)
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """A datagram that is none of ours, or out of bounds."""
 
 
@@ -89,11 +89,11 @@
 def decode(data: bytes) -> Message:
     """Raises Malformed."""
     if len(data) > MOST_BYTES:
-        raise Malformed(f"{len(data)} bytes")
+        raise MalformedMessageError(f"{len(data)} bytes")
     try:
         return _DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as err:
-        raise Malformed(str(err)) from err
+        raise MalformedMessageError(str(err)) from err
 
 
 def fill(message: Message, news: list[Update]) -> tuple[Message, int]:
--- a/badgerbend/membership/swim.py
+++ b/badgerbend/membership/swim.py
@@ -23,7 +23,7 @@
 
 from badgerbend.membership.messages import (
     Ack,
-    Malformed,
+    MalformedMessageError,
     Message,
     Nack,
     Ping,
@@ -141,7 +141,7 @@
             return
         try:
             message = decode(data)
-        except Malformed:
+        except MalformedMessageError:
             self.refused += 1
             return
         if message.me.name == self.name and message.me.incarnation != self.incarnation:
--- a/badgerbend/metrics.py
+++ b/badgerbend/metrics.py
@@ -42,12 +42,14 @@
         self.datagrams = Gauge("badgerbend_membership_datagrams", "Datagrams so far", ["which"], registry=r)
         self.sites = Gauge("badgerbend_site", "What is held of a site, see docs/sites.md", ["site", "what"], registry=r)
         self.site_refusals = Gauge(
-            "badgerbend_site_refusals", "Queries refused so far for want of a site", ["reason", "class", "tenant"],
+            "badgerbend_site_refusals",
+            "Queries refused so far for want of a site",
+            ["reason", "class", "tenant"],
             registry=r,
-        )  # fmt: skip
+        )
         self.duties = Gauge("badgerbend_duty", "What this broker knows of a duty", ["duty", "what"], registry=r)
         self.rota = Gauge("badgerbend_duties", "Its part in duties and votes, see docs/duties.md", ["what"], registry=r)
-        self._outcomes = {o: self.attempts.labels(o.name.lower()) for o in api.Outcome}
+        self._outcomes = {o: self.attempts.labels(o.label.lower()) for o in api.Outcome}
         self._log = get(part="broker")
         self._name_classes(classes)
 
@@ -67,11 +69,16 @@
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, took_ms: float) -> None:
         self._outcomes[outcome].inc()
-        if outcome not in (api.Outcome.OK, api.Outcome.CANCELLED, api.Outcome.MOOT):
+        if outcome not in (api.Outcome.OK, api.Outcome.CANCELLED, api.Outcome.NOT_SENT):
             self._log.debug(
-                "attempt lost", query=attempt.query_id, shard=attempt.plan.shard, attempt=attempt.number,
-                server=attempt.node, outcome=outcome.name.lower(), took_ms=round(took_ms, 1),
-            )  # fmt: skip
+                "attempt lost",
+                query=attempt.query_id,
+                shard=attempt.plan.shard,
+                attempt=attempt.number,
+                server=attempt.node,
+                outcome=outcome.label.lower(),
+                took_ms=round(took_ms, 1),
+            )
 
     def query_ended(self, ending: Ending) -> None:
         name = self.classes[ending.cls]
@@ -82,9 +89,15 @@
         self.latency.labels(name).observe(ending.took_ms / 1000.0)
         if ending.how not in ("answered", "gone"):
             self._log.info(
-                "query ended", query=ending.query_id, cls=name, how=ending.how, why=ending.why,
-                took_ms=round(ending.took_ms, 1), parts=ending.parts, extra=ending.extra,
-            )  # fmt: skip
+                "query ended",
+                query=ending.query_id,
+                cls=name,
+                how=ending.how,
+                why=ending.why,
+                took_ms=round(ending.took_ms, 1),
+                parts=ending.parts,
+                extra=ending.extra,
+            )
 
     def stepped(self, events: int, seconds: float) -> None:
         self.steps.inc()
--- a/badgerbend/net/seal.py
+++ b/badgerbend/net/seal.py
@@ -28,11 +28,11 @@
 SENDERS = 8192  # whose counters are kept: a fleet's, and those of the day's replaced ones
 
 
-class BadKey(Exception):
+class KeyFileError(Exception):
     """A key file cannot be used; the text says which and why."""
 
 
-class Refused(Exception):
+class UnsealError(Exception):
     """A datagram is not sealed by a key of ours, or was seen before."""
 
 
@@ -41,9 +41,9 @@
     try:
         key = Path(path).read_bytes().rstrip(b"\r\n")
     except OSError as err:
-        raise BadKey(f"{path}: {err}") from err
+        raise KeyFileError(f"{path}: {err}") from err
     if len(key) < LEAST_KEY_BYTES:
-        raise BadKey(f"{path}: {len(key)} bytes; a key has {LEAST_KEY_BYTES} or more")
+        raise KeyFileError(f"{path}: {len(key)} bytes; a key has {LEAST_KEY_BYTES} or more")
     return key
 
 
@@ -74,13 +74,13 @@
     def open(self, data: bytes, sender: bytes) -> bytes:
         """The body. Raises Refused."""
         if len(data) < HEAD.size + MAC_BYTES:
-            raise Refused("short")
+            raise UnsealError("short")
         number, life, counter = HEAD.unpack_from(data)
         inner, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
         if not any(
             own == number and constant_time.bytes_eq(self._mac(key, inner, sender), mac) for own, key in self.keys
         ):
-            raise Refused("not sealed by a key of ours")
+            raise UnsealError("not sealed by a key of ours")
         self._once(sender, life, counter)
         return inner[HEAD.size :]
 
@@ -90,7 +90,7 @@
             self._keep(sender, _Seen(life, counter, 1))
             return
         if life < seen.life:
-            raise Refused("of an earlier life")
+            raise UnsealError("of an earlier life")
         if counter > seen.newest:
             seen.window = ((seen.window << (counter - seen.newest)) | 1) & ((1 << WINDOW) - 1)
             seen.newest = counter
@@ -98,7 +98,7 @@
             return
         behind = seen.newest - counter
         if behind >= WINDOW or seen.window >> behind & 1:
-            raise Refused("seen before, or too old")
+            raise UnsealError("seen before, or too old")
         seen.window |= 1 << behind
 
     def _keep(self, sender: bytes, seen: _Seen) -> None:
--- a/badgerbend/net/udp.py
+++ b/badgerbend/net/udp.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from badgerbend.net.seal import Refused, Seal
+from badgerbend.net.seal import Seal, UnsealError
 
 Address = tuple[str, int]
 
@@ -65,7 +65,7 @@
         source = (addr[0], addr[1])
         try:
             body = self.seal.open(data, sender_of(source))
-        except Refused:
+        except UnsealError:
             self.refused += 1
             return
         self.body(body, source)
--- a/badgerbend/peering/exchange.py
+++ b/badgerbend/peering/exchange.py
@@ -8,7 +8,7 @@
 import time
 from collections.abc import Callable
 
-from badgerbend.knowledge.record import MOST_BYTES, BadRecord, Record, decode, encode, older
+from badgerbend.knowledge.record import MOST_BYTES, Record, RecordError, decode, encode, older
 from badgerbend.net.client import Call, End, Pool, PoolLimits, Reply
 from badgerbend.net.seal import sign, verify
 from badgerbend.net.server import Exchange, HttpServer, ServerLimits
@@ -55,7 +55,7 @@
         else:
             try:
                 on_record(older(decode(reply.body), (time.monotonic() - began) * 1000.0))
-            except BadRecord as err:
+            except RecordError as err:
                 on_record(str(err))
 
     head = b"GET %s HTTP/1.1\r\nhost: x\r\n%s: %s\r\n%s: %s\r\nconnection: close\r\n\r\n"
--- a/badgerbend/peering/service.py
+++ b/badgerbend/peering/service.py
@@ -28,7 +28,7 @@
 from badgerbend.peering.udp import MembershipSocket
 from badgerbend.runtime.driver import Driver
 from badgerbend.runtime.ports import Attempt, Observer
-from badgerbend.snapshot.store import BadSnapshot, pack, read
+from badgerbend.snapshot.store import SnapshotError, pack, read
 
 WAIT_S = 1.0  # for peers' answers; who is slower is left out
 SELF = "own snapshot"
@@ -89,9 +89,13 @@
         self.ports = (port, knowledge)
         identity = self.settings.identity
         swim = Swim(
-            f"broker-{identity.index}", (peers.host, port), life, f"{peers.host}:{knowledge}",
-            Tuning(period=peers.period_ms / 1000.0, timeout=peers.period_ms * 0.0003), self.rng.getrandbits(32),
-        )  # fmt: skip
+            f"broker-{identity.index}",
+            (peers.host, port),
+            life,
+            f"{peers.host}:{knowledge}",
+            Tuning(period=peers.period_ms / 1000.0, timeout=peers.period_ms * 0.0003),
+            self.rng.getrandbits(32),
+        )
         seeds = tuple((s.rpartition(":")[0], int(s.rpartition(":")[2])) for s in peers.seed)
         self._until = self.loop.time() + peers.until_ms / 1000.0
         self.socket.start(swim, seeds)
@@ -117,9 +121,13 @@
         """What this broker has seen itself."""
         identity, module = self.settings.identity, self.driver.module
         return export(
-            self.driver.known(), self.directory.names, identity.index, identity.zone, self.driver.open_parts,
+            self.driver.known(),
+            self.directory.names,
+            identity.index,
+            identity.zone,
+            self.driver.open_parts,
             module.chosen,
-        )  # fmt: skip
+        )
 
     def own_answer(self, node: int, took_ms: float) -> None:
         module = self.driver.module
@@ -212,7 +220,7 @@
             self._own = read(Path(snapshot.file), time.time())
         except FileNotFoundError:
             self.log.info("no snapshot yet", file=snapshot.file)
-        except BadSnapshot as err:
+        except SnapshotError as err:
             self.log.warning("snapshot not used", file=snapshot.file, why=str(err))
 
     def _keep(self) -> None:
@@ -239,9 +247,12 @@
             "health": swim.health if swim is not None else 0,
             "members": [
                 {
-                    "name": m.name, "address": f"{m.address[0]}:{m.address[1]}", "state": m.state.name.lower(),
-                    "incarnation": m.incarnation, "believed": self.trust.believed(m.name, self._now()),
+                    "name": m.name,
+                    "address": f"{m.address[0]}:{m.address[1]}",
+                    "state": m.state.name.lower(),
+                    "incarnation": m.incarnation,
+                    "believed": self.trust.believed(m.name, self._now()),
                 }
                 for m in (swim.members.values() if swim is not None else ())
             ],
-        }  # fmt: skip
+        }
--- a/badgerbend/platform/config.py
+++ b/badgerbend/platform/config.py
@@ -85,7 +85,7 @@
         raise ConfigError(f"the configuration is malformed: {err}") from err
     facts = flatten(file.settings)
     try:
-        settings = replace(read_settings(facts), told_ms=TOLD_S * 1000.0)
+        settings = replace(read_settings(facts), max_notification_delay_ms=TOLD_S * 1000.0)
     except SettingError as err:
         raise ConfigError(str(err)) from err
     limits = file.limits
@@ -99,11 +99,19 @@
         file.name or env.get(f"{names.ENV}_NAME", ""),
         _address("listen", file.listen or env.get(f"{names.ENV}_LISTEN")),
         _address("discovery", file.discovery or env.get(f"{names.ENV}_DISCOVERY")),
-        seed, limits, _known(file.known), settings, facts,
-        _named(file.settings, "categories"), _named(file.settings, "tenants"),
-        _words(file.settings, "failureDomains"), _words(file.settings, "kinds"),
-        _count(facts, "specifics.ranges"), _count(facts, "ceilings.streamsPerConn"), _grace(facts),
-    )  # fmt: skip
+        seed,
+        limits,
+        _known(file.known),
+        settings,
+        facts,
+        _named(file.settings, "categories"),
+        _named(file.settings, "tenants"),
+        _words(file.settings, "failureDomains"),
+        _words(file.settings, "kinds"),
+        _count(facts, "specifics.ranges"),
+        _count(facts, "ceilings.streamsPerConn"),
+        _grace(facts),
+    )
 
 
 def _address(field: str, text: str | None) -> tuple[str, int]:
--- a/badgerbend/platform/service.py
+++ b/badgerbend/platform/service.py
@@ -47,9 +47,11 @@
         self.tally = Tally(config.classes, lambda node: self.directory.names.get(node, str(node)))
         self.schedule = LoopSchedule(self.loop)
         self.directory = Directory(
-            settings.cells, form(names.MEMBERS, config.zones, config.kinds), one_clock=True,
+            settings.cell_count,
+            form(names.MEMBERS, config.zones, config.kinds),
+            one_clock=True,
             leaving=leaving(names.MEMBERS),
-        )  # fmt: skip
+        )
         descriptors = config.limits.descriptors
         connect_s = settings.connect_timeout_ms / 1000.0
         connect_s = connect_s if math.isfinite(connect_s) else NO_TIMEOUT_S
@@ -59,7 +61,7 @@
                 config.streams,
                 int(descriptors * FOR_NODES),
                 connect_s,
-                settings.conn_idle_ms / 1000.0,
+                settings.connection_idle_ms / 1000.0,
                 connect_s,
                 MAX_BODY,
             ),
@@ -68,9 +70,16 @@
             self.tally.trouble,
         )
         self.watch = Watch(
-            self._target(config), self.directory, self.loop, self.schedule.now_ms, time.time, self._view,
-            self.tally.trouble, config.seed, f"badgerbend/{config.name}",
-        )  # fmt: skip
+            self._target(config),
+            self.directory,
+            self.loop,
+            self.schedule.now_ms,
+            time.time,
+            self._view,
+            self.tally.trouble,
+            config.seed,
+            f"badgerbend/{config.name}",
+        )
         self.watch.on_taken = self._taken
         self.first_word = asyncio.Event()  # the agent answered, or had its chance to
         self.watch.on_failed = self.first_word.set
@@ -81,10 +90,14 @@
         self.server = HttpServer(
             self.front.handle,
             ServerLimits(
-                max_connections=int(descriptors * FOR_CLIENTS), max_kept=int(descriptors * FOR_KEPT),
-                max_body_bytes=MAX_BODY, read_timeout_s=READ_S, idle_timeout_s=IDLE_S, silent_timeout_s=READ_S,
+                max_connections=int(descriptors * FOR_CLIENTS),
+                max_kept=int(descriptors * FOR_KEPT),
+                max_body_bytes=MAX_BODY,
+                read_timeout_s=READ_S,
+                idle_timeout_s=IDLE_S,
+                silent_timeout_s=READ_S,
             ),
-        )  # fmt: skip
+        )
         self.ending = False
         self._summary_at = 0.0
         self._sweeper: asyncio.TimerHandle | None = None
@@ -100,7 +113,7 @@
         settle_memory()
         # a first event, so that the module asks for the list where that is its part, and for its first alarm
         lines = tuple(k.line for k in self.directory.known.values())
-        self._view(api.View(api.ViewKind.CACHED, lines))
+        self._view(api.EndpointUpdate(api.UpdateKind.CACHED, lines))
         self.watch.start()
         if not self.watch.asks:
             await self.first_word.wait()
@@ -112,7 +125,7 @@
     def _target(self, config: Config) -> MembersTarget:
         settings = self.config.settings  # those of a reload take effect at the next start
         return MembersTarget(
-            names.MEMBERS, config.discovery, settings.list_by_asking, self.config.drain_grace_ms / 1000.0
+            names.MEMBERS, config.discovery, settings.polls_endpoint_list, self.config.drain_grace_ms / 1000.0
         )
 
     def reload(self, read: Callable[[], Config]) -> None:
@@ -123,11 +136,14 @@
             self.tally.trouble("configuration not taken", str(err))
             return
         kept = [
-            field for field, old, new in (
-                ("listen", self.config.listen, config.listen), ("limits", self.config.limits, config.limits),
+            field
+            for field, old, new in (
+                ("listen", self.config.listen, config.listen),
+                ("limits", self.config.limits, config.limits),
                 ("settings", self.config.facts, config.facts),
-            ) if old != new
-        ]  # fmt: skip
+            )
+            if old != new
+        ]
         if kept:
             self.tally.trouble("takes effect at the next start only", ", ".join(kept))
         self.watch.move(self._target(config))
@@ -161,13 +177,13 @@
             for problem in wrong[:5]:
                 self.tally.trouble("known list", problem)
 
-    def _view(self, view: api.View) -> None:
+    def _view(self, view: api.EndpointUpdate) -> None:
         """News of the list: first to the connections, so that nothing waits on one for a node that drains."""
-        self.tally.leaving(view.lines)
-        for line in view.lines:
-            if line.state is api.NodeState.DRAINING:
+        self.tally.leaving(view.endpoints)
+        for line in view.endpoints:
+            if line.state is api.EndpointState.DRAINING:
                 self.transport.drains(line.node)
-            elif line.state is api.NodeState.GONE:
+            elif line.state is api.EndpointState.REMOVED:
                 self.transport.left(line.node)
             else:
                 self.transport.ready(line.node)
@@ -186,10 +202,14 @@
         if now - self._summary_at >= SUMMARY_S:
             self._summary_at = now
             self.tally.summary(
-                open=len(self.front.open), parts=self.driver.open_parts,
-                clients=len(self.server.connections), nodes=self.transport.open, opened=self.transport.opened,
-                rejected=self.front.rejected, turned_away=self.server.turned_away,
-            )  # fmt: skip
+                open=len(self.front.open),
+                parts=self.driver.open_parts,
+                clients=len(self.server.connections),
+                nodes=self.transport.open,
+                opened=self.transport.opened,
+                rejected=self.front.rejected,
+                turned_away=self.server.turned_away,
+            )
         self._sweeper = self.loop.call_later(SWEEP_S, self._sweep)
 
 
--- a/badgerbend/platform/tally.py
+++ b/badgerbend/platform/tally.py
@@ -46,7 +46,7 @@
         server = self.servers.get(attempt.node)
         if server is None:
             server = self.servers[attempt.node] = Server()
-        server.ends[outcome.name] += 1
+        server.ends[outcome.label] += 1
         if outcome is Outcome.OK:
             server.served_ms += took_ms
 
@@ -55,13 +55,18 @@
         self.queries[f"{self.classes[ending.cls]} {how}"] += 1
         if ending.how in ("refused", "failed", "failed by the watch") and self._may_write():
             lost = [
-                (a.plan.shard, a.number, self.name_of(a.node), outcome.name, round(took, 1))
+                (a.plan.shard, a.number, self.name_of(a.node), outcome.label, round(took, 1))
                 for a, outcome, took in ending.lost
             ]
             self.line(
-                "ended", id=ending.name, cls=self.classes[ending.cls], how=how, took_ms=round(ending.took_ms, 1),
-                parts=ending.parts, lost=lost,
-            )  # fmt: skip
+                "ended",
+                id=ending.name,
+                cls=self.classes[ending.cls],
+                how=how,
+                took_ms=round(ending.took_ms, 1),
+                parts=ending.parts,
+                lost=lost,
+            )
 
     def stepped(self, events: int, seconds: float) -> None:
         self.steps, self.events, self.step_s = self.steps + 1, self.events + events, self.step_s + seconds
@@ -72,18 +77,22 @@
             self.line("trouble", kind=what, detail=detail[:300])
 
     # -- the list
-    def leaving(self, lines: Sequence[api.NodeLine]) -> None:
+    def leaving(self, lines: Sequence[api.Endpoint]) -> None:
         """Servers that the module is told of: those that take nothing new are named once the list is through."""
-        self._leaving += [self.name_of(line.node) for line in lines if line.state is not api.NodeState.READY]
+        self._leaving += [self.name_of(line.node) for line in lines if line.state is not api.EndpointState.READY]
 
     def list_taken(self, version: int | None, asked_s: float, answered_s: float) -> None:
         """News of the list are in force. asked_s, answered_s: how long ago it was asked for, and came whole."""
         leaving, self._leaving = self._leaving, []
         if self._may_write():
             self.line(
-                "list", version=version, asked_ms=round(asked_s * 1000.0, 1), answered_ms=round(answered_s * 1000.0, 1),
-                leaving=len(leaving), names=leaving[:MOST_NAMES],
-            )  # fmt: skip
+                "list",
+                version=version,
+                asked_ms=round(asked_s * 1000.0, 1),
+                answered_ms=round(answered_s * 1000.0, 1),
+                leaving=len(leaving),
+                names=leaving[:MOST_NAMES],
+            )
 
     def _may_write(self) -> bool:
         second = int(time.monotonic())
@@ -104,13 +113,17 @@
     def summary(self, **also: object) -> None:
         """What happened since the last one; servers by their names on the list, or number once they have left it."""
         self.line(
-            "summary", queries=self.queries, troubles=self.troubles, steps=self.steps, events=self.events,
+            "summary",
+            queries=self.queries,
+            troubles=self.troubles,
+            steps=self.steps,
+            events=self.events,
             step_ms=round(self.step_s * 1000.0, 1),
             servers={
                 self.name_of(node): {**s.ends, "served_ms": round(s.served_ms / max(s.ends["OK"], 1), 1)}
                 for node, s in self.servers.items()
             },
             **also,
-        )  # fmt: skip
+        )
         self.servers, self.queries, self.troubles = {}, Counter(), Counter()
         self.steps, self.events, self.step_s = 0, 0, 0.0
--- a/badgerbend/process.py
+++ b/badgerbend/process.py
@@ -15,8 +15,8 @@
 from badgerbend.broker import Broker, settle_memory
 from badgerbend.config.settings import Settings
 from badgerbend.graphql.schema import Subgraph
-from badgerbend.ledger.store import BadStore
-from badgerbend.net.seal import BadKey
+from badgerbend.net.seal import KeyFileError
+from badgerbend.wal.store import StoreError
 
 BAD_SETTINGS, CANNOT_START = 2, 3
 Make = Callable[[Settings, Subgraph, Path], Broker]
@@ -42,7 +42,7 @@
     try:
         broker = make(settings, graph, folder)
         await broker.start()
-    except (ValueError, BadKey, BadStore) as err:
+    except (ValueError, KeyFileError, StoreError) as err:
         print(f"badgerbend: cannot start: {err}", file=sys.stderr)
         return CANNOT_START
     except OSError as err:
--- a/badgerbend/remote/codec.py
+++ b/badgerbend/remote/codec.py
@@ -111,12 +111,13 @@
     for read in reads:
         h = read.hints
         out.queries.add(
-            start_timestamp_ms=read.start_ms, end_timestamp_ms=read.end_ms,
+            start_timestamp_ms=read.start_ms,
+            end_timestamp_ms=read.end_ms,
             matchers=[pb.LabelMatcher(**_fields(m)) for m in read.matchers],
             hints=pb.ReadHints(
                 step_ms=h.step_ms, func=h.func, start_ms=h.start_ms, end_ms=h.end_ms, range_ms=h.range_ms
             ),
-        )  # fmt: skip
+        )
     return bytes(cramjam.snappy.compress_raw(out.SerializeToString()))
 
 
--- a/badgerbend/runtime/driver.py
+++ b/badgerbend/runtime/driver.py
@@ -107,17 +107,17 @@
         elif query is not None and outcome != Outcome.OK:
             query.lost.append((attempt, outcome, took))
         self.observer.attempt_ended(attempt, outcome, took)
-        self._note(api.Completed(attempt.part_id, attempt.number, attempt.node, outcome, max(took, 0.0), report))
+        self._note(api.AttemptCompleted(attempt.part_id, attempt.number, attempt.node, outcome, max(took, 0.0), report))
 
-    def view(self, view: api.View) -> None:
+    def view(self, view: api.EndpointUpdate) -> None:
         """News of the list of servers."""
         self._note(view)
 
-    def learn(self, known: api.Known) -> None:
+    def learn(self, known: api.Observations) -> None:
         """What others have seen of servers, already weighed."""
         self._note(known)
 
-    def known(self) -> api.Known:
+    def known(self) -> api.Observations:
         """What this broker has seen itself, as of the last step."""
         return self.module.known()
 
@@ -153,24 +153,24 @@
         match action:
             case api.Send(part, node, timeout, begin):
                 self._send(part, node, timeout, begin, now)
-            case api.SetAlarm(after, token):
+            case api.SetTimer(after, token):
                 self._at(now + after, ALARM, token)
             case api.Cancel(part, number):
                 self._cancel(part, number)
             case api.Answer(query_id, whole):
                 self._answer(query_id, whole)
-            case api.Refuse(query_id, after, why):
+            case api.Reject(query_id, after, why):
                 if query_id in self.queries:
                     self._tell(self._close(self.queries[query_id], "refused", why).refused, after)
             case api.Fail(query_id, why):
                 if query_id in self.queries:
                     self._tell(self._close(self.queries[query_id], "failed", why).failed)
-            case api.CloseIdle(node):
+            case api.CloseIdleConnections(node):
                 self._flush(node)  # a send that was decided before goes before
                 self.transport.close_idle(node)
-            case api.Follow(on):
+            case api.FollowEndpointList(on):
                 self.servers.follow(on)
-            case api.ReadList():
+            case api.FetchEndpointList():
                 self.servers.read_list()
             case api.Log(text):
                 self.observer.trouble("module", text)
@@ -216,7 +216,7 @@
             return False
         else:
             self.transport.cancel(attempt)
-        self.ended(attempt, Outcome.MOOT, None)
+        self.ended(attempt, Outcome.NOT_SENT, None)
         return True
 
     def _answer(self, query_id: int, whole: bool) -> None:
@@ -225,14 +225,14 @@
             return
         results = [(query.parts[p], r) for p, r in query.results.items()]
         query.whole = query.whole and whole
-        if self.settings.classes[query.cls].second_step and query.step == 1:
+        if self.settings.classes[query.cls].follow_up_parts and query.step == 1:
             plans = self._more(query, results)
             if plans:
                 query.step = 2
                 self._forget_parts(query)
-                self._note(api.MoreParts(query.number, self._take(query, plans)))
+                self._note(api.FollowUpParts(query.number, self._take(query, plans)))
                 return
-            self._note(api.Gone(query_id))  # the first answer is the last: the module waits for no more
+            self._note(api.ClientDisconnected(query_id))  # the first answer is the last: the module waits for no more
         sink = self._close(query, "answered" if query.whole else "answered in part")
         self._tell(sink.answered, results, query.whole)
 
@@ -295,7 +295,7 @@
         and the module would count for ever an attempt that was never made."""
         heard = [e for e in self._events if not (isinstance(e, api.Query) and e.id == query_id)]
         if len(heard) == len(self._events):
-            heard.insert(0, api.Gone(query_id))
+            heard.insert(0, api.ClientDisconnected(query_id))
         self._events = heard
         self._wake()
 
@@ -317,7 +317,7 @@
             _, _, kind, what = heapq.heappop(self._due)
             if kind == ALARM:
                 assert isinstance(what, int)
-                self._events.append(api.Alarm(what))
+                self._events.append(api.TimerFired(what))
             elif kind == WATCH:
                 assert isinstance(what, int)
                 overdue.append(what)
--- a/badgerbend/sites/evidence.py
+++ b/badgerbend/sites/evidence.py
@@ -77,9 +77,9 @@
         took = now_ms - out.sent_ms
         if outcome == Outcome.OK:
             self._good(now_ms, out, took)
-        elif outcome == Outcome.FULL:  # alive, and has no room
+        elif outcome == Outcome.REJECTED:  # alive, and has no room
             self.loads.append(1.0)
-        elif outcome in (Outcome.CANCELLED, Outcome.MOOT):
+        elif outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             if outcome == Outcome.CANCELLED and took > missing_ms and not out.missed:
                 self._bad(now_ms, out.node)
         elif not out.missed:
--- a/badgerbend/sites/fleet.py
+++ b/badgerbend/sites/fleet.py
@@ -43,23 +43,23 @@
         self.missing: dict[int, Server] = {}
 
     # -- News of the list.
-    def view(self, now_ms: float, view: api.View) -> list[Server]:
+    def view(self, now_ms: float, view: api.EndpointUpdate) -> list[Server]:
         """Takes news; returns the servers that have started anew by it."""
-        if view.kind == api.ViewKind.FAILED:
+        if view.kind == api.UpdateKind.FAILED:
             return []
         anew: list[Server] = []
-        for line in view.lines:
+        for line in view.endpoints:
             self._line(now_ms, line, anew)
-        if view.kind != api.ViewKind.DELTA:
-            named = {line.node for line in view.lines}
+        if view.kind != api.UpdateKind.DELTA:
+            named = {line.node for line in view.endpoints}
             for server in [s for s in self.servers.values() if s.ready and s.id not in named]:
                 self._set(now_ms, server, False, server.size, server.started_ms)
         for server in [s for s in self.missing.values() if now_ms - s.gone_ms > REMEMBER_MS]:
             self._drop(now_ms, server)
         return anew
 
-    def _line(self, now_ms: float, line: api.NodeLine, anew: list[Server]) -> None:
-        ready, site = line.state == api.NodeState.READY, self.zones.get(line.zone, -1)
+    def _line(self, now_ms: float, line: api.Endpoint, anew: list[Server]) -> None:
+        ready, site = line.state == api.EndpointState.READY, self.zones.get(line.zone, -1)
         server = self.servers.get(line.node)
         if server is not None and (server.site, server.cell) != (site, line.cell):
             self._drop(now_ms, server)
--- a/badgerbend/sites/setup.py
+++ b/badgerbend/sites/setup.py
@@ -19,8 +19,8 @@
     return Rules(
         sites=tuple(SiteRule(s.name, s.zones, s.brokers, tiers[s.name]) for s in sites.site),
         brokers=settings.identity.count,
-        cells=module.cells,
-        reach=module.reach,
+        cells=module.cell_count,
+        reach=module.cells_per_shard,
         server_pace=sites.server_parts_per_s / 1000.0,
         spill=sites.spill,
         fill=sites.fill,
@@ -34,8 +34,8 @@
         first=sites.first,
         step_ms=sites.step_ms,
         connection_pace=sites.connections_per_s / 1000.0,
-        cold_from=module.cold_from,
-        cold_ms=module.cold_ms,
-        over_share_worth=module.over_share_worth,
+        cold_from=module.slow_start_from,
+        cold_ms=module.slow_start_ms,
+        over_share_worth=module.over_quota_weight,
         classes=module.classes,
     )
--- a/badgerbend/sites/tiers.py
+++ b/badgerbend/sites/tiers.py
@@ -85,22 +85,22 @@
         self._sound: dict[tuple[int, int], float] = {}  # by site and cell, until the next look
         self._charge: Site | None = None  # whose limit the part just placed takes from
         self._ahead = Bucket()
-        self.allowance: api.Allowance | None = None  # where brokers deal by demand what a returning site may get
+        self.allowance: api.SlowStartBudget | None = None  # where brokers deal by demand what a returning site may get
 
     # -- What happens.
-    def hear(self, now_ms: float, events: Sequence[api.Event]) -> None:
+    def observe(self, now_ms: float, events: Sequence[api.Event]) -> None:
         self.now = now_ms
         for event in events:
             match event:
-                case api.Completed():
+                case api.AttemptCompleted():
                     self._ended(event)
-                case api.View():
+                case api.EndpointUpdate():
                     self._view(event)
         if now_ms >= self.next:
             self.next = now_ms + TICK_MS
             self._look()
 
-    def _ended(self, event: api.Completed) -> None:
+    def _ended(self, event: api.AttemptCompleted) -> None:
         server = self.fleet.servers.get(event.node)
         key = (event.part, event.attempt)
         site = self.sites[server.site] if server is not None and server.site >= 0 else None
@@ -113,8 +113,8 @@
         site.seen.ended(self.now, key, event.outcome, load, missing_ms(site.seen.usual_ms))
         site.answers += event.outcome == api.Outcome.OK
 
-    def _view(self, view: api.View) -> None:
-        if view.lines:
+    def _view(self, view: api.EndpointUpdate) -> None:
+        if view.endpoints:
             self.listed_at = self.now
         for server in self.fleet.view(self.now, view):
             if server.site >= 0:
@@ -208,7 +208,7 @@
             elif site.tier == OWN:  # limited on its way back only; its brokers take like shares of its room
                 most = self.rules.fill * room / site.brokers
                 if self.allowance is not None and presence.state is State.BACK:
-                    most = self.allowance.site(now, site.name, most, presence.share * demand)
+                    most = self.allowance.recovering_site_rate(now, site.name, most, presence.share * demand)
                 pace = min(presence.share * demand, most)
                 pace = max(pace, TRIAL_PACE if presence.state is State.BACK else 0.0)
             else:
@@ -234,22 +234,22 @@
     def _listed(self, site: Site, shard: int) -> bool:
         return any(s.ready for s in self.fleet.holders(site.place, shard))
 
-    def takes(self, query: api.Query, over_quota: bool, fewest: int) -> bool:
+    def admits(self, query: api.Query, over_quota: bool, fewest: int) -> bool:
         """A query that cannot be answered is refused at once; one that does not fit, by worth."""
-        cls, now = self.rules.classes[query.cls], self.now
+        cls, now = self.rules.classes[query.class_index], self.now
         reached = sum(p.weight for p in query.parts if self.rank(p.shard))
-        if reached < min(cls.floor, cls.need) - EPS:
-            self.refusals[NO_SITE, query.cls, query.tenant] += 1
+        if reached < min(cls.minimum_weight, cls.complete_weight) - EPS:
+            self.refusals[NO_SITE, query.class_index, query.tenant] += 1
             return False
-        worth = cls.worth * (self.rules.over_share_worth if over_quota else 1.0)
-        band = (query.cls, over_quota)
+        worth = cls.priority_weight * (self.rules.over_share_worth if over_quota else 1.0)
+        band = (query.class_index, over_quota)
         self.bands.ask(now, band, worth, fewest, len(query.parts))
         self.demand.add(now, fewest)
         if self._fits_all() or self._tries(query, cls):
             return True
         if self.bands.lets_in(now, band, self._room()):
             return True
-        self.refusals[NO_ROOM, query.cls, query.tenant] += 1
+        self.refusals[NO_ROOM, query.class_index, query.tenant] += 1
         return False
 
     def _tries(self, query: api.Query, cls: api.QueryClass) -> bool:
@@ -270,13 +270,13 @@
                 room += site.bucket.pace * SAFETY
         return room
 
-    def spares(self) -> bool:
+    def allows_surplus(self) -> bool:
         return self._fits_all() or self.bands.spares(self.now, self._room())
 
     def rank(self, shard: int) -> int:
         return max((FAR + 1 - s.tier for s in self.sites if self._may(s, shard)), default=0)
 
-    def among(self, shard: int, nodes: Sequence[int], safe: bool) -> Sequence[int]:
+    def eligible(self, shard: int, nodes: Sequence[int], safe: bool) -> Sequence[int]:
         self._charge = None
         here = self._by_site(nodes)
         own = here.get(self.own.place, [])
@@ -336,14 +336,14 @@
                 out.append((site.tier, -level, site.place, site))
         return [site for *_, site in sorted(out, key=lambda row: row[:3])]
 
-    def pace(self, node: int) -> float:
+    def site_rate(self, node: int) -> float:
         server = self.fleet.servers.get(node)
         site = self.sites[server.site] if server is not None and server.site >= 0 else self.own
         if site is self.own and site.presence.state is State.IN:
             return 0.0
         return site.bucket.pace / (site.room / self.rules.server_pace) if site.room else 0.0
 
-    def sent(self, part: int, attempt: int, node: int) -> None:
+    def attempt_sent(self, part: int, attempt: int, node: int) -> None:
         server = self.fleet.servers.get(node)
         if server is None or server.site < 0:
             return
--- a/badgerbend/snapshot/store.py
+++ b/badgerbend/snapshot/store.py
@@ -14,7 +14,7 @@
 import msgspec
 import xxhash
 
-from badgerbend.knowledge.record import BadRecord, Record, decode, encode, older
+from badgerbend.knowledge.record import Record, RecordError, decode, encode, older
 
 MAGIC = b"bbknow\r\n"
 VERSION = 1
@@ -22,7 +22,7 @@
 MOST_BYTES = 2_000_000
 
 
-class BadSnapshot(Exception):
+class SnapshotError(Exception):
     """The file is no snapshot that can be used; the text says why."""
 
 
@@ -40,25 +40,25 @@
 def unpack(data: bytes, unix_s: float) -> Record:
     """The record, as old as it is now. Raises BadSnapshot."""
     if len(data) < HEAD.size:
-        raise BadSnapshot(f"{len(data)} bytes are too few")
+        raise SnapshotError(f"{len(data)} bytes are too few")
     magic, version, length, digest = HEAD.unpack_from(data)
     if magic != MAGIC:
-        raise BadSnapshot("not a snapshot of a broker")
+        raise SnapshotError("not a snapshot of a broker")
     if version != VERSION:
-        raise BadSnapshot(f"version {version}; this broker reads {VERSION}")
+        raise SnapshotError(f"version {version}; this broker reads {VERSION}")
     body = data[HEAD.size :]
     if len(body) != length:
-        raise BadSnapshot(f"{len(body)} bytes of {length}")
+        raise SnapshotError(f"{len(body)} bytes of {length}")
     if xxhash.xxh3_128_digest(body) != digest:
-        raise BadSnapshot("its check sum does not fit")
+        raise SnapshotError("its check sum does not fit")
     try:
         found = msgspec.msgpack.decode(body, type=_Body)
         record = decode(found.record)
-    except (msgspec.MsgspecError, BadRecord) as err:
-        raise BadSnapshot(str(err)) from err
+    except (msgspec.MsgspecError, RecordError) as err:
+        raise SnapshotError(str(err)) from err
     absent_s = unix_s - found.written_s
     if not 0 <= absent_s < 1e9:
-        raise BadSnapshot("written in the future: the clock has gone back")
+        raise SnapshotError("written in the future: the clock has gone back")
     return older(record, absent_s * 1000.0)
 
 
@@ -68,10 +68,10 @@
         path.with_name(path.name + ".new").unlink()  # what a crash left half written
     try:
         if path.stat().st_size > MOST_BYTES:
-            raise BadSnapshot("too large")
+            raise SnapshotError("too large")
         data = path.read_bytes()
     except FileNotFoundError:
         raise
     except OSError as err:
-        raise BadSnapshot(str(err)) from err
+        raise SnapshotError(str(err)) from err
     return unpack(data, unix_s)
--- a/badgerbend/standin/acts.py
+++ b/badgerbend/standin/acts.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from badgerbend.duties.messages import Ask, Dealt, Found, Told
+from badgerbend.lease_service import wire
+from badgerbend.leases.messages import BudgetReply, BudgetRequest, LeaseReply, ProbeReport
 from badgerbend.net.seal import HEAD, MAC_BYTES
-from badgerbend.rota import wire
 from badgerbend.standin.audit import Finding
 
 Line = dict[str, Any]
@@ -53,7 +53,7 @@
     """What a sealed datagram says; None for what is no message of duties."""
     try:
         return wire.read(data[HEAD.size : -MAC_BYTES])
-    except wire.Malformed:
+    except wire.MalformedMessageError:
         return None
 
 
@@ -67,14 +67,14 @@
     effects: dict[str, list[tuple[float, int]]] = defaultdict(list)
     for line in sorted(lines, key=lambda row: float(row["t"])):
         message, t, sender = message_of(line["data"]), float(line["t"]), str(line["from"])
-        if isinstance(message, Told):
+        if isinstance(message, LeaseReply):
             for told in message.lines if message.leads else ():
                 if told.holder:
                     grants.checked += 1
                     first = granted.setdefault((told.duty, told.epoch), told.holder)
                     if first != told.holder:
                         grants.cases.append(f"{told.duty} epoch {told.epoch}: told as {first}'s and as {told.holder}'s")
-        if not isinstance(message, Found | Dealt):
+        if not isinstance(message, ProbeReport | BudgetReply):
             continue
         key = (message.duty, message.epoch)
         held = holdings.get(key)
@@ -120,11 +120,11 @@
     newest: dict[str, int] = defaultdict(int)
     for line in sorted(lines, key=lambda row: float(row["t"])):
         message, t = message_of(line["data"]), float(line["t"])
-        if isinstance(message, Ask):  # stated when it was sent, whether it arrived or not
+        if isinstance(message, BudgetRequest):  # stated when it was sent, whether it arrived or not
             asked.setdefault((str(line["from"]), message.seq), t)
             for need in message.needs:
                 shares[need.thing, need.started][str(line["from"])].append((t, need.own))
-        elif isinstance(message, Dealt) and line["k"] == "passed" and message.epoch >= newest[str(line["to"])]:
+        elif isinstance(message, BudgetReply) and line["k"] == "passed" and message.epoch >= newest[str(line["to"])]:
             to, since = str(line["to"]), asked.get((str(line["to"]), message.seq))
             newest[to] = message.epoch
             if since is None or t >= since + slice_ms:
@@ -148,7 +148,14 @@
 def table(holdings: Sequence[Holding], began: float) -> list[tuple[str, ...]]:
     """Rows for a person: times in seconds since the scene began."""
     return [
-        (h.duty, str(h.epoch), h.holder, f"{(h.first - began) / 1000:.2f}", f"{(h.last - began) / 1000:.2f}",
-         str(h.acts), str(h.stale))
+        (
+            h.duty,
+            str(h.epoch),
+            h.holder,
+            f"{(h.first - began) / 1000:.2f}",
+            f"{(h.last - began) / 1000:.2f}",
+            str(h.acts),
+            str(h.stale),
+        )
         for h in holdings
-    ]  # fmt: skip
+    ]
--- a/badgerbend/standin/agent.py
+++ b/badgerbend/standin/agent.py
@@ -33,9 +33,15 @@
     def put(self, uid: str, port: int, cell: int, state: str = "up", boot_ms: int = 0) -> dict[str, Any]:
         """A member as it is now; watches that wait are told."""
         row = {
-            "uid": uid, "endpoint": f"127.0.0.1:{port}", "az": "here", "model": "m", "pod_group": cell,
-            "state": state, "capacity_hint": 1.0, "boot_ms": boot_ms,
-        }  # fmt: skip
+            "uid": uid,
+            "endpoint": f"127.0.0.1:{port}",
+            "az": "here",
+            "model": "m",
+            "pod_group": cell,
+            "state": state,
+            "capacity_hint": 1.0,
+            "boot_ms": boot_ms,
+        }
         self.rev += 1
         if state == "removed":
             self.members.pop(uid, None)
--- a/badgerbend/standin/bysite.py
+++ b/badgerbend/standin/bysite.py
@@ -108,9 +108,14 @@
 
 
 def _rooms(
-    out: list[Second], lines: list[Line], settings: Settings, model: Model, zones: dict[str, int],
-    names: dict[int, str], began: float,
-) -> None:  # fmt: skip
+    out: list[Second],
+    lines: list[Line],
+    settings: Settings,
+    model: Model,
+    zones: dict[str, int],
+    names: dict[int, str],
+    began: float,
+) -> None:
     """What each site's servers could serve in each second, by when they were up and how warm."""
     assert settings.sites is not None
     pace, share = settings.sites.server_parts_per_s, settings.sites.spill
@@ -124,8 +129,11 @@
             middle = began + (place + 0.5) * 1000.0
             last = [c for c in told if c[0] <= middle]
             up, cold = (last[-1][1] == "up", last[-1][2]) if last else (True, False)
-            warm = min(1.0, model.cold_from + (1 - model.cold_from) * (middle - last[-1][0]) / model.cold_ms) if (
-                up and cold) else 1.0  # fmt: skip
+            warm = (
+                min(1.0, model.cold_from + (1 - model.cold_from) * (middle - last[-1][0]) / model.cold_ms)
+                if (up and cold)
+                else 1.0
+            )
             second.sites[names[zone]].room += pace * warm * up
     for second in out:
         for site in second.sites.values():
--- a/badgerbend/standin/subgraph.py
+++ b/badgerbend/standin/subgraph.py
@@ -42,10 +42,17 @@
     for i in range(ROWS):
         luck = zlib.crc32(f"{block}:{i}".encode())
         apr = 3.0 + (luck % 900) / 100.0
-        out.append({
-            "__typename": "Rate", "id": f"{block}:{i}", "block": block, "lender": LENDERS[luck % len(LENDERS)],
-            "months": months, "apr": apr, "monthly": round(amount / months * (1 + apr / 100), 2),
-        })  # fmt: skip
+        out.append(
+            {
+                "__typename": "Rate",
+                "id": f"{block}:{i}",
+                "block": block,
+                "lender": LENDERS[luck % len(LENDERS)],
+                "months": months,
+                "apr": apr,
+                "monthly": round(amount / months * (1 + apr / 100), 2),
+            }
+        )
     return out
 
 
--- a/badgerbend/standin/work.py
+++ b/badgerbend/standin/work.py
@@ -108,5 +108,7 @@
     def report(self) -> dict[str, float]:
         """What goes with each answer."""
         return {
-            "util": self.busy / self.model.cores, "queue": float(len(self.waiting)), "latency_ms": self.usual_ms,
-        }  # fmt: skip
+            "util": self.busy / self.model.cores,
+            "queue": float(len(self.waiting)),
+            "latency_ms": self.usual_ms,
+        }
--- a/badgerbend/ledger/store.py
+++ b/badgerbend/wal/store.py
@@ -25,8 +25,8 @@
 import google_crc32c
 import msgspec
 
-from badgerbend.consensus.log import Kept, Log
-from badgerbend.consensus.messages import Malformed, Record, Snapshot, decode_record, encode
+from badgerbend.consensus.log import Log, PersistentState
+from badgerbend.consensus.messages import MalformedMessageError, Record, Snapshot, decode_record, encode
 from badgerbend.disk import write_all, write_whole
 
 MAGIC = b"bbvote\r\n"
@@ -34,11 +34,11 @@
 HEAD = struct.Struct(">8sHQI")  # magic, version, bytes it began with, CRC of these
 RECORD = struct.Struct(">II")
 MARK = struct.Struct(">QQI")  # segment, bytes synced, CRC of these
-MOST_RECORD = 64 << 20
+MAX_RECORD_BYTES = 64 << 20
 SEGMENT = re.compile(r"log\.([1-9][0-9]{0,17})").fullmatch
 
 
-class BadStore(Exception):
+class StoreError(Exception):
     """The store cannot be used; the text is one line: which file, what is wrong, what to do."""
 
 
@@ -55,7 +55,7 @@
     one is there already, OSError."""
     folder.mkdir(parents=True, exist_ok=True)
     if any(folder.iterdir()):
-        raise BadStore(f"{folder}: not empty; a voter's store is made once, in a folder of its own")
+        raise StoreError(f"{folder}: not empty; a voter's store is made once, in a folder of its own")
     _segment(folder, 1, [Snapshot(0, 0, tuple(voters), b"")])
     write_whole(folder / "voter", msgspec.json.encode(Owner(name, tuple(voters))) + b"\n")
 
@@ -72,13 +72,13 @@
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as err:
             os.close(self._lock)
-            raise BadStore(f"{folder}: another process has it open; end that one first") from err
+            raise StoreError(f"{folder}: another process has it open; end that one first") from err
         try:
             self.number, self.kept, good = read(folder)
         except BaseException:
             os.close(self._lock)
             raise
-        self._sum = Kept(log=Log())  # a copy of its own: `kept` is its owner's to change
+        self._sum = PersistentState(log=Log())  # a copy of its own: `kept` is its owner's to change
         for record in self.kept.records():
             self._sum.add(record)
         self._file = os.open(folder / f"log.{self.number}", os.O_RDWR)
@@ -139,34 +139,34 @@
             os.pwrite(self._mark, body + struct.pack(">I", google_crc32c.value(body)), 0)
 
 
-def read(folder: Path) -> tuple[int, Kept, int]:
+def read(folder: Path) -> tuple[int, PersistentState, int]:
     """The newest segment's number, what it says, and how many of its bytes are good. Changes nothing. Raises BadStore,
     OSError."""
     read_owner(folder)
     numbers = [int(found[1]) for path in folder.iterdir() if (found := SEGMENT(path.name))]
     if not numbers:
-        raise BadStore(f"{folder}: no log.N in it; {WHAT_TO_DO}")
+        raise StoreError(f"{folder}: no log.N in it; {WHAT_TO_DO}")
     number = max(numbers)
     path = folder / f"log.{number}"
     data = path.read_bytes()
     if len(data) < HEAD.size:
-        raise BadStore(f"{path}: {len(data)} bytes, too few for its head; {WHAT_TO_DO}")
+        raise StoreError(f"{path}: {len(data)} bytes, too few for its head; {WHAT_TO_DO}")
     magic, version, began, crc = HEAD.unpack_from(data)
     if magic != MAGIC or crc != google_crc32c.value(data[: HEAD.size - 4]):
-        raise BadStore(f"{path}: its head is damaged; {WHAT_TO_DO}")
+        raise StoreError(f"{path}: its head is damaged; {WHAT_TO_DO}")
     if version != VERSION:
-        raise BadStore(f"{path}: version {version}, this reads {VERSION}; start the program that wrote it")
+        raise StoreError(f"{path}: version {version}, this reads {VERSION}; start the program that wrote it")
     sure = max(HEAD.size + began, _marked(folder, number))
-    kept, at = Kept(log=Log()), HEAD.size
+    kept, at = PersistentState(log=Log()), HEAD.size
     for at, record in _records(data):
         if record is None:
             break
         try:
             kept.add(decode_record(record))
-        except (Malformed, ValueError) as err:
-            raise BadStore(f"{path}: the record before byte {at} cannot be: {err}; {WHAT_TO_DO}") from err
+        except (MalformedMessageError, ValueError) as err:
+            raise StoreError(f"{path}: the record before byte {at} cannot be: {err}; {WHAT_TO_DO}") from err
     if at < sure:
-        raise BadStore(f"{path}: damaged at byte {at} of {sure} that were kept for good; {WHAT_TO_DO}")
+        raise StoreError(f"{path}: damaged at byte {at} of {sure} that were kept for good; {WHAT_TO_DO}")
     return number, kept, at
 
 
@@ -179,7 +179,7 @@
     while len(data) - at >= RECORD.size:
         size, crc = RECORD.unpack_from(data, at)
         end = at + RECORD.size + size
-        if not 0 < size <= MOST_RECORD or end > len(data):
+        if not 0 < size <= MAX_RECORD_BYTES or end > len(data):
             break
         record = data[at + RECORD.size : end]
         if crc != _sum(size, record):
@@ -203,11 +203,11 @@
     try:
         owner = msgspec.json.decode(path.read_bytes(), type=Owner)
     except FileNotFoundError as err:
-        raise BadStore(f"{path}: not there; a new voter's store is made by badgerbend voters create") from err
+        raise StoreError(f"{path}: not there; a new voter's store is made by badgerbend voters create") from err
     except (msgspec.MsgspecError, UnicodeDecodeError) as err:
-        raise BadStore(f"{path}: damaged ({err}); {WHAT_TO_DO}") from err
+        raise StoreError(f"{path}: damaged ({err}); {WHAT_TO_DO}") from err
     if owner.version != VERSION:
-        raise BadStore(f"{path}: version {owner.version}, this reads {VERSION}; start the program that wrote it")
+        raise StoreError(f"{path}: version {owner.version}, this reads {VERSION}; start the program that wrote it")
     return owner
 
 
--- a/badgerbend/ledger/writer.py
+++ b/badgerbend/wal/writer.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Sequence
 
 from badgerbend.consensus.messages import Record, Snapshot
-from badgerbend.ledger.store import Store
+from badgerbend.wal.store import Store
 
 
 class Writer:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -49,9 +49,14 @@
     suspected = min(t for t, _, e in net.events if e.name == victim and e.state == State.SUSPECT)
     dead = min(t for t, _, e in net.events if e.name == victim and e.state == State.DEAD)
     return {
-        "met_s": met, "messages": messages, "bytes": data, "suspected_s": suspected - died, "first_dead_s": dead - died,
-        "all_know_s": net.now - died, "false_deaths": float(false),
-    }  # fmt: skip
+        "met_s": met,
+        "messages": messages,
+        "bytes": data,
+        "suspected_s": suspected - died,
+        "first_dead_s": dead - died,
+        "all_know_s": net.now - died,
+        "false_deaths": float(false),
+    }
 
 
 def main() -> None:
--- a/benchmarks/scale/dutyfleet.py
+++ b/benchmarks/scale/dutyfleet.py
@@ -15,19 +15,19 @@
 from typing import cast
 
 from badgerbend.consensus import messages as voting
-from badgerbend.consensus.log import Kept, Log
-from badgerbend.consensus.raft import Tuning
-from badgerbend.duties.holder import Holder, Terms
-from badgerbend.duties.messages import Leave, Told, Want
-from badgerbend.duties.voter import Voter
-from badgerbend.rota import wire
-from badgerbend.rota.dealing import DEAL
-from badgerbend.rota.service import PROBE
+from badgerbend.consensus.log import Log, PersistentState
+from badgerbend.consensus.raft import RaftConfig
+from badgerbend.lease_service import wire
+from badgerbend.lease_service.probing import PROBING_DUTY
+from badgerbend.lease_service.slow_start import SLOW_START_DUTY
+from badgerbend.leases.holder import LeaseHolder, LeaseTiming
+from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
+from badgerbend.leases.voter import Voter
 
 VOTERS = ("broker-0", "broker-1", "broker-2")
 REGIONS = 3  # each has probing as a duty of its own; dealing is one for all
-TERMS = Terms()
-TUNING = Tuning(election_s=0.5, beat_s=0.1)  # the defaults of the settings
+TERMS = LeaseTiming()
+TUNING = RaftConfig(election_s=0.5, beat_s=0.1)  # the defaults of the settings
 DELAY_S = (0.001, 0.01)
 DISK_S = (0.001, 0.005)  # until a write is surely kept
 
@@ -61,7 +61,7 @@
 class Process:
     """A broker, and its vote where it has one. Each is woken on its own."""
 
-    holder: Holder
+    holder: LeaseHolder
     voter: Voter | None
     up: bool = True
     holder_use: Use = field(default_factory=Use)
@@ -71,7 +71,7 @@
 
 def duties_of(number: int) -> dict[str, bool]:
     """What the broker of this number stands for: probing in its own region, and dealing."""
-    return {f"{PROBE}:region-{number % REGIONS}": True, DEAL: True}
+    return {f"{PROBING_DUTY}:region-{number % REGIONS}": True, SLOW_START_DUTY: True}
 
 
 class DutyFleet:
@@ -91,7 +91,7 @@
         if name in VOTERS:
             voter = Voter(name, new_store(), TUNING, TERMS, self.rng.getrandbits(32), self.now)
         at = f"10.123.{number // 256}.{number % 256}:7960"
-        holder = Holder(name, at, duties_of(number), VOTERS, TERMS, self.rng.getrandbits(32), self.now)
+        holder = LeaseHolder(name, at, duties_of(number), VOTERS, TERMS, self.rng.getrandbits(32), self.now)
         self.processes[name] = Process(holder, voter)
         self._wake(name)
 
@@ -135,7 +135,7 @@
         running = [process.holder for process in self.processes.values() if process.up and not process.holder.gone]
         return bool(leader) and all(holder.leader == leader for holder in running)
 
-    def _looking(self, name: str) -> Holder:
+    def _looking(self, name: str) -> LeaseHolder:
         """A broker's side, whose loop has run: the product's looks at its duties 20 times a second."""
         holder = self.processes[name].holder
         holder._alive_at = self.now
@@ -219,10 +219,10 @@
             return
         began = time.process_time()
         message = wire.read(body)
-        if isinstance(message, Told):
+        if isinstance(message, LeaseReply):
             use = process.holder_use
             self._looking(to).told(self.now, message)
-        elif isinstance(message, Want | Leave):
+        elif isinstance(message, LeaseRequest | LeaseReturn):
             use = process.voter_use
             self.voter(to).from_broker(self.now, message)
         else:
@@ -231,14 +231,14 @@
         use.messages_s += time.process_time() - began
         use.received += 1
         use.bytes_received += len(body)
-        if isinstance(message, Told):
+        if isinstance(message, LeaseReply):
             self._send_holder(to)
         else:
             self._send_voter(to)
 
 
-def new_store() -> Kept:
+def new_store() -> PersistentState:
     """What `badgerbend voters create` leaves on the disk of each voter."""
-    kept = Kept(log=Log())
+    kept = PersistentState(log=Log())
     kept.add(voting.decode_record(voting.encode(voting.Snapshot(0, 0, VOTERS, b""))))
     return kept
--- a/benchmarks/scale/feed_control.py
+++ b/benchmarks/scale/feed_control.py
@@ -7,12 +7,12 @@
 
 import time
 
-from badgerbend.duties.messages import Grant, encode
 from badgerbend.feed.log import PublicationLog, Retention
 from badgerbend.feed.machine import PUBLISH, FeedMachine
 from badgerbend.feed.messages import Change
 from badgerbend.feed.publisher import Publisher, PublisherTuning
 from badgerbend.feed.signature import Ed25519Signer, Ed25519Verifier
+from badgerbend.leases.messages import GrantLease, encode
 
 SIGNER = Ed25519Signer(bytes(range(32)))
 VERIFIER = Ed25519Verifier(SIGNER.public_key())
@@ -26,7 +26,7 @@
         self.publisher = Publisher(self.machine.log, lambda change: "", SIGNER, PublisherTuning())
         self.cpu_s = 0.0
         self._index = 0
-        self._apply(encode(Grant(PUBLISH, "control-1", self.machine.table.lease(PUBLISH).epoch)))
+        self._apply(encode(GrantLease(PUBLISH, "control-1", self.machine.table.lease(PUBLISH).epoch)))
         self.publisher.lead(0.0, self.machine.table.lease(PUBLISH).epoch)
 
     @property
--- a/benchmarks/scale/feed_followers.py
+++ b/benchmarks/scale/feed_followers.py
@@ -10,7 +10,7 @@
 from badgerbend.feed.errors import FeedError
 from badgerbend.feed.follower import Follower, FollowerTuning
 from badgerbend.feed.messages import Change
-from badgerbend.feednet.follower import FollowerClient
+from badgerbend.feed_service.follower import FollowerClient
 from scale.feed_control import VERIFIER
 from scale.feed_messages import (
     Audit,
--- a/benchmarks/scale/feed_relays.py
+++ b/benchmarks/scale/feed_relays.py
@@ -10,8 +10,8 @@
 from badgerbend.feed.log import Retention
 from badgerbend.feed.messages import Change
 from badgerbend.feed.relay import Relay, RelayTuning
-from badgerbend.feednet.follower import FollowerClient
-from badgerbend.feednet.relay import RelayServer
+from badgerbend.feed_service.follower import FollowerClient
+from badgerbend.feed_service.relay import RelayServer
 from scale.feed_control import VERIFIER, Control
 from scale.feed_messages import (
     Address,
--- a/benchmarks/scale/feed_voters.py
+++ b/benchmarks/scale/feed_voters.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 
 from badgerbend.feed.messages import Change
-from badgerbend.feednet.control import ControlServer, ControlSettings
-from badgerbend.ledger.store import create
+from badgerbend.feed_service.control import ControlServer, ControlSettings
+from badgerbend.wal.store import create
 from scale.feed_control import SIGNER
 from scale.feed_messages import (
     Command,
--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -8,16 +8,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from badgerbend.duties.probing import ASKERS_MOST
-from badgerbend.duties.voter import MOST_PENDING
-from badgerbend.knowledge.record import MOST_BYTES, MOST_SERVERS, BadRecord, decode, encode
+from badgerbend.knowledge.record import MOST_BYTES, MOST_SERVERS, RecordError, decode, encode
+from badgerbend.lease_service.local_voter import BROKERS
+from badgerbend.leases.probing import ASKERS_MOST
+from badgerbend.leases.voter import MOST_PENDING
 from badgerbend.membership.messages import State, Sync, Update
 from badgerbend.membership.messages import encode as encode_datagram
 from badgerbend.membership.swim import Swim, Tuning
 from badgerbend.net.seal import SENDERS, Seal
 from badgerbend.net.server import BACKLOG
 from badgerbend.peering.exchange import SERVER
-from badgerbend.rota.voting import BROKERS
 from scale import records
 from scale.figures import Figure, Kind
 from scale.fleetsize import DAY_S, ZONES, restarts_expected
@@ -91,7 +91,7 @@
     """Whether a record that tells of all nodes would be read."""
     try:
         decode(encode(records.unbounded(nodes, 1)))
-    except BadRecord:
+    except RecordError:
         return False
     return True
 
--- a/benchmarks/scale/query_sockets.py
+++ b/benchmarks/scale/query_sockets.py
@@ -53,9 +53,12 @@
     """One broker in this process, its surroundings in another; the counts one after another."""
     path = os.pathsep.join([str(BENCHMARKS.parent), str(BENCHMARKS)])
     surroundings = subprocess.Popen(
-        [sys.executable, __file__, str(parts)], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
+        [sys.executable, __file__, str(parts)],
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        text=True,
         env=os.environ | {"PYTHONPATH": path},
-    )  # fmt: skip
+    )
     try:
         return asyncio.run(asyncio.wait_for(_broker(parts, surroundings), LIMIT_S))
     finally:
--- a/tests/feed_mutants.py
+++ b/tests/feed_mutants.py
@@ -2,7 +2,6 @@
 
 from dataclasses import dataclass
 
-from badgerbend.duties.voter import Voter
 from badgerbend.feed.follower import Follower, Install
 from badgerbend.feed.follower import Phase as FollowerPhase
 from badgerbend.feed.machine import FeedMachine
@@ -10,6 +9,7 @@
 from badgerbend.feed.publisher import Publisher
 from badgerbend.feed.relay import Relay
 from badgerbend.feed.snapshot import SnapshotAssembly, _unpacked
+from badgerbend.leases.voter import Voter
 from tests.simfeed import Chaos, Kinds
 
 # -- followers
