--- a/tests/test_feed_control.py
+++ b/tests/test_feed_control.py
@@ -5,8 +5,8 @@
 
 from badgerbend.feed.follower import FollowerTuning
 from badgerbend.feed.relay import RelayTuning
-from badgerbend.ledger.store import create
 from badgerbend.standin.rig import free_port
+from badgerbend.wal.store import create
 from tests.feed_lines import ControlSetup, FollowersSetup, Installed, Listening, Publish, Published, Submitted
 from tests.feed_processes import FeedProcess, FeedProcesses
 
--- a/tests/test_feed_faults.py
+++ b/tests/test_feed_faults.py
@@ -15,9 +15,9 @@
 from badgerbend.feed.relay import Relay, RelayTuning, SendTo
 from badgerbend.feed.signature import Ed25519Signer
 from badgerbend.feed.snapshot import SnapshotImage
-from badgerbend.feednet.follower import FollowerClient
-from badgerbend.feednet.relay import RelayServer
-from badgerbend.feednet.stream import WRITE_HIGH
+from badgerbend.feed_service.follower import FollowerClient
+from badgerbend.feed_service.relay import RelayServer
+from badgerbend.feed_service.stream import WRITE_HIGH
 from tests.feed_lines import Fill, FollowersSetup, Installed, PieceCame, Publish, Refused, RelaySetup
 from tests.feed_processes import (
     FeedProcesses,
--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -8,8 +8,8 @@
 from badgerbend.feed.follower import Follower, FollowerTuning, Phase, RelayAddress
 from badgerbend.feed.log import Retention
 from badgerbend.feed.relay import Relay, RelayTuning
-from badgerbend.feednet.follower import FollowerClient
-from badgerbend.feednet.relay import RelayServer
+from badgerbend.feed_service.follower import FollowerClient
+from badgerbend.feed_service.relay import RelayServer
 from tests.feed_stage import VERIFIER, Control, change
 
 LONGEST_S = 20.0  # a wait that takes so long has failed
