--- /dev/null
+++ b/tests/test_wire_bytes_consensus.py
@@ -0,0 +1,107 @@
+"""Messages and stored records of the consensus keep their bytes. After a renaming only the tables here change.
+
+Fields are given by name and with distinct values, so that two fields of one type that change places are noticed.
+"""
+
+import typing
+
+import pytest
+
+from badgerbend.consensus.messages import (
+    Append,
+    AskVote,
+    Cede,
+    Entry,
+    Fed,
+    Feed,
+    Install,
+    Installed,
+    Kind,
+    Message,
+    Record,
+    Snapshot,
+    Vote,
+    Voted,
+    decode,
+    decode_record,
+    encode,
+    encode_names,
+    size_of,
+)
+from tests.wire_bytes import assert_same_bytes, fixture_bytes, fixture_keys
+
+VOTER_NAMES = ("v0", "v1", "v2")
+NOOP_ENTRY = Entry(index=11, term=3, kind=Kind.NOOP, data=b"")
+COMMAND_ENTRY = Entry(index=12, term=3, kind=Kind.COMMAND, data=b"\x00command\xff")
+VOTERS_ENTRY = Entry(index=13, term=4, kind=Kind.VOTERS, data=encode_names(VOTER_NAMES))
+ENTRIES = (NOOP_ENTRY, COMMAND_ENTRY, VOTERS_ENTRY)
+
+MESSAGES = {
+    "consensus/message/request-vote": AskVote(term=5, source="v1", last_index=13, last_term=4, pre=True, ceded=False),
+    "consensus/message/request-vote-after-transfer": AskVote(
+        term=6, source="v2", last_index=14, last_term=5, pre=False, ceded=True
+    ),
+    "consensus/message/request-vote-response": Voted(term=5, source="v2", pre=True, granted=False),
+    "consensus/message/append-entries": Feed(
+        term=7, source="v0", prev_index=10, prev_term=2, entries=ENTRIES, commit=9, beat=301
+    ),
+    "consensus/message/heartbeat": Feed(
+        term=7, source="v0", prev_index=13, prev_term=4, entries=(), commit=12, beat=302
+    ),
+    "consensus/message/append-entries-response": Fed(term=7, source="v1", ok=True, index=13, beat=303),
+    "consensus/message/install-snapshot": Install(
+        term=8,
+        source="v0",
+        index=70000,
+        snapshot_term=6,
+        voters=VOTER_NAMES,
+        offset=512,
+        size=4096,
+        piece=b"\x01piece\xfe",
+        beat=304,
+    ),
+    "consensus/message/install-snapshot-response": Installed(
+        term=8, source="v2", index=70000, offset=1024, kept=True, beat=305
+    ),
+    "consensus/message/timeout-now": Cede(term=9, source="v0"),
+}
+
+RECORDS = {
+    "consensus/record/hard-state": Vote(term=5, voted="v1"),
+    "consensus/record/hard-state-without-vote": Vote(term=6, voted=""),
+    "consensus/record/append": Append(entries=ENTRIES),
+    "consensus/record/snapshot": Snapshot(index=10, term=2, voters=VOTER_NAMES, state=b"\x00state\xff"),
+}
+
+
+@pytest.mark.parametrize("key", MESSAGES)
+def test_message_keeps_its_bytes(key):
+    assert_same_bytes(key, MESSAGES[key], encode, decode)
+
+
+@pytest.mark.parametrize("key", RECORDS)
+def test_record_keeps_its_bytes(key):
+    assert_same_bytes(key, RECORDS[key], encode, decode_record)
+
+
+def test_voter_names_keep_their_bytes():
+    assert encode_names(VOTER_NAMES).hex() == fixture_bytes("consensus/voter-names").hex()
+    assert VOTERS_ENTRY.voters() == VOTER_NAMES
+
+
+def test_entry_without_data_is_decoded_with_its_default():
+    assert decode_record(bytes.fromhex("92029193010200")) == Append(
+        entries=(Entry(index=1, term=2, kind=Kind.NOOP, data=b""),)
+    )
+
+
+def test_entry_sizes():
+    assert [size_of(entry) for entry in ENTRIES] == [6, 15, 16]
+
+
+def test_every_message_and_record_has_a_fixture():
+    assert {type(message) for message in MESSAGES.values()} == set(typing.get_args(Message))
+    assert {type(record) for record in RECORDS.values()} == set(typing.get_args(Record))
+    assert fixture_keys("consensus/message/") == set(MESSAGES)
+    assert fixture_keys("consensus/record/") == set(RECORDS)
+    assert {entry.kind for entry in ENTRIES} == set(Kind)
--- /dev/null
+++ b/tests/test_wire_bytes_duties.py
@@ -0,0 +1,147 @@
+"""Commands, messages and acts of duties, and the datagrams around them, keep their bytes."""
+
+import typing
+
+import pytest
+
+from badgerbend.duties.messages import (
+    Act,
+    Ask,
+    Command,
+    Dealt,
+    Doubt,
+    Found,
+    Free,
+    Grant,
+    Leave,
+    Line,
+    Message,
+    Need,
+    Put,
+    Row,
+    Slice,
+    Stand,
+    Told,
+    Want,
+    decode,
+    decode_act,
+    decode_command,
+    encode,
+)
+from badgerbend.rota import wire
+from tests.test_wire_bytes_consensus import MESSAGES as CONSENSUS_MESSAGES
+from tests.wire_bytes import assert_same_bytes, fixture_bytes, fixture_keys
+
+COMMANDS = {
+    "duties/command/grant": Grant(duty="probe:north", holder="b1", over=17),
+    "duties/command/free": Free(duty="probe:north", epoch=18),
+    "duties/command/put": Put(key="version", value=b"\x00v2\xff", over=19),
+    "duties/command/put-empty": Put(key="version", value=b"", over=20),
+}
+
+MESSAGES = {
+    "duties/message/acquire": Want(
+        source="b1",
+        seq=41,
+        at="10.0.0.1:7000",
+        load=0.25,
+        votes=True,
+        stands=(
+            Stand(duty="probe:north", epoch=18, near=True, failing=False),
+            Stand(duty="deal", epoch=0, near=False, failing=True),
+        ),
+    ),
+    "duties/message/release": Leave(source="b1", seq=42, held=(("probe:north", 18), ("deal", 21)), gone=True),
+    "duties/message/response": Told(
+        source="v0",
+        seq=43,
+        leader="v1",
+        leads=False,
+        lines=(
+            Line(duty="probe:north", holder="b1", at="10.0.0.1:7000", epoch=18, renewed=True, yields=False),
+            Line(duty="deal", holder="", at="", epoch=21, renewed=False, yields=True),
+        ),
+        wait_s=1.5,
+    ),
+    "duties/message/response-without-leader": Told(source="v0", seq=0, leader="", leads=False, lines=(), wait_s=0.0),
+}
+
+ACTS = {
+    "duties/act/suspects": Doubt(source="b2", duty="probe:north", servers=("s1", "s2")),
+    "duties/act/probe-results": Found(
+        source="b1",
+        duty="probe:north",
+        epoch=18,
+        rows=(
+            Row(server="s1", served=True, took_ms=12.5, age_ms=250.0),
+            Row(server="s2", served=False, took_ms=1000.0, age_ms=0.5),
+        ),
+    ),
+    "duties/act/allowance-request": Ask(
+        source="b2",
+        duty="deal",
+        seq=44,
+        needs=(Need(thing="s3", started=1700000000000.0, own=0.125, wanted=0.75, heard=40),),
+    ),
+    "duties/act/allowance-response": Dealt(
+        source="b1",
+        duty="deal",
+        epoch=21,
+        seq=44,
+        slices=(Slice(thing="s3", started=1700000000000.0, pace=0.5),),
+    ),
+}
+
+
+@pytest.mark.parametrize("key", COMMANDS)
+def test_command_keeps_its_bytes(key):
+    assert_same_bytes(key, COMMANDS[key], encode, decode_command)
+
+
+@pytest.mark.parametrize("key", MESSAGES)
+def test_message_keeps_its_bytes(key):
+    assert_same_bytes(key, MESSAGES[key], encode, decode)
+
+
+@pytest.mark.parametrize("key", ACTS)
+def test_act_keeps_its_bytes(key):
+    assert_same_bytes(key, ACTS[key], encode, decode_act)
+
+
+def test_response_without_wait_is_decoded_with_its_default():
+    expected = Told(source="v0", seq=7, leader="", leads=False, lines=(), wait_s=0.0)
+    assert decode(bytes.fromhex("9603a2763007a0c290")) == expected
+
+
+def test_every_command_message_and_act_has_a_fixture():
+    assert {type(command) for command in COMMANDS.values()} == set(typing.get_args(Command))
+    assert {type(message) for message in MESSAGES.values()} == set(typing.get_args(Message))
+    assert {type(act) for act in ACTS.values()} == set(typing.get_args(Act))
+    assert fixture_keys("duties/command/") == set(COMMANDS)
+    assert fixture_keys("duties/message/") == set(MESSAGES)
+    assert fixture_keys("duties/act/") == set(ACTS)
+
+
+# -- datagrams: a letter before the message
+
+
+@pytest.mark.parametrize("key", CONSENSUS_MESSAGES)
+def test_datagram_between_voters(key):
+    message = CONSENSUS_MESSAGES[key]
+    expected = b"v" + fixture_bytes(key)
+    assert wire.voter_body(message) == expected
+    assert wire.read(expected) == message
+
+
+@pytest.mark.parametrize("key", MESSAGES)
+def test_datagram_between_broker_and_voter(key):
+    expected = b"s" + fixture_bytes(key)
+    assert wire.broker_body(MESSAGES[key]) == expected
+    assert wire.read(expected) == MESSAGES[key]
+
+
+@pytest.mark.parametrize("key", ACTS)
+def test_datagram_between_brokers(key):
+    expected = b"a" + fixture_bytes(key)
+    assert wire.act_body(ACTS[key]) == expected
+    assert wire.read(expected) == ACTS[key]
