--- /dev/null
+++ b/tests/test_stored_bytes_feed.py
@@ -0,0 +1,146 @@
+"""The feed's snapshot, its log and its machine's state, written by an earlier version, are read and written alike."""
+
+import zlib
+
+from badgerbend.duties.messages import Grant, Put, encode
+from badgerbend.duties.table import Fact, Lease
+from badgerbend.feed.commands import split
+from badgerbend.feed.content import Content
+from badgerbend.feed.framing import FrameReader
+from badgerbend.feed.log import ORIGIN, PublicationLog, Retention, changes_digest
+from badgerbend.feed.machine import FeedMachine
+from badgerbend.feed.messages import Change, Checkpoint, Publication, SnapshotBegin, decode_changes, signed_bytes
+from badgerbend.feed.signature import Ed25519Signer, Ed25519Verifier
+from badgerbend.feed.snapshot import SnapshotAssembly, SnapshotImage
+from tests.wire_bytes import DATA
+
+SIGNER = Ed25519Signer(bytes(range(32)))
+EPOCH = 1  # the log's index of the grant
+LARGE_VALUE = bytes(range(256)) * 200  # two of them do not fit one piece of a snapshot
+CHANGES = (
+    (Change(key="server/s1", value=b"\x00first\xff"), Change(key="large/1", value=LARGE_VALUE)),
+    (Change(key="server/s1", value=None), Change(key="server/s2", value=b"second")),
+    (Change(key="large/2", value=LARGE_VALUE[::-1]),),
+)
+CONTENT = {"large/1": LARGE_VALUE, "large/2": LARGE_VALUE[::-1], "server/s2": b"second"}
+RETENTION = Retention(publications=16, bytes=1 << 20)
+
+LOG = DATA / "feed-log.bin"
+SNAPSHOT = DATA / "feed-snapshot.bin"
+MACHINE_STATE = DATA / "feed-machine-state.bin"
+
+
+def publications():
+    """The publications of all changes, signed."""
+    content = Content()
+    signed = []
+    for revision, changes in enumerate(CHANGES, 1):
+        content.apply(changes)
+        digests = (content.digest(), changes_digest(changes))
+        signature = SIGNER.sign(signed_bytes(EPOCH, revision, *digests))
+        checkpoint = Checkpoint(
+            epoch=EPOCH, revision=revision, content=digests[0], changes=digests[1], signature=signature
+        )
+        signed.append(Publication(checkpoint=checkpoint, changes=changes))
+    return signed
+
+
+def filled_log():
+    log = PublicationLog(RETENTION)
+    for publication in publications():
+        log.append(publication)
+    return log
+
+
+def filled_machine():
+    """A lease, a fact, two publications, and all parts but the first of a third."""
+    machine = FeedMachine(RETENTION)
+    commands = [
+        encode(Grant(duty="publish", holder="c1", over=0)),
+        encode(Put(key="version", value=b"\x00v2\xff", over=0)),
+    ]
+    first, second, third = (split(publication) for publication in publications())
+    for index, command in enumerate([*commands, *first, *second, *third[1:]], 1):
+        machine.apply(index, command)
+    return machine
+
+
+def retained_frames(log):
+    return b"".join(log.next_after(revision).frame for revision in range(log.oldest, log.revision))
+
+
+def test_log_is_read_from_its_frames():
+    read = list(FrameReader().feed(LOG.read_bytes()))
+    assert read == publications()
+    log = PublicationLog(RETENTION)
+    for publication in read:
+        log.append(publication)
+    assert dict(log.content.items()) == CONTENT
+    assert (log.epoch, log.revision, log.oldest) == (EPOCH, 3, 0)
+    assert retained_frames(log) == LOG.read_bytes()
+
+
+def test_log_is_written_with_the_same_bytes():
+    assert retained_frames(filled_log()) == LOG.read_bytes()
+
+
+def test_digests_and_signature():
+    checkpoint = publications()[-1].checkpoint
+    assert ORIGIN.content.hex() == "069d88983c23a8d8a8ceb56c2cf2098b"
+    assert checkpoint.content.hex() == "01a90d0a068509c42a0d2fc58a7df063"
+    assert checkpoint.changes.hex() == "5636a222f11edbad648c72eade86767f"
+    assert Ed25519Verifier(SIGNER.public_key()).verify(checkpoint.signed_bytes(), checkpoint.signature)
+
+
+def test_snapshot_is_read():
+    begin, *pieces = FrameReader().feed(SNAPSHOT.read_bytes())
+    assert begin == SnapshotBegin(checkpoint=publications()[-1].checkpoint, pieces=2)
+    assembly = SnapshotAssembly(begin)
+    for piece in pieces:
+        assembly.add(piece)
+    assert assembly.whole
+    assert dict(assembly.content.items()) == CONTENT
+    log = PublicationLog(RETENTION)
+    log.reset(assembly.content, assembly.checkpoint)
+    assert log.revision == 3
+
+
+def test_snapshot_is_written_alike():
+    """Packed bytes may differ between versions of zlib; what is in them may not."""
+    log = filled_log()
+    image = SnapshotImage(log.content, log.checkpoint)
+    written = list(FrameReader().feed(image.begin + image.piece(0) + image.piece(1)))
+    expected = list(FrameReader().feed(SNAPSHOT.read_bytes()))
+    assert SNAPSHOT.read_bytes().startswith(image.begin)
+    assert image.pieces == 2
+    assert written[0] == expected[0]
+    assert [piece.index for piece in written[1:]] == [piece.index for piece in expected[1:]] == [0, 1]
+    for piece, expected_piece in zip(written[1:], expected[1:], strict=True):
+        unpacked = zlib.decompress(expected_piece.packed)
+        assert zlib.decompress(piece.packed) == unpacked
+        assert all(isinstance(change, Change) for change in decode_changes(unpacked))
+
+
+def test_machine_state_is_written_with_the_same_bytes():
+    assert filled_machine().dump() == MACHINE_STATE.read_bytes()
+
+
+def test_machine_state_is_read():
+    machine = FeedMachine(RETENTION)
+    machine.load(MACHINE_STATE.read_bytes())
+    assert machine.table.leases == {"publish": Lease("c1", EPOCH)}
+    assert machine.table.facts == {"version": Fact(b"\x00v2\xff", 2)}
+    assert machine.log.checkpoint == publications()[1].checkpoint
+    assert dict(machine.log.content.items()) == {"large/1": LARGE_VALUE, "server/s2": b"second"}
+    assert machine.dump() == MACHINE_STATE.read_bytes()
+
+
+def test_machine_continues_with_the_part_that_was_missing():
+    machine = FeedMachine(RETENTION)
+    machine.load(MACHINE_STATE.read_bytes())
+    commands = split(publications()[-1])
+    assert machine.waits_for(commands[0])
+    assert not any(machine.waits_for(command) for command in commands[1:])
+    machine.apply(1000, commands[0])
+    assert machine.log.revision == 3
+    assert dict(machine.log.content.items()) == CONTENT
--- /dev/null
+++ b/tests/test_stored_bytes_ledger.py
@@ -0,0 +1,149 @@
+"""A voter's store that an earlier version wrote is read, and the same records are written with the same bytes."""
+
+import shutil
+
+import pytest
+
+from badgerbend.consensus.messages import Append, Entry, Kind, Snapshot, Vote, encode_names
+from badgerbend.duties.messages import Free, Grant, Put, encode
+from badgerbend.duties.table import Fact, Lease, Table
+from badgerbend.ledger.store import Store, create, read, read_owner
+from tests.wire_bytes import DATA
+
+STORES = DATA / "voter-store"
+VOTERS = ("v0", "v1", "v2")
+NEW_VOTERS = ("v0", "v1", "v3")
+TORN_BYTES = 13  # of the record whose writing was cut short
+
+GRANT = encode(Grant(duty="probe:north", holder="b1", over=0))
+FREE = encode(Free(duty="probe:north", epoch=2))
+PUT = encode(Put(key="version", value=b"\x00v2\xff", over=0))
+
+# The state after the first two commands, as the snapshot in the store holds it.
+SNAPSHOT_STATE = bytes.fromhex("929193ab70726f62653a6e6f727468a262310290")
+SNAPSHOT = Snapshot(index=2, term=1, voters=VOTERS, state=SNAPSHOT_STATE)
+ENTRIES = (
+    Entry(index=3, term=1, kind=Kind.COMMAND, data=FREE),
+    Entry(index=4, term=3, kind=Kind.NOOP, data=b""),
+    Entry(index=5, term=3, kind=Kind.COMMAND, data=PUT),
+    Entry(index=6, term=3, kind=Kind.VOTERS, data=encode_names(NEW_VOTERS)),
+)
+
+# What is appended to the store, one list a call.
+APPENDS = [
+    [Vote(term=1, voted="v0")],
+    [
+        Append(
+            entries=(
+                Entry(index=1, term=1, kind=Kind.NOOP, data=b""),
+                Entry(index=2, term=1, kind=Kind.COMMAND, data=GRANT),
+                Entry(index=3, term=1, kind=Kind.COMMAND, data=FREE),
+                Entry(index=4, term=1, kind=Kind.COMMAND, data=b"replaced in a later term"),
+            )
+        ),
+        SNAPSHOT,
+    ],
+    [Vote(term=2, voted=""), Vote(term=3, voted="v1")],
+    [Append(entries=ENTRIES[1:])],
+]
+APPENDS_AFTER_COMPACTION = [
+    [Vote(term=4, voted="v3"), Append(entries=(Entry(index=7, term=4, kind=Kind.NOOP, data=b""),))]
+]
+
+
+def write_store(folder, *, compacted):
+    """The same calls as those that wrote the fixtures."""
+    create(folder, "v0", VOTERS)
+    store = Store(folder)
+    for records in APPENDS:
+        store.append(records)
+    if compacted:
+        store.compact()
+        for records in APPENDS_AFTER_COMPACTION:
+            store.append(records)
+    store.close()
+
+
+def file_bytes(folder):
+    return {path.name: path.read_bytes() for path in folder.iterdir()}
+
+
+@pytest.fixture
+def open_store(tmp_path):
+    """Opens a copy of a store in the fixtures."""
+    stores = []
+
+    def open_copy(name):
+        folder = shutil.copytree(STORES / name, tmp_path / name)
+        stores.append(Store(folder))
+        return stores[-1]
+
+    yield open_copy
+    for store in stores:
+        store.close()
+
+
+def assert_log(log, entries):
+    assert log.snapshot == SNAPSHOT
+    assert tuple(log.entries) == entries
+    assert log.voters() == (NEW_VOTERS, 6)
+
+
+@pytest.mark.parametrize("name", ["appended", "torn"])
+def test_appended_store_is_read(open_store, name):
+    store = open_store(name)
+    assert (store.owner.name, store.owner.voters, store.owner.version) == ("v0", VOTERS, 1)
+    assert store.number == 1
+    assert (store.kept.term, store.kept.voted) == (3, "v1")
+    assert_log(store.kept.log, ENTRIES)
+
+
+def test_compacted_store_is_read(open_store):
+    store = open_store("compacted")
+    assert store.number == 2
+    assert (store.kept.term, store.kept.voted) == (4, "v3")
+    assert_log(store.kept.log, (*ENTRIES, Entry(index=7, term=4, kind=Kind.NOOP, data=b"")))
+
+
+@pytest.mark.parametrize("name", ["appended", "compacted", "torn"])
+def test_store_is_read_without_a_change(name):
+    before = file_bytes(STORES / name)
+    number, _, good = read(STORES / name)
+    torn = TORN_BYTES if name == "torn" else 0
+    assert good == len(before[f"log.{number}"]) - torn
+    assert read_owner(STORES / name).name == "v0"
+    assert file_bytes(STORES / name) == before
+
+
+def test_torn_tail_is_cut_off(open_store, tmp_path):
+    open_store("torn")
+    assert file_bytes(tmp_path / "torn") == file_bytes(STORES / "appended")
+
+
+@pytest.mark.parametrize("name", ["appended", "compacted"])
+def test_store_is_written_with_the_same_bytes(tmp_path, name):
+    write_store(tmp_path / name, compacted=name == "compacted")
+    assert file_bytes(tmp_path / name) == file_bytes(STORES / name)
+
+
+def test_opened_store_is_compacted_and_continued_with_the_same_bytes(open_store, tmp_path):
+    store = open_store("torn")
+    store.compact()
+    for records in APPENDS_AFTER_COMPACTION:
+        store.append(records)
+    assert file_bytes(tmp_path / "torn") == file_bytes(STORES / "compacted")
+
+
+def test_state_in_the_snapshot_and_the_commands_after_it():
+    _, kept, _ = read(STORES / "appended")
+    table = Table()
+    table.load(kept.log.snapshot.state)
+    assert table.dump() == SNAPSHOT_STATE
+    assert table.leases == {"probe:north": Lease("b1", 2)}
+    for entry in kept.log.entries:
+        if entry.kind is Kind.COMMAND:
+            table.apply(entry.index, entry.data)
+    assert table.leases == {"probe:north": Lease("", 2)}
+    assert table.facts == {"version": Fact(b"\x00v2\xff", 5)}
+    expected = "929193ab70726f62653a6e6f727468a0029193a776657273696f6ec404007632ff05"
+    assert table.dump().hex() == expected
