--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 
 from badgerbend import Aggregator, api
 
-pytest_plugins = ["pytester", "tests.known_red"]
+pytest_plugins = ["pytester", "tests.known_red", "tests.suite_size"]
 
 # the same examples each time, so that a verdict does not change without a change; explore with --hypothesis-profile
 hypothesis_settings.register_profile("same", derandomize=True, database=None)
