--- /dev/null
+++ b/tests/planted_defects.py
@@ -0,0 +1,195 @@
+"""Finds planted defects that no longer plant anything: overrides and assignments of names that the product lost.
+
+A test class that derives from a class of the product, to break it or to watch it, does nothing once the method that it
+overrides is renamed. The functions here read the source of a test file beside its imported module and name each such
+place. What cannot be seen: an attribute assigned on another object than `self` that is gone from its class, while some
+other class has that name; in a class with a base of the product, some other class of the packages in its reach.
+"""
+
+from __future__ import annotations
+
+import ast
+import inspect
+import sys
+import textwrap
+from collections.abc import Iterable, Iterator, Mapping
+from dataclasses import dataclass
+from functools import cache
+from pathlib import Path
+from types import ModuleType
+
+PRODUCT = "badgerbend"
+TESTS = "tests"
+
+
+@dataclass(frozen=True, slots=True)
+class Stale:
+    """A name that a test file overrides or assigns, and that the product does not have.
+
+    owner: the class that overrides it or assigns it to `self`, else the expression that it is assigned on.
+    """
+
+    owner: str
+    name: str
+    line: int
+
+
+def names_of_body(definition: ast.ClassDef) -> Iterator[tuple[str, int]]:
+    """Give the names that a class body defines, with their lines."""
+    for statement in definition.body:
+        match statement:
+            case ast.FunctionDef(name=name) | ast.AsyncFunctionDef(name=name) | ast.ClassDef(name=name):
+                yield name, statement.lineno
+            case ast.Assign(targets=targets):
+                yield from ((target.id, statement.lineno) for target in targets if isinstance(target, ast.Name))
+            case ast.AnnAssign(target=ast.Name(id=name)):
+                yield name, statement.lineno
+            case _:
+                pass
+
+
+def assigned_attributes(tree: ast.AST) -> Iterator[ast.Attribute]:
+    """Give each attribute that the code assigns, on whatever object."""
+    return (node for node in ast.walk(tree) if isinstance(node, ast.Attribute) and isinstance(node.ctx, ast.Store))
+
+
+def names_defined(tree: ast.AST) -> set[str]:
+    """Collect the functions, classes, attributes and fields that a source text defines anywhere."""
+    names = {attribute.attr for attribute in assigned_attributes(tree)}
+    for node in ast.walk(tree):
+        match node:
+            case ast.FunctionDef(name=name) | ast.AsyncFunctionDef(name=name):
+                names.add(name)
+            case ast.ClassDef():
+                names.add(node.name)
+                names.update(name for name, _ in names_of_body(node))
+            case _:
+                pass
+    return names
+
+
+@cache
+def product_names(root: Path, place: str = PRODUCT) -> frozenset[str]:
+    """Collect every name that the product defines, or one package or module of it, as `badgerbend.feed`."""
+    folder = root.joinpath(*place.split("."))
+    paths = sorted(folder.rglob("*.py")) if folder.is_dir() else [folder.with_suffix(".py")]
+    return frozenset().union(*(names_defined(ast.parse(path.read_text(encoding="utf-8"))) for path in paths))
+
+
+def packages_imported(namespace: Mapping[str, object]) -> set[str]:
+    """Find the packages and modules, one level below the product, that a test module took something from."""
+    sources = (
+        value.__name__ if isinstance(value, ModuleType) else getattr(value, "__module__", None) or ""
+        for value in namespace.values()
+    )
+    parts = (source.split(".") for source in sources)
+    return {".".join(names[:2]) for names in parts if names[0] == PRODUCT and len(names) > 1}
+
+
+@cache
+def names_of_test_classes(root: Path) -> frozenset[str]:
+    """Collect what the classes of the tests define, and what they assign to `self`."""
+    names: set[str] = set()
+    for path in sorted((root / TESTS).rglob("*.py")):
+        for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
+            if isinstance(node, ast.ClassDef):
+                names.update(name for name, _ in names_of_body(node))
+                names.update(self_attributes(node))
+    return frozenset(names)
+
+
+@cache
+def class_names(cls: type) -> frozenset[str]:
+    """Collect what a class and its bases have: what is inherited, and what their methods assign to `self`."""
+    names = set(dir(cls))
+    for base in cls.__mro__:
+        names.update(getattr(base, "__annotations__", ()))
+        names.update(getattr(base, "__slots__", ()))
+        if base.__module__.partition(".")[0] in (PRODUCT, TESTS):
+            names.update(self_attributes(ast.parse(textwrap.dedent(inspect.getsource(base)))))
+    return frozenset(names)
+
+
+def self_attributes(tree: ast.AST) -> set[str]:
+    """Collect the attributes that the code assigns to `self`."""
+    return {attribute.attr for attribute in assigned_attributes(tree) if is_self(attribute.value)}
+
+
+def is_self(expression: ast.expr) -> bool:
+    """Whether the expression is the name `self`."""
+    return isinstance(expression, ast.Name) and expression.id == "self"
+
+
+def is_of_product(cls: type) -> bool:
+    """Whether a class or one of its bases is defined by the product."""
+    return any(base.__module__.partition(".")[0] == PRODUCT for base in cls.__mro__)
+
+
+class DefectReader:
+    """Reads one test file, beside the module that was imported from it."""
+
+    def __init__(self, path: Path, module: ModuleType, root: Path) -> None:
+        self.tree = ast.parse(path.read_text(encoding="utf-8"))
+        self.namespace = vars(module)
+        self.all_names = product_names(root) | names_of_test_classes(root)
+        self.root = root
+        self.definitions = {node.name: node for node in ast.walk(self.tree) if isinstance(node, ast.ClassDef)}
+
+    def stale(self) -> set[Stale]:
+        """Give each name that the file overrides or assigns in vain."""
+        found = set(self._stale_on_others(self.tree, self.all_names))
+        for node in ast.walk(self.tree):
+            match node:
+                case ast.ClassDef():
+                    found.update(self._stale_of_class(node))
+                case ast.Call(func=ast.Name(id="type"), args=[name, ast.Tuple(elts=bases), ast.Dict(keys=keys)]):
+                    written = [(ast.literal_eval(key), key.lineno) for key in keys if key is not None]
+                    found.update(self._missing(ast.unparse(name), bases, written))
+                case _:
+                    pass
+        return found
+
+    def _stale_of_class(self, definition: ast.ClassDef) -> Iterator[Stale]:
+        """Give what a class with a base of the product overrides or assigns in vain."""
+        written = [
+            *names_of_body(definition),
+            *((node.attr, node.lineno) for node in assigned_attributes(definition) if is_self(node.value)),
+        ]
+        yield from self._missing(definition.name, definition.bases, written)
+        bases = [base for cls in self._resolved(definition.bases) for base in cls.__mro__ if is_of_product(base)]
+        if bases:
+            yield from self._stale_on_others(definition, self._names_in_reach(bases))
+
+    def _names_in_reach(self, bases: list[type]) -> frozenset[str]:
+        """Collect what the packages define from which the file, or the module of a base class, imports something."""
+        namespaces = [self.namespace, *(vars(sys.modules[base.__module__]) for base in bases)]
+        places = set().union(*(packages_imported(namespace) for namespace in namespaces))
+        return frozenset().union(*(product_names(self.root, place) for place in places))
+
+    @staticmethod
+    def _stale_on_others(tree: ast.AST, known: frozenset[str]) -> Iterator[Stale]:
+        """Give the attributes assigned on other objects than `self` that nobody defines."""
+        for attribute in assigned_attributes(tree):
+            if not is_self(attribute.value) and attribute.attr not in known:
+                yield Stale(ast.unparse(attribute.value), attribute.attr, attribute.lineno)
+
+    def _missing(self, owner: str, bases: list[ast.expr], written: Iterable[tuple[str, int]]) -> Iterator[Stale]:
+        """Give the names that no base has, of a class with a base of the product."""
+        classes = self._resolved(bases)
+        if not any(is_of_product(cls) for cls in classes):
+            return
+        known = frozenset().union(*(class_names(cls) for cls in classes))
+        yield from (Stale(owner, name, line) for name, line in written if name not in known)
+
+    def _resolved(self, bases: list[ast.expr]) -> list[type]:
+        """Find the classes that the expressions name; for one that is defined in a function, its own bases."""
+        found: list[type] = []
+        for base in bases:
+            name = ast.unparse(base)
+            if isinstance(base, ast.Name) and name not in self.namespace and name in self.definitions:
+                found += self._resolved(self.definitions[name].bases)
+                continue
+            value = eval(name, dict(self.namespace))  # the file's own source
+            if isinstance(value, type):
+                found.append(value)
+        return found
