--- a/tests/planted_defects.py
+++ b/tests/planted_defects.py
@@ -20,6 +20,7 @@
 
 PRODUCT = "badgerbend"
 TESTS = "tests"
+FUNCTIONS = (ast.FunctionDef, ast.AsyncFunctionDef)
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,6 +121,15 @@
     return isinstance(expression, ast.Name) and expression.id == "self"
 
 
+def is_character(expression: ast.expr) -> bool:
+    """Whether the expression is a literal of one character: such are changed wherever they stand, as in a name."""
+    return (
+        isinstance(expression, ast.Constant)
+        and isinstance(expression.value, str | bytes)
+        and len(expression.value) == 1
+    )
+
+
 def is_of_product(cls: type) -> bool:
     """Whether a class or one of its bases is defined by the product."""
     return any(base.__module__.partition(".")[0] == PRODUCT for base in cls.__mro__)
@@ -131,7 +141,8 @@
     def __init__(self, path: Path, module: ModuleType, root: Path) -> None:
         self.tree = ast.parse(path.read_text(encoding="utf-8"))
         self.namespace = vars(module)
-        self.all_names = product_names(root) | names_of_test_classes(root)
+        self.product = product_names(root)
+        self.all_names = self.product | names_of_test_classes(root)
         self.root = root
         self.definitions = {node.name: node for node in ast.walk(self.tree) if isinstance(node, ast.ClassDef)}
 
@@ -149,6 +160,27 @@
                     pass
         return found
 
+    def unchecked(self) -> list[str]:
+        """Give the replacements that would do nothing, and say nothing, where what they replace is not there."""
+        functions = {node.name for node in ast.walk(self.tree) if isinstance(node, FUNCTIONS)}
+        found = []
+        for node in ast.walk(self.tree):
+            match node:
+                case ast.Assign(targets=targets, value=ast.Lambda() | ast.Name() as value):
+                    is_function = isinstance(value, ast.Lambda) or value.id in functions
+                    found += [ast.unparse(target) for target in targets if is_function and self._is_product(target)]
+                case ast.Call(func=ast.Attribute(attr="replace"), args=[old, _, *_]) if not is_character(old):
+                    found.append(ast.unparse(node))
+                case ast.Call(keywords=keywords):
+                    found += [ast.unparse(node) for keyword in keywords if keyword.arg in ("raising", "create")]
+                case _:
+                    pass
+        return found
+
+    def _is_product(self, target: ast.expr) -> bool:
+        """Whether a target of an assignment is an attribute, not of `self`, that the product defines by this name."""
+        return isinstance(target, ast.Attribute) and not is_self(target.value) and target.attr in self.product
+
     def _stale_of_class(self, definition: ast.ClassDef) -> Iterator[Stale]:
         """Give what a class with a base of the product overrides or assigns in vain."""
         written = [
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -12,6 +12,7 @@
 from badgerbend.standin.agent import Agent
 from badgerbend.standin.client import LIMITS
 from badgerbend.standin.framenode import FrameNode
+from tests.replacing import replace_attribute
 from tests.sockets import until
 
 CELLS, SHARDS = 3, 18
@@ -95,7 +96,7 @@
         self.config = replace(config.parse(file, {}), listen=("127.0.0.1", 0))
         self.service = Service(self.config)
         self.troubles = []
-        self.service.tally.line = lambda what, **values: self.troubles.append((what, values))
+        replace_attribute(self.service.tally, "line", lambda what, **values: self.troubles.append((what, values)))
         self.port = await self.service.start()
         self.heard_first = self.service.watch.heard_at is not None  # before any client
         self.pool = Pool("127.0.0.1", self.port, LIMITS)
--- a/tests/simtold.py
+++ b/tests/simtold.py
@@ -23,6 +23,7 @@
 from badgerbend.runtime import loop as schedules
 from badgerbend.runtime.ports import PartPlan, QueryPlan
 from tests.platform_stage import CELLS, SHARDS, file_of
+from tests.replacing import replace_attribute
 
 UNIX = 1_790_000_000.0  # Unix time at the loop's 0
 SLACK_S, MOVED_S = 0.05, 4.0
@@ -243,7 +244,7 @@
         """Plays the day; what was broken, as (time, server, seconds after it was told)."""
         asyncio.set_event_loop(self.loop)
         then = schedules.time, services.time, servers.bound_socket
-        servers.bound_socket = bound_socket
+        replace_attribute(servers, "bound_socket", bound_socket)
         clock = SimpleNamespace(
             monotonic=self.loop.time, time=lambda: UNIX + self.loop.now, perf_counter=self.loop.time
         )
@@ -265,7 +266,7 @@
         await asyncio.sleep(self.start_s)
         self.loop.turn_s = self.turn_s
         self.service = service = services.Service(made)
-        service.tally.line = lambda what, **values: None
+        replace_attribute(service.tally, "line", lambda what, **values: None)
         for agent, at in enumerate(self.day.moves, 1):
             moved = replace(made, discovery=("10.2.0.1", 8500 + agent))
             self._at(at, lambda moved=moved: service.reload(lambda: moved))
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -13,6 +13,7 @@
 from badgerbend.standin.audit import Facts, audit
 from badgerbend.standin.traffic import Asker, Flow
 from badgerbend.standin.work import Model
+from tests.replacing import replace_attribute
 from tests.sockets import EXAMPLE, Stage, run, until
 
 RULES = ("lost", "duplicated", "drains", "cold", "honest", "budget")
@@ -40,7 +41,7 @@
             sink = close(query, how)
             return Mute() if query.id % 3 == 0 else sink
 
-        self.driver._close = forget
+        replace_attribute(self.driver, "_close", forget)
 
 
 class Reckless(Broker):
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -10,6 +10,7 @@
 import msgspec
 import pytest
 
+from tests.replacing import replaced
 from tests.sockets import EXAMPLE
 
 LIMIT_S = 120
@@ -26,14 +27,14 @@
     shown = badgerbend("check", EXAMPLE, "--show")
     assert "(port 8080)  ; default" in shown.stdout and "(parts-per-call 4)" in shown.stdout
     bad = tmp_path / "bad.conf"
-    bad.write_text(EXAMPLE.read_text().replace("(reach 3)", "(reach 0)"))
+    bad.write_text(replaced(EXAMPLE.read_text(), "(reach 3)", "(reach 0)"))
     got = badgerbend("check", bad)
     assert got.returncode == 2 and re.search(r"bad\.conf:5:\d+: broker > layout > reach: expected", got.stderr)
     bad.write_text(EXAMPLE.read_text())
     got = badgerbend("check", bad)
     assert got.returncode == 2 and "schema" in got.stderr  # it lies beside the settings, and is not there
     schema = (EXAMPLE.parent / "schema.graphql").read_text()
-    (tmp_path / "schema.graphql").write_text(schema.replace("  fullQuote(", "  other("))
+    (tmp_path / "schema.graphql").write_text(replaced(schema, "  fullQuote(", "  other("))
     got = badgerbend("check", bad)
     assert got.returncode == 2 and "root field Query.other has no (field other ...)" in got.stderr
 
@@ -51,7 +52,7 @@
         taken.listen()
         conf = tmp_path / "broker.conf"
         (tmp_path / "schema.graphql").write_text((EXAMPLE.parent / "schema.graphql").read_text())
-        conf.write_text(EXAMPLE.read_text().replace("(port 8080)", f"(port {taken.getsockname()[1]})"))
+        conf.write_text(replaced(EXAMPLE.read_text(), "(port 8080)", f"(port {taken.getsockname()[1]})"))
         got = badgerbend("run", conf)
         assert got.returncode == 3 and "cannot listen" in got.stderr
 
@@ -106,6 +107,6 @@
 )
 def test_a_wrong_day_is_refused_with_its_place(tmp_path, old, new, says):
     day = tmp_path / "day.conf"
-    day.write_text(SHORT.replace(old, new))
+    day.write_text(replaced(SHORT, old, new))
     got = badgerbend("day", day)
     assert got.returncode == 2 and says in got.stderr and "day.conf:" in got.stderr
--- a/tests/test_configuration_check.py
+++ b/tests/test_configuration_check.py
@@ -5,6 +5,7 @@
 from badgerbend.configuration_check import check_configuration
 from badgerbend.feed.messages import Change
 from tests.feed_stage import Control, Stage, change
+from tests.replacing import replaced
 from tests.test_settings import GOOD
 
 KEY = "configuration/broker"
@@ -33,7 +34,7 @@
     assert old in GOOD
     stage = staged()
     stage.publish(change(KEY, GOOD))
-    (problem,) = stage.publish(change("node/1", "ready"), change(KEY, GOOD.replace(old, new)))
+    (problem,) = stage.publish(change("node/1", "ready"), change(KEY, replaced(GOOD, old, new)))
     assert problem.key == KEY and problem.reason.startswith(reason), problem.reason
     stage.pass_time(5.0)
     assert stage.control.machine.log.revision == 1 and len(stage.installed["f"]) == 1
--- a/tests/test_crossings_signals.py
+++ b/tests/test_crossings_signals.py
@@ -14,10 +14,12 @@
 
 from badgerbend.standin.rig import free_port
 from tests.platform_stage import CELLS, file_of, query, run, surroundings
+from tests.replacing import replaced
 from tests.sockets import until
 
 ROOT = Path(__file__).parent.parent
-RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"].replace(".venv/bin/python", sys.executable)
+DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+RUN = replaced(DEPLOY["run"], ".venv/bin/python", sys.executable)
 HELD = "import os\nopen(os.environ['HELD']).read()\n"  # a start that stands still until its pipe is closed
 
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -15,6 +15,7 @@
 from badgerbend.standin.client import LIMITS
 from badgerbend.standin.rig import free_port
 from tests.platform_stage import file_of, query, run, surroundings
+from tests.replacing import replaced
 from tests.sockets import until
 
 ROOT = Path(__file__).parent.parent
@@ -68,7 +69,7 @@
             assert (await done).status == 200
             node.stop()  # and what it does when a connection is refused
             done = asyncio.get_running_loop().create_future()
-            pool.request(head.replace(b"q1", b"q2") + body, done.set_result)
+            pool.request(replaced(head, b"q1", b"q2") + body, done.set_result)
             assert (await done).status == 503
             process.send_signal(signal.SIGHUP)
             await until(lambda: sum("since" not in path for path in agent.asked) == 2)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,6 +11,7 @@
 from badgerbend.discovery.directory import SLICE, ListError, Reading, listed
 from badgerbend.discovery.lines import consul_directory
 from badgerbend.standin.registry import Entry
+from tests.replacing import replace_attribute
 from tests.sockets import Stage, run, until
 
 READY, DRAINING, GONE = api.NodeState.READY, api.NodeState.DRAINING, api.NodeState.GONE
@@ -88,7 +89,7 @@
                 sizes.append(len(told.lines))
                 tell(told)
 
-            stage.broker.driver.view = view
+            replace_attribute(stage.broker.driver, "view", view)
             for i in range(3000):
                 registry.entries[f"x{i}"] = Entry(f"x{i}", 9, i % 12, 1, 0.0, "gone")
             registry.changed()
--- a/tests/test_federation.py
+++ b/tests/test_federation.py
@@ -5,6 +5,7 @@
 import pytest
 
 from badgerbend.standin.subgraph import rates
+from tests.replacing import replace_attribute
 from tests.sockets import Stage, run, until
 
 COMPARE = """query C($b: [Int!]!, $n: Int) {
@@ -169,7 +170,7 @@
                 server.machine.model.part_ms = 100.0
             asked = asyncio.ensure_future(s.client.query(QUOTE, badgerbend_time_left_ms="3000"))
             await until(lambda: s.seen("ran"))
-            front.now_ms = lambda: clock() + 3000.0  # as if the loop had stood still
+            replace_attribute(front, "now_ms", lambda: clock() + 3000.0)  # as if the loop had stood still
             with pytest.raises(ConnectionError):
                 await asked
             assert front.late == 1 and not front.operations
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -44,6 +44,7 @@
 from badgerbend.feed.relay import Relay, RelayTuning
 from badgerbend.feed.snapshot import SnapshotAssembly
 from tests.feed_stage import ADDRESS, SIGNER, VERIFIER, Control, Stage, change
+from tests.replacing import replace_attribute
 
 MANY = 3000
 DEFAULT_RETENTION = Retention()
@@ -915,7 +916,7 @@
     relay = Relay("v0", machine.log, RelayTuning())
     node = ControlNode(voter, holder, machine, publisher, relay, 0.0, ControlTuning(proposals_at_once=3))
     machine.apply(1, encode(Grant(PUBLISH, "v0", 0)))
-    holder.may_act = lambda now, duty: 1
+    replace_attribute(holder, "may_act", lambda now, duty: 1)
     node.settle(0.0)
     assert publisher.submit(0.0, [change("a", "x" * 6000)]) == ()
 
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -22,6 +22,7 @@
 from badgerbend.feeding import WAITS, read_public_key
 from badgerbend.feednet.relay import RelayServer
 from tests.feed_stage import SIGNER, Control, change
+from tests.replacing import replaced
 from tests.sockets import EXAMPLE, Stage, run, until
 
 KEY = "configuration/broker"
@@ -29,7 +30,7 @@
 PUBLISHED = EXAMPLE.read_text()
 for form in LEFT_OUT:
     assert form in PUBLISHED
-    PUBLISHED = PUBLISHED.replace(form, "")
+    PUBLISHED = replaced(PUBLISHED, form, "")
 FULL_QUOTE = "(class full-quote (aim-ms 1000) (deadline-ms 3000))"
 assert FULL_QUOTE in PUBLISHED
 ASK = "{ fullQuote(blocks: [1], amount: 5) { id } }"
@@ -40,7 +41,7 @@
 
 def configuration(full_quote=FULL_QUOTE, *forms):
     """A published configuration with another class for full quotes, and further forms."""
-    text = PUBLISHED.replace(FULL_QUOTE, full_quote)
+    text = replaced(PUBLISHED, FULL_QUOTE, full_quote)
     return text.rstrip().removesuffix(")") + "\n" + "\n".join(forms) + ")\n"
 
 
@@ -128,7 +129,7 @@
             first = asyncio.ensure_future(s.client.query(ASK))
             await until(lambda: before.driver.queries)
             forms = ("(tenant a (quota-per-s 7))", "(tenant b (quota-per-s 8))")
-            await s.in_force(with_deadline(300, *forms).replace("(need 0.75)", "(need 0.9)"))
+            await s.in_force(replaced(with_deadline(300, *forms), "(need 0.75)", "(need 0.9)"))
             newest = s.generations.newest
             assert newest is not before and s.generations.earlier == [before] and before.driver.queries
             assert [t.quota_per_s for t in newest.driver.module.set.tenants] == [7.0, 8.0]
@@ -285,7 +286,7 @@
             tiers = s.broker.siting.tiers
             held = asyncio.ensure_future(s.client.query(ASK))
             await until(lambda: s.generations.newest.driver.queries)
-            await s.in_force(PUBLISHED.replace("(free 5)", "(free 6)"))
+            await s.in_force(replaced(PUBLISHED, "(free 5)", "(free 6)"))
             earlier, newest = s.generations.earlier[0], s.generations.newest
             assert newest.driver.module.sites is earlier.driver.module.sites is tiers
             next_one = asyncio.ensure_future(s.client.query(ASK))
@@ -327,7 +328,7 @@
         async with FeedStage(tmp_path) as s:
             assert old in PUBLISHED
             before = s.generations.newest
-            revision = s.publish(PUBLISHED.replace(old, new))
+            revision = s.publish(replaced(PUBLISHED, old, new))
             await until(lambda: s.relay.summary().refused)
             (laggard,) = s.relay.summary().laggards
             assert (laggard.name, laggard.refused) == ("broker-0", revision)
--- a/tests/test_feed_faults.py
+++ b/tests/test_feed_faults.py
@@ -27,6 +27,7 @@
     published,
 )
 from tests.feed_stage import VERIFIER, Control, change
+from tests.replacing import replace_attribute
 from tests.tcp_proxy import Link, TcpProxy
 from tests.test_feed_sockets import Owner
 
@@ -463,8 +464,10 @@
         rows = [[], [], []]
         clients = []
         for place, owner in enumerate(owners):
-            owner.unusable = lambda changes, owner=owner, place=place: (
-                rows[place].append(owner.held.get("node/5")) or ""
+            replace_attribute(
+                owner,
+                "unusable",
+                lambda changes, owner=owner, place=place: rows[place].append(owner.held.get("node/5")) or "",
             )
             follower = Follower(f"f{place}", "north", [address], VERIFIER, QUICK, place)
             clients.append(FollowerClient(follower, owner))
--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -11,6 +11,7 @@
 from badgerbend.feednet.follower import FollowerClient
 from badgerbend.feednet.relay import RelayServer
 from tests.feed_stage import VERIFIER, Control, change
+from tests.replacing import replace_attribute
 
 LONGEST_S = 20.0  # a wait that takes so long has failed
 QUICK = FollowerTuning(start_spread=0.0, retry_least=0.02, retry_most=0.1)
@@ -128,7 +129,7 @@
                     held["bad"] = one.value == b"bad"
                 return "line 3: field `port`" if held["bad"] else ""
 
-            owner.unusable = unusable
+            replace_attribute(owner, "unusable", unusable)
             fleet.publish(change("configuration/a", "bad"))
             async with asyncio.timeout(LONGEST_S):
                 while not fleet.relay.summary().refused:
@@ -149,7 +150,7 @@
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: told.append(context["exception"]))
         async with Fleet() as fleet:
             client, owner = fleet.follower("f")
-            owner.unusable = lambda changes: 1 // 0
+            replace_attribute(owner, "unusable", lambda changes: 1 // 0)
             fleet.publish(change("a", "1"))
             await owner.reaches(1)
             async with asyncio.timeout(LONGEST_S):
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -7,6 +7,7 @@
 
 from badgerbend.net.client import End, Pool, PoolLimits
 from badgerbend.net.server import HttpServer, ServerLimits
+from tests.replacing import replaced
 from tests.sockets import Stage, run, until
 
 GOOD = b'{"query":"{ fullQuote(blocks: [1], amount: 5) { id } }"}'
@@ -37,7 +38,7 @@
     "a length and chunks": (
         post(GOOD, b"transfer-encoding: chunked"), 400, b""),
     "two lengths": (post(GOOD, b"content-length: 3"), 400, b""),
-    "a length that is none": (post(GOOD).replace(b"content-length: 5", b"content-length: x5"), 400, b""),
+    "a length that is none": (replaced(post(GOOD), b"content-length: 5", b"content-length: x5"), 400, b""),
     "two hosts": (post(GOOD, b"host: y"), 400, b"came twice"),
     "a space before the colon": (post(GOOD, b"content-length : 4"), 400, b""),
     "long headers": (post(GOOD, b"x: " + b"a" * 20_000), 431, b"too large"),
@@ -49,9 +50,9 @@
     "a query that is no text": (post(b'{"query":7}'), 400, b"str"),
     "variables that are a list": (post(b'{"query":"{a}","variables":[]}'), 400, b"object"),
     "no query": (post(b"{}"), 400, b"query is missing"),
-    "another type": (post(GOOD).replace(b"application/json", b"text/plain"), 415, b"application/json"),
-    "another method": (post(GOOD).replace(b"POST", b"PUT"), 405, b"POST or GET"),
-    "another path": (post(GOOD).replace(b"/graphql", b"/other"), 404, b"/graphql"),
+    "another type": (replaced(post(GOOD), b"application/json", b"text/plain"), 415, b"application/json"),
+    "another method": (replaced(post(GOOD), b"POST", b"PUT"), 405, b"POST or GET"),
+    "another path": (replaced(post(GOOD), b"/graphql", b"/other"), 404, b"/graphql"),
     "no time": (post(GOOD, b"badgerbend-time-left-ms: soon"), 400, b"milliseconds"),
     "nothing acceptable": (post(GOOD, b"accept: text/html"), 406, b""),
 }  # fmt: skip
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,6 +13,7 @@
 from badgerbend.membership.swim import Swim, Tuning
 from badgerbend.net.seal import Refused, Seal
 from badgerbend.standin.network import Network
+from tests.replacing import replace_attribute
 
 QUICK = Tuning(retry_dead_every=3, sync_every=10)
 
@@ -106,7 +107,9 @@
     assert net.run(20, net.agreed)
     deaf, rng = net.members["m0"], random.Random(4)
     receive = deaf.receive
-    deaf.receive = lambda now, data, source: receive(now, data, source) if rng.random() < 0.15 else None
+    replace_attribute(
+        deaf, "receive", lambda now, data, source: receive(now, data, source) if rng.random() < 0.15 else None
+    )
     net.events.clear()
     net.run(60)
     deaf.receive = receive
@@ -266,7 +269,7 @@
                 if n < len(lost) and lost[n]:
                     net._flying[:] = sorted(net._flying)[: len(net._flying) - 1]
 
-        net._collect = some
+        replace_attribute(net, "_collect", some)
         net.run(8)
         net._collect = collect
         assert net.run(200, net.agreed), lost
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -21,6 +21,7 @@
 from badgerbend.peering.exchange import Teller, ask
 from badgerbend.snapshot.store import pack
 from badgerbend.standin.client import Client
+from tests.replacing import replace_attribute
 from tests.sockets import EXAMPLE, Stage, run, until
 
 QUOTE = "{ fullQuote(blocks: %s, amount: 5) { id } }"
@@ -157,7 +158,7 @@
         def liar(exchange):  # knows no key, and plays back a body
             exchange.respond(200, encode(own), b"", ((b"badgerbend-mac", b"00" * 32),))
 
-        teller.http.handler = liar
+        replace_attribute(teller.http, "handler", liar)
         port = await teller.http.start("127.0.0.1", 0)
         teller.http.closing = False
         ask(key, "127.0.0.1", port, got.append)
--- a/tests/test_planted_defects.py
+++ b/tests/test_planted_defects.py
@@ -8,6 +8,7 @@
 
 from badgerbend.consensus.raft import Raft
 from tests.planted_defects import DefectReader
+from tests.replacing import NothingToReplaceError, replace_attribute, replaced
 
 ROOT = Path(__file__).resolve().parents[1]
 FILES = sorted(path for path in (ROOT / "tests").rglob("*.py") if path.name != "__init__.py")
@@ -37,6 +38,8 @@
     "tests/test_siting.py": {"Keyed": {"folder"}},
 }
 
+UNCHECKED = {"tests/replacing.py": ["text.replace(old, new)"]}  # after its own check
+
 
 def name_of(path):
     return path.relative_to(ROOT).as_posix()
@@ -59,6 +62,13 @@
     assert ADDED.keys() <= {name_of(path) for path in FILES}
 
 
+@pytest.mark.parametrize("path", FILES, ids=name_of)
+def test_every_replacement_fails_where_there_is_nothing_to_replace(path):
+    # `monkeypatch.setattr`, `replace_attribute` and `replaced` do; see tests/replacing.py
+    module = importlib.import_module(".".join(path.relative_to(ROOT).with_suffix("").parts))
+    assert DefectReader(path, module, ROOT).unchecked() == UNCHECKED.get(name_of(path), [])
+
+
 SOUND = """
 class Mutant(Raft):
     def _advance(self, now):
@@ -84,5 +94,42 @@
 def test_a_name_that_the_product_does_not_have_is_found(tmp_path, old, new, stale):
     assert old in SOUND
     path = tmp_path / "test_some.py"
-    path.write_text(SOUND.replace(old, new))
+    path.write_text(replaced(SOUND, old, new, SOUND.count(old)))
     assert stale_by_owner(DefectReader(path, SimpleNamespace(Raft=Raft), ROOT)) == stale
+
+
+@pytest.mark.parametrize(
+    "source, unchecked",
+    [
+        ("x.agg._admits = lambda node: True", ["x.agg._admits"]),
+        ("def some(): ...\nx.agg._admits = some", ["x.agg._admits"]),
+        ("admits = x.agg._admits\nx.agg._admits = admits", []),
+        ("x.nothing_of_the_product = lambda: 1", []),
+        ("text.replace('ab', 'c')", ["text.replace('ab', 'c')"]),
+        ("text.replace(old, new, 1)", ["text.replace(old, new, 1)"]),
+        ("text.replace('_', '-')", []),
+        ("replace(SETTINGS, seed=1)", []),
+        ("m.setattr(x, 'name', 1, raising=False)", ["m.setattr(x, 'name', 1, raising=False)"]),
+    ],
+)
+def test_what_counts_as_unchecked(tmp_path, source, unchecked):
+    path = tmp_path / "test_some.py"
+    path.write_text(source)
+    assert DefectReader(path, SimpleNamespace(), ROOT).unchecked() == unchecked
+
+
+def test_replacing_an_attribute_that_is_not_there_fails():
+    owner = SimpleNamespace(one=1)
+    replace_attribute(owner, "one", 2)
+    assert owner.one == 2
+    with pytest.raises(NothingToReplaceError, match="SimpleNamespace has no two"):
+        replace_attribute(owner, "two", 2)
+
+
+@pytest.mark.parametrize("old, times", [("none", 1), ("twice", 1), ("once", 2)])
+def test_replacing_text_that_does_not_stand_as_often_fails(old, times):
+    text = "once twice twice"
+    assert replaced(text, "once", "1") == "1 twice twice"
+    assert replaced(text, "twice", "2", times=2) == "once 2 2"
+    with pytest.raises(NothingToReplaceError):
+        replaced(text, old, "", times)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -22,6 +22,7 @@
 from badgerbend.standin.framenode import FrameNode
 from badgerbend.standin.rig import free_port
 from tests.platform_stage import CELLS, SHARDS, Stage, file_of, query, run, surroundings
+from tests.replacing import replaced
 from tests.sockets import until
 
 ROOT = Path(__file__).parent.parent
@@ -133,7 +134,7 @@
     "a shard that is half": dict(body=b'{"tablets":[{"tablet":1.5,"fraction":1}],"statement":"x"}'),
     "a shard twice": dict(body=query((1, 1))),
     "weights beyond 1": dict(body=b'{"tablets":[{"tablet":1,"fraction":7}],"statement":"x"}'),
-    "a weight below 0": dict(body=query((1, 2)).replace(b"0.5", b"-0.5", 1).replace(b":0.5", b":1.5")),
+    "a weight below 0": dict(body=replaced(replaced(query((1, 2)), b"0.5},", b"-0.5},"), b":0.5", b":1.5")),
     "weights short of 1": dict(body=b'{"tablets":[{"tablet":1,"fraction":0.4}],"statement":"x"}'),
     "a weight that is no number": dict(body=b'{"tablets":[{"tablet":1,"fraction":NaN}],"statement":"x"}'),
     "a guess beyond reason": dict(body=b'{"tablets":[{"tablet":1,"fraction":1,"guess":-4}],"statement":"x"}'),
--- a/tests/test_published.py
+++ b/tests/test_published.py
@@ -7,6 +7,7 @@
 from badgerbend.config.fleet import Duties, Site, Sites, VoterAt
 from badgerbend.config.published import settings_in_force
 from badgerbend.config.settings import Attempts, Identity, Listen, Servers, Tenant
+from tests.replacing import replaced
 from tests.test_settings import GOOD
 
 REPLACE = msgspec.structs.replace
@@ -21,7 +22,8 @@
 
 
 def test_what_a_configuration_leaves_out_stays_the_brokers_own_where_it_cannot_change():
-    text = with_forms("(tenant a (quota-per-s 7))", "(attempts (most 2))", "(max-open 50)").replace("4000", "4500")
+    text = with_forms("(tenant a (quota-per-s 7))", "(attempts (most 2))", "(max-open 50)")
+    text = replaced(text, "4000", "4500")
     got = settings_in_force(OWN, text, "c")
     assert got.class_[0].deadline_ms == 4500.0 and got.max_open == 50
     assert got.tenant == (Tenant("a", 7.0),) and got.attempts == Attempts(most=2)
@@ -56,7 +58,7 @@
         ("schema.graphql", "other.graphql", "c:3:3: broker > schema"),
     ):
         with pytest.raises(sexpr.SettingsError, match=f"{path}: cannot change"):
-            settings_in_force(OWN, GOOD.replace(old, new), "c")
+            settings_in_force(OWN, replaced(GOOD, old, new), "c")
     with pytest.raises(sexpr.SettingsError, match="c:7:12: broker > servers > idle-ms: cannot change"):
         settings_in_force(OWN, with_forms("(servers (idle-ms 78))"), "c")
 
@@ -69,7 +71,7 @@
         with pytest.raises(sexpr.SettingsError, match="cannot change"):
             settings_in_force(own, with_forms(form), "c")
     with pytest.raises(sexpr.SettingsError, match="broker > class: cannot change"):
-        settings_in_force(own, GOOD.replace("4000", "4500"), "c")
+        settings_in_force(own, replaced(GOOD, "4000", "4500"), "c")
 
 
 def test_what_cold_allowance_rests_on_cannot_change():
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,6 +7,7 @@
 from hypothesis import strategies as st
 
 from badgerbend.config import decode, module, reading, settings, sexpr
+from tests.replacing import replaced
 
 GOOD = """; a comment
 (broker
@@ -49,7 +50,7 @@
 )
 def test_what_is_wrong_is_named_with_its_place(old, new, says):
     assert old in GOOD
-    check_place(GOOD.replace(old, new), says)
+    check_place(replaced(GOOD, old, new), says)
 
 
 def check_place(marked, says):
@@ -64,7 +65,7 @@
 
 def test_a_field_of_an_unknown_class_is_named():
     with pytest.raises(sexpr.SettingsError, match="rateCompare has class other, which is none of compare"):
-        reading.parse(GOOD.replace("(class compare) (blocks", "(class other) (blocks"), "x.conf")
+        reading.parse(replaced(GOOD, "(class compare) (blocks", "(class other) (blocks"), "x.conf")
 
 
 FEED = """
@@ -79,9 +80,9 @@
     assert reading.parse(GOOD, "x.conf").feed is None
     got = reading.parse(WITH_FEED, "x.conf").feed
     assert got.configuration == "configuration/brokers" and [r.name for r in got.relay] == ["one", "two"]
-    without = WITH_FEED.replace('(configuration "configuration/brokers")', "")
+    without = replaced(WITH_FEED, '(configuration "configuration/brokers")', "")
     assert reading.parse(without, "x.conf").feed.configuration == "configuration/broker"
-    assert got.list and not reading.parse(WITH_FEED.replace("(list true)", ""), "x.conf").feed.list
+    assert got.list and not reading.parse(replaced(WITH_FEED, "(list true)", ""), "x.conf").feed.list
     shown = decode.show(reading.parse(WITH_FEED, "x.conf"))
     assert reading.parse(f"(broker\n{shown}\n)", "shown").feed == got
 
@@ -103,12 +104,12 @@
 )  # fmt: skip
 def test_what_is_wrong_with_a_feed_is_named_with_its_place(old, new, says):
     assert old in WITH_FEED
-    check_place(WITH_FEED.replace(old, new), says)
+    check_place(replaced(WITH_FEED, old, new), says)
 
 
 def test_a_feed_needs_relays_with_names_of_their_own():
     first = WITH_FEED.index("(feed")
-    twice = WITH_FEED.replace("(relay two", "(relay one")
+    twice = replaced(WITH_FEED, "(relay two", "(relay one")
     check_place(f"{twice[:first]}@{twice[first:]}", "broker > feed: two relays are named one")
     none = GOOD.rstrip().removesuffix(")") + '\n @(feed (public-key "feed.pub") (region north)))'
     check_place(none, "broker > feed: relay is missing")
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -16,6 +16,7 @@
 from badgerbend.platform import names
 from tests.clock import Clock
 from tests.conftest import SETTINGS
+from tests.replacing import replace_attribute
 
 
 class Fallen:
@@ -204,7 +205,7 @@
 def test_a_version_that_goes_back_has_the_whole_list_asked_for(asks):
     # An agent that starts anew counts from the beginning: what it has was taken for nothing new.
     agent = Fallen(news=[(2.0, "up"), (2.5, "up"), (4.0, "draining")])
-    agent.rev = lambda now: 1 + sum(at <= now for at, _ in agent.news) - (3 if now >= 4.0 else 0)
+    replace_attribute(agent, "rev", lambda now: 1 + sum(at <= now for at, _ in agent.news) - (3 if now >= 4.0 else 0))
     heard, watch = play(agent, 8.0, asks=asks)
     assert min(t for t, state in heard if state == api.NodeState.DRAINING) <= 4.0 + 2.1
 
@@ -246,14 +247,14 @@
 def test_a_list_that_came_whole_is_told_to_its_end_when_discovery_moves(turns):
     # Its slices were dropped with the call: what the old agent had told was never obeyed while the new one was silent.
     agent, replies, heard = Fallen(), [], []
-    agent.request = lambda head, on_reply: replies.append(on_reply) or Timer()
+    replace_attribute(agent, "request", lambda head, on_reply: replies.append(on_reply) or Timer())
     directory = Directory(4, form(names.MEMBERS, ("a",), ("m",)), one_clock=True)
     watch = Watch(
         MembersTarget(names.MEMBERS, ("127.0.0.1", 1), False, 0.5), directory, agent, lambda: agent.clock.now,
         agent.time, lambda view: heard.extend(view.lines), lambda what, why: None, 1, "test",
     )  # fmt: skip
     watch.pool = agent
-    watch._pool = lambda: agent
+    replace_attribute(watch, "_pool", lambda: agent)
 
     def tell(state):
         rows = [ROW | {"uid": f"s-{i}", "state": state} for i in range(350)]
--- a/tests/test_siting.py
+++ b/tests/test_siting.py
@@ -17,6 +17,7 @@
 from badgerbend.config.sexpr import SettingsError
 from badgerbend.net.fetch import fetch
 from badgerbend.standin.day import load_day, play
+from tests.replacing import replaced
 
 EXAMPLES = Path(__file__).parent.parent / "examples" / "sites"
 KEY = "a key of enough letters"
@@ -40,8 +41,9 @@
     Brokers keep back more of a client's time than usual: CI machines stall.
     """
     schema = (EXAMPLES / "../../badgerbend/standin/rates/schema.graphql").resolve()
-    text = (EXAMPLES / "broker.conf").read_text().replace("../../badgerbend/standin/rates/schema.graphql", str(schema))
-    text = text.replace("  (layout", "  (listen (answer-allowance-ms 800))\n  (layout", 1)
+    text = (EXAMPLES / "broker.conf").read_text()
+    text = replaced(text, "../../badgerbend/standin/rates/schema.graphql", str(schema))
+    text = replaced(text, "  (layout", "  (listen (answer-allowance-ms 800))\n  (layout")
     (tmp_path / "broker.conf").write_text(text)
     path = tmp_path / "short.conf"
     path.write_text((EXAMPLES / "short.conf").read_text())
@@ -166,15 +168,15 @@
     text = (EXAMPLES / "broker.conf").read_text()
     assert old in text
     with pytest.raises(SettingsError) as err:
-        parse(text.replace(old, new, 1), "x.conf")
+        parse(replaced(text, old, new), "x.conf")
     assert says in str(err.value) and str(err.value).startswith("x.conf:")
 
 
 def test_a_key_that_can_be_guessed_is_refused(tmp_path, monkeypatch):
     (tmp_path / "key").write_text("short")
-    text = (EXAMPLES / "broker.conf").read_text().replace("(spill 0.8)", '(key "key")')
+    text = replaced((EXAMPLES / "broker.conf").read_text(), "(spill 0.8)", '(key "key")')
     schema = (EXAMPLES / "../../badgerbend/standin/rates/schema.graphql").resolve()
-    text = text.replace("../../badgerbend/standin/rates/schema.graphql", str(schema))
+    text = replaced(text, "../../badgerbend/standin/rates/schema.graphql", str(schema))
     (tmp_path / "broker.conf").write_text(text)
     from typer.testing import CliRunner
 
