--- /dev/null
+++ b/tests/test_planted_defects.py
@@ -0,0 +1,135 @@
+"""Each defect that the tests plant stands on something that the product has."""
+
+import importlib
+from pathlib import Path
+from types import SimpleNamespace
+
+import pytest
+
+from badgerbend.consensus.raft import Raft
+from tests.planted_defects import DefectReader
+from tests.replacing import NothingToReplaceError, replace_attribute, replaced
+
+ROOT = Path(__file__).resolve().parents[1]
+FILES = sorted(path for path in (ROOT / "tests").rglob("*.py") if path.name != "__init__.py")
+
+# What test classes with a base of the product add to it: names that override nothing.
+ADDED = {
+    "tests/feed_process.py": {
+        "MeasuredRelay": {
+            "_leaked_at",
+            "_measure",
+            "clock",
+            "in_flight_most",
+            "largest_frame",
+            "largest_piece",
+            "loading_most",
+            "over_pace",
+            "over_pace_most",
+            "snapshot_bytes",
+        },
+        "ReportingClient": {"publications"},
+        "ReportingControl": {"told"},
+    },
+    "tests/known_red.py": {"report": {"longrepr"}},  # of pytest
+    "tests/modelvoters.py": {"new": {"__dict__"}},
+    "tests/mutants.py": {"CountsTwice": {"heard"}},
+    "tests/test_feed_faults.py": {"LyingRelay": {"lie"}},
+    "tests/test_siting.py": {"Keyed": {"folder"}},
+}
+
+UNCHECKED = {"tests/replacing.py": ["text.replace(old, new)"]}  # after its own check
+
+
+def name_of(path):
+    return path.relative_to(ROOT).as_posix()
+
+
+def stale_by_owner(reader):
+    found = {}
+    for stale in reader.stale():
+        found.setdefault(stale.owner, set()).add(stale.name)
+    return found
+
+
+@pytest.mark.parametrize("path", FILES, ids=name_of)
+def test_what_a_test_overrides_or_assigns_is_there(path):
+    module = importlib.import_module(".".join(path.relative_to(ROOT).with_suffix("").parts))
+    assert stale_by_owner(DefectReader(path, module, ROOT)) == ADDED.get(name_of(path), {})
+
+
+def test_every_file_with_added_names_exists():
+    assert ADDED.keys() <= {name_of(path) for path in FILES}
+
+
+@pytest.mark.parametrize("path", FILES, ids=name_of)
+def test_every_replacement_fails_where_there_is_nothing_to_replace(path):
+    # `monkeypatch.setattr`, `replace_attribute` and `replaced` do; see tests/replacing.py
+    module = importlib.import_module(".".join(path.relative_to(ROOT).with_suffix("").parts))
+    assert DefectReader(path, module, ROOT).unchecked() == UNCHECKED.get(name_of(path), [])
+
+
+SOUND = """
+class Mutant(Raft):
+    def _advance(self, now):
+        self.commit = 1
+        self.log.base = 0
+
+Other = type("Other", (Raft,), {"_advance": None})
+"""
+
+
+@pytest.mark.parametrize(
+    "old, new, stale",
+    [
+        ("def _advance", "def _advance_gone", {"Mutant": {"_advance_gone"}}),
+        ("self.commit", "self.commit_gone", {"Mutant": {"commit_gone"}}),
+        ("self.log.base", "self.log.base_gone", {"self.log": {"base_gone"}}),
+        ('{"_advance"', '{"_advance_gone"', {"'Other'": {"_advance_gone"}}),
+        ("class Mutant(Raft)", "class Base(Raft): ...\nclass Mutant(Base)", {}),
+        ("def _advance", "_advance = 1\n    def _receive", {"Mutant": {"_receive"}}),
+        ("_advance", "_advance", {}),
+    ],
+)
+def test_a_name_that_the_product_does_not_have_is_found(tmp_path, old, new, stale):
+    assert old in SOUND
+    path = tmp_path / "test_some.py"
+    path.write_text(replaced(SOUND, old, new, SOUND.count(old)))
+    assert stale_by_owner(DefectReader(path, SimpleNamespace(Raft=Raft), ROOT)) == stale
+
+
+@pytest.mark.parametrize(
+    "source, unchecked",
+    [
+        ("x.agg._admits = lambda node: True", ["x.agg._admits"]),
+        ("def some(): ...\nx.agg._admits = some", ["x.agg._admits"]),
+        ("admits = x.agg._admits\nx.agg._admits = admits", []),
+        ("x.nothing_of_the_product = lambda: 1", []),
+        ("text.replace('ab', 'c')", ["text.replace('ab', 'c')"]),
+        ("text.replace(old, new, 1)", ["text.replace(old, new, 1)"]),
+        ("text.replace('_', '-')", []),
+        ("replace(SETTINGS, seed=1)", []),
+        ("m.setattr(x, 'name', 1, raising=False)", ["m.setattr(x, 'name', 1, raising=False)"]),
+    ],
+)
+def test_what_counts_as_unchecked(tmp_path, source, unchecked):
+    path = tmp_path / "test_some.py"
+    path.write_text(source)
+    assert DefectReader(path, SimpleNamespace(), ROOT).unchecked() == unchecked
+
+
+def test_replacing_an_attribute_that_is_not_there_fails():
+    owner = SimpleNamespace(one=1)
+    replace_attribute(owner, "one", 2)
+    assert owner.one == 2
+    with pytest.raises(NothingToReplaceError, match="SimpleNamespace has no two"):
+        replace_attribute(owner, "two", 2)
+
+
+@pytest.mark.parametrize("old, times", [("none", 1), ("twice", 1), ("once", 2)])
+def test_replacing_text_that_does_not_stand_as_often_fails(old, times):
+    text = "once twice twice"
+    assert replaced(text, "once", "1") == "1 twice twice"
+    assert replaced(text, "twice", "2", times=2) == "once 2 2"
+    with pytest.raises(NothingToReplaceError):
+        replaced(text, old, "", times)
