--- /dev/null
+++ b/tests/test_public_interfaces.py
@@ -0,0 +1,193 @@
+"""Settings, deploy file, stored documents and command line keep their names, defaults and words."""
+
+import copy
+import tomllib
+from pathlib import Path
+from typing import get_args
+
+import msgspec
+import pytest
+import typer
+from typer.testing import CliRunner
+
+# Whoever renames a class or module edits these lines, and nothing else in this file.
+from badgerbend import cli, facts
+from badgerbend.config.decode import dashed
+from badgerbend.config.reading import parse as parse_settings
+from badgerbend.config.settings import Settings
+from badgerbend.config.sexpr import SettingsError
+from badgerbend.discovery.keyed import NodeRow
+from badgerbend.knowledge.record import Record
+from badgerbend.ledger.store import Owner as VoterOwner
+from badgerbend.platform import config as platform_config
+from badgerbend.platform.config import Limits as PlatformLimits
+from badgerbend.snapshot.store import _Body as SnapshotBody
+from tests.interfaces import RecordingMapping, compare, struct_schema
+from tests.platform_stage import SETTINGS, file_of
+
+ROOT = Path(__file__).parent.parent
+EXAMPLES = ("badgerbend/standin/rates/broker.conf", "examples/sites/broker.conf")
+OPTIONAL_PATHS = {
+    "specifics.classPartial": "0.5,0.5,0.5",
+    "obligations.minExtra": "1",
+    "obligations.extraPerRequest": "0.5",
+    "obligations.lookBackMs": "1000",
+    "obligations.drainGraceMs": "250",
+}
+
+
+# -- settings as S-expressions
+
+
+def known_keys(text, path):
+    """The keys that the parser says it knows at the innermost form of `text`."""
+    with pytest.raises(SettingsError) as error:
+        parse_settings(text, "file")
+    said = str(error.value)
+    assert "; known are " in said, f"{path}: {said}"
+    return said.partition("; known are ")[2].split(", ")
+
+
+def forms(schema, path=()):
+    """Each form that holds others, as its keys from the top, with whether it begins with a name."""
+    for key, inner in schema["fields"].items():
+        kinds = [inner, *inner.get("anyOf", ()), *([inner["items"]] if "items" in inner else [])]
+        for kind in kinds:
+            if "fields" in kind:
+                here = (*path, (key, inner.get("type") == "array"))
+                yield here
+                yield from forms(kind, here)
+
+
+def test_settings_have_the_same_forms_fields_types_bounds_defaults_and_words():
+    compare("settings", struct_schema(Settings, dashed))
+
+
+def test_the_parser_knows_the_same_keys_in_every_form():
+    known = {"broker": known_keys("(broker (qqqqqqqqqq 1))", "broker")}
+    for path in forms(struct_schema(Settings, dashed)):
+        text = "(qqqqqqqqqq 1)"
+        for key, named in reversed(path):
+            text = f"({key} {'one ' if named else ''}{text})"
+        name = " ".join(key for key, _ in path)
+        known[name] = known_keys(f"(broker {text})", name)
+    compare("settings_keys", known)
+
+
+@pytest.mark.parametrize("example", EXAMPLES)
+def test_check_shows_the_same_settings_of_an_example(example):
+    result = CliRunner().invoke(cli.app, ["check", str(ROOT / example), "--show"])
+    assert result.exit_code == 0
+    lines = result.output.replace(str(ROOT), "ROOT").splitlines()
+    compare("check_show_" + Path(example).parent.name, lines)
+
+
+# -- the platform's configuration and deploy file
+
+
+def platform_paths():
+    """Every value of a complete platform configuration, by its path; optional ones too."""
+    paths = facts.flatten(SETTINGS)
+    return paths | OPTIONAL_PATHS
+
+
+def answer_to(file, key):
+    """What the platform says of a configuration file: that it is accepted, or whether its error names the key."""
+    try:
+        platform_config.parse(msgspec.json.encode(file), {})
+    except platform_config.ConfigError as error:
+        return "error names the key" if key in str(error) else "error"
+    return "accepted"
+
+
+def put(settings, path, value):
+    """Sets the value at a path, or takes it away where value is None."""
+    *names, last = path.split(".")
+    where = settings
+    for name in names:
+        where = where[int(name)] if isinstance(where, list) else where[name]
+    if value is None:
+        where.pop(last, None)
+    else:
+        where[last] = value
+
+
+def test_the_platform_looks_up_the_same_keys():
+    looked_up = {}
+    for mode in ("push", "ask"):
+        settings = RecordingMapping(platform_paths() | {"registryMode": mode})
+        facts.read_settings(settings)
+        looked_up[mode] = sorted(settings.looked_up)
+    compare("platform_keys", looked_up)
+
+
+def test_the_platform_names_the_same_keys_in_its_errors():
+    told = {}
+    complete = msgspec.json.decode(file_of(8500))
+    for path in platform_paths():
+        if path.endswith(".count"):
+            continue
+        for way, value in (("missing", None), ("malformed", "?")):
+            file = copy.deepcopy(complete)
+            put(file["settings"], path, value)
+            told[f"{path} {way}"] = answer_to(file, path)
+    compare("platform_errors", told)
+
+
+def test_the_platform_file_has_the_same_members():
+    told = {}
+    complete = msgspec.json.decode(file_of(8500))
+    for name in complete:
+        told[f"{name} missing"] = answer_to({key: value for key, value in complete.items() if key != name}, name)
+        told[f"{name} malformed"] = answer_to(complete | {name: ["?"]}, name)
+    told["known list malformed"] = answer_to(complete | {"known": {"targets": "?"}}, "known.targets")
+    listed = {"limits": struct_schema(PlatformLimits), "told": told}
+    compare("platform_file", listed)
+
+
+def test_the_deploy_file_has_the_same_keys_and_commands():
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
+    movable = {"policy", "node"}  # paths of code: they follow the packages
+    compare("deploy", {key: "paths" if key in movable else value for key, value in deploy.items()})
+
+
+# -- documents that are stored or sent with field names
+
+
+def test_documents_with_field_names_keep_them():
+    documents = {
+        "voter's owner file": VoterOwner,
+        "snapshot's body": SnapshotBody,
+        "knowledge record": Record,
+        "row of the list in the feed": NodeRow,
+    }
+    compare("documents", {name: struct_schema(kind) for name, kind in documents.items()})
+
+
+# -- the command line
+
+
+def parameter(param):
+    kind = param.type_descriptor.annotation
+    return {
+        "kind": param.param_type_name,
+        "options": [*param.opts, *param.secondary_opts],
+        "type": getattr(kind, "__name__", str(kind)),
+        "words": [str(word) for word in get_args(kind)],
+        "required": param.required,
+        "many": param.multiple,
+        "values": param.nargs,
+        "default": param.default if isinstance(param.default, bool | int | float | list | None) else str(param.default),
+    }
+
+
+def command_tree(command):
+    subcommands = getattr(command, "commands", {})
+    return {
+        "parameters": [parameter(param) for param in command.params],
+        "commands": {name: command_tree(inner) for name, inner in sorted(subcommands.items())},
+    }
+
+
+def test_commands_have_the_same_names_options_arguments_and_defaults():
+    compare("commands", command_tree(typer.main.get_command(cli.app)))
