--- a/tests/interfaces.py
+++ b/tests/interfaces.py
@@ -55,7 +55,22 @@
         return first | {key: merge_shapes(first.get(key), inner) for key, inner in second.items()}
     if isinstance(first, list) and isinstance(second, list):
         return [merge_shapes(first[0], second[0])]
-    return first if second in (None, "value") else second
+    if first is None or first == "value":
+        return first if second is None else second
+    return first
+
+
+def answer_seen(reply):
+    """What a client can rely on in an HTTP answer: status, headers, and the key set of JSON."""
+    kind = reply.headers.get(b"content-type", b"").decode()
+    seen = {
+        "status": reply.status,
+        "headers": sorted(name.decode() for name in reply.headers),
+        "content-type": kind,
+    }
+    if "json" in kind:
+        seen["json"] = shape(msgspec.json.decode(reply.body))
+    return seen
 
 
 # -- schemas of msgspec structs, by the names they have when encoded
--- /dev/null
+++ b/tests/test_public_platform.py
@@ -0,0 +1,94 @@
+"""The platform's HTTP interface, its names on the wire and its log lines stay as they are."""
+
+import dataclasses
+from enum import Enum
+from types import SimpleNamespace
+
+import msgspec
+
+# Whoever renames a class or an attribute that is reached here edits these lines.
+from badgerbend.api import Outcome
+from badgerbend.platform import names
+from badgerbend.platform.config import ConfigError
+from badgerbend.platform.tally import Tally
+from badgerbend.runtime.ports import Ending
+from tests.interfaces import answer_seen, compare, shape
+from tests.platform_stage import Stage, query, run
+from tests.sockets import until
+
+REQUESTS = (
+    ("health", b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"),
+    ("other method", b"GET /quote HTTP/1.1\r\nHost: x\r\n\r\n"),
+    ("no class", b"POST /nothing HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"),
+)
+HEADERS = (
+    ("other class", {"X_Service_Class": "some"}),
+    ("no id", {"X_Correlation_Id": None}),
+    ("other tenant", {"X_Account": "nobody"}),
+    ("no time left", {"X_Time_Left_Ms": None}),
+    ("a retry", {"X_Repeat": "1"}),
+)
+
+
+def plain(value):
+    """A table of names as JSON; enum members by their own words."""
+    if dataclasses.is_dataclass(value) or (isinstance(value, tuple) and hasattr(value, "_fields")):
+        fields = dataclasses.fields(value) if dataclasses.is_dataclass(value) else ()
+        listed = [getattr(value, field.name) for field in fields] or list(value)
+        return [plain(inner) for inner in listed]
+    if isinstance(value, dict) and all(isinstance(inner, str) for inner in value.values()):
+        return list(value.values())  # its keys are names in the code
+    if isinstance(value, dict):
+        return {plain(key): plain(inner) for key, inner in value.items()}
+    if isinstance(value, bytes):
+        return value.decode()
+    if isinstance(value, Enum):
+        return value.value
+    return value
+
+
+def test_names_on_the_wire_in_their_order():
+    tables = [value for name, value in vars(names).items() if name.isupper()]
+    compare("platform_names", [plain(value) for value in tables])
+
+
+def test_requests_answers_and_log_lines_of_the_service():
+    async def main():
+        seen, lines = {}, {}
+        async with Stage() as stage:
+            for what, request in REQUESTS:
+                seen[what] = answer_seen(await stage.reply(request))
+            seen["query"] = answer_seen(await stage.reply(stage.head(query((1, 2, 3)))))
+            for what, changes in HEADERS:
+                seen[what] = answer_seen(await stage.reply(stage.head(query((1, 2, 3)), **changes)))
+            seen["keyed"] = answer_seen(await stage.reply(stage.head(query((1,)), b"accept")))
+            seen["keyed without a key"] = answer_seen(
+                await stage.reply(stage.head(query((1,)), b"accept", Idempotency_Key=None))
+            )
+            seen["other body"] = answer_seen(await stage.reply(stage.head(b"{}")))
+            stage.service.reload(lambda: stage.config)
+            stage.service.reload(unusable)
+            await until(lambda: any(what == "summary" for what, _ in stage.troubles))
+            for what, values in stage.troubles:
+                lines.setdefault(what, list(values))
+        compare("platform_http", seen)
+        compare("platform_lines", dict(sorted(lines.items())))
+
+    run(main)
+
+
+def unusable():
+    raise ConfigError("unusable")
+
+
+def test_log_lines_of_queries_and_servers(capsys):
+    tally = Tally(("quote",), "server-{}".format)
+    for outcome in Outcome:
+        tally.attempt_ended(SimpleNamespace(node=1), outcome, 2.0)
+    for how in ("answered", "refused", "failed", "failed by the watch"):
+        tally.query_ended(Ending(1, "q1", 0, how, "why", 3.0, 1, 0, ()))
+    tally.trouble("some kind", "some detail")
+    tally.list_taken(7, 0.1, 0.2)
+    tally.summary(cut=0)
+    lines = [msgspec.json.decode(line) for line in capsys.readouterr().err.splitlines()]
+    compare("platform_log", [{"what": line["what"], "keys": shape(line)} for line in lines])
