--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -44,6 +44,7 @@
 from badgerbend.leases.messages import GrantLease, encode
 from badgerbend.leases.voter import Voter
 from tests.feed_stage import ADDRESS, SIGNER, VERIFIER, Control, Stage, change
+from tests.replacing import replace_attribute
 
 MANY = 3000
 DEFAULT_RETENTION = Retention()
@@ -917,7 +918,7 @@
     relay = Relay("v0", machine.log, RelayTuning())
     node = ControlNode(voter, holder, machine, publisher, relay, 0.0, ControlTuning(proposals_at_once=3))
     machine.apply(1, encode(GrantLease(PUBLISH, "v0", 0)))
-    holder.may_act = lambda now, duty: 1
+    replace_attribute(holder, "may_act", lambda now, duty: 1)
     node.settle(0.0)
     assert publisher.submit(0.0, [change("a", "x" * 6000)]) == ()
 
