--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -17,7 +17,8 @@
 from badgerbend.discovery.keyed import KeyedList, keyed_directory
 from badgerbend.discovery.lines import consul_directory
 from badgerbend.discovery.watch import Watch
-from badgerbend.generation import Generation, Generations, Shared
+from badgerbend.generations.generation import Generation, SharedResources
+from badgerbend.generations.manager import GenerationManager
 from badgerbend.graphql.front import GraphQLFront
 from badgerbend.graphql.schema import Subgraph, subgraph
 from badgerbend.lease_service.http import handle_duties
@@ -36,7 +37,7 @@
 from badgerbend.siting import Siting
 
 if TYPE_CHECKING:
-    from badgerbend.feeding import Feeding
+    from badgerbend.feed_subscription.subscription import FeedSubscription
 
 SWEEP_S = 0.5
 TEXT = b"text/plain; version=0.0.4; charset=utf-8"
@@ -91,10 +92,10 @@
         slices = broker_budget(settings)
         if self.siting is not None:
             self.siting.tiers.allowance = slices
-        shared = Shared(
+        shared = SharedResources(
             loop, self.directory, self.watch, self.pools.of, self.metrics, self.decisions, preference, slices
         )
-        self.generations = Generations(settings, graph, shared)
+        self.generations = GenerationManager(settings, graph, shared)
         self.learning: Learning | None = None
         if settings.peers is not None or settings.snapshot is not None:
             self.learning = Learning(settings, self.driver, self.directory, self.metrics.trouble)
@@ -103,9 +104,9 @@
             self.rota = LeaseService(
                 settings, settings.duties, folder, self.driver, self.directory, self.pools.of, slices, clock
             )
-        self._newest(self.generations.newest)
-        self.generations.on_newest = self._newest
-        self.feeding = self._feeding(folder)
+        self._follow_generation(self.generations.current)
+        self.generations.on_current_changed = self._follow_generation
+        self.feed_subscription = self._subscribe_to_feed(folder)
         self.server = HttpServer(
             self._route,
             ServerLimits(
@@ -139,29 +140,29 @@
             f"badgerbend/{index}",
         )
 
-    def _feeding(self, folder: Path) -> Feeding | None:
-        """The broker's part in the feed, whose code is loaded only where the settings ask for it."""
+    def _subscribe_to_feed(self, folder: Path) -> FeedSubscription | None:
+        """The broker's subscription to the feed, whose code is loaded only where the settings ask for it."""
         if self.settings.feed is None:
             return None
-        from badgerbend.feeding import Feeding
+        from badgerbend.feed_subscription.subscription import FeedSubscription
 
         listed = self.watch if isinstance(self.watch, KeyedList) else None
-        return Feeding(self.settings, self.settings.feed, folder, self.generations, self.metrics, listed)
+        return FeedSubscription(self.settings, self.settings.feed, folder, self.generations, self.metrics, listed)
 
     def _view(self, view: api.EndpointUpdate) -> None:
-        self.generations.view(view)
+        self.generations.update_endpoints(view)
 
     @property
     def driver(self) -> Driver:
         """That of the newest configuration."""
-        return self.generations.newest.driver
+        return self.generations.current.driver
 
     @property
     def front(self) -> GraphQLFront:
         """That of the newest configuration."""
-        return self.generations.newest.front
+        return self.generations.current.front
 
-    def _newest(self, generation: Generation) -> None:
+    def _follow_generation(self, generation: Generation) -> None:
         """Who learns and who shares duties does so for the newest configuration."""
         generation.answers.learning = self.learning
         for part in (self.learning, self.rota):
@@ -185,8 +186,8 @@
             self.siting.start()
         # a first event, so that the module asks for the list where that is its part, and for its first alarm
         self.driver.view(api.EndpointUpdate(api.UpdateKind.CACHED, ()))
-        if self.feeding is not None:
-            self.feeding.start()
+        if self.feed_subscription is not None:
+            self.feed_subscription.start()
         self._sweeper = self.loop.call_later(SWEEP_S, self._sweep)
         self.log.info("listening", host=self.settings.listen.host, port=self.port)
         return self.port
@@ -194,8 +195,8 @@
     async def stop(self) -> int:
         """Stops listening, lets what is held end, within `stop-timeout-ms`; returns how many were cut."""
         began = self.loop.time()
-        if self.feeding is not None:
-            self.feeding.close()
+        if self.feed_subscription is not None:
+            self.feed_subscription.close()
         if self.rota is not None:
             await self.rota.close()  # first: others wait for what it holds
         cut = await self.server.close(self.settings.listen.stop_timeout_ms / 1000.0)
@@ -252,7 +253,7 @@
         m.open.set(self.generations.open_queries)
         m.connections.set(len(self.server.connections))
         m.handshakes.set(self.pools.opened)
-        m.called_off.set(self.generations.called_off)
+        m.called_off.set(self.generations.cancelled_calls)
         if self.siting is not None:
             self.siting.gauges()
         if self.learning is not None:
@@ -267,7 +268,7 @@
                     m.datagrams.labels(which).set(n)
         if self.rota is not None:
             self.rota.gauges(m)
-        if self.feeding is not None and isinstance(self.watch, KeyedList):
-            m.list_age.set(self.feeding.age_s)
+        if self.feed_subscription is not None and isinstance(self.watch, KeyedList):
+            m.list_age.set(self.feed_subscription.age_s)
         elif self.watch.heard_at is not None:
             m.list_age.set(self.loop.time() - self.watch.heard_at)
--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -19,7 +19,7 @@
 from badgerbend.feed_service import control_wire
 from badgerbend.feed_service.control_wire import Proposal
 from badgerbend.feed_service.relay import RelayServer
-from badgerbend.feed_service.timer import Clock, WakeUp, monotonic
+from badgerbend.feed_service.timer import Clock, Timer, monotonic
 from badgerbend.lease_service import wire
 from badgerbend.lease_service.local_voter import LocalVoter
 from badgerbend.leases.holder import LeaseHolder, LeaseTiming
@@ -27,7 +27,7 @@
 from badgerbend.net.seal import Seal
 from badgerbend.net.udp import Address, SealedSocket, address_text
 
-MOST_TURNS = 64  # in which the parts of one machine answer each other at once
+MAX_ROUNDS = 64  # in which the parts of one machine answer each other at once
 
 
 class NotPublishingError(Exception):
@@ -39,16 +39,16 @@
     """One control machine. voters: all of them by name; keys: the fleet's, for datagrams."""
 
     name: str
-    store: Path
+    store_path: Path
     voters: dict[str, Address]
-    relay: Address
+    relay_address: Address
     keys: tuple[bytes, ...]
     retention: Retention = Retention()
-    voting: RaftConfig = RaftConfig()
-    terms: LeaseTiming = LeaseTiming()
-    publishing: PublisherTuning = PublisherTuning()
-    relaying: RelayTuning = RelayTuning()
-    control: ControlTuning = ControlTuning()
+    raft: RaftConfig = RaftConfig()
+    lease_timing: LeaseTiming = LeaseTiming()
+    publisher_tuning: PublisherTuning = PublisherTuning()
+    relay_tuning: RelayTuning = RelayTuning()
+    control_tuning: ControlTuning = ControlTuning()
 
 
 class ControlServer(SealedSocket):
@@ -68,66 +68,66 @@
         self.own = settings.voters[settings.name]
         now, seed = clock(), life << 8
         machine = FeedMachine(settings.retention)
-        self.ballot = LocalVoter(
-            settings.store,
-            settings.voting,
-            settings.terms,
+        self.local_voter = LocalVoter(
+            settings.store_path,
+            settings.raft,
+            settings.lease_timing,
             seed + 1,
             clock,
             self._to_voter,
             self._to_candidate,
             note,
-            self._after,
+            self._settle,
             machine,
         )
-        self.holder = LeaseHolder(
+        self.lease_holder = LeaseHolder(
             settings.name,
             address_text(self.own),
             {PUBLISH: True},
             tuple(settings.voters),
-            settings.terms,
+            settings.lease_timing,
             seed + 2,
             now,
         )
-        self.relay = Relay(settings.name, machine.log, settings.relaying)
-        self.publisher = Publisher(machine.log, check, signer, settings.publishing)
-        self.node = ControlNode(
-            self.ballot.voter, self.holder, machine, self.publisher, self.relay, now, settings.control
+        self.relay = Relay(settings.name, machine.log, settings.relay_tuning)
+        self.publisher = Publisher(machine.log, check, signer, settings.publisher_tuning)
+        self.control_node = ControlNode(
+            self.local_voter.voter, self.lease_holder, machine, self.publisher, self.relay, now, settings.control_tuning
         )
-        self.server = RelayServer(self.relay, clock)
-        self._wake_up = WakeUp(clock, self._tick)
+        self.relay_server = RelayServer(self.relay, clock)
+        self._timer = Timer(clock, self._tick)
         self._closed = False
 
     async def start(self) -> int:
         """Binds both sockets; returns the relay's port."""
         await self.open(*self.own)
-        port = await self.server.start(*self.settings.relay)
-        self._after()
+        port = await self.relay_server.start(*self.settings.relay_address)
+        self._settle()
         return port
 
     async def close(self) -> None:
         """Gives the lease back, lets another lead, and ends."""
-        self.holder.leave(self.clock())
-        self._after()
-        self.ballot.hand_over()
+        self.lease_holder.leave(self.clock())
+        self._settle()
+        self.local_voter.hand_over()
         self._closed = True
-        self._wake_up.cancel()
-        self.ballot.close()
-        await self.server.stop()
+        self._timer.cancel()
+        self.local_voter.close()
+        await self.relay_server.stop()
         self.shut()
 
     # -- publishing
     @property
-    def publishes(self) -> bool:
+    def is_publisher(self) -> bool:
         """Whether this machine holds the lease on publishing now."""
         return bool(self.publisher.epoch)
 
     def submit(self, changes: Iterable[Change]) -> tuple[Problem, ...]:
         """Takes all of these changes for publication, or none of them and says why. Raises NotPublishing."""
-        if not self.publishes:
-            raise NotPublishingError(f"{self.holder.duties[PUBLISH].holder or 'nobody'} publishes")
+        if not self.is_publisher:
+            raise NotPublishingError(f"{self.lease_holder.duties[PUBLISH].holder or 'nobody'} publishes")
         problems = self.publisher.submit(self.clock(), changes)
-        self._after()
+        self._settle()
         return problems
 
     def progress(self, revision: int) -> Progress:
@@ -139,19 +139,19 @@
         if self._closed:
             return
         try:
-            message = control_wire.read(body)
+            message = control_wire.decode(body)
         except control_wire.MalformedMessageError:
             self.refused += 1
             return
         self._heard(message, source)
-        self._after()
+        self._settle()
 
-    def _heard(self, message: control_wire.Said, source: Address) -> None:
+    def _heard(self, message: control_wire.ControlMessage, source: Address) -> None:
         match message:
             case LeaseRequest() | LeaseReturn():
-                self.ballot.from_broker(message, source)
+                self.local_voter.from_broker(message, source)
             case LeaseReply():
-                self.holder.told(self.clock(), message)
+                self.lease_holder.told(self.clock(), message)
             case Proposal(command):
                 self._proposed(command)
             case Summary():
@@ -165,14 +165,14 @@
                 | voting.InstallSnapshotReply()
                 | voting.TimeoutNow()
             ):
-                self.ballot.from_voter(message)
+                self.local_voter.from_voter(message)
             case _:
                 self.refused += 1
 
     def _proposed(self, command: bytes) -> None:
-        if self.ballot.broken is None:
-            self.ballot.voter.propose(self.clock(), command)
-            self.ballot.flush()
+        if self.local_voter.broken is None:
+            self.local_voter.voter.propose(self.clock(), command)
+            self.local_voter.flush()
 
     def _to_voter(self, name: str, message: voting.Message) -> None:
         address = self.settings.voters.get(name)
@@ -187,41 +187,41 @@
 
     def _told_self(self, message: LeaseReply) -> None:
         if not self._closed:
-            self.holder.told(self.clock(), message)
-            self._after()
+            self.lease_holder.told(self.clock(), message)
+            self._settle()
 
     # -- time
     def _tick(self) -> None:
         now = self.clock()
-        if now >= self.holder.next_at:
-            self.holder.tick(now)
-        if now >= self.ballot.next_at:
-            self.ballot.tick()
-        self.node.tick(now)
-        self._after()
-
-    def _after(self) -> None:
+        if now >= self.lease_holder.next_at:
+            self.lease_holder.tick(now)
+        if now >= self.local_voter.next_at:
+            self.local_voter.tick()
+        self.control_node.tick(now)
+        self._settle()
+
+    def _settle(self) -> None:
         """Carries out what the parts want, until they want nothing, and sets the clock for what comes next."""
         if self._closed:
             return
-        for _ in range(MOST_TURNS):
+        for _ in range(MAX_ROUNDS):
             busy = self._ask_for_lease()
-            busy |= self.node.settle(self.clock())
-            for action in self.node.take():
+            busy |= self.control_node.settle(self.clock())
+            for action in self.control_node.take():
                 busy = True
                 self._carry_out(action)
             if not busy:
                 break
-        self.ballot.flush()
-        self.server.pump()
-        self._wake_up.set(min(self.holder.next_at, self.ballot.next_at, self.node.next_at))
+        self.local_voter.flush()
+        self.relay_server.process_actions()
+        self._timer.schedule(min(self.lease_holder.next_at, self.local_voter.next_at, self.control_node.next_at))
 
     def _ask_for_lease(self) -> bool:
         """The holder's words to the voters, this machine's own among them."""
-        words = self.holder.take()
+        words = self.lease_holder.take()
         for name, message in words:
             if name == self.settings.name:
-                self.ballot.from_broker(message, self.own)
+                self.local_voter.from_broker(message, self.own)
             else:
                 self.send(self.settings.voters[name], wire.broker_body(message))
         return bool(words)
@@ -232,9 +232,9 @@
                 if leader == self.settings.name:
                     self._proposed(command)
                 elif leader in self.settings.voters:
-                    self.send(self.settings.voters[leader], control_wire.proposal_body(command))
+                    self.send(self.settings.voters[leader], control_wire.encode_proposal(command))
             case Report(publisher, summary):
                 if publisher in self.settings.voters:
-                    self.send(self.settings.voters[publisher], control_wire.summary_body(summary))
+                    self.send(self.settings.voters[publisher], control_wire.encode_summary(summary))
             case Abandoned(changes):
                 self.note("changes not published", changes=len(changes))
--- a/badgerbend/feed_service/control_wire.py
+++ b/badgerbend/feed_service/control_wire.py
@@ -4,8 +4,9 @@
 
 from dataclasses import dataclass
 
+from badgerbend.feed import messages
 from badgerbend.feed.errors import MalformedMessageError as MalformedSummary
-from badgerbend.feed.messages import Summary, decode, encode
+from badgerbend.feed.messages import Summary
 from badgerbend.lease_service import wire
 
 PROPOSAL, SUMMARY = b"p", b"u"
@@ -19,18 +20,18 @@
     command: bytes
 
 
-Said = wire.Said | Proposal | Summary
+ControlMessage = wire.Said | Proposal | Summary
 
 
-def proposal_body(command: bytes) -> bytes:
+def encode_proposal(command: bytes) -> bytes:
     return PROPOSAL + command
 
 
-def summary_body(summary: Summary) -> bytes:
-    return SUMMARY + encode(summary)
+def encode_summary(summary: Summary) -> bytes:
+    return SUMMARY + messages.encode(summary)
 
 
-def read(body: bytes) -> Said:
+def decode(body: bytes) -> ControlMessage:
     """Raises Malformed."""
     match body[:1]:
         case b"p":
@@ -42,7 +43,7 @@
 
 def _summary(data: bytes) -> Summary:
     try:
-        message = decode(data)
+        message = messages.decode(data)
     except MalformedSummary as error:
         raise MalformedMessageError(str(error)) from error
     if not isinstance(message, Summary):
--- a/badgerbend/feed_service/follower.py
+++ b/badgerbend/feed_service/follower.py
@@ -3,13 +3,26 @@
 from __future__ import annotations
 
 import asyncio
+from dataclasses import dataclass
 from typing import Protocol
 
 from badgerbend.feed.errors import FeedError
 from badgerbend.feed.follower import Action, Connect, Disconnect, Follower, Install, Rejected, Send
 from badgerbend.feed.messages import Change, Message
 from badgerbend.feed_service.stream import MessageStream
-from badgerbend.feed_service.timer import Clock, WakeUp, monotonic
+from badgerbend.feed_service.timer import Clock, Timer, monotonic
+
+
+@dataclass(frozen=True, slots=True)
+class Traffic:
+    """Bytes of the feed's frames, without the network's own headers."""
+
+    received_bytes: int
+    sent_bytes: int
+
+    def plus(self, stream: MessageStream) -> Traffic:
+        """Return this traffic and that of one connection so far."""
+        return Traffic(self.received_bytes + stream.bytes_received, self.sent_bytes + stream.bytes_sent)
 
 
 class FollowerOwner(Protocol):
@@ -31,10 +44,10 @@
     def __init__(self, follower: Follower, owner: FollowerOwner, clock: Clock = monotonic) -> None:
         self.follower, self.owner, self.clock = follower, owner, clock
         self.loop = asyncio.get_running_loop()
-        self.bytes_received = self.bytes_sent = 0  # over connections that have ended
+        self._closed_traffic = Traffic(0, 0)  # of connections that have ended
         self._stream: MessageStream | None = None
         self._connecting: asyncio.Task[None] | None = None
-        self._wake_up = WakeUp(clock, self._tick)
+        self._timer = Timer(clock, self._tick)
         self._pumping = False
 
     def start(self) -> None:
@@ -46,15 +59,14 @@
         """Ends the connection; the replica stays."""
         self.follower.stop()
         self._pump()
-        self._wake_up.cancel()
+        self._timer.cancel()
 
     @property
-    def traffic(self) -> tuple[int, int]:
-        """Bytes received and sent so far, without the network's own heads."""
-        stream = self._stream
-        if stream is None:
-            return self.bytes_received, self.bytes_sent
-        return self.bytes_received + stream.bytes_received, self.bytes_sent + stream.bytes_sent
+    def traffic(self) -> Traffic:
+        """Bytes received and sent so far, over all connections, without the network's own headers."""
+        if self._stream is None:
+            return self._closed_traffic
+        return self._closed_traffic.plus(self._stream)
 
     # -- the connection's side
     def stream_opened(self, stream: MessageStream) -> None:
@@ -65,7 +77,7 @@
         self.follower.received(self.clock(), stream.number, message)
         self._pump()
 
-    def stream_unusable(self, stream: MessageStream, error: FeedError) -> None:
+    def stream_malformed(self, stream: MessageStream, error: FeedError) -> None:
         self.follower.unusable(self.clock(), stream.number, error)
         self._pump()
 
@@ -96,14 +108,14 @@
             raise
         finally:
             self._pumping = False
-        self._wake_up.set(self.follower.next_at)
+        self._timer.schedule(self.follower.next_at)
 
     def _fail(self) -> None:
         """Its owner failed amid an install: what is in force is not known, so nothing more is reported or taken."""
         self.follower.stop()
         self.follower.take()
         self._disconnect()
-        self._wake_up.cancel()
+        self._timer.cancel()
 
     def _carry_out(self, action: Action) -> None:
         match action:
@@ -133,12 +145,11 @@
         if self._connecting is not None and not self._connecting.done():
             self._connecting.cancel()
         if self._stream is not None:
-            self._stream.end()
+            self._stream.abort()
             self._forget(self._stream)
 
     def _forget(self, stream: MessageStream) -> None:
-        self.bytes_received += stream.bytes_received
-        self.bytes_sent += stream.bytes_sent
+        self._closed_traffic = self._closed_traffic.plus(stream)
         if self._stream is stream:
             self._stream = None
 
--- a/badgerbend/feed_service/relay.py
+++ b/badgerbend/feed_service/relay.py
@@ -9,7 +9,7 @@
 from badgerbend.feed.messages import Message
 from badgerbend.feed.relay import Close, Relay, SendTo
 from badgerbend.feed_service.stream import MessageStream
-from badgerbend.feed_service.timer import Clock, WakeUp, monotonic
+from badgerbend.feed_service.timer import Clock, Timer, monotonic
 
 BACKLOG = 4096  # connections that wait to be accepted: a zone's followers return at once
 ROUNDS = 16  # of catching up in one turn of the loop; the rest comes in the next
@@ -21,11 +21,11 @@
     def __init__(self, relay: Relay, clock: Clock = monotonic) -> None:
         self.relay, self.clock = relay, clock
         self.loop = asyncio.get_running_loop()
-        self.accepted = 0
+        self.connections_accepted = 0
         self._numbers = count(1)
         self._streams: dict[int, MessageStream] = {}
         self._written = set[int]()  # connections written to since their core was told that they took it
-        self._wake_up = WakeUp(clock, self._tick)
+        self._timer = Timer(clock, self._tick)
         self._server: asyncio.Server | None = None
         self._again: asyncio.Handle | None = None
 
@@ -37,13 +37,13 @@
     def published(self) -> None:
         """The relay's log has grown."""
         self.relay.published(self.clock())
-        self.pump()
+        self.process_actions()
 
     def confirmed(self, as_of: float) -> None:
         """The relay's log held all that was agreed on at this time."""
         self.relay.confirmed(self.clock(), as_of)
 
-    def pump(self) -> None:
+    def process_actions(self) -> None:
         """Carries out what the core wants. Call it after each of its calls."""
         for _ in range(ROUNDS):
             actions = self.relay.take()
@@ -54,26 +54,26 @@
             self._tell_drained()
         else:
             self._pump_again()
-        self._wake_up.set(self.relay.next_at)
+        self._timer.schedule(self.relay.next_at)
 
     @property
     def connections(self) -> int:
         """Connections that stand."""
         return len(self._streams)
 
-    def waiting_most(self) -> int:
+    def max_unsent_bytes(self) -> int:
         """Bytes that wait for the socket of the slowest follower."""
-        return max((stream.waiting for stream in self._streams.values()), default=0)
+        return max((stream.unsent_bytes for stream in self._streams.values()), default=0)
 
     async def stop(self) -> None:
         """Closes the socket and all connections."""
-        self._wake_up.cancel()
+        self._timer.cancel()
         if self._again is not None:
             self._again.cancel()
         if self._server is not None:
             self._server.close()
         for stream in list(self._streams.values()):
-            stream.end()
+            stream.abort()
         self._streams.clear()
         self._written.clear()
         if self._server is not None:
@@ -82,29 +82,29 @@
     # -- the connections' side
     def stream_opened(self, stream: MessageStream) -> None:
         if self._server is None or not self._server.is_serving():
-            stream.end()  # it was accepted just before the stop
+            stream.abort()  # it was accepted just before the stop
             return
-        self.accepted += 1
+        self.connections_accepted += 1
         self._streams[stream.number] = stream
         self.relay.opened(self.clock(), stream.number)
-        self.pump()
+        self.process_actions()
 
     def stream_message(self, stream: MessageStream, message: Message) -> None:
         self.relay.received(self.clock(), stream.number, message)
-        self.pump()
+        self.process_actions()
 
-    def stream_unusable(self, stream: MessageStream, error: FeedError) -> None:
+    def stream_malformed(self, stream: MessageStream, error: FeedError) -> None:
         self.relay.unusable(self.clock(), stream.number, error)
-        self.pump()
+        self.process_actions()
 
     def stream_writable(self, stream: MessageStream) -> None:
         self._written.add(stream.number)
-        self.pump()
+        self.process_actions()
 
     def stream_closed(self, stream: MessageStream) -> None:
         self._forget(stream.number)
         self.relay.closed(self.clock(), stream.number)
-        self.pump()
+        self.process_actions()
 
     # -- inside
     def _accepted(self) -> MessageStream:
@@ -112,7 +112,7 @@
 
     def _tick(self) -> None:
         self.relay.tick(self.clock())
-        self.pump()
+        self.process_actions()
 
     def _carry_out(self, action: SendTo | Close) -> None:
         stream = self._streams.get(action.session)
@@ -120,7 +120,7 @@
             return
         if isinstance(action, Close):
             self._forget(action.session)
-            stream.end()
+            stream.abort()
             return
         stream.write(action.frame)
         self._written.add(action.session)
@@ -142,4 +142,4 @@
 
     def _pumped_again(self) -> None:
         self._again = None
-        self.pump()
+        self.process_actions()
--- a/badgerbend/feed_service/stream.py
+++ b/badgerbend/feed_service/stream.py
@@ -13,14 +13,14 @@
 WRITE_LOW = 16 * 1024
 
 
-class StreamOwner(Protocol):
+class StreamListener(Protocol):
     """Who is told what happens on a connection."""
 
     def stream_opened(self, stream: MessageStream) -> None: ...
 
     def stream_message(self, stream: MessageStream, message: Message) -> None: ...
 
-    def stream_unusable(self, stream: MessageStream, error: FeedError) -> None: ...
+    def stream_malformed(self, stream: MessageStream, error: FeedError) -> None: ...
 
     def stream_writable(self, stream: MessageStream) -> None: ...
 
@@ -30,8 +30,8 @@
 class MessageStream(asyncio.Protocol):
     """One connection. number: its owner's name for it."""
 
-    def __init__(self, owner: StreamOwner, number: int) -> None:
-        self.owner, self.number = owner, number
+    def __init__(self, listener: StreamListener, number: int) -> None:
+        self.listener, self.number = listener, number
         self.full = False
         self.bytes_sent = self.bytes_received = 0
         self._reader = FrameReader()
@@ -39,7 +39,7 @@
         self._ended = False
 
     @property
-    def waiting(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes written that the socket has not taken yet."""
         return 0 if self._transport is None else self._transport.get_write_buffer_size()
 
@@ -49,7 +49,7 @@
             self.bytes_sent += len(data)
             self._transport.write(data)
 
-    def end(self) -> None:
+    def abort(self) -> None:
         """Closes the connection and forgets what still waits to be written; its owner hears no more of it."""
         self._ended = True
         if self._transport is not None:
@@ -62,7 +62,7 @@
         if self._ended:
             self._transport.abort()
         else:
-            self.owner.stream_opened(self)
+            self.listener.stream_opened(self)
 
     def data_received(self, data: bytes) -> None:
         self.bytes_received += len(data)
@@ -70,10 +70,10 @@
             for message in self._reader.feed(data):
                 if self._ended:
                     return
-                self.owner.stream_message(self, message)
+                self.listener.stream_message(self, message)
         except MalformedMessageError as error:
             if not self._ended:
-                self.owner.stream_unusable(self, error)
+                self.listener.stream_malformed(self, error)
 
     def pause_writing(self) -> None:
         self.full = True
@@ -81,9 +81,9 @@
     def resume_writing(self) -> None:
         self.full = False
         if not self._ended:
-            self.owner.stream_writable(self)
+            self.listener.stream_writable(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if not self._ended:
             self._ended = True
-            self.owner.stream_closed(self)
+            self.listener.stream_closed(self)
--- a/badgerbend/feed_service/timer.py
+++ b/badgerbend/feed_service/timer.py
@@ -11,7 +11,7 @@
 monotonic: Clock = time.monotonic
 
 
-class WakeUp:
+class Timer:
     """Calls `due` at the time last asked for."""
 
     def __init__(self, clock: Clock, due: Callable[[], None]) -> None:
@@ -20,7 +20,7 @@
         self._at = math.inf
         self._handle: asyncio.TimerHandle | None = None
 
-    def set(self, at: float) -> None:
+    def schedule(self, at: float) -> None:
         """The next time; infinite for none."""
         if at == self._at and self._handle is not None:
             return
--- /dev/null
+++ b/badgerbend/feed_subscription/reader.py
@@ -0,0 +1,51 @@
+"""Reads published configurations and decides whether this broker can use them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from badgerbend.config.published import settings_in_force
+from badgerbend.config.settings import Settings
+from badgerbend.config.sexpr import SettingsError
+from badgerbend.feed.configuration import UnusableConfigurationError
+from badgerbend.generations.manager import GenerationManager
+from badgerbend.graphql.schema import SchemaError, Subgraph, subgraph
+
+
+@dataclass(frozen=True, slots=True)
+class UsableConfiguration:
+    """A configuration that this broker can use, and its subgraph."""
+
+    settings: Settings
+    graph: Subgraph
+
+
+class ConfigurationReader:
+    """Reads the values of one key of the feed.
+
+    local_settings: those of the broker's settings file; a published configuration may leave out what it may not change.
+    """
+
+    def __init__(self, local_settings: Settings, key: str, generations: GenerationManager) -> None:
+        self.local_settings = local_settings
+        self.key = key
+        self.generations = generations
+
+    def read(self, data: bytes) -> UsableConfiguration:
+        """Read a configuration. Raises UnusableConfigurationError, whose text names the line and the field."""
+        try:
+            settings = settings_in_force(self.local_settings, data.decode(), self.key)
+            return UsableConfiguration(settings, self._graph(settings))
+        except UnicodeDecodeError as error:
+            raise UnusableConfigurationError(f"{self.key}: not UTF-8 at byte {error.start}") from error
+        except SettingsError as error:
+            raise UnusableConfigurationError(str(error)) from error
+        except SchemaError as error:
+            raise UnusableConfigurationError(f"{self.key}: schema: {error}") from error
+
+    def _graph(self, settings: Settings) -> Subgraph:
+        """Return the current subgraph if it is built from the same fields and entities, or build another."""
+        current = self.generations.current
+        if (settings.field, settings.entity) == (current.settings.field, current.settings.entity):
+            return current.graph
+        return subgraph(settings, current.graph.text)
--- /dev/null
+++ b/badgerbend/feed_subscription/subscription.py
@@ -0,0 +1,144 @@
+"""A broker's subscription: it follows relays, checks configurations and activates them in the broker."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+from badgerbend.config.feed import NODE_PREFIX, Feed, RelayAt
+from badgerbend.config.settings import Settings
+from badgerbend.discovery.keyed import KeyedList
+from badgerbend.feed.configuration import ConfigurationInForce
+from badgerbend.feed.errors import FeedError
+from badgerbend.feed.follower import Follower, FollowerTuning, RelayAddress
+from badgerbend.feed.messages import Change
+from badgerbend.feed.signature import Ed25519Verifier
+from badgerbend.feed_service.follower import FollowerClient
+from badgerbend.feed_subscription.public_key import read_public_key
+from badgerbend.feed_subscription.reader import ConfigurationReader, UsableConfiguration
+from badgerbend.generations.manager import GenerationManager
+from badgerbend.log import get
+from badgerbend.metrics import Metrics
+
+WAITING_FOR_CAPACITY = "waits for queries under earlier configurations to end"  # reported to relays
+DEFAULT_TUNING = FollowerTuning()
+
+
+class FeedSubscription:
+    """The owner of a broker's follower, see `feed_service.follower.FollowerOwner`. Used on the broker's loop alone.
+
+    folder: what the path of the public key's file is relative to. endpoint_list: receives the rows of servers, where
+    the feed brings the endpoint list. Raises OSError or ValueError if the public key cannot be read.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        feed: Feed,
+        folder: Path,
+        generations: GenerationManager,
+        metrics: Metrics,
+        endpoint_list: KeyedList | None = None,
+        tuning: FollowerTuning = DEFAULT_TUNING,
+    ) -> None:
+        self.feed = feed
+        self.generations = generations
+        self.metrics = metrics
+        self.endpoint_list = endpoint_list
+        self.log = get(part="feed")
+        reader = ConfigurationReader(settings, feed.configuration, generations)
+        self.in_force = ConfigurationInForce(reader.read, UsableConfiguration(settings, generations.current.graph))
+        follower = Follower(
+            f"broker-{settings.identity.index}",
+            feed.region,
+            [_relay_address(relay) for relay in feed.relay],
+            Ed25519Verifier(read_public_key(folder / feed.public_key)),
+            tuning,
+            settings.seed * 104_729 + settings.identity.index,
+        )
+        self.client = FollowerClient(follower, self)
+        self._waiting_for_capacity = False  # a usable configuration waits until a generation has drained
+        self._activation: asyncio.Handle | None = None
+        generations.on_drained = self._schedule_activation
+
+    def start(self) -> None:
+        """Begin to follow."""
+        self.client.start()
+
+    def close(self) -> None:
+        """Stop following; the configuration in force stays."""
+        self.client.stop()
+        self._waiting_for_capacity = False
+        if self._activation is not None:
+            self._activation.cancel()
+
+    @property
+    def age_s(self) -> float:
+        """How old the replica may be, in seconds; infinite before a relay has sent anything."""
+        return self.client.follower.age_s(self.client.clock())
+
+    # The follower's owner.
+
+    def install(self, revision: int, changes: tuple[Change, ...]) -> str:
+        """Apply changes. Returns why the newest configuration is not in force, or an empty string."""
+        if self.endpoint_list is not None:
+            self.endpoint_list.change(_endpoint_rows(changes))
+        for change in changes:
+            if change.key == self.feed.configuration:
+                self._receive_configuration(revision, change.value)
+        if self.in_force.refused is not None:
+            return self.in_force.refused[1]
+        return WAITING_FOR_CAPACITY if self._waiting_for_capacity else ""
+
+    def rejected(self, relay: str, error: FeedError) -> None:
+        """Count a message of a relay that could not be used."""
+        self.metrics.trouble("feed not used", f"{relay}: {type(error).__name__}: {error}")
+
+    # Activation.
+
+    def _receive_configuration(self, revision: int, value: bytes | None) -> None:
+        """Check a configuration and activate it; a removed one (None) leaves the one in force as it is."""
+        if value is None:
+            self.in_force.refused = None
+            return
+        reason = self.in_force.offer(revision, value)
+        if reason:
+            self.metrics.trouble("configuration not usable", f"revision {revision}: {reason}")
+            return
+        self._activate()
+
+    def _activate(self) -> None:
+        """Put the newest usable configuration in force, or wait for capacity."""
+        self._waiting_for_capacity = not self.generations.has_capacity
+        if self._waiting_for_capacity or not self.in_force.turn():
+            return
+        usable = self.in_force.current.settings
+        if usable.settings != self.generations.current.settings:
+            self.generations.activate(usable.settings, usable.graph)
+        self.log.info(
+            "configuration in force",
+            revision=self.in_force.current.revision,
+            earlier=len(self.generations.draining),
+        )
+
+    def _schedule_activation(self) -> None:
+        """Activate a waiting configuration after this turn of the loop, within which a generation has drained."""
+        if self._waiting_for_capacity and self._activation is None:
+            self._activation = self.client.loop.call_soon(self._activate_waiting)
+
+    def _activate_waiting(self) -> None:
+        self._activation = None
+        self._activate()
+        if not self._waiting_for_capacity and self.in_force.refused is None:
+            self.client.follower.accepted(self.client.clock())
+
+
+def _endpoint_rows(changes: tuple[Change, ...]) -> dict[str, bytes | None]:
+    """Return the rows of the endpoint list among changes, by the server's name."""
+    rows = (change for change in changes if change.key.startswith(NODE_PREFIX))
+    return {change.key.removeprefix(NODE_PREFIX): change.value for change in rows}
+
+
+def _relay_address(relay: RelayAt) -> RelayAddress:
+    host, _, port = relay.address.rpartition(":")
+    return RelayAddress(relay.name, relay.region, host, int(port))
--- /dev/null
+++ b/badgerbend/generations/manager.py
@@ -0,0 +1,73 @@
+"""The current generation of a broker and the earlier generations that are still draining."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from badgerbend import api
+from badgerbend.config.settings import Settings
+from badgerbend.generations.generation import Generation, SharedResources
+from badgerbend.graphql.schema import Subgraph
+
+MAX_GENERATIONS = 16  # alive at once: each holds a module with every server of the endpoint list
+
+
+class GenerationManager:
+    """Creates generations and closes those that have drained.
+
+    on_current_changed: called with a generation as it becomes the current one.
+    on_drained: called, within a turn of the loop, after a draining generation has been closed.
+    """
+
+    def __init__(self, settings: Settings, graph: Subgraph, shared: SharedResources) -> None:
+        self.shared = shared
+        self.draining: list[Generation] = []
+        self.on_current_changed: Callable[[Generation], None] = lambda generation: None
+        self.on_drained: Callable[[], None] = lambda: None
+        self._cancelled_by_closed = 0
+        self.current = self._create(settings, graph)
+
+    @property
+    def has_capacity(self) -> bool:
+        """Whether another generation may begin now."""
+        return len(self.draining) + 1 < MAX_GENERATIONS
+
+    @property
+    def live(self) -> tuple[Generation, ...]:
+        """The current generation, then the draining ones, the earliest first."""
+        return (self.current, *self.draining)
+
+    @property
+    def open_queries(self) -> int:
+        """The number of queries in flight in all generations."""
+        return sum(len(generation.driver.queries) for generation in self.live)
+
+    @property
+    def cancelled_calls(self) -> int:
+        """The number of calls to servers that were cancelled so far."""
+        return self._cancelled_by_closed + sum(generation.transport.called_off for generation in self.live)
+
+    def activate(self, settings: Settings, graph: Subgraph) -> None:
+        """Put a configuration in force. Called between two turns of the loop, and only where there is capacity."""
+        previous = self.current
+        self.current = self._create(settings, graph)
+        self.current.begin(self.shared.directory, previous.driver.known())
+        self.on_current_changed(self.current)
+        self.draining.append(previous)
+        self._close_if_drained(previous)
+
+    def update_endpoints(self, update: api.EndpointUpdate) -> None:
+        """Pass a change of the endpoint list to all generations that still decide by it."""
+        for generation in self.live:
+            generation.driver.view(update)
+
+    def _create(self, settings: Settings, graph: Subgraph) -> Generation:
+        return Generation(settings, graph, self.shared, self._close_if_drained)
+
+    def _close_if_drained(self, generation: Generation) -> None:
+        """Close a draining generation that has nothing under way."""
+        if generation in self.draining and generation.idle:
+            self.draining.remove(generation)
+            self._cancelled_by_closed += generation.transport.called_off
+            generation.close()
+            self.on_drained()
--- /dev/null
+++ b/badgerbend/publication_validation/changes.py
@@ -0,0 +1,33 @@
+"""Validation of every kind of published change: configurations by line and field, endpoints by field."""
+
+from __future__ import annotations
+
+import msgspec
+
+from badgerbend.config.feed import NODE_PREFIX
+from badgerbend.discovery.directory import NO_ROW
+from badgerbend.discovery.keyed import entry
+from badgerbend.feed.messages import Change
+from badgerbend.publication_validation.configurations import validate_configuration
+
+
+def validate_change(change: Change) -> str:
+    """Return what is wrong with a change, or an empty string. Suits `feed.publisher.Publisher`."""
+    return validate_endpoint(change) or validate_configuration(change)
+
+
+def validate_endpoint(change: Change) -> str:
+    """Return what is wrong with a server's entry, or an empty string.
+
+    Whether its cell belongs to the layout is for brokers to decide.
+    """
+    if not change.key.startswith(NODE_PREFIX) or change.value is None:
+        return ""
+    name = change.key.removeprefix(NODE_PREFIX)
+    if not name:
+        return f"{change.key}: a server needs a name"
+    try:
+        entry((name, msgspec.json.decode(change.value)))
+    except NO_ROW as error:
+        return f"{change.key}: {error}"
+    return ""
--- a/badgerbend/configuration_check.py
+++ b/badgerbend/publication_validation/configurations.py
@@ -1,4 +1,4 @@
-"""The publisher's check of configurations: what is wrong with one, by line and field, before any broker gets it."""
+"""Validation of published configurations by line and field."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from badgerbend.feed.messages import Change
 
 
-def check_configuration(change: Change) -> str:
-    """What is wrong with a change of the feed, or nothing: the `check` of a `feed.publisher.Publisher`.
+def validate_configuration(change: Change) -> str:
+    """Return what is wrong with a published configuration, with line and field, or an empty string.
 
-    It judges values of keys under CONFIGURATION_PREFIX, each a settings text `(broker ...)`. Whether a broker that
-    runs can use one is for that broker to say.
+    Only keys under CONFIGURATION_PREFIX are validated; each value is a settings text `(broker ...)`. Whether a running
+    broker can use a valid configuration is for that broker to decide. Suits `feed.publisher.Publisher`.
     """
     if not change.key.startswith(CONFIGURATION_PREFIX) or change.value is None:
         return ""
--- a/benchmarks/scale/feed_followers.py
+++ b/benchmarks/scale/feed_followers.py
@@ -198,9 +198,9 @@
         cpu_s = time.process_time()  # before the collection of garbage, which is this measurement's own cost
         received, sent = [0] * ZONES, [0] * ZONES
         for hollow in self.followers:
-            taken, given = hollow.client.traffic
-            received[hollow.spec.zone] += taken
-            sent[hollow.spec.zone] += given
+            traffic = hollow.client.traffic
+            received[hollow.spec.zone] += traffic.received_bytes
+            sent[hollow.spec.zone] += traffic.sent_bytes
         rejected = sum(hollow.owner.rejections for hollow in self.followers)
         return Measured(
             time.monotonic(),
--- a/benchmarks/scale/feed_voters.py
+++ b/benchmarks/scale/feed_voters.py
@@ -66,7 +66,7 @@
         server = self.server
         assert server is not None
         submitted, epoch = time.monotonic(), server.publisher.epoch
-        if not server.publishes:
+        if not server.is_publisher:
             return Published(NOT_PUBLISHED, submitted, b"")
         problems = server.submit(changes)
         if problems:
@@ -82,7 +82,7 @@
         assert self.server is not None
         server, revision = self.server, self.server.relay.log.revision
         progress = server.progress(revision)
-        return Standing(server.ballot.voter.leads, server.publishes, revision, progress.in_force)
+        return Standing(server.local_voter.voter.leads, server.is_publisher, revision, progress.in_force)
 
     def _measured(self) -> Measured:
         snapshots = 0 if self.server is None else self.server.relay.snapshots_begun
--- a/tests/feed_process.py
+++ b/tests/feed_process.py
@@ -184,7 +184,7 @@
 
     def _republish(self):
         self.server.published()
-        self.waiting_most = max(self.waiting_most, self.server.waiting_most())
+        self.waiting_most = max(self.waiting_most, self.server.max_unsent_bytes())
 
     async def _confirm(self):
         """Tells the relay up to when its log is known to be the newest."""
@@ -218,8 +218,8 @@
 
     told = 0
 
-    def _after(self):
-        super()._after()
+    def _settle(self):
+        super()._settle()
         log = self.relay.log
         if log.revision > self.told:
             self.told = log.revision
@@ -231,7 +231,7 @@
 
     def __init__(self, setup):
         settings = ControlSettings(
-            setup.name, Path(setup.store), setup.voters, ("127.0.0.1", 0), KEYS, relaying=setup.tuning
+            setup.name, Path(setup.store), setup.voters, ("127.0.0.1", 0), KEYS, relay_tuning=setup.tuning
         )
         self.server = ReportingControl(settings, SIGNER, lambda change: "", lambda what, **values: None)
 
@@ -257,8 +257,8 @@
         server, log = self.server, self.server.relay.log
         progress = server.progress(log.revision)
         return ControlReport(
-            leads=server.ballot.voter.leads,
-            publishes=server.publishes,
+            leads=server.local_voter.voter.leads,
+            publishes=server.is_publisher,
             epoch=log.epoch,
             revision=log.revision,
             digest=log.content.digest().hex(),
--- a/tests/test_configuration_check.py
+++ b/tests/test_configuration_validation.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from badgerbend.configuration_check import check_configuration
 from badgerbend.feed.messages import Change
+from badgerbend.publication_validation.configurations import validate_configuration
 from tests.feed_stage import Control, Stage, change
 from tests.replacing import replaced
 from tests.test_settings import GOOD
@@ -12,7 +12,7 @@
 
 
 def staged():
-    control = Control(check=check_configuration)
+    control = Control(check=validate_configuration)
     control.grant()
     stage = Stage(control)
     stage.follower("f")
@@ -46,10 +46,10 @@
 
 
 def test_bytes_that_are_no_text_are_refused():
-    assert check_configuration(Change(KEY, b"(broker \xff)")) == f"{KEY}: not UTF-8 at byte 8"
+    assert validate_configuration(Change(KEY, b"(broker \xff)")) == f"{KEY}: not UTF-8 at byte 8"
 
 
 def test_removals_and_other_keys_are_not_judged():
-    assert check_configuration(Change(KEY, None)) == ""
-    assert check_configuration(Change("node/1", b"(broker")) == ""
-    assert check_configuration(Change("configuration", b"(broker")) == ""
+    assert validate_configuration(Change(KEY, None)) == ""
+    assert validate_configuration(Change("node/1", b"(broker")) == ""
+    assert validate_configuration(Change("configuration", b"(broker")) == ""
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -11,16 +11,18 @@
 import msgspec
 import pytest
 
-from badgerbend import api, generation
+from badgerbend import api
 from badgerbend.broker import Broker
-from badgerbend.change_check import check_change
 from badgerbend.config.feed import Feed, RelayAt
 from badgerbend.config.fleet import Site, Sites
 from badgerbend.config.settings import Snapshot
 from badgerbend.feed.log import Retention
 from badgerbend.feed.relay import Relay, RelayTuning
 from badgerbend.feed_service.relay import RelayServer
-from badgerbend.feeding import WAITS, read_public_key
+from badgerbend.feed_subscription.public_key import read_public_key
+from badgerbend.feed_subscription.subscription import WAITING_FOR_CAPACITY
+from badgerbend.generations import manager
+from badgerbend.publication_validation.changes import validate_change
 from tests.feed_stage import SIGNER, Control, change
 from tests.replacing import replaced
 from tests.sockets import EXAMPLE, Stage, run, until
@@ -58,7 +60,7 @@
         self.listed = listed
         self.key_file = tmp_path / "feed.pub"
         self.key_file.write_text(SIGNER.public_key().hex() + "\n")
-        self.control = Control(retention, check=check_change)
+        self.control = Control(retention, check=validate_change)
         self.control.grant()
         self.relay = Relay("relay-1", self.control.machine.log, RelayTuning())
 
@@ -103,7 +105,7 @@
     async def in_force(self, text):
         """Publishes a configuration and waits until the broker has it in force."""
         revision = self.publish(text)
-        await until(lambda: self.broker.feeding.in_force.current.revision == revision)
+        await until(lambda: self.broker.feed_subscription.in_force.current.revision == revision)
 
     def slow(self, part_ms):
         for server in self.world.servers.values():
@@ -125,15 +127,15 @@
     async def main():
         async with FeedStage(tmp_path) as s:
             s.slow(SLOW_MS)
-            before = s.generations.newest
+            before = s.generations.current
             first = asyncio.ensure_future(s.client.query(ASK))
             await until(lambda: before.driver.queries)
             forms = ("(tenant a (quota-per-s 7))", "(tenant b (quota-per-s 8))")
             await s.in_force(replaced(with_deadline(300, *forms), "(need 0.75)", "(need 0.9)"))
-            newest = s.generations.newest
-            assert newest is not before and s.generations.earlier == [before] and before.driver.queries
+            newest = s.generations.current
+            assert newest is not before and s.generations.draining == [before] and before.driver.queries
             assert [t.quota_per_s for t in newest.driver.module.set.tenants] == [7.0, 8.0]
-            assert [c.need for c in newest.driver.module.set.classes][1] == 0.9
+            assert [c.complete_weight for c in newest.driver.module.set.classes][1] == 0.9
             assert (await s.client.query(ASK))[0] == 403  # tenants are told apart from now on
             loop = asyncio.get_running_loop()
             began = loop.time()
@@ -141,7 +143,7 @@
             assert answer["errors"] and loop.time() - began < SLOW_MS / 1000.0  # by the new deadline
             status, answer, _ = await first
             assert status == 200 and len(answer["data"]["fullQuote"]) == 4  # by the old one
-            await until(lambda: not s.generations.earlier)
+            await until(lambda: not s.generations.draining)
             _, troubles = s.counted()
             assert not troubles
 
@@ -181,11 +183,11 @@
                 goal = answered.total() + CLIENTS
                 await until(lambda goal=goal: answered.total() >= goal or any(one.done() for one in load))
                 await s.in_force(with_deadline(3000 + number))
-                most_living = max(most_living, len(s.generations.living))
-                assert s.generations.newest.settings.class_[0].deadline_ms == 3000 + number
+                most_living = max(most_living, len(s.generations.live))
+                assert s.generations.current.settings.class_[0].deadline_ms == 3000 + number
             over.set()
             await asyncio.gather(*load)
-            await until(lambda: not s.generations.earlier)
+            await until(lambda: not s.generations.draining)
             ended, troubles = s.counted()
             assert ended == Counter(answered=answered["read"] + 2 * answered["write"]) and not troubles
             signed = Counter(p["query"] for r in s.seen("ran") if r["write"] for p in r["parts"])
@@ -200,13 +202,13 @@
         async with FeedStage(tmp_path) as s:
             s.slow(SLOW_MS)
             await s.in_force(with_deadline(2900))
-            earlier = weakref.ref(s.generations.newest)
+            earlier = weakref.ref(s.generations.current)
             call = s.client.ask(ASK, None, {}, lambda reply: None)
-            await until(lambda: s.generations.newest.driver.queries)
+            await until(lambda: s.generations.current.driver.queries)
             await s.in_force(with_deadline(2800))
-            assert s.generations.earlier == [earlier()]
+            assert s.generations.draining == [earlier()]
             call.abort()  # its client leaves
-            await until(lambda: not s.generations.earlier)
+            await until(lambda: not s.generations.draining)
             await until(lambda: gc.collect() is not None and earlier() is None)
 
     run(main)
@@ -217,15 +219,15 @@
         changes = {"attempts": {"cancel": False}}
         async with FeedStage(tmp_path, **changes) as s:
             s.slow(SLOW_MS)
-            before = s.generations.newest
+            before = s.generations.current
             call = s.client.ask(ASK, None, {}, lambda reply: None)
             await until(lambda: s.seen("ran"))
             await s.in_force(with_deadline(2900))
             call.abort()
             await until(lambda: not before.driver.queries)
-            assert s.generations.earlier == [before]
+            assert s.generations.draining == [before]
             await until(lambda: s.seen("answered"))
-            await until(lambda: not s.generations.earlier)
+            await until(lambda: not s.generations.draining)
 
     run(main)
 
@@ -235,14 +237,14 @@
         async with FeedStage(tmp_path) as s:
             for number in range(60):
                 await s.client.query(f"{{ fullQuote(blocks: [{number % 24}], amount: 5) {{ id }} }}")
-            before = s.generations.newest
+            before = s.generations.current
             await until(lambda: before.driver.module.usual > 0.0)
             known = {one.node: one.time_ms for one in before.driver.known().nodes}
             usual = before.driver.module.usual
             assert known
             for deadline_ms in (2900, 2800, 2700):  # one right after the other: what was seen goes on
                 await s.in_force(with_deadline(deadline_ms))
-            newest = s.generations.newest
+            newest = s.generations.current
             await until(lambda: newest.driver.module.nodes)
             ready = {n.id for n in newest.driver.module.nodes.values() if n.ready}
             assert ready == set(s.broker.directory.addresses) and len(ready) == 12
@@ -254,7 +256,7 @@
             await s.in_force(with_deadline(2600))
             gone = next(iter(s.world.servers))
             s.world.crash(gone)
-            modules = [one.driver.module for one in s.generations.living]
+            modules = [one.driver.module for one in s.generations.live]
             await until(lambda: all(sum(n.ready for n in m.nodes.values()) == 11 for m in modules))
             assert len(modules) == 2
             await held
@@ -271,7 +273,7 @@
             seen = learning.record()
             assert seen.servers
             await s.in_force(with_deadline(2900))
-            newest = s.generations.newest
+            newest = s.generations.current
             assert learning.driver is newest.driver and newest.answers.learning is learning
             assert {one.name for one in learning.record().servers} == {one.name for one in seen.servers}
 
@@ -285,16 +287,16 @@
             s.slow(SLOW_MS)
             tiers = s.broker.siting.tiers
             held = asyncio.ensure_future(s.client.query(ASK))
-            await until(lambda: s.generations.newest.driver.queries)
+            await until(lambda: s.generations.current.driver.queries)
             await s.in_force(replaced(PUBLISHED, "(free 5)", "(free 6)"))
-            earlier, newest = s.generations.earlier[0], s.generations.newest
+            earlier, newest = s.generations.draining[0], s.generations.current
             assert newest.driver.module.sites is earlier.driver.module.sites is tiers
             next_one = asyncio.ensure_future(s.client.query(ASK))
             await until(lambda: newest.driver.queries)
             assert not set(earlier.driver._owners) & set(newest.driver._owners)  # parts are told apart
             for status, answer, _ in await asyncio.gather(held, next_one):
                 assert status == 200 and len(answer["data"]["fullQuote"]) == 4
-            await until(lambda: not s.generations.earlier and newest.idle)
+            await until(lambda: not s.generations.draining and newest.idle)
             assert not any(site.seen.out for site in tiers.sites)
             s.publish(with_deadline(2900))  # another class: preference among sites rests on it
             await until(lambda: s.relay.summary().refused)
@@ -307,7 +309,7 @@
     async def main():
         async with FeedStage(tmp_path, discovery={"mode": "ask"}) as s:
             await s.in_force(with_deadline(2900))
-            newest = s.generations.newest.driver.module
+            newest = s.generations.current.driver.module
             await until(lambda: sum(n.ready for n in newest.nodes.values()) == 12)
             s.world.crash(next(iter(s.world.servers)))
             await until(lambda: sum(n.ready for n in newest.nodes.values()) == 11)
@@ -327,37 +329,37 @@
     async def main():
         async with FeedStage(tmp_path) as s:
             assert old in PUBLISHED
-            before = s.generations.newest
+            before = s.generations.current
             revision = s.publish(replaced(PUBLISHED, old, new))
             await until(lambda: s.relay.summary().refused)
             (laggard,) = s.relay.summary().laggards
             assert (laggard.name, laggard.refused) == ("broker-0", revision)
             assert laggard.reason.startswith(reason), laggard.reason
-            assert s.generations.living == (before,)
+            assert s.generations.live == (before,)
             assert (await s.client.query(ASK))[0] == 200
             await s.in_force(with_deadline(2900))
-            assert s.generations.newest is not before
+            assert s.generations.current is not before
             await until(lambda: s.relay.summary().refused == 0 and s.relay.summary().in_force == 1)
 
     run(main)
 
 
 def test_a_configuration_waits_where_too_many_earlier_ones_still_have_queries(tmp_path, monkeypatch):
-    monkeypatch.setattr(generation, "MOST_LIVING", 2)
+    monkeypatch.setattr(manager, "MAX_GENERATIONS", 2)
 
     async def main():
         async with FeedStage(tmp_path) as s:
             s.slow(2 * SLOW_MS)
             held = asyncio.ensure_future(s.client.query(ASK))
-            await until(lambda: s.generations.newest.driver.queries)
+            await until(lambda: s.generations.current.driver.queries)
             await s.in_force(with_deadline(2900))
             s.publish(with_deadline(2800))
             s.publish(with_deadline(2700))
             await until(lambda: s.relay.summary().refused)
-            assert s.relay.summary().laggards[0].reason == WAITS and len(s.generations.living) == 2
-            assert s.generations.newest.settings.class_[0].deadline_ms == 2900
+            assert s.relay.summary().laggards[0].reason == WAITING_FOR_CAPACITY and len(s.generations.live) == 2
+            assert s.generations.current.settings.class_[0].deadline_ms == 2900
             assert (await held)[0] == 200
-            await until(lambda: s.generations.newest.settings.class_[0].deadline_ms == 2700)
+            await until(lambda: s.generations.current.settings.class_[0].deadline_ms == 2700)
             await until(lambda: s.relay.summary().refused == 0)
 
     run(main)
@@ -366,12 +368,12 @@
 def test_one_that_says_what_is_in_force_or_is_taken_away_begins_no_generation(tmp_path):
     async def main():
         async with FeedStage(tmp_path) as s:
-            before = s.generations.newest
+            before = s.generations.current
             await s.in_force(PUBLISHED)
-            assert s.generations.newest is before
+            assert s.generations.current is before
             s.publish(None)
-            await until(lambda: s.broker.feeding.client.follower.in_force == 2)
-            assert s.generations.living == (before,)
+            await until(lambda: s.broker.feed_subscription.client.follower.in_force == 2)
+            assert s.generations.live == (before,)
 
     run(main)
 
@@ -393,7 +395,7 @@
             await until(lambda: states_of(s.broker)[drained] == api.EndpointState.DRAINING)
             s.publish_changes(change(f"node/{removed}", None))
             await until(lambda: removed not in states_of(s.broker))
-            module = s.generations.newest.driver.module
+            module = s.generations.current.driver.module
             await until(lambda: sum(n.ready for n in module.nodes.values()) == 10)
             s.records.clear()
             await s.in_force(with_deadline(2900))  # a new generation begins with the feed's list
@@ -402,7 +404,7 @@
             assert not {r["server"] for r in s.seen("arrive")} & {drained, removed}
             assert not s.seen("told")  # Consul's stand-in was never asked
             s.relay_server.confirmed(s.relay_server.clock())
-            await until(lambda: s.broker.feeding.age_s < 60.0)  # with the relay's next heartbeat
+            await until(lambda: s.broker.feed_subscription.age_s < 60.0)  # with the relay's next heartbeat
             s.broker._gauges()
             assert s.broker.metrics.list_age._value.get() < 60.0
 
@@ -437,7 +439,7 @@
                 s.publish_changes(change(f"node/{drained}", s.row(drained, state="draining")))
                 server.published()
                 await until(lambda: other.directory.known)
-                await until(lambda: other.feeding.client.follower.in_force == s.control.machine.log.revision)
+                await until(lambda: other.feed_subscription.client.follower.in_force == s.control.machine.log.revision)
                 await until(lambda: states_of(other)[drained] == api.EndpointState.DRAINING)
                 number = other.directory.known[drained].line.node
                 module = other.driver.module
@@ -474,15 +476,20 @@
     settings = msgspec.structs.replace(base, listen=listen)
     broker = Broker(settings, read_subgraph(settings, path))
     await broker.start()
-    assert broker.feeding is None
+    assert broker.feed_subscription is None
     await broker.stop()
 asyncio.run(main())
 print(*sys.modules)
 """
     command = [sys.executable, "-c", code, str(EXAMPLE)]
     loaded = subprocess.run(command, capture_output=True, text=True, check=True).stdout.split()
-    assert "badgerbend.broker" in loaded and "badgerbend.generation" in loaded
-    feeds = ("badgerbend.feed", "badgerbend.feed_service", "badgerbend.feeding", "badgerbend.change_check")
+    assert "badgerbend.broker" in loaded and "badgerbend.generations.manager" in loaded
+    feeds = (
+        "badgerbend.feed",
+        "badgerbend.feed_service",
+        "badgerbend.feed_subscription",
+        "badgerbend.publication_validation",
+    )
     assert not [name for name in loaded if name.startswith(feeds)]
 
 
--- a/tests/test_keyed_list.py
+++ b/tests/test_keyed_list.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from badgerbend import api
-from badgerbend.change_check import check_change
 from badgerbend.discovery.directory import SLICE, ListError, Reading
 from badgerbend.discovery.keyed import KeyedList, keyed_directory
+from badgerbend.publication_validation.changes import validate_change
 from tests.feed_stage import change
 
 READY, DRAINING, GONE = api.EndpointState.READY, api.EndpointState.DRAINING, api.EndpointState.REMOVED
@@ -220,10 +220,10 @@
 
 
 def test_the_publishers_check_judges_rows_and_configurations():
-    assert check_change(change("node/a", row(1).decode())) == check_change(change("node/a", None)) == ""
-    assert "cell" in check_change(change("node/a", '{"address": "h:1"}'))
-    assert "HOST:PORT" in check_change(change("node/a", '{"address": "h", "cell": 1}'))
-    assert "Expected `int`" in check_change(change("node/a", '{"address": "h:1", "cell": "one"}'))
-    assert check_change(change("node/", row(1).decode())) == "node/: a server needs a name"
-    assert check_change(change("node/a", "[")).startswith("node/a: ")
-    assert check_change(change("configuration/b", "(broker")).startswith("configuration/b:1:8: ")
+    assert validate_change(change("node/a", row(1).decode())) == validate_change(change("node/a", None)) == ""
+    assert "cell" in validate_change(change("node/a", '{"address": "h:1"}'))
+    assert "HOST:PORT" in validate_change(change("node/a", '{"address": "h", "cell": 1}'))
+    assert "Expected `int`" in validate_change(change("node/a", '{"address": "h:1", "cell": "one"}'))
+    assert validate_change(change("node/", row(1).decode())) == "node/: a server needs a name"
+    assert validate_change(change("node/a", "[")).startswith("node/a: ")
+    assert validate_change(change("configuration/b", "(broker")).startswith("configuration/b:1:8: ")
--- a/tests/test_wire_bytes_feed.py
+++ b/tests/test_wire_bytes_feed.py
@@ -116,14 +116,14 @@
 
 def test_datagram_with_a_proposal():
     command = fixture_bytes("feed/command/publish-part")
-    assert control_wire.proposal_body(command) == b"p" + command
-    assert control_wire.read(b"p" + command) == control_wire.Proposal(command)
+    assert control_wire.encode_proposal(command) == b"p" + command
+    assert control_wire.decode(b"p" + command) == control_wire.Proposal(command)
 
 
 def test_datagram_with_a_summary():
     expected = b"u" + fixture_bytes("feed/message/summary")
-    assert control_wire.summary_body(SUMMARY) == expected
-    assert control_wire.read(expected) == SUMMARY
+    assert control_wire.encode_summary(SUMMARY) == expected
+    assert control_wire.decode(expected) == SUMMARY
 
 
 @pytest.mark.parametrize(
@@ -135,4 +135,4 @@
     ],
 )
 def test_other_datagrams_are_read_as_between_brokers(letter, key, message):
-    assert control_wire.read(letter + fixture_bytes(key)) == message
+    assert control_wire.decode(letter + fixture_bytes(key)) == message
