--- a/badgerbend/feed_service/__init__.py
+++ b/badgerbend/feed_service/__init__.py
@@ -1,1 +1,4 @@
-"""The feed on sockets: relays and followers of `feed` over TCP. They decide nothing."""
+"""The feed over sockets: connects the sans-I/O relays and followers of `feed` to TCP, and control machines to UDP.
+
+The modules here carry out what the state machines of `feed` ask for; they take no decisions of their own.
+"""
--- a/badgerbend/feed_service/follower.py
+++ b/badgerbend/feed_service/follower.py
@@ -1,10 +1,10 @@
-"""A follower's connection: `feed.follower.Follower` between its owner and TCP."""
+"""A follower's connection: connects `feed.follower.Follower` to its owner and to TCP."""
 
 from __future__ import annotations
 
 import asyncio
 from dataclasses import dataclass
-from typing import Protocol
+from typing import Protocol, assert_never
 
 from badgerbend.feed.errors import FeedError
 from badgerbend.feed.follower import Action, Connect, Disconnect, Follower, Install, Rejected, Send
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """Bytes of the feed's frames, without the network's own headers."""
+    """Bytes of the feed's frames, without the headers of the network's protocols."""
 
     received_bytes: int
     sent_bytes: int
@@ -26,11 +26,14 @@
 
 
 class FollowerOwner(Protocol):
-    """Who puts in force what the feed brings. Called between two turns of the loop, never amid one."""
+    """Puts in force what the feed brings. Called between two turns of the loop, never within one."""
 
     def install(self, revision: int, changes: tuple[Change, ...]) -> str:
-        """Puts changes in force; why the newest configuration of the feed is not in force, or nothing. One that cannot
-        be used leaves what was in force as it is. An exception ends the follower, and is raised in the loop."""
+        """Apply changes. Returns why the newest configuration of the feed is not in force, or an empty string.
+
+        A configuration that cannot be used leaves the one in force as it is. An exception ends the follower and is
+        raised in the loop.
+        """
         ...
 
     def rejected(self, relay: str, error: FeedError) -> None:
@@ -39,66 +42,74 @@
 
 
 class FollowerClient:
-    """Built and used on one running loop."""
+    """A follower and its connection. Built and used on one running loop."""
 
     def __init__(self, follower: Follower, owner: FollowerOwner, clock: Clock = monotonic) -> None:
-        self.follower, self.owner, self.clock = follower, owner, clock
+        self.follower = follower
+        self.owner = owner
+        self.clock = clock
         self.loop = asyncio.get_running_loop()
         self._closed_traffic = Traffic(0, 0)  # of connections that have ended
         self._stream: MessageStream | None = None
         self._connecting: asyncio.Task[None] | None = None
         self._timer = Timer(clock, self._tick)
-        self._pumping = False
+        self._processing = False
 
     def start(self) -> None:
-        """Begins to look for a relay."""
+        """Begin to look for a relay."""
         self.follower.start(self.clock())
-        self._pump()
+        self._process_actions()
 
     def stop(self) -> None:
-        """Ends the connection; the replica stays."""
+        """End the connection; the replica stays."""
         self.follower.stop()
-        self._pump()
+        self._process_actions()
         self._timer.cancel()
 
     @property
     def traffic(self) -> Traffic:
-        """Bytes received and sent so far, over all connections, without the network's own headers."""
+        """The traffic of all connections so far."""
         if self._stream is None:
             return self._closed_traffic
         return self._closed_traffic.plus(self._stream)
 
-    # -- the connection's side
+    # The listener of the connection.
+
     def stream_opened(self, stream: MessageStream) -> None:
+        """Tell the follower that its attempt to connect has succeeded."""
         self.follower.connected(self.clock(), stream.number)
-        self._pump()
+        self._process_actions()
 
     def stream_message(self, stream: MessageStream, message: Message) -> None:
+        """Pass a message to the follower."""
         self.follower.received(self.clock(), stream.number, message)
-        self._pump()
+        self._process_actions()
 
     def stream_malformed(self, stream: MessageStream, error: FeedError) -> None:
+        """Report bytes that are no message to the follower."""
         self.follower.unusable(self.clock(), stream.number, error)
-        self._pump()
+        self._process_actions()
 
     def stream_writable(self, stream: MessageStream) -> None:
-        """What a follower sends is small; nothing waits for room."""
+        """Ignored: what a follower sends is small, and nothing is held back."""
 
     def stream_closed(self, stream: MessageStream) -> None:
+        """Tell the follower that its connection has ended."""
         self._forget(stream)
         self.follower.closed(self.clock(), stream.number)
-        self._pump()
+        self._process_actions()
+
+    # Internal.
 
-    # -- inside
     def _tick(self) -> None:
         self.follower.tick(self.clock())
-        self._pump()
+        self._process_actions()
 
-    def _pump(self) -> None:
-        """Carries out what the core wants, in its order."""
-        if self._pumping:
+    def _process_actions(self) -> None:
+        """Carry out the follower's actions in their order. A call from within an action leaves the rest to it."""
+        if self._processing:
             return
-        self._pumping = True
+        self._processing = True
         try:
             while actions := self.follower.take():
                 for action in actions:
@@ -107,11 +118,11 @@
             self._fail()
             raise
         finally:
-            self._pumping = False
+            self._processing = False
         self._timer.schedule(self.follower.next_at)
 
     def _fail(self) -> None:
-        """Its owner failed amid an install: what is in force is not known, so nothing more is reported or taken."""
+        """End after the owner failed within an install: it is unknown what is in force, so nothing is reported."""
         self.follower.stop()
         self.follower.take()
         self._disconnect()
@@ -130,6 +141,8 @@
                 self._install(action)
             case Rejected():
                 self.owner.rejected(action.relay, action.error)
+            case _:
+                assert_never(action)
 
     async def _connect(self, action: Connect) -> None:
         stream = MessageStream(self, action.attempt)
@@ -139,7 +152,7 @@
         except OSError:
             self._forget(stream)
             self.follower.closed(self.clock(), action.attempt)
-            self._pump()
+            self._process_actions()
 
     def _disconnect(self) -> None:
         if self._connecting is not None and not self._connecting.done():
--- a/badgerbend/feed_service/relay.py
+++ b/badgerbend/feed_service/relay.py
@@ -1,9 +1,10 @@
-"""A relay's listening socket: connections of followers between `feed.relay.Relay` and TCP."""
+"""A relay's listening socket: connects `feed.relay.Relay` to the TCP connections of followers."""
 
 from __future__ import annotations
 
 import asyncio
 from itertools import count
+from typing import assert_never
 
 from badgerbend.feed.errors import FeedError
 from badgerbend.feed.messages import Message
@@ -11,78 +12,84 @@
 from badgerbend.feed_service.stream import MessageStream
 from badgerbend.feed_service.timer import Clock, Timer, monotonic
 
-BACKLOG = 4096  # connections that wait to be accepted: a zone's followers return at once
-ROUNDS = 16  # of catching up in one turn of the loop; the rest comes in the next
+BACKLOG = 4096  # connections that wait to be accepted: a zone's followers reconnect at once
+MAX_ROUNDS = 16  # of actions in one turn of the loop; the rest follows in the next turn
 
 
 class RelayServer:
-    """Built and used on one running loop."""
+    """A relay and its connections. Built and used on one running loop.
+
+    connections_accepted: counts all connections since the start.
+    """
 
     def __init__(self, relay: Relay, clock: Clock = monotonic) -> None:
-        self.relay, self.clock = relay, clock
+        self.relay = relay
+        self.clock = clock
         self.loop = asyncio.get_running_loop()
         self.connections_accepted = 0
         self._numbers = count(1)
         self._streams: dict[int, MessageStream] = {}
-        self._written = set[int]()  # connections written to since their core was told that they took it
+        self._written = set[int]()  # connections written to since the relay was last told which of them have drained
         self._timer = Timer(clock, self._tick)
         self._server: asyncio.Server | None = None
-        self._again: asyncio.Handle | None = None
+        self._next_turn: asyncio.Handle | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Listens; returns the port. Raises OSError."""
-        self._server = await self.loop.create_server(self._accepted, host, port, backlog=BACKLOG)
+        """Listen; returns the port. Raises OSError."""
+        self._server = await self.loop.create_server(self._create_stream, host, port, backlog=BACKLOG)
         return int(self._server.sockets[0].getsockname()[1])
 
+    async def stop(self) -> None:
+        """Close the listening socket and all connections."""
+        self._timer.cancel()
+        if self._next_turn is not None:
+            self._next_turn.cancel()
+        if self._server is not None:
+            self._server.close()
+        for stream in list(self._streams.values()):
+            stream.abort()
+        self._streams.clear()
+        self._written.clear()
+        if self._server is not None:
+            await self._server.wait_closed()
+
     def published(self) -> None:
-        """The relay's log has grown."""
+        """Notify the relay that its log has grown."""
         self.relay.published(self.clock())
         self.process_actions()
 
     def confirmed(self, as_of: float) -> None:
-        """The relay's log held all that was agreed on at this time."""
+        """Notify the relay that its log held everything committed by a time of `clock`."""
         self.relay.confirmed(self.clock(), as_of)
 
     def process_actions(self) -> None:
-        """Carries out what the core wants. Call it after each of its calls."""
-        for _ in range(ROUNDS):
+        """Carry out the relay's actions. To be called after each call of the relay."""
+        for _ in range(MAX_ROUNDS):
             actions = self.relay.take()
             if not actions and not self._written:
                 break
             for action in actions:
                 self._carry_out(action)
-            self._tell_drained()
+            self._report_drained()
         else:
-            self._pump_again()
+            self._continue_next_turn()
         self._timer.schedule(self.relay.next_at)
 
     @property
     def connections(self) -> int:
-        """Connections that stand."""
+        """The number of open connections."""
         return len(self._streams)
 
     def max_unsent_bytes(self) -> int:
-        """Bytes that wait for the socket of the slowest follower."""
+        """The unsent bytes of the slowest follower."""
         return max((stream.unsent_bytes for stream in self._streams.values()), default=0)
 
-    async def stop(self) -> None:
-        """Closes the socket and all connections."""
-        self._timer.cancel()
-        if self._again is not None:
-            self._again.cancel()
-        if self._server is not None:
-            self._server.close()
-        for stream in list(self._streams.values()):
-            stream.abort()
-        self._streams.clear()
-        self._written.clear()
-        if self._server is not None:
-            await self._server.wait_closed()
+    # The listener of the connections.
 
-    # -- the connections' side
     def stream_opened(self, stream: MessageStream) -> None:
+        """Begin a session, unless the server was stopped after it had accepted the connection."""
         if self._server is None or not self._server.is_serving():
-            stream.abort()  # it was accepted just before the stop
+            stream.abort()
             return
         self.connections_accepted += 1
         self._streams[stream.number] = stream
@@ -90,24 +97,29 @@
         self.process_actions()
 
     def stream_message(self, stream: MessageStream, message: Message) -> None:
+        """Pass a message to the relay."""
         self.relay.received(self.clock(), stream.number, message)
         self.process_actions()
 
     def stream_malformed(self, stream: MessageStream, error: FeedError) -> None:
+        """Report bytes that are no message to the relay."""
         self.relay.unusable(self.clock(), stream.number, error)
         self.process_actions()
 
     def stream_writable(self, stream: MessageStream) -> None:
+        """Report to the relay that the connection takes further frames."""
         self._written.add(stream.number)
         self.process_actions()
 
     def stream_closed(self, stream: MessageStream) -> None:
+        """End the session."""
         self._forget(stream.number)
         self.relay.closed(self.clock(), stream.number)
         self.process_actions()
 
-    # -- inside
-    def _accepted(self) -> MessageStream:
+    # Internal.
+
+    def _create_stream(self) -> MessageStream:
         return MessageStream(self, next(self._numbers))
 
     def _tick(self) -> None:
@@ -118,16 +130,20 @@
         stream = self._streams.get(action.session)
         if stream is None:
             return
-        if isinstance(action, Close):
-            self._forget(action.session)
-            stream.abort()
-            return
-        stream.write(action.frame)
-        self._written.add(action.session)
-
-    def _tell_drained(self) -> None:
-        """Connections that are not full have taken what was written; full ones say so when they have."""
-        written, self._written = self._written, set()
+        match action:
+            case SendTo():
+                stream.write(action.frame)
+                self._written.add(action.session)
+            case Close():
+                self._forget(action.session)
+                stream.abort()
+            case _:
+                assert_never(action)
+
+    def _report_drained(self) -> None:
+        """Tell the relay which connections have taken what was written; a full one becomes writable later."""
+        written = self._written
+        self._written = set()
         for number in written:
             if not self._streams[number].full:
                 self.relay.drained(self.clock(), number)
@@ -136,10 +152,10 @@
         self._streams.pop(number, None)
         self._written.discard(number)
 
-    def _pump_again(self) -> None:
-        if self._again is None:
-            self._again = self.loop.call_soon(self._pumped_again)
+    def _continue_next_turn(self) -> None:
+        if self._next_turn is None:
+            self._next_turn = self.loop.call_soon(self._continue)
 
-    def _pumped_again(self) -> None:
-        self._again = None
+    def _continue(self) -> None:
+        self._next_turn = None
         self.process_actions()
--- a/badgerbend/feed_service/stream.py
+++ b/badgerbend/feed_service/stream.py
@@ -9,31 +9,41 @@
 from badgerbend.feed.framing import FrameReader
 from badgerbend.feed.messages import Message
 
-WRITE_HIGH = 64 * 1024  # bytes that wait for the socket before the connection counts as full
-WRITE_LOW = 16 * 1024
+WRITE_HIGH = 64 * 1024  # unsent bytes from which on the connection counts as full
+WRITE_LOW = 16 * 1024  # unsent bytes at which a full connection is writable again
 
 
 class StreamListener(Protocol):
-    """Who is told what happens on a connection."""
+    """Receives the events of connections. A connection that its listener has aborted has no more events."""
 
-    def stream_opened(self, stream: MessageStream) -> None: ...
+    def stream_opened(self, stream: MessageStream) -> None:
+        """The connection is established."""
 
-    def stream_message(self, stream: MessageStream, message: Message) -> None: ...
+    def stream_message(self, stream: MessageStream, message: Message) -> None:
+        """A message was received."""
 
-    def stream_malformed(self, stream: MessageStream, error: FeedError) -> None: ...
+    def stream_malformed(self, stream: MessageStream, error: FeedError) -> None:
+        """Bytes were received that are no message; the connection stays open until it is aborted."""
 
-    def stream_writable(self, stream: MessageStream) -> None: ...
+    def stream_writable(self, stream: MessageStream) -> None:
+        """The connection was full, and now takes further frames."""
 
-    def stream_closed(self, stream: MessageStream) -> None: ...
+    def stream_closed(self, stream: MessageStream) -> None:
+        """The other side or the network has ended the connection."""
 
 
 class MessageStream(asyncio.Protocol):
-    """One connection. number: its owner's name for it."""
+    """One connection.
+
+    number: identifies the connection to its listener. full: more than WRITE_HIGH bytes are unsent.
+    """
 
     def __init__(self, listener: StreamListener, number: int) -> None:
-        self.listener, self.number = listener, number
+        self.listener = listener
+        self.number = number
         self.full = False
-        self.bytes_sent = self.bytes_received = 0
+        self.bytes_sent = 0
+        self.bytes_received = 0
         self._reader = FrameReader()
         self._transport: asyncio.Transport | None = None
         self._ended = False
@@ -43,20 +53,22 @@
         """Bytes written that the socket has not taken yet."""
         return 0 if self._transport is None else self._transport.get_write_buffer_size()
 
-    def write(self, data: bytes) -> None:
-        """Sends a frame, if the connection still stands."""
+    def write(self, frame: bytes) -> None:
+        """Send a frame; does nothing if the connection has ended."""
         if self._transport is not None and not self._ended:
-            self.bytes_sent += len(data)
-            self._transport.write(data)
+            self.bytes_sent += len(frame)
+            self._transport.write(frame)
 
     def abort(self) -> None:
-        """Closes the connection and forgets what still waits to be written; its owner hears no more of it."""
+        """Close the connection at once and discard its unsent bytes."""
         self._ended = True
         if self._transport is not None:
             self._transport.abort()
 
-    # -- asyncio's side
+    # The methods of asyncio.Protocol.
+
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Tell the listener, unless it has aborted the connection while it was being established."""
         self._transport = cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(WRITE_HIGH, WRITE_LOW)
         if self._ended:
@@ -65,6 +77,7 @@
             self.listener.stream_opened(self)
 
     def data_received(self, data: bytes) -> None:
+        """Pass on each message that is complete."""
         self.bytes_received += len(data)
         try:
             for message in self._reader.feed(data):
@@ -76,14 +89,17 @@
                 self.listener.stream_malformed(self, error)
 
     def pause_writing(self) -> None:
+        """Note that more than WRITE_HIGH bytes are unsent."""
         self.full = True
 
     def resume_writing(self) -> None:
+        """Tell the listener that no more than WRITE_LOW bytes are unsent."""
         self.full = False
         if not self._ended:
             self.listener.stream_writable(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Tell the listener, unless it has aborted the connection itself."""
         if not self._ended:
             self._ended = True
             self.listener.stream_closed(self)
--- a/badgerbend/feed_service/timer.py
+++ b/badgerbend/feed_service/timer.py
@@ -1,4 +1,4 @@
-"""One moving wake-up on an asyncio loop, for a core that says when it has something to do."""
+"""One timer on an asyncio loop, for a state machine that says when it has something to do next."""
 
 from __future__ import annotations
 
@@ -7,33 +7,39 @@
 import time
 from collections.abc import Callable
 
-Clock = Callable[[], float]
+Clock = Callable[[], float]  # seconds, never going backwards
 monotonic: Clock = time.monotonic
 
 
 class Timer:
-    """Calls `due` at the time last asked for."""
+    """Calls `on_due` once at the time scheduled last. Built and used on one running loop."""
 
-    def __init__(self, clock: Clock, due: Callable[[], None]) -> None:
-        self.clock, self.due = clock, due
+    def __init__(self, clock: Clock, on_due: Callable[[], None]) -> None:
+        self.clock = clock
+        self.on_due = on_due
         self.loop = asyncio.get_running_loop()
-        self._at = math.inf
+        self._due_at = math.inf
         self._handle: asyncio.TimerHandle | None = None
 
-    def schedule(self, at: float) -> None:
-        """The next time; infinite for none."""
-        if at == self._at and self._handle is not None:
+    def schedule(self, due_at: float) -> None:
+        """Replace the time scheduled before, in seconds of `clock`; infinity schedules nothing."""
+        if due_at == self._due_at and self._handle is not None:
             return
         self.cancel()
-        self._at = at
-        if not math.isinf(at):
-            self._handle = self.loop.call_later(max(at - self.clock(), 0.0), self._run)
+        self._due_at = due_at
+        if not math.isinf(due_at):
+            self._handle = self.loop.call_later(max(due_at - self.clock(), 0.0), self._run)
 
     def cancel(self) -> None:
+        """Schedule nothing."""
         if self._handle is not None:
             self._handle.cancel()
-        self._handle, self._at = None, math.inf
+        self._clear()
+
+    def _clear(self) -> None:
+        self._handle = None
+        self._due_at = math.inf
 
     def _run(self) -> None:
-        self._handle, self._at = None, math.inf
-        self.due()
+        self._clear()
+        self.on_due()
--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -36,7 +36,7 @@
         return self.unusable(changes)
 
     def rejected(self, relay, error):
-        self.errors.append((relay, type(error).__name__))
+        self.errors.append((relay, type(error)))
         self.news.set()
 
     async def until(self, condition):
