--- a/badgerbend/benchlink.py
+++ b/badgerbend/benchlink.py
@@ -12,8 +12,8 @@
 from typing import BinaryIO
 
 from badgerbend import api
-from badgerbend.facts import SettingError, parse_facts, read_settings
 from badgerbend.logic import Aggregator
+from badgerbend.platform_settings import SettingError, parse_lines, read_settings
 
 BATCH_HEAD, REPLY_HEAD = Struct(">IId"), Struct(">II")
 EVENT_SIZE, LINE_SIZE, CLOCK_BYTES = 48, 22, 8
@@ -105,12 +105,12 @@
                     raise WireError("no instance is selected")
                 elif code == START:
                     seed, offset, n = F_START.unpack_from(frame, at + 1)
-                    facts = self._bytes(frame, tail + offset, n).decode("utf-8", "replace")
+                    settings = self._bytes(frame, tail + offset, n).decode("utf-8", "replace")
                     events[me] = []
                     unfit.pop(me, None)
                     self.instances.pop(me, None)
                     try:
-                        self.instances[me] = Aggregator(read_settings(parse_facts(facts)), seed)
+                        self.instances[me] = Aggregator(read_settings(parse_lines(settings)), seed)
                     except SettingError as err:
                         unfit[me] = str(err)
                 elif code == EXIT:
--- a/badgerbend/platform/config.py
+++ b/badgerbend/platform/config.py
@@ -12,8 +12,8 @@
 
 from badgerbend import api
 from badgerbend.discovery.members import TOLD_S, parse_address
-from badgerbend.facts import SettingError, flatten, read_settings, unfit
 from badgerbend.platform import names
+from badgerbend.platform_settings import SettingError, flatten, read_settings
 
 MAX_BYTES = 16_777_216
 DRAIN_GRACE_MS = 250.0  # where the settings name none: short, since the agent on the own machine is cheap to ask
@@ -42,7 +42,7 @@
     limits: Limits
     known: tuple[msgspec.Raw, ...]
     settings: api.Settings
-    facts: Mapping[str, str]  # all settings, by path
+    flat_settings: Mapping[str, str]  # all settings, by path
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
     zones: tuple[str, ...]
@@ -83,9 +83,9 @@
         file = msgspec.json.decode(raw, type=_File)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
         raise ConfigError(f"the configuration is malformed: {err}") from err
-    facts = flatten(file.settings)
+    flat_settings = flatten(file.settings)
     try:
-        settings = replace(read_settings(facts), max_notification_delay_ms=TOLD_S * 1000.0)
+        settings = replace(read_settings(flat_settings), max_notification_delay_ms=TOLD_S * 1000.0)
     except SettingError as err:
         raise ConfigError(str(err)) from err
     limits = file.limits
@@ -103,14 +103,14 @@
         limits,
         _known(file.known),
         settings,
-        facts,
+        flat_settings,
         _named(file.settings, "categories"),
         _named(file.settings, "tenants"),
         _words(file.settings, "failureDomains"),
         _words(file.settings, "kinds"),
-        _count(facts, "specifics.ranges"),
-        _count(facts, "ceilings.streamsPerConn"),
-        _grace(facts),
+        _count(flat_settings, "specifics.ranges"),
+        _count(flat_settings, "ceilings.streamsPerConn"),
+        _grace(flat_settings),
     )
 
 
@@ -144,19 +144,19 @@
     return tuple(rows)
 
 
-def _grace(facts: Mapping[str, str]) -> float:
+def _grace(flat_settings: Mapping[str, str]) -> float:
     path = "obligations.drainGraceMs"
     try:
-        grace = float(facts.get(path, DRAIN_GRACE_MS))
+        grace = float(flat_settings.get(path, DRAIN_GRACE_MS))
     except ValueError:
         grace = math.nan
     if not 0 <= grace < math.inf:
-        raise ConfigError(str(unfit(facts, path)))
+        raise ConfigError(str(SettingError.at(flat_settings, path)))
     return grace
 
 
-def _count(facts: Mapping[str, str], path: str) -> int:
-    text = facts.get(path, "")
+def _count(flat_settings: Mapping[str, str], path: str) -> int:
+    text = flat_settings.get(path, "")
     if not text.isdigit() or not 1 <= int(text) <= 1_000_000:
-        raise ConfigError(str(unfit(facts, path)))
+        raise ConfigError(str(SettingError.at(flat_settings, path)))
     return int(text)
--- a/badgerbend/platform/service.py
+++ b/badgerbend/platform/service.py
@@ -140,7 +140,7 @@
             for field, old, new in (
                 ("listen", self.config.listen, config.listen),
                 ("limits", self.config.limits, config.limits),
-                ("settings", self.config.facts, config.facts),
+                ("settings", self.config.flat_settings, config.flat_settings),
             )
             if old != new
         ]
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -8,7 +8,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent / "badgerbend"
-BARE = {"__init__", "api", "logic", "facts", "benchlink"}
+BARE = {"__init__", "api", "logic", "platform_settings", "benchlink"}
 MAY = {  # room: rooms of ours that it may import
     "config": {"api"},
     "runtime": {"api", "logic"},
@@ -47,9 +47,9 @@
     "sites": {"api", "config"},
     "siting": {"config", "log", "metrics", "net", "sites"},
     "metrics": {"api", "log", "runtime"},
-    "facts": {"api"},
+    "platform_settings": {"api"},
     "frames": {"api", "runtime"},
-    "platform": {"api", "discovery", "facts", "frames", "logic", "net", "runtime"},
+    "platform": {"api", "discovery", "platform_settings", "frames", "logic", "net", "runtime"},
 }
 PURE = (
     "consensus/durability.py",
@@ -155,7 +155,7 @@
         for module in imports(ROOT / f"{name}.py"):
             top = module.split(".")[0]
             assert top in sys.stdlib_module_names or top == "badgerbend", (name, module)
-        assert rooms(ROOT / f"{name}.py") <= {"api", "logic", "facts"}
+        assert rooms(ROOT / f"{name}.py") <= {"api", "logic", "platform_settings"}
 
 
 @pytest.mark.parametrize("name", PURE)
@@ -171,7 +171,7 @@
     libraries = {name.split(".")[0] for name in found} - set(sys.stdlib_module_names) - {"badgerbend"}
     assert {n for n in libraries if "cython" not in n} <= {"httptools", "msgspec", "typing_extensions"}
     mine = {name.split(".")[1] for name in found if name.startswith("badgerbend.")}
-    assert mine <= {"api", "logic", "facts", "discovery", "frames", "net", "platform", "runtime"}
+    assert mine <= {"api", "logic", "platform_settings", "discovery", "frames", "net", "platform", "runtime"}
 
 
 def test_nothing_but_the_command_line_knows_the_stand_ins():
--- a/tests/test_public_interfaces.py
+++ b/tests/test_public_interfaces.py
@@ -11,7 +11,7 @@
 from typer.testing import CliRunner
 
 # Whoever renames a class or module edits these lines, and nothing else in this file.
-from badgerbend import cli, facts
+from badgerbend import cli, platform_settings
 from badgerbend.config.decode import dashed
 from badgerbend.config.reading import parse as parse_settings
 from badgerbend.config.settings import Settings
@@ -87,7 +87,7 @@
 
 def platform_paths():
     """Every value of a complete platform configuration, by its path; optional ones too."""
-    paths = facts.flatten(SETTINGS)
+    paths = platform_settings.flatten(SETTINGS)
     return paths | OPTIONAL_PATHS
 
 
@@ -116,7 +116,7 @@
     looked_up = {}
     for mode in ("push", "ask"):
         settings = RecordingMapping(platform_paths() | {"registryMode": mode})
-        facts.read_settings(settings)
+        platform_settings.read_settings(settings)
         looked_up[mode] = sorted(settings.looked_up)
     compare("platform_keys", looked_up)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,7 +6,7 @@
 import pytest
 from conftest import SETTINGS
 
-from badgerbend import api, benchlink, facts
+from badgerbend import api, benchlink, platform_settings
 
 FACTS = {
     "categories.count": "1",
@@ -215,13 +215,13 @@
 
 
 def test_settings_reach_the_module():
-    got = facts.read_settings(FACTS)
+    got = platform_settings.read_settings(FACTS)
     assert (got.cell_count, got.cells_per_shard, got.retry_budget_min, got.retry_budget_window_ms) == (2, 2, None, None)
     assert got.classes[0].effect == "safe" and type(got) is type(SETTINGS)
 
 
 def test_settings_of_partial_answers_connections_and_asking_reach_the_module():
-    got = facts.read_settings(
+    got = platform_settings.read_settings(
         FACTS
         | {
             "specifics.classPartial": "0.9",
@@ -234,7 +234,7 @@
     assert got.classes[0].partial_value == 0.9
     assert (got.connection_idle_ms, got.connect_timeout_ms, got.max_poll_interval_ms) == (15000.0, 250.0, 10000.0)
     assert got.polls_endpoint_list and not got.tenants
-    absent = facts.read_settings(FACTS)
+    absent = platform_settings.read_settings(FACTS)
     assert absent.classes[0].partial_value == 1.0
     assert absent.connection_idle_ms == absent.connect_timeout_ms == absent.max_poll_interval_ms == float("inf")
 
@@ -251,5 +251,5 @@
     ],
 )
 def test_absurd_settings_of_these_are_named(change):
-    with pytest.raises(facts.SettingError, match="classPartial|connIdleMs|connectTimeoutMs|mustAskInMs"):
-        facts.read_settings(FACTS | change)
+    with pytest.raises(platform_settings.SettingError, match="classPartial|connIdleMs|connectTimeoutMs|mustAskInMs"):
+        platform_settings.read_settings(FACTS | change)
