--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -28,7 +28,7 @@
 from badgerbend.metrics import Metrics
 from badgerbend.net.client import PoolLimits
 from badgerbend.net.server import Exchange, HttpServer, ServerLimits
-from badgerbend.peering.service import Learning
+from badgerbend.peering.service import KnowledgeExchange
 from badgerbend.pools import ServerPools
 from badgerbend.runtime.driver import Driver
 from badgerbend.runtime.loop import now_ms
@@ -95,9 +95,9 @@
             loop, self.directory, self.watch, self.pools.of, self.metrics, self.decisions, preference, slices
         )
         self.generations = Generations(settings, graph, shared)
-        self.learning: Learning | None = None
+        self.knowledge_exchange: KnowledgeExchange | None = None
         if settings.peers is not None or settings.snapshot is not None:
-            self.learning = Learning(settings, self.driver, self.directory, self.metrics.trouble)
+            self.knowledge_exchange = KnowledgeExchange(settings, self.driver, self.directory, self.metrics.trouble)
         self.rota: LeaseService | None = None
         if settings.duties is not None:
             self.rota = LeaseService(
@@ -163,8 +163,8 @@
 
     def _newest(self, generation: Generation) -> None:
         """Who learns and who shares duties does so for the newest configuration."""
-        generation.answers.learning = self.learning
-        for part in (self.learning, self.rota):
+        generation.answers.knowledge_exchange = self.knowledge_exchange
+        for part in (self.knowledge_exchange, self.rota):
             if part is not None:
                 part.driver = generation.driver
 
@@ -176,8 +176,8 @@
         """Listens and begins to follow the list; returns the port. Raises OSError where it cannot listen, BadKey,
         BadStore."""
         self.port = await self.server.start(self.settings.listen.host, self.settings.listen.port)
-        if self.learning is not None:
-            await self.learning.start()
+        if self.knowledge_exchange is not None:
+            await self.knowledge_exchange.start()
         if self.rota is not None:
             await self.rota.start()
         self.watch.start()
@@ -202,8 +202,8 @@
         self.watch.close()
         if self.siting is not None:
             self.siting.close()
-        if self.learning is not None:
-            await self.learning.close()
+        if self.knowledge_exchange is not None:
+            await self.knowledge_exchange.close()
         self.pools.close()
         if self._sweeper is not None:
             self._sweeper.cancel()
@@ -218,7 +218,7 @@
             self._gauges()
             exchange.respond(200, self.metrics.text(), TEXT)
         elif path == b"/peers":
-            status = self.learning.status() if self.learning is not None else {"members": []}
+            status = self.knowledge_exchange.status() if self.knowledge_exchange is not None else {"members": []}
             exchange.respond(200, msgspec.json.encode(status), b"application/json")
         elif path.startswith(b"/duties"):
             handle_duties(self.rota, exchange, path)
@@ -240,8 +240,8 @@
                 self.metrics.servers.labels(state).set(n)
             self.log.info("list", **counts)
         self.pools.list_taken()
-        if self.learning is not None:
-            self.learning.list_read()
+        if self.knowledge_exchange is not None:
+            self.knowledge_exchange.endpoint_list_loaded()
 
     def _sweep(self) -> None:
         self.pools.sweep(self.loop.time())
@@ -255,13 +255,13 @@
         m.called_off.set(self.generations.called_off)
         if self.siting is not None:
             self.siting.gauges()
-        if self.learning is not None:
-            m.pulls.set(self.learning.pulls)
-            m.learned.set(self.learning.learned)
-            states = [x["state"] for x in self.learning.status()["members"]]
+        if self.knowledge_exchange is not None:
+            m.pulls.set(self.knowledge_exchange.pulls)
+            m.learned.set(self.knowledge_exchange.servers_learned)
+            states = [x["state"] for x in self.knowledge_exchange.status()["members"]]
             for state in ("alive", "suspect", "dead", "left"):
                 m.peers.labels(state).set(states.count(state))
-            socket = self.learning.socket
+            socket = self.knowledge_exchange.socket
             if socket is not None:
                 for which, n in (("sent", socket.sent), ("received", socket.received), ("refused", socket.refused)):
                     m.datagrams.labels(which).set(n)
--- a/badgerbend/cli.py
+++ b/badgerbend/cli.py
@@ -21,10 +21,10 @@
 from badgerbend.config.settings import Settings
 from badgerbend.config.sexpr import SettingsError
 from badgerbend.graphql.schema import SchemaError, Subgraph
-from badgerbend.knowledge.record import Record
+from badgerbend.knowledge.record import KnowledgeRecord
 from badgerbend.net.fetch import fetch
 from badgerbend.process import BAD_SETTINGS, CANNOT_START, serve, stop
-from badgerbend.snapshot.store import SnapshotError, read
+from badgerbend.snapshot.store import SnapshotError, read_snapshot
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, help="An aggregator that spreads queries over shards.")
 GAP_S = 6.0  # after each event of a scene, acts are looked for so long
@@ -133,7 +133,7 @@
     """Prints a snapshot: servers slowest first, with the age of each item."""
     from badgerbend.knowledge import report
 
-    Console().print(report.shown(_snapshot(file)))
+    Console().print(report.record_table(_snapshot(file)))
 
 
 @knowledge.command("diff")
@@ -141,14 +141,14 @@
     """Prints the servers that two snapshots see differently; status 1 if there are any."""
     from badgerbend.knowledge import report
 
-    table, count = report.compared(_snapshot(first), _snapshot(second))
+    table, count = report.compare_records(_snapshot(first), _snapshot(second))
     Console().print(table)
     raise typer.Exit(1 if count else 0)
 
 
-def _snapshot(file: Path) -> Record:
+def _snapshot(file: Path) -> KnowledgeRecord:
     try:
-        return read(file, time.time())
+        return read_snapshot(file, time.time())
     except (SnapshotError, OSError) as err:
         stop(f"{file}: {err}", BAD_SETTINGS)
 
--- a/badgerbend/disk.py
+++ b/badgerbend/disk.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 
-def write_whole(path: Path, data: bytes) -> None:
+def write_atomically(path: Path, data: bytes) -> None:
     """Replaces the file, whole or not at all. Raises OSError, with the old file in place."""
     beside = path.with_name(path.name + ".new")
     handle = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
--- a/badgerbend/generation.py
+++ b/badgerbend/generation.py
@@ -22,7 +22,7 @@
 from badgerbend.logic import Aggregator
 from badgerbend.metrics import Metrics
 from badgerbend.net.client import Pool
-from badgerbend.peering.service import OwnAnswers
+from badgerbend.peering.service import AnswerObserver
 from badgerbend.runtime.driver import Driver
 from badgerbend.runtime.loop import LoopSchedule
 from badgerbend.runtime.ports import ServerList
@@ -81,7 +81,7 @@
         seed = settings.seed * 1_000_003 + settings.identity.index
         decisions = shared.decisions(module, seed, shared.preference, shared.allowance)
         metrics = shared.metrics.of_classes(tuple(c.name for c in settings.class_))
-        self.answers = OwnAnswers(metrics)
+        self.answers = AnswerObserver(metrics)
         self.schedule = LoopSchedule(shared.loop)
         self.transport = FetchTransport(
             shared.pool_of, lambda *end: self.driver.ended(*end), settings.identity.index, settings.servers.report
--- a/badgerbend/knowledge/report.py
+++ b/badgerbend/knowledge/report.py
@@ -4,14 +4,14 @@
 
 from rich.table import Table
 
-from badgerbend.knowledge.record import Record
+from badgerbend.knowledge.record import KnowledgeRecord
 
 DIFFER = 1.5  # times: so far apart are two views of a server shown
 
 
-def shown(record: Record) -> Table:
+def record_table(record: KnowledgeRecord) -> Table:
     """Servers slowest first, answers in their quartiles."""
-    times = sorted(a.ms for a in record.answers if not a.censored)
+    times = sorted(a.latency_ms for a in record.answers if not a.censored)
     middle = [times[len(times) * q // 4] for q in (1, 2, 3)] if times else []
     quartiles = ", ".join(f"{t:.1f}" for t in middle) or "none"
     table = Table(
@@ -27,7 +27,7 @@
     return table
 
 
-def compared(first: Record, second: Record) -> tuple[Table, int]:
+def compare_records(first: KnowledgeRecord, second: KnowledgeRecord) -> tuple[Table, int]:
     """Servers that the two see differently, and how many."""
     table = Table(title=f"broker {first.broker} against broker {second.broker}")
     for heading in ("server", "first, ms", "second, ms"):
--- a/badgerbend/knowledge/trust.py
+++ b/badgerbend/knowledge/trust.py
@@ -22,13 +22,13 @@
 from statistics import median
 
 from badgerbend import api
-from badgerbend.knowledge.record import Record
+from badgerbend.knowledge.record import KnowledgeRecord
 
 DEAD_RATIO = 5.0  # a dead server counts as so much slower than usual: the module's most is four calls more
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class TrustPolicy:
     """stale_ms: the module's times have halved six times by then."""
 
     stale_ms: float = 60_000.0
@@ -50,25 +50,25 @@
     distrusted_until: float = -math.inf
 
 
-class Trust:
+class PeerTrust:
     """Weighs records of peers. One for each broker; it remembers who was wrong."""
 
-    def __init__(self, rules: Rules = Rules()) -> None:  # noqa: B008 - frozen
-        self.rules = rules
+    def __init__(self, policy: TrustPolicy = TrustPolicy()) -> None:  # noqa: B008 - frozen
+        self.policy = policy
         self.peers: dict[str, _Claims] = {}
 
-    def believed(self, peer: str, now_ms: float) -> bool:
+    def is_trusted(self, peer: str, now_ms: float) -> bool:
         claims = self.peers.get(peer)
         return claims is None or now_ms >= claims.distrusted_until
 
-    def weigh(
-        self, records: Mapping[str, Record], numbers: Mapping[str, int], now_ms: float, own: bool = False
+    def combine(
+        self, records: Mapping[str, KnowledgeRecord], numbers: Mapping[str, int], now_ms: float, own: bool = False
     ) -> api.Observations:
         """A prior from peers' records, by peer's name; `numbers` are this broker's for servers by name.
 
         own: the record is this broker's own, from before a restart: a sole witness, but no stranger.
         """
-        heard = {peer: r for peer, r in records.items() if self.believed(peer, now_ms)}
+        heard = {peer: r for peer, r in records.items() if self.is_trusted(peer, now_ms)}
         said: dict[int, list[tuple[float, float]]] = {}  # ratio, age
         middles = {peer: _usual(record) for peer, record in heard.items()}
         for peer, record in heard.items():
@@ -78,8 +78,8 @@
             lines = {}
             for s in record.servers:
                 node = numbers.get(s.name)
-                if node is not None and s.age_ms < self.rules.stale_ms:
-                    ratio = DEAD_RATIO if s.dead else min(s.time_ms / usual, self.rules.slowest)
+                if node is not None and s.age_ms < self.policy.stale_ms:
+                    ratio = DEAD_RATIO if s.dead else min(s.time_ms / usual, self.policy.slowest)
                     lines[node] = (ratio, s.age_ms)
             if len(heard) == 1 and not own:
                 lines = self._few(lines)
@@ -98,24 +98,26 @@
 
     def _few(self, lines: dict[int, tuple[float, float]]) -> dict[int, tuple[float, float]]:
         """Only the slowest share of what a sole witness says; the others count as usual."""
-        most = max(1, int(self.rules.alone_share * len(lines)))
+        most = max(1, int(self.policy.alone_share * len(lines)))
         slowest = set(sorted(lines, key=lambda node: -lines[node][0])[:most])
         return {node: line if node in slowest else (1.0, line[1]) for node, line in lines.items()}
 
-    def _answers(self, records: Sequence[tuple[Record, float]]) -> tuple[tuple[tuple[float, float, bool], ...], float]:
+    def _answers(
+        self, records: Sequence[tuple[KnowledgeRecord, float]]
+    ) -> tuple[tuple[tuple[float, float, bool], ...], float]:
         """Peers' answers as one sample, the same share from each whose middle agrees; and its middle."""
         usable = [(r, m) for r, m in records if any(not a.censored for a in r.answers)]
         if not usable:
             return (), 0.0
         centre = _lower_middle([m for _, m in usable])
-        far = self.rules.answers_differ
+        far = self.policy.answers_differ
         kept = [r for r, m in usable if centre / far <= m <= centre * far] or [usable[0][0]]
         share = max(1, 400 // len(kept))
-        rows = [(a.age_ms, a.ms, a.censored) for r in kept for a in r.answers[-share:]]
+        rows = [(a.age_ms, a.latency_ms, a.censored) for r in kept for a in r.answers[-share:]]
         rows.sort(key=lambda row: -row[0])
         return tuple(rows), centre
 
-    def own_answer(self, node: int, took_ms: float, usual_ms: float, now_ms: float) -> list[str]:
+    def check_answer(self, node: int, took_ms: float, usual_ms: float, now_ms: float) -> list[str]:
         """Holds an own answer from a server against what peers said of it; the peers that lose their say now."""
         lost: list[str] = []
         if usual_ms <= 0:
@@ -126,21 +128,23 @@
             if ratio is None:
                 continue
             off = max(own, ratio) / max(min(own, ratio), 0.1)
-            if off > self.rules.wrong_by:
+            if off > self.policy.wrong_by:
                 claims.wrong += 1
             else:
                 claims.right += 1
-            if claims.wrong + claims.right >= self.rules.checks and claims.wrong > claims.right:
-                claims.distrusted_until = now_ms + self.rules.distrust_ms
+            if claims.wrong + claims.right >= self.policy.checks and claims.wrong > claims.right:
+                claims.distrusted_until = now_ms + self.policy.distrust_ms
                 claims.right = claims.wrong = 0
                 claims.ratios.clear()
                 lost.append(peer)
         return lost
 
 
-def _usual(record: Record) -> float:
+def _usual(record: KnowledgeRecord) -> float:
     """A peer's own usual time of a part: the middle of its answers, else of its servers' times."""
-    times = [a.ms for a in record.answers if not a.censored] or [s.time_ms for s in record.servers if not s.dead]
+    times = [a.latency_ms for a in record.answers if not a.censored] or [
+        s.time_ms for s in record.servers if not s.dead
+    ]
     return median(times) if times else 0.0
 
 
--- a/badgerbend/membership/swim.py
+++ b/badgerbend/membership/swim.py
@@ -23,38 +23,38 @@
 
 from badgerbend.membership.messages import (
     Ack,
+    IndirectPing,
     MalformedMessageError,
+    MemberState,
+    MemberUpdate,
     Message,
     Nack,
     Ping,
-    PingReq,
-    State,
     Sync,
-    Update,
     decode,
     encode,
-    fill,
+    with_updates,
 )
 
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
-class Tuning:
+class SwimConfig:
     """Times in seconds; the defaults are those of the papers."""
 
-    period: float = 1.0
-    timeout: float = 0.3  # for a direct answer
-    helpers: int = 3  # asked to ping for us
-    suspicion: float = 4.0  # its least time: so many periods, times the logarithm of the members
-    suspicion_most: float = 6.0  # its time while nobody else shares it, times the least
-    enough: int = 3  # so many others who share a suspicion bring it down to the least
-    spread: float = 3.0  # news are sent so many times, times the logarithm of the members
-    health_most: int = 8
-    sync_every: int = 30  # periods between exchanges of all that is held, once it has been in so long
-    retry_dead_every: int = 8  # periods between pings to a dead member
-    forget_dead: float = 3600.0  # after so long
-    members_most: int = 4096  # a liar's inventions end there; a fleet of 1,024 and its dead of the last hour do not
+    probe_interval_s: float = 1.0
+    probe_timeout_s: float = 0.3  # for a direct answer
+    indirect_checks: int = 3  # asked to ping for us
+    suspicion_multiplier: float = 4.0  # its least time: so many periods, times the logarithm of the members
+    suspicion_max_multiplier: float = 6.0  # its time while nobody else shares it, times the least
+    suspicion_confirmations: int = 3  # so many others who share a suspicion bring it down to the least
+    retransmit_multiplier: float = 3.0  # news are sent so many times, times the logarithm of the members
+    max_health_score: int = 8
+    sync_every_periods: int = 30  # periods between exchanges of all that is held, once it has been in so long
+    dead_probe_every_periods: int = 8  # periods between pings to a dead member
+    dead_retention_s: float = 3600.0  # after so long
+    max_members: int = 4096  # a liar's inventions end there; a fleet of 1,024 and its dead of the last hour do not
 
 
 @dataclass(slots=True)
@@ -63,23 +63,39 @@
 
     name: str
     address: Address
-    state: State
+    state: MemberState
     incarnation: int
-    info: str
+    metadata: str
     since: float
     suspected_by: set[str] = field(default_factory=set)
     deadline: float = 0.0  # of the suspicion
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class MemberChanged:
     """An event: a member's state is new."""
 
     name: str
     address: Address
-    state: State
+    state: MemberState
     incarnation: int
-    info: str
+    metadata: str
+
+
+@dataclass(frozen=True, slots=True)
+class Datagram:
+    """An encoded message, not yet sealed, for the address of another member."""
+
+    destination: Address
+    payload: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class SwimOutput:
+    """What a `Swim` wants done: datagrams to send and events to pass on, both in order."""
+
+    datagrams: list[Datagram]
+    events: list[MemberChanged]
 
 
 @dataclass(slots=True)
@@ -90,32 +106,38 @@
 
 
 @dataclass(slots=True)
-class _Errand:
+class _IndirectProbe:
     """A ping on another's behalf."""
 
     seq: int
-    home: Address
+    requester: Address
 
 
 class Swim:
-    """One member. `take` what it wants sent and what it noticed after each call."""
-
-    def __init__(self, name: str, address: Address, incarnation: int, info: str, tuning: Tuning, seed: int) -> None:
-        self.name, self.address, self.incarnation, self.info = name, address, incarnation, info
-        self.tuning, self.rng = tuning, random.Random(seed)
+    """The state of one member. Call `take_output` after each call of another method."""
+
+    def __init__(
+        self, name: str, address: Address, incarnation: int, metadata: str, config: SwimConfig, seed: int
+    ) -> None:
+        self.name = name
+        self.address = address
+        self.incarnation = incarnation
+        self.metadata = metadata
+        self.config = config
+        self.rng = random.Random(seed)
         self.members: dict[str, Member] = {}
-        self.health = 0
+        self.health_score = 0
         self.left = False
         self.seeds: tuple[Address, ...] = ()
-        self.out: list[tuple[Address, bytes]] = []
-        self.events: list[Changed] = []
-        self.refused = 0  # datagrams that were none of ours
+        self._datagrams: list[Datagram] = []
+        self._events: list[MemberChanged] = []
+        self.rejected_datagrams = 0  # datagrams that were none of ours
         self._seq = count(1)
         self._probes: dict[int, _Probe] = {}
-        self._errands: dict[int, _Errand] = {}
+        self._indirect_probes: dict[int, _IndirectProbe] = {}
         self._round: list[str] = []
-        self._news: dict[str, tuple[int, Update]] = {}  # times sent, by member
-        self._period = 0
+        self._broadcasts: dict[str, tuple[int, MemberUpdate]] = {}  # times sent, by member
+        self._periods = 0
         self._next_period = -math.inf
         self._due: list[tuple[float, int, Callable[[float], None]]] = []
         self._order = count()
@@ -124,15 +146,15 @@
     def join(self, now: float, seeds: tuple[Address, ...]) -> None:
         """Begins: asks the seeds, now and until one has answered."""
         self.seeds = tuple(s for s in seeds if s != self.address)
-        self._next_period = now + self.rng.random() * self.tuning.period
-        self._call_seeds()
+        self._next_period = now + self.rng.random() * self.config.probe_interval_s
+        self._ping_seeds()
 
     def leave(self, now: float) -> None:
         """Tells some others; nothing is answered from here on."""
         self.left = True
-        me = self._me()
-        alive = [m for m in self.members.values() if m.state <= State.SUSPECT]
-        for member in self.rng.sample(alive, min(len(alive), 2 * self.tuning.helpers)):
+        me = self._local_update()
+        alive = [m for m in self.members.values() if m.state <= MemberState.SUSPECT]
+        for member in self.rng.sample(alive, min(len(alive), 2 * self.config.indirect_checks)):
             self._send(member.address, Sync(False, me))
 
     def receive(self, now: float, data: bytes, source: Address) -> None:
@@ -142,24 +164,24 @@
         try:
             message = decode(data)
         except MalformedMessageError:
-            self.refused += 1
+            self.rejected_datagrams += 1
             return
-        if message.me.name == self.name and message.me.incarnation != self.incarnation:
-            return  # an echo of an earlier life, or another that has our name: `_hear` of it by news
-        self._hear(now, message.me)
-        for update in message.news:
-            self._hear(now, update)
+        if message.sender.name == self.name and message.sender.incarnation != self.incarnation:
+            return  # an echo of an earlier life, or another that has our name: `_apply_update` of it by news
+        self._apply_update(now, message.sender)
+        for update in message.updates:
+            self._apply_update(now, update)
         match message:
             case Ping(seq, target):
                 if target in ("", self.name):
-                    self._send(source, Ack(seq, self._me()), to=message.me.name)
+                    self._send(source, Ack(seq, self._local_update()), to=message.sender.name)
                     if not target:
-                        self._send_all(source, reply=True)
-            case PingReq(seq, target, host, port):
+                        self._send_full_state(source, reply=True)
+            case IndirectPing(seq, target, host, port):
                 own = next(self._seq)
-                self._errands[own] = _Errand(seq, source)
-                self._send((host, port), Ping(own, target, self._me()), to=target)
-                self._at(now + self._timeout(), lambda at: self._errand_over(own))
+                self._indirect_probes[own] = _IndirectProbe(seq, source)
+                self._send((host, port), Ping(own, target, self._local_update()), to=target)
+                self._at(now + self._timeout(), lambda at: self._indirect_probe_timed_out(own))
             case Ack(seq):
                 self._acked(now, seq, message)
             case Nack(seq):
@@ -167,7 +189,7 @@
                     self._probes[seq].nacks += 1
             case Sync(reply):
                 if reply:
-                    self._send_all(source, reply=False)
+                    self._send_full_state(source, reply=False)
 
     def tick(self, now: float) -> None:
         """What is due by now."""
@@ -175,42 +197,45 @@
             at, _, what = heapq.heappop(self._due)
             what(max(at, now))
         if not self.left and now >= self._next_period:
-            period = self.tuning.period * (1 + self.health)
+            period = self.config.probe_interval_s * (1 + self.health_score)
             self._next_period = max(self._next_period + period, now + period / 2)
             self._begin_period(now)
 
     @property
-    def next_at(self) -> float:
+    def next_wakeup_at(self) -> float:
         """When `tick` has something to do."""
         return min(self._next_period, self._due[0][0] if self._due else math.inf)
 
-    def take(self) -> tuple[list[tuple[Address, bytes]], list[Changed]]:
-        """Datagrams to send and events, since the last call."""
-        out, events = self.out, self.events
-        self.out, self.events = [], []
-        return out, events
+    def take_output(self) -> SwimOutput:
+        """Return what has accumulated since the last call, and forget it."""
+        output = SwimOutput(self._datagrams, self._events)
+        self._datagrams = []
+        self._events = []
+        return output
 
-    def alive(self) -> list[Member]:
+    def live_members(self) -> list[Member]:
         """Members that are not known to be dead or gone."""
-        return [m for m in self.members.values() if m.state <= State.SUSPECT]
+        return [m for m in self.members.values() if m.state <= MemberState.SUSPECT]
 
     # -- periods and probes
     def _begin_period(self, now: float) -> None:
-        self._period += 1
-        tuning = self.tuning
-        alive = self.alive()
+        self._periods += 1
+        config = self.config
+        alive = self.live_members()
         if not alive:
-            self._call_seeds()
-        young = self._period < tuning.sync_every and self._period.bit_count() == 1  # 1, 2, 4, …: many join at once
-        if alive and (young or self._period % tuning.sync_every == 0):
-            self._send_all(self.rng.choice(alive).address, reply=True)
-        if self._period % tuning.retry_dead_every == 0:
-            dead = [m for m in self.members.values() if m.state == State.DEAD]
+            self._ping_seeds()
+        young = (
+            self._periods < config.sync_every_periods and self._periods.bit_count() == 1
+        )  # 1, 2, 4, …: many join at once
+        if alive and (young or self._periods % config.sync_every_periods == 0):
+            self._send_full_state(self.rng.choice(alive).address, reply=True)
+        if self._periods % config.dead_probe_every_periods == 0:
+            dead = [m for m in self.members.values() if m.state == MemberState.DEAD]
             if dead:
                 lost = self.rng.choice(dead)
-                self._send(lost.address, Ping(next(self._seq), lost.name, self._me()), to=lost.name)
+                self._send(lost.address, Ping(next(self._seq), lost.name, self._local_update()), to=lost.name)
             if len(alive) < len(self.seeds):
-                self._call_seeds()  # a seed that was never met may be there by now, also while others are dead
+                self._ping_seeds()  # a seed that was never met may be there by now, also while others are dead
         for name in [m.name for m in self.members.values() if self._forgettable(m, now)]:
             del self.members[name]
         target = self._next_target()
@@ -218,169 +243,177 @@
             self._probe(now, target)
 
     def _forgettable(self, member: Member, now: float) -> bool:
-        return member.state >= State.DEAD and now - member.since > self.tuning.forget_dead
+        return member.state >= MemberState.DEAD and now - member.since > self.config.dead_retention_s
 
     def _next_target(self) -> Member | None:
         """Round robin over a shuffled order, so that each is pinged within two rounds at most."""
         while self._round:
             member = self.members.get(self._round.pop())
-            if member is not None and member.state <= State.SUSPECT:
+            if member is not None and member.state <= MemberState.SUSPECT:
                 return member
-        self._round = [m.name for m in self.alive()]
+        self._round = [m.name for m in self.live_members()]
         self.rng.shuffle(self._round)
         return self.members[self._round.pop()] if self._round else None
 
     def _timeout(self) -> float:
-        return self.tuning.timeout * (1 + self.health)
+        return self.config.probe_timeout_s * (1 + self.health_score)
 
     def _probe(self, now: float, member: Member) -> None:
         seq = next(self._seq)
         wait = self._timeout()
-        end = max(self.tuning.period, 3 * self.tuning.timeout) * (1 + self.health)
+        end = max(self.config.probe_interval_s, 3 * self.config.probe_timeout_s) * (1 + self.health_score)
         self._probes[seq] = _Probe(member.name)
-        self._send(member.address, Ping(seq, member.name, self._me()), to=member.name)
-        self._at(now + wait, lambda at: self._ask_helpers(at, seq))
-        self._at(now + end, lambda at: self._probe_over(at, seq))
+        self._send(member.address, Ping(seq, member.name, self._local_update()), to=member.name)
+        self._at(now + wait, lambda at: self._send_indirect_pings(at, seq))
+        self._at(now + end, lambda at: self._probe_timed_out(at, seq))
 
-    def _ask_helpers(self, now: float, seq: int) -> None:
+    def _send_indirect_pings(self, now: float, seq: int) -> None:
         probe = self._probes.get(seq)
         member = self.members.get(probe.target) if probe else None
         if probe is None or member is None:
             return
-        others = [m for m in self.alive() if m.name != member.name and m.state == State.ALIVE]
-        chosen = self.rng.sample(others, min(len(others), self.tuning.helpers))
+        others = [m for m in self.live_members() if m.name != member.name and m.state == MemberState.ALIVE]
+        chosen = self.rng.sample(others, min(len(others), self.config.indirect_checks))
         probe.asked = len(chosen)
         for helper in chosen:
-            self._send(helper.address, PingReq(seq, member.name, *member.address, self._me()), to=helper.name)
+            self._send(
+                helper.address, IndirectPing(seq, member.name, *member.address, self._local_update()), to=helper.name
+            )
 
     def _acked(self, now: float, seq: int, message: Ack) -> None:
-        errand = self._errands.pop(seq, None)
-        if errand is not None:
-            self._send(errand.home, Ack(errand.seq, message.me))
+        indirect = self._indirect_probes.pop(seq, None)
+        if indirect is not None:
+            self._send(indirect.requester, Ack(indirect.seq, message.sender))
             return
         probe = self._probes.get(seq)
-        if probe is not None and message.me.name == probe.target:
+        if probe is not None and message.sender.name == probe.target:
             del self._probes[seq]
-            self.health = max(self.health - 1, 0)
+            self.health_score = max(self.health_score - 1, 0)
 
-    def _errand_over(self, seq: int) -> None:
-        errand = self._errands.pop(seq, None)
-        if errand is not None and not self.left:
-            self._send(errand.home, Nack(errand.seq, self._me()))
+    def _indirect_probe_timed_out(self, seq: int) -> None:
+        indirect = self._indirect_probes.pop(seq, None)
+        if indirect is not None and not self.left:
+            self._send(indirect.requester, Nack(indirect.seq, self._local_update()))
 
-    def _probe_over(self, now: float, seq: int) -> None:
+    def _probe_timed_out(self, now: float, seq: int) -> None:
         probe = self._probes.pop(seq, None)
         member = self.members.get(probe.target) if probe else None
         if probe is None or member is None or self.left:
             return
         # helpers that say nothing at all speak against our own link; without helpers the miss itself does
         silent = probe.asked - probe.nacks if probe.asked else 1
-        self.health = min(self.health + min(silent, 1), self.tuning.health_most)
-        if member.state == State.ALIVE:
-            self._hear(now, self._update(member, State.SUSPECT, self.name))
+        self.health_score = min(self.health_score + min(silent, 1), self.config.max_health_score)
+        if member.state == MemberState.ALIVE:
+            self._apply_update(now, self._update(member, MemberState.SUSPECT, self.name))
 
     # -- news
-    def _me(self) -> Update:
-        state = State.LEFT if self.left else State.ALIVE
-        return Update(self.name, *self.address, state, self.incarnation, "", self.info)
+    def _local_update(self) -> MemberUpdate:
+        state = MemberState.LEFT if self.left else MemberState.ALIVE
+        return MemberUpdate(self.name, *self.address, state, self.incarnation, "", self.metadata)
 
     @staticmethod
-    def _update(member: Member, state: State, by: str = "") -> Update:
-        return Update(member.name, *member.address, state, member.incarnation, by, member.info)
+    def _update(member: Member, state: MemberState, by: str = "") -> MemberUpdate:
+        return MemberUpdate(member.name, *member.address, state, member.incarnation, by, member.metadata)
 
-    def _hear(self, now: float, u: Update) -> None:
+    def _apply_update(self, now: float, u: MemberUpdate) -> None:
         """One piece of news, by SWIM's order: a greater incarnation wins, at the same one the graver state."""
         if u.name == self.name:
-            self._hear_of_me(u)
+            self._refute(u)
             return
         member = self.members.get(u.name)
         if member is None:
-            if u.state >= State.DEAD or len(self.members) >= self.tuning.members_most:
+            if u.state >= MemberState.DEAD or len(self.members) >= self.config.max_members:
                 return
-            member = Member(u.name, (u.host, u.port), u.state, u.incarnation, u.info, now)
+            member = Member(u.name, (u.host, u.port), u.state, u.incarnation, u.metadata, now)
             self.members[u.name] = member
             self._round.insert(self.rng.randrange(len(self._round) + 1), u.name)
         elif u.incarnation == member.incarnation and u.state == member.state:
-            if u.state == State.SUSPECT and u.by and u.by not in member.suspected_by:
-                self._shared(now, member, u.by)
+            if u.state == MemberState.SUSPECT and u.reporter and u.reporter not in member.suspected_by:
+                self._confirm_suspicion(now, member, u.reporter)
             return
         elif (u.incarnation, u.state) <= (member.incarnation, member.state):
             return
         member.state, member.incarnation, member.since = u.state, u.incarnation, now
-        member.address, member.info = (u.host, u.port), u.info
-        member.suspected_by = {u.by} if u.by else set()
-        self._news[u.name] = (0, u)
-        self.events.append(Changed(u.name, member.address, u.state, u.incarnation, u.info))
-        if u.state == State.SUSPECT:
-            member.deadline = now + self._patience(0)
-            self._at(member.deadline, lambda at: self._suspicion_over(at, u.name))
-
-    def _hear_of_me(self, u: Update) -> None:
+        member.address, member.metadata = (u.host, u.port), u.metadata
+        member.suspected_by = {u.reporter} if u.reporter else set()
+        self._broadcasts[u.name] = (0, u)
+        self._events.append(MemberChanged(u.name, member.address, u.state, u.incarnation, u.metadata))
+        if u.state == MemberState.SUSPECT:
+            member.deadline = now + self._suspicion_timeout(0)
+            self._at(member.deadline, lambda at: self._suspicion_timed_out(at, u.name))
+
+    def _refute(self, u: MemberUpdate) -> None:
         """What is said of us: anything but alive is refuted by a greater incarnation."""
-        if u.incarnation > self.incarnation or (u.incarnation == self.incarnation and u.state != State.ALIVE):
+        if u.incarnation > self.incarnation or (u.incarnation == self.incarnation and u.state != MemberState.ALIVE):
             if self.left:
                 return
             self.incarnation = u.incarnation + 1
-            self.health = min(self.health + 1, self.tuning.health_most)
-            self._news[self.name] = (0, self._me())
+            self.health_score = min(self.health_score + 1, self.config.max_health_score)
+            self._broadcasts[self.name] = (0, self._local_update())
 
-    def _shared(self, now: float, member: Member, by: str) -> None:
+    def _confirm_suspicion(self, now: float, member: Member, by: str) -> None:
         """Another shares a suspicion: its time shrinks, and the news of it go on."""
-        if len(member.suspected_by) > self.tuning.enough:
+        if len(member.suspected_by) > self.config.suspicion_confirmations:
             return
-        began = member.deadline - self._patience(max(len(member.suspected_by) - 1, 0))
+        began = member.deadline - self._suspicion_timeout(max(len(member.suspected_by) - 1, 0))
         member.suspected_by.add(by)
-        member.deadline = began + self._patience(len(member.suspected_by) - 1)
-        self._news[member.name] = (0, self._update(member, State.SUSPECT, by))
-        self._at(max(member.deadline, now), lambda at: self._suspicion_over(at, member.name))
+        member.deadline = began + self._suspicion_timeout(len(member.suspected_by) - 1)
+        self._broadcasts[member.name] = (0, self._update(member, MemberState.SUSPECT, by))
+        self._at(max(member.deadline, now), lambda at: self._suspicion_timed_out(at, member.name))
 
-    def _patience(self, shared: int) -> float:
+    def _suspicion_timeout(self, shared: int) -> float:
         """How long a suspicion lasts that so many others share."""
-        tuning = self.tuning
-        least = tuning.suspicion * max(1.0, math.log10(max(len(self.members) + 1, 1))) * tuning.period
-        most = least * tuning.suspicion_most
+        config = self.config
+        least = (
+            config.suspicion_multiplier * max(1.0, math.log10(max(len(self.members) + 1, 1))) * config.probe_interval_s
+        )
+        most = least * config.suspicion_max_multiplier
         if len(self.members) <= 2:  # nobody could share it
             return least
-        share = math.log(shared + 1) / math.log(tuning.enough + 1)
+        share = math.log(shared + 1) / math.log(config.suspicion_confirmations + 1)
         return max(least, most - (most - least) * share)
 
-    def _suspicion_over(self, now: float, name: str) -> None:
+    def _suspicion_timed_out(self, now: float, name: str) -> None:
         member = self.members.get(name)
-        if member is not None and member.state == State.SUSPECT and now >= member.deadline - 1e-9:
-            self._hear(now, self._update(member, State.DEAD, self.name))
+        if member is not None and member.state == MemberState.SUSPECT and now >= member.deadline - 1e-9:
+            self._apply_update(now, self._update(member, MemberState.DEAD, self.name))
 
-    def _to_tell(self, to: str) -> list[Update]:
+    def _gossip_for(self, to: str) -> list[MemberUpdate]:
         """News, the least told first; what is held against the one spoken to comes before all else."""
-        rows = sorted(self._news.values(), key=lambda row: row[0])
+        rows = sorted(self._broadcasts.values(), key=lambda row: row[0])
         told = [u for _, u in rows if u.name != to]
         member = self.members.get(to)
-        if member is not None and member.state in (State.SUSPECT, State.DEAD):
+        if member is not None and member.state in (MemberState.SUSPECT, MemberState.DEAD):
             told.insert(0, self._update(member, member.state, self.name))
         return told
 
-    def _call_seeds(self) -> None:
+    def _ping_seeds(self) -> None:
         for seed in self.seeds:
-            self._send(seed, Ping(next(self._seq), "", self._me()))
+            self._send(seed, Ping(next(self._seq), "", self._local_update()))
 
     def _send(self, address: Address, message: Message, to: str = "") -> None:
-        limit = math.ceil(self.tuning.spread * math.log10(len(self.members) + 2)) + 1
-        message, taken = fill(message, self._to_tell(to))
-        for update in message.news[:taken]:
-            held = self._news.get(update.name)
+        limit = math.ceil(self.config.retransmit_multiplier * math.log10(len(self.members) + 2)) + 1
+        message = with_updates(message, self._gossip_for(to))
+        for update in message.updates:
+            held = self._broadcasts.get(update.name)
             if held is not None and held[1] == update:
                 if held[0] + 1 >= limit:
-                    del self._news[update.name]
+                    del self._broadcasts[update.name]
                 else:
-                    self._news[update.name] = (held[0] + 1, update)
-        self.out.append((address, encode(message)))
+                    self._broadcasts[update.name] = (held[0] + 1, update)
+        self._datagrams.append(Datagram(address, encode(message)))
 
-    def _send_all(self, address: Address, reply: bool) -> None:
+    def _send_full_state(self, address: Address, reply: bool) -> None:
         """All that is held, in as many datagrams as it takes; a reply is asked for once."""
-        rows = [self._update(m, m.state, self.name if m.state == State.SUSPECT else "") for m in self.members.values()]
+        rows = [
+            self._update(m, m.state, self.name if m.state == MemberState.SUSPECT else "") for m in self.members.values()
+        ]
         while True:
-            message, taken = fill(Sync(reply, self._me()), rows)
-            self.out.append((address, encode(message)))
-            rows, reply = rows[taken:], False
+            message = with_updates(Sync(reply, self._local_update()), rows)
+            taken = len(message.updates)
+            self._datagrams.append(Datagram(address, encode(message)))
+            rows = rows[taken:]
+            reply = False
             if not rows or not taken:
                 return
 
--- a/badgerbend/peering/service.py
+++ b/badgerbend/peering/service.py
@@ -1,4 +1,4 @@
-"""Learning: who to ask, when, and what comes of it; and the broker's own snapshot, taken as one more peer.
+"""KnowledgeExchange: who to ask, when, and what comes of it; and the broker's own snapshot, taken as one more peer.
 
 Whom to believe is `knowledge.trust`'s to say, what a server is worth the module's.
 """
@@ -16,39 +16,39 @@
 from badgerbend.config.fleet import Peers
 from badgerbend.config.settings import Settings, Snapshot
 from badgerbend.discovery.directory import Directory
-from badgerbend.disk import write_whole
-from badgerbend.knowledge.record import Record, export
-from badgerbend.knowledge.trust import Trust
+from badgerbend.disk import write_atomically
+from badgerbend.knowledge.record import KnowledgeRecord, make_record
+from badgerbend.knowledge.trust import PeerTrust
 from badgerbend.log import get
-from badgerbend.membership.messages import State
-from badgerbend.membership.swim import Changed, Swim, Tuning
+from badgerbend.membership.messages import MemberState
+from badgerbend.membership.swim import MemberChanged, Swim, SwimConfig
 from badgerbend.net.client import Call
 from badgerbend.net.seal import Seal, read_key
-from badgerbend.peering.exchange import Teller, ask
+from badgerbend.peering.exchange import FetchError, KnowledgeServer, fetch_record
 from badgerbend.peering.udp import MembershipSocket
 from badgerbend.runtime.driver import Driver
 from badgerbend.runtime.ports import Attempt, Observer
-from badgerbend.snapshot.store import SnapshotError, pack, read
+from badgerbend.snapshot.store import SnapshotError, encode_snapshot, read_snapshot
 
 WAIT_S = 1.0  # for peers' answers; who is slower is left out
 SELF = "own snapshot"
 
 
-class OwnAnswers:
+class AnswerObserver:
     """An observer that passes all on, and holds own answers against what peers said."""
 
     def __init__(self, inner: Observer) -> None:
         self.inner = inner
-        self.learning: Learning | None = None
+        self.knowledge_exchange: KnowledgeExchange | None = None
         self.query_ended, self.stepped, self.trouble = inner.query_ended, inner.stepped, inner.trouble
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, took_ms: float) -> None:
         self.inner.attempt_ended(attempt, outcome, took_ms)
-        if self.learning is not None and outcome == api.Outcome.OK:
-            self.learning.own_answer(attempt.node, took_ms)
+        if self.knowledge_exchange is not None and outcome == api.Outcome.OK:
+            self.knowledge_exchange.check_answer(attempt.node, took_ms)
 
 
-class Learning:
+class KnowledgeExchange:
     """One broker's, for as long as it runs. `start` raises OSError or BadKey where peers cannot be reached for."""
 
     def __init__(
@@ -56,15 +56,17 @@
     ) -> None:
         self.settings, self.driver, self.directory, self.trouble = settings, driver, directory, trouble
         self.loop = asyncio.get_running_loop()
-        self.trust = Trust()
+        self.trust = PeerTrust()
         self.rng = random.Random(settings.seed * 7919 + settings.identity.index)
         self.log = get(part="learning")
         self.socket: MembershipSocket | None = None
-        self.teller: Teller | None = None
+        self.server: KnowledgeServer | None = None
         self.keys: tuple[bytes, ...] = ()
-        self.pulls = self.learned = 0
-        self.ports = (0, 0)
-        self._own: Record | None = None
+        self.pulls = 0
+        self.servers_learned = 0
+        self.membership_port = 0
+        self.knowledge_port = 0
+        self._own: KnowledgeRecord | None = None
         self._calls: list[Call] = []
         self._timers: list[asyncio.TimerHandle] = []
         self._until = 0.0
@@ -82,18 +84,19 @@
     async def _open(self, peers: Peers) -> None:
         self.keys = tuple(read_key(path) for path in peers.key)
         life = int(time.time() * 1000)
-        self.teller = Teller(self.keys, self.record)
-        knowledge = await self.teller.http.start(peers.host, peers.knowledge_port)
+        self.server = KnowledgeServer(self.keys, self.own_record)
+        knowledge = await self.server.http.start(peers.host, peers.knowledge_port)
         self.socket = MembershipSocket(Seal(self.keys, life), self._changed)
         port = await self.socket.open(peers.host, peers.port)
-        self.ports = (port, knowledge)
+        self.membership_port = port
+        self.knowledge_port = knowledge
         identity = self.settings.identity
         swim = Swim(
             f"broker-{identity.index}",
             (peers.host, port),
             life,
             f"{peers.host}:{knowledge}",
-            Tuning(period=peers.period_ms / 1000.0, timeout=peers.period_ms * 0.0003),
+            SwimConfig(probe_interval_s=peers.period_ms / 1000.0, probe_timeout_s=peers.period_ms * 0.0003),
             self.rng.getrandbits(32),
         )
         seeds = tuple((s.rpartition(":")[0], int(s.rpartition(":")[2])) for s in peers.seed)
@@ -110,17 +113,17 @@
             call.abort()
         if self.socket is not None:
             self.socket.close()
-        if self.teller is not None:
-            await self.teller.http.close(0.2)
+        if self.server is not None:
+            await self.server.http.close(0.2)
         if self.settings.snapshot is not None:
             if self._writing is not None:
                 await asyncio.wait([self._writing])
-            self._write(Path(self.settings.snapshot.file), pack(self.record(), time.time()))
+            self._write(Path(self.settings.snapshot.file), encode_snapshot(self.own_record(), time.time()))
 
-    def record(self) -> Record:
+    def own_record(self) -> KnowledgeRecord:
         """What this broker has seen itself."""
         identity, module = self.settings.identity, self.driver.module
-        return export(
+        return make_record(
             self.driver.known(),
             self.directory.names,
             identity.index,
@@ -129,12 +132,12 @@
             module.chosen,
         )
 
-    def own_answer(self, node: int, took_ms: float) -> None:
+    def check_answer(self, node: int, took_ms: float) -> None:
         module = self.driver.module
-        for peer in self.trust.own_answer(node, took_ms, module.usual, module.now):
+        for peer in self.trust.check_answer(node, took_ms, module.usual, module.now):
             self.trouble("peer not believed", peer)
 
-    def list_read(self) -> None:
+    def endpoint_list_loaded(self) -> None:
         """The first list is there: servers have numbers by now."""
         if self._own is not None:
             self._take({SELF: self._own}, own=True)
@@ -142,14 +145,14 @@
         self._first_pull()
 
     # -- peers
-    def _changed(self, event: Changed) -> None:
+    def _changed(self, event: MemberChanged) -> None:
         self.log.info("member", name=event.name, state=event.state.name.lower(), incarnation=event.incarnation)
-        if event.state == State.ALIVE:
+        if event.state == MemberState.ALIVE:
             self._first_pull()
 
     def _first_pull(self) -> None:
         """As soon as there are both a list and a peer; a moment later, when more have been met."""
-        if not self._asked_once and self.settings.peers is not None and self.directory.known and self._tellers():
+        if not self._asked_once and self.settings.peers is not None and self.directory.known and self._servers_to_ask():
             self._asked_once = True
             self._timers.append(self.loop.call_later(0.1, self.pull))
 
@@ -158,12 +161,12 @@
             self.pull()
             self._timers.append(self.loop.call_later(peers.every_ms / 1000.0, self._again, peers))
 
-    def _tellers(self) -> list[tuple[str, str, int]]:
+    def _servers_to_ask(self) -> list[tuple[str, str, int]]:
         swim = self.socket.swim if self.socket is not None else None
         out = []
-        for member in swim.alive() if swim is not None else ():
-            host, _, port = member.info.rpartition(":")
-            if member.state == State.ALIVE and port.isdigit() and self.trust.believed(member.name, self._now()):
+        for member in swim.live_members() if swim is not None else ():
+            host, _, port = member.metadata.rpartition(":")
+            if member.state == MemberState.ALIVE and port.isdigit() and self.trust.is_trusted(member.name, self._now()):
                 out.append((member.name, host, int(port)))
         return out
 
@@ -175,20 +178,20 @@
         peers = self.settings.peers
         if peers is None or self._closed:
             return
-        tellers = self._tellers()
-        chosen = self.rng.sample(tellers, min(len(tellers), peers.ask))
+        servers = self._servers_to_ask()
+        chosen = self.rng.sample(servers, min(len(servers), peers.ask))
         if not chosen:
             return
         self.pulls += 1
-        records: dict[str, Record] = {}
+        records: dict[str, KnowledgeRecord] = {}
         open_ = {name for name, _, _ in chosen}
 
-        def got(name: str, found: Record | str) -> None:
+        def got(name: str, found: KnowledgeRecord | FetchError) -> None:
             if name not in open_:
                 return
             open_.discard(name)
-            if isinstance(found, str):
-                self.log.info("peer did not tell", peer=name, why=found)
+            if isinstance(found, FetchError):
+                self.log.info("peer did not tell", peer=name, why=str(found))
             else:
                 records[name] = found
             if not open_:
@@ -201,23 +204,23 @@
 
         self._calls = [c for c in self._calls if not c.done]
         for name, host, port in chosen:
-            self._calls.append(ask(self.keys[0], host, port, lambda found, name=name: got(name, found)))  # type: ignore[misc]
+            self._calls.append(fetch_record(self.keys[0], host, port, lambda found, name=name: got(name, found)))  # type: ignore[misc]
         self._timers = [t for t in self._timers if not t.cancelled() and t.when() > self.loop.time()]
         self._timers.append(self.loop.call_later(WAIT_S, enough))
 
-    def _take(self, records: dict[str, Record], own: bool = False) -> None:
+    def _take(self, records: dict[str, KnowledgeRecord], own: bool = False) -> None:
         if not records or self._closed:
             return
         numbers = {name: node for node, name in self.directory.names.items()}
-        prior = self.trust.weigh(records, numbers, self._now(), own)
-        self.learned += len(prior.nodes)
+        prior = self.trust.combine(records, numbers, self._now(), own)
+        self.servers_learned += len(prior.nodes)
         self.log.info("learned", peers=sorted(records), servers=len(prior.nodes), answers=len(prior.answers))
         self.driver.learn(prior)
 
     # -- the snapshot
     def _restore(self, snapshot: Snapshot) -> None:
         try:
-            self._own = read(Path(snapshot.file), time.time())
+            self._own = read_snapshot(Path(snapshot.file), time.time())
         except FileNotFoundError:
             self.log.info("no snapshot yet", file=snapshot.file)
         except SnapshotError as err:
@@ -228,13 +231,13 @@
         if snapshot is None or self._closed:
             return
         if self._writing is None or self._writing.done():  # a slow disk delays the next one, and nothing else
-            data = pack(self.record(), time.time())
+            data = encode_snapshot(self.own_record(), time.time())
             self._writing = self.loop.run_in_executor(None, self._write, Path(snapshot.file), data)
         self._timers.append(self.loop.call_later(snapshot.every_ms / 1000.0, self._keep))
 
     def _write(self, path: Path, data: bytes) -> None:
         try:
-            write_whole(path, data)
+            write_atomically(path, data)
         except OSError as err:
             self.log.warning("snapshot not written", file=str(path), why=str(err))
 
@@ -243,15 +246,15 @@
         swim = self.socket.swim if self.socket is not None else None
         return {
             "pulls": self.pulls,
-            "learned": self.learned,
-            "health": swim.health if swim is not None else 0,
+            "learned": self.servers_learned,
+            "health": swim.health_score if swim is not None else 0,
             "members": [
                 {
                     "name": m.name,
                     "address": f"{m.address[0]}:{m.address[1]}",
                     "state": m.state.name.lower(),
                     "incarnation": m.incarnation,
-                    "believed": self.trust.believed(m.name, self._now()),
+                    "believed": self.trust.is_trusted(m.name, self._now()),
                 }
                 for m in (swim.members.values() if swim is not None else ())
             ],
--- a/badgerbend/peering/udp.py
+++ b/badgerbend/peering/udp.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from badgerbend.membership.swim import Address, Changed, Swim
+from badgerbend.membership.swim import Address, MemberChanged, Swim
 from badgerbend.net.seal import Seal
 from badgerbend.net.udp import SealedSocket
 
@@ -14,7 +14,7 @@
 class MembershipSocket(SealedSocket):
     """Drives one `Swim`. Events go to `on_change`."""
 
-    def __init__(self, seal: Seal, on_change: Callable[[Changed], None]) -> None:
+    def __init__(self, seal: Seal, on_change: Callable[[MemberChanged], None]) -> None:
         super().__init__(seal)
         self.on_change = on_change
         self.swim: Swim | None = None
@@ -46,7 +46,7 @@
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self.loop.call_later(max(self.swim.next_at - time.monotonic(), 0.001), self._tick)
+        self._timer = self.loop.call_later(max(self.swim.next_wakeup_at - time.monotonic(), 0.001), self._tick)
 
     def _tick(self) -> None:
         self._timer = None
@@ -56,8 +56,8 @@
 
     def _flush(self) -> None:
         assert self.swim is not None
-        out, events = self.swim.take()
-        for address, body in out:
-            self.send(address, body)
-        for event in events:
+        output = self.swim.take_output()
+        for datagram in output.datagrams:
+            self.send(datagram.destination, datagram.payload)
+        for event in output.events:
             self.on_change(event)
--- a/badgerbend/standin/network.py
+++ b/badgerbend/standin/network.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from itertools import count
 
-from badgerbend.membership.messages import State
-from badgerbend.membership.swim import Address, Changed, Swim, Tuning
+from badgerbend.membership.messages import MemberState
+from badgerbend.membership.swim import Address, MemberChanged, Swim, SwimConfig
 
 
 class Network:
@@ -20,7 +20,7 @@
 
     member_kind: type[Swim] = Swim
 
-    def __init__(self, seed: int, tuning: Tuning = Tuning()) -> None:  # noqa: B008 - frozen
+    def __init__(self, seed: int, tuning: SwimConfig = SwimConfig()) -> None:  # noqa: B008 - frozen
         self.rng, self.tuning = random.Random(seed), tuning
         self.now = 0.0
         self.members: dict[str, Swim] = {}
@@ -28,7 +28,7 @@
         self.loss = self.duplicates = self.corruption = 0.0
         self.delay = (0.001, 0.01)
         self.sent = self.bytes = 0
-        self.events: list[tuple[float, str, Changed]] = []
+        self.events: list[tuple[float, str, MemberChanged]] = []
         self._flying: list[tuple[float, int, str, bytes, Address]] = []
         self._wakeups: list[tuple[float, str]] = []  # a heap; an entry is stale where its member wakes at another time
         self._wakes_at: dict[str, float] = {}  # the newest entry of each member
@@ -66,7 +66,7 @@
             arrival = self._flying[0][0] if self._flying else math.inf
             at = min(wakeup, arrival)
             if until is not None and at >= look:
-                look = max(at, self.now) + self.tuning.period / 20
+                look = max(at, self.now) + self.tuning.probe_interval_s / 20
                 if until():
                     return True
             if at > end:
@@ -80,7 +80,7 @@
 
     def _schedule(self, name: str) -> None:
         """Sees to it that the heap holds an entry for when this member has something to do."""
-        at = self.members[name].next_at
+        at = self.members[name].next_wakeup_at
         if self._wakes_at.get(name) != at:
             self._wakes_at[name] = at
             heapq.heappush(self._wakeups, (at, name))
@@ -90,7 +90,7 @@
         while self._wakeups:
             at, name = self._wakeups[0]
             member = self.members.get(name)
-            if member is not None and member.next_at == at:
+            if member is not None and member.next_wakeup_at == at:
                 return at
             self._drop_wakeup()
         return math.inf
@@ -115,10 +115,12 @@
         self._collect(name)
 
     def _collect(self, name: str) -> None:
-        out, events = self.members[name].take()
+        output = self.members[name].take_output()
         self._schedule(name)
-        self.events += [(self.now, name, e) for e in events]
-        for (to, _), data in out:
+        self.events += [(self.now, name, e) for e in output.events]
+        for datagram in output.datagrams:
+            to = datagram.destination[0]
+            data = datagram.payload
             self.sent += 1
             self.bytes += len(data)
             for _ in range(2 if self.rng.random() < self.duplicates else 1):
@@ -131,7 +133,7 @@
                 at = self.now + self.rng.uniform(*self.delay)
                 heapq.heappush(self._flying, (at, next(self._order), to, payload, self.address(name)))
 
-    def views(self) -> dict[str, dict[str, State]]:
+    def views(self) -> dict[str, dict[str, MemberState]]:
         """What each live member holds of all others."""
         return {n: {m.name: m.state for m in s.members.values()} for n, s in self.members.items()}
 
@@ -139,7 +141,7 @@
         """Whether each live member holds exactly the live members alive."""
         live = set(self.members)
         return all(
-            {o for o, state in view.items() if state == State.ALIVE} == live - {name}
-            and not any(state == State.SUSPECT for state in view.values())
+            {o for o, state in view.items() if state == MemberState.ALIVE} == live - {name}
+            and not any(state == MemberState.SUSPECT for state in view.values())
             for name, view in self.views().items()
         )
--- a/badgerbend/wal/store.py
+++ b/badgerbend/wal/store.py
@@ -27,7 +27,7 @@
 
 from badgerbend.consensus.log import Log, PersistentState
 from badgerbend.consensus.messages import MalformedMessageError, Record, Snapshot, decode_record, encode
-from badgerbend.disk import write_all, write_whole
+from badgerbend.disk import write_all, write_atomically
 
 MAGIC = b"bbvote\r\n"
 VERSION = 1
@@ -57,7 +57,7 @@
     if any(folder.iterdir()):
         raise StoreError(f"{folder}: not empty; a voter's store is made once, in a folder of its own")
     _segment(folder, 1, [Snapshot(0, 0, tuple(voters), b"")])
-    write_whole(folder / "voter", msgspec.json.encode(Owner(name, tuple(voters))) + b"\n")
+    write_atomically(folder / "voter", msgspec.json.encode(Owner(name, tuple(voters))) + b"\n")
 
 
 class Store:
@@ -227,5 +227,5 @@
     body = b"".join(_framed(encode(record)) for record in records)
     head = HEAD.pack(MAGIC, VERSION, len(body), 0)[:-4]
     path = folder / f"log.{number}"
-    write_whole(path, head + struct.pack(">I", google_crc32c.value(head)) + body)
+    write_atomically(path, head + struct.pack(">I", google_crc32c.value(head)) + body)
     return path
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -15,15 +15,15 @@
 
 from results import cell
 
-from badgerbend.membership.messages import State
-from badgerbend.membership.swim import Tuning
+from badgerbend.membership.messages import MemberState
+from badgerbend.membership.swim import SwimConfig
 from badgerbend.standin.network import Network
 
 QUIET_S = 30.0
 
 
 def measure(size: int, seed: int, loss: float) -> dict[str, float]:
-    net = Network(seed, Tuning())
+    net = Network(seed, SwimConfig())
     names = [f"broker-{i}" for i in range(size)]
     for name in names:
         net.start(name, tuple(names[:3]))
@@ -36,18 +36,18 @@
     net.events.clear()
     net.run(QUIET_S)
     messages, data = net.sent / QUIET_S / size, net.bytes / QUIET_S / size
-    false = sum(1 for _, _, e in net.events if e.state == State.DEAD)
+    false = sum(1 for _, _, e in net.events if e.state == MemberState.DEAD)
     victim = names[seed % size]
     net.crash(victim)
     net.events.clear()
     died = net.now
 
     def noticed() -> bool:
-        return all(v.get(victim) == State.DEAD for v in net.views().values())
+        return all(v.get(victim) == MemberState.DEAD for v in net.views().values())
 
     assert net.run(300, noticed), "a death went unnoticed"
-    suspected = min(t for t, _, e in net.events if e.name == victim and e.state == State.SUSPECT)
-    dead = min(t for t, _, e in net.events if e.name == victim and e.state == State.DEAD)
+    suspected = min(t for t, _, e in net.events if e.name == victim and e.state == MemberState.SUSPECT)
+    dead = min(t for t, _, e in net.events if e.name == victim and e.state == MemberState.DEAD)
     return {
         "met_s": met,
         "messages": messages,
@@ -64,7 +64,7 @@
     parser.add_argument("--sizes", default="8,32,85")
     parser.add_argument("--runs", type=int, default=10)
     a = parser.parse_args()
-    period = Tuning().period
+    period = SwimConfig().probe_interval_s
     expected = math.e / (math.e - 1) * period
     print(f"simulated, {a.runs} runs each, period {period:g} s, median (least to most);")
     print(f"SWIM's expectation of the first failed ping: {expected:.2f} s after the death, whatever the size\n")
--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from badgerbend.knowledge.record import MOST_BYTES, MOST_SERVERS, RecordError, decode, encode
+from badgerbend.knowledge.record import MAX_RECORD_BYTES, MAX_SERVERS, RecordError, decode, encode
 from badgerbend.lease_service.local_voter import BROKERS
 from badgerbend.leases.probing import ASKERS_MOST
 from badgerbend.leases.voter import MOST_PENDING
-from badgerbend.membership.messages import State, Sync, Update
+from badgerbend.membership.messages import MemberState, MemberUpdate, Sync
 from badgerbend.membership.messages import encode as encode_datagram
-from badgerbend.membership.swim import Swim, Tuning
+from badgerbend.membership.swim import Swim, SwimConfig
 from badgerbend.net.seal import SENDERS, Seal
 from badgerbend.net.server import BACKLOG
 from badgerbend.peering.exchange import SERVER
@@ -38,7 +38,7 @@
 LIMITS = (
     Limit(
         "membership Tuning.members_most: brokers, and the dead of an hour",
-        Tuning().members_most,
+        SwimConfig().max_members,
         lambda brokers, nodes: brokers + restarts_expected(brokers, HOUR_S),
     ),
     Limit("rota.voting BROKERS", BROKERS, lambda brokers, nodes: brokers),
@@ -50,10 +50,10 @@
     ),
     Limit("duties.probing ASKERS_MOST", ASKERS_MOST, lambda brokers, nodes: brokers),
     Limit("duties.voter MOST_PENDING: a renewal by each broker", MOST_PENDING, lambda brokers, nodes: brokers),
-    Limit("knowledge.record MOST_SERVERS", MOST_SERVERS, lambda brokers, nodes: nodes),
+    Limit("knowledge.record MOST_SERVERS", MAX_SERVERS, lambda brokers, nodes: nodes),
     Limit(
         "knowledge.record MOST_BYTES: a record of all nodes",
-        MOST_BYTES,
+        MAX_RECORD_BYTES,
         lambda brokers, nodes: len(encode(records.unbounded(nodes, 1))),
     ),
     Limit("net.server BACKLOG: all brokers connect at once", BACKLOG, lambda brokers, nodes: brokers),
@@ -67,10 +67,10 @@
 
 def members_held(brokers: int) -> float:
     """The share of so many brokers that a member holds once it has heard of all."""
-    member = Swim("observer", ("observer", 1), 1, "", Tuning(), 1)
+    member = Swim("observer", ("observer", 1), 1, "", SwimConfig(), 1)
     for i in range(brokers):
-        me = Update(f"broker-{i}", f"host-{i}", 7946, State.ALIVE, 1)
-        member.receive(0.0, encode_datagram(Sync(False, me)), (me.host, me.port))
+        sender = MemberUpdate(f"broker-{i}", f"host-{i}", 7946, MemberState.ALIVE, 1)
+        member.receive(0.0, encode_datagram(Sync(False, sender)), (sender.host, sender.port))
     return len(member.members) / brokers
 
 
--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -16,15 +16,15 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from badgerbend.membership.messages import MOST_BYTES, SEAL_BYTES, State, Sync
-from badgerbend.membership.swim import Address, Changed, Member, Swim, Tuning
+from badgerbend.membership.messages import MAX_DATAGRAM_BYTES, SEAL_BYTES, MemberState, Sync
+from badgerbend.membership.swim import Address, Member, Swim, SwimConfig, SwimOutput
 from badgerbend.net.seal import Seal
 from badgerbend.standin.network import Network
 from scale.figures import Figure, Kind, Part
 from scale.fleetsize import BROKERS, ZONES, restarts_expected
 
-TUNING = Tuning()
-WINDOW_S = TUNING.sync_every * TUNING.period  # each member begins one full exchange in it
+CONFIG = SwimConfig()
+WINDOW_S = CONFIG.sync_every_periods * CONFIG.probe_interval_s  # each member begins one full exchange in it
 SEEDS = 3
 VICTIMS_MOST = 3  # that die at the same time: as many times until all know, for the price of one run
 KNOWN_WITHIN_S = 300.0
@@ -35,7 +35,7 @@
 SYNC_TAG = Sync.__struct_config__.tag  # a message is an array, its tag the first item
 SEALED = 1000  # datagrams, of which the time of one is the mean
 KEY, SENDER = b"k" * 32, b"10.123.45.67:7946"
-INFO = "10.123.45.67:7947"  # as long as what a broker says of itself
+METADATA = "10.123.45.67:7947"  # as long as what a broker says of itself
 
 
 # -- a network that meters its members
@@ -44,8 +44,10 @@
 class MeteredSwim(Swim):
     """A member that counts what it sends, and the processor time within it; its news are as long as a broker's."""
 
-    def __init__(self, name: str, address: Address, incarnation: int, info: str, tuning: Tuning, seed: int) -> None:
-        super().__init__(name, address, STARTED_MS + incarnation, INFO, tuning, seed)
+    def __init__(
+        self, name: str, address: Address, incarnation: int, metadata: str, config: SwimConfig, seed: int
+    ) -> None:
+        super().__init__(name, address, STARTED_MS + incarnation, METADATA, config, seed)
         self.spent_s = 0.0
         self.sent = self.bytes = 0
         self.exchanged = 0  # of those sent: parts of a full exchange
@@ -60,12 +62,12 @@
         super().tick(now)
         self.spent_s += time.process_time() - began
 
-    def take(self) -> tuple[list[tuple[Address, bytes]], list[Changed]]:
-        out, events = super().take()
-        self.sent += len(out)
-        self.bytes += sum(len(data) for _, data in out)
-        self.exchanged += sum(data[1] == SYNC_TAG for _, data in out)
-        return out, events
+    def take_output(self) -> SwimOutput:
+        output = super().take_output()
+        self.sent += len(output.datagrams)
+        self.bytes += sum(len(datagram.payload) for datagram in output.datagrams)
+        self.exchanged += sum(datagram.payload[1] == SYNC_TAG for datagram in output.datagrams)
+        return output
 
 
 class MeteredNetwork(Network):
@@ -154,14 +156,14 @@
 
 def fleet(size: int, seed: int) -> MeteredNetwork:
     """Members that all hold each other."""
-    network = MeteredNetwork(seed, TUNING)
+    network = MeteredNetwork(seed, CONFIG)
     rng = random.Random(seed)
     for name in names(size):
         network.start(name)
     for member in network.members.values():
         acquaint(member, network)
         # beyond the frequent exchanges of a member's first periods, and each at its own place between two later ones
-        member._period = TUNING.sync_every + rng.randrange(TUNING.sync_every)
+        member._periods = CONFIG.sync_every_periods + rng.randrange(CONFIG.sync_every_periods)
     gc.collect()
     gc.freeze()  # a million rows that stay: the collector need not look at them again and again
     return network
@@ -172,7 +174,7 @@
     member.seeds = tuple(other.address for other in list(network.members.values())[:SEEDS] if other is not member)
     for other in network.members.values():
         if other is not member:
-            row = Member(other.name, other.address, State.ALIVE, other.incarnation, other.info, network.now)
+            row = Member(other.name, other.address, MemberState.ALIVE, other.incarnation, other.metadata, network.now)
             member.members[other.name] = row
 
 
@@ -195,9 +197,9 @@
     meter = Meter(network)
     victim = list(network.members)[-1]
     network.crash(victim)
-    meter.run(2 * TUNING.period)
+    meter.run(2 * CONFIG.probe_interval_s)
     network.start(victim, tuple(list(network.members)[:SEEDS]))
-    meter.run(WINDOW_S - 2 * TUNING.period)
+    meter.run(WINDOW_S - 2 * CONFIG.probe_interval_s)
     return meter.spent()
 
 
@@ -215,7 +217,7 @@
     def all_know() -> bool:
         nonlocal read
         for at, by, event in network.events[read:]:
-            if event.name in unknowing and event.state == State.DEAD:
+            if event.name in unknowing and event.state == MemberState.DEAD:
                 unknowing[event.name].discard(by)
                 if not unknowing[event.name]:
                     known_at.setdefault(event.name, at - began)
@@ -250,17 +252,19 @@
 
 def bytes_held(size: int) -> int:
     """What one member holds once it has learned of all others from their datagrams."""
-    teller = Swim("teller", ("teller", 1), 1, "", TUNING, 1)
+    teller = Swim("teller", ("teller", 1), 1, "", CONFIG, 1)
     for i, name in enumerate(names(size)):
-        teller.members[name] = Member(name, (f"10.123.{i // 256}.{i % 256}", PORT), State.ALIVE, STARTED_MS, INFO, 0.0)
-    teller._send_all(("learner", 1), reply=False)
-    datagrams = [data for _, data in teller.take()[0]]
+        teller.members[name] = Member(
+            name, (f"10.123.{i // 256}.{i % 256}", PORT), MemberState.ALIVE, STARTED_MS, METADATA, 0.0
+        )
+    teller._send_full_state(("learner", 1), reply=False)
+    payloads = [datagram.payload for datagram in teller.take_output().datagrams]
     gc.collect()
     tracemalloc.start()
-    learner = Swim("learner", ("learner", 1), 1, "", TUNING, 2)
-    for data in datagrams:
+    learner = Swim("learner", ("learner", 1), 1, "", CONFIG, 2)
+    for data in payloads:
         learner.receive(0.0, data, teller.address)
-    learner.take()
+    learner.take_output()
     gc.collect()
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
@@ -273,7 +277,7 @@
 def sealing_s() -> float:
     """Processor seconds to close one full datagram and to open another."""
     ours, theirs = Seal((KEY,), 1), Seal((KEY,), 1)
-    body = bytes(MOST_BYTES - SEAL_BYTES)
+    body = bytes(MAX_DATAGRAM_BYTES - SEAL_BYTES)
     began = time.process_time()
     for _ in range(SEALED):
         theirs.open(ours.close(body, SENDER), SENDER)
@@ -289,7 +293,7 @@
 
 def at_size(size: int, seed: int) -> list[Figure]:
     network = fleet(size, seed)
-    network.run(2 * TUNING.period)  # probes are under way everywhere
+    network.run(2 * CONFIG.probe_interval_s)  # probes are under way everywhere
     calm = quiet(network)
     found = _spent(size, "quiet", calm)
     restart = one_restart(network)
--- a/benchmarks/scale/records.py
+++ b/benchmarks/scale/records.py
@@ -13,8 +13,8 @@
 
 from badgerbend import api
 from badgerbend.knowledge import record as records
-from badgerbend.knowledge.record import MOST_ANSWERS, Record, Server
-from badgerbend.knowledge.trust import Trust
+from badgerbend.knowledge.record import MAX_ANSWERS, KnowledgeRecord, ServerObservation
+from badgerbend.knowledge.trust import PeerTrust
 from scale.figures import Figure, Kind
 
 ASKED = 3  # peers in one pull: the default of the settings
@@ -46,19 +46,19 @@
         api.EndpointObservation(node, rng.lognormvariate(2.5, 0.4), rng.uniform(0, 60_000), False)
         for node in range(nodes)
     )
-    answers = tuple((rng.uniform(0, 10_000), rng.lognormvariate(2.5, 0.4), False) for _ in range(MOST_ANSWERS))
+    answers = tuple((rng.uniform(0, 10_000), rng.lognormvariate(2.5, 0.4), False) for _ in range(MAX_ANSWERS))
     return api.Observations(seen, answers)
 
 
-def export(nodes: int, seed: int) -> Record:
-    return records.export(known(nodes, seed), names(nodes), seed, seed % ZONES, 40, {(9, 12): 10})
+def export(nodes: int, seed: int) -> KnowledgeRecord:
+    return records.make_record(known(nodes, seed), names(nodes), seed, seed % ZONES, 40, {(9, 12): 10})
 
 
-def unbounded(nodes: int, seed: int) -> Record:
+def unbounded(nodes: int, seed: int) -> KnowledgeRecord:
     """The record as it would be if it told of all nodes."""
     seen, by_number = known(nodes, seed), names(nodes)
-    servers = tuple(Server(by_number[s.node], s.time_ms, s.age_ms, s.dead) for s in seen.nodes)
-    return Record(records.VERSION, seed, seed % ZONES, 40, servers, export(nodes, seed).answers)
+    servers = tuple(ServerObservation(by_number[s.node], s.time_ms, s.age_ms, s.dead) for s in seen.nodes)
+    return KnowledgeRecord(records.VERSION, seed, seed % ZONES, 40, servers, export(nodes, seed).answers)
 
 
 def costs(nodes: int) -> Costs:
@@ -69,15 +69,15 @@
     return Costs(
         len(data[0]),
         nodes - len(read["broker-0"].servers),
-        _least(lambda: records.encode(records.export(seen, by_number, 1, 0, 40, {}))),
-        _least(lambda: records.older(records.decode(data[0]), 5.0)),
+        _least(lambda: records.encode(records.make_record(seen, by_number, 1, 0, 40, {}))),
+        _least(lambda: records.aged(records.decode(data[0]), 5.0)),
         _least(lambda: _take(read, by_number)),
     )
 
 
-def _take(read: dict[str, Record], by_number: dict[int, str]) -> None:
+def _take(read: dict[str, KnowledgeRecord], by_number: dict[int, str]) -> None:
     numbers = {name: node for node, name in by_number.items()}  # made anew at each pull
-    Trust().weigh(read, numbers, 0.0)
+    PeerTrust().combine(read, numbers, 0.0)
 
 
 def _least(what: Callable[[], object]) -> float:
--- a/benchmarks/settle.py
+++ b/benchmarks/settle.py
@@ -38,8 +38,8 @@
 from badgerbend.config import settings as cfg
 from badgerbend.config.fleet import Peers
 from badgerbend.config.reading import load
-from badgerbend.knowledge.record import Record, Server, older
-from badgerbend.membership.messages import State
+from badgerbend.knowledge.record import KnowledgeRecord, ServerObservation, aged
+from badgerbend.membership.messages import MemberState
 from badgerbend.net.client import Reply
 from badgerbend.standin.client import Client
 from badgerbend.standin.work import Model
@@ -129,8 +129,8 @@
         one = Broker(own, graph)
         await one.start()
         all_.append(one)
-        if with_peers and not seed_at and one.learning:
-            seed_at = f"127.0.0.1:{one.learning.ports[0]}"
+        if with_peers and not seed_at and one.knowledge_exchange:
+            seed_at = f"127.0.0.1:{one.knowledge_exchange.membership_port}"
         return one
 
     tellers = {"peers": RUNNING, "stale": RUNNING, "liar": 3}.get(way, 0)
@@ -149,11 +149,11 @@
     else:
         await asyncio.sleep(7.0)
     for broker in running:  # what these three ways make of the running brokers' records
-        if broker.learning and broker.learning.teller and way == "stale":
-            teller = broker.learning.teller
-            teller.record = lambda real=teller.record: older(_swapped(real()), 300_000.0)  # type: ignore[misc]
-    if way == "liar" and running[1].learning and running[1].learning.teller:
-        teller = running[1].learning.teller
+        if broker.knowledge_exchange and broker.knowledge_exchange.server and way == "stale":
+            teller = broker.knowledge_exchange.server
+            teller.record = lambda real=teller.record: aged(_swapped(real()), 300_000.0)  # type: ignore[misc]
+    if way == "liar" and running[1].knowledge_exchange and running[1].knowledge_exchange.server:
+        teller = running[1].knowledge_exchange.server
         teller.record = lambda real=teller.record: _lie(real())  # type: ignore[misc]
     began = time.monotonic()
     new = await add(RUNNING, way in ("peers", "stale", "liar"), file if way == "snapshot" else None)
@@ -168,10 +168,10 @@
     usual, whole = p95([ms for _, ms, _ in old]), sum(w for _, _, w in old) / len(old)
     first = [ms for t, ms, _ in flow.rows if t - began < 2.0]
     slow = [ms > 1.5 * usual for t, ms, _ in flow.rows if t - began < 3.0]
-    learned = new.learning.learned if new.learning else 0
+    learned = new.knowledge_exchange.servers_learned if new.knowledge_exchange else 0
     alive = 0
-    if new.learning and new.learning.socket and new.learning.socket.swim:
-        alive = sum(1 for m in new.learning.socket.swim.alive() if m.state == State.ALIVE)
+    if new.knowledge_exchange and new.knowledge_exchange.socket and new.knowledge_exchange.socket.swim:
+        alive = sum(1 for m in new.knowledge_exchange.socket.swim.live_members() if m.state == MemberState.ALIVE)
     for f in (*flows, flow):
         f.client.close()
     for b in all_:
@@ -188,15 +188,15 @@
     }
 
 
-def _swapped(record: Record) -> Record:
+def _swapped(record: KnowledgeRecord) -> KnowledgeRecord:
     """As of a time when two other servers were slow, and these were sound."""
     other = {"rates-5": 180.0, "rates-8": 180.0}
-    servers = tuple(Server(s.name, other.get(s.name, 14.0), s.age_ms, False) for s in record.servers)
+    servers = tuple(ServerObservation(s.name, other.get(s.name, 14.0), s.age_ms, False) for s in record.servers)
     return msgspec.structs.replace(record, servers=servers)
 
 
-def _lie(record: Record) -> Record:
-    servers = tuple(Server(s.name, 1.0 if s.name in SLOW else 900.0, 0.0, False) for s in record.servers)
+def _lie(record: KnowledgeRecord) -> KnowledgeRecord:
+    servers = tuple(ServerObservation(s.name, 1.0 if s.name in SLOW else 900.0, 0.0, False) for s in record.servers)
     return msgspec.structs.replace(record, servers=servers)
 
 
--- a/benchmarks/snapshot.py
+++ b/benchmarks/snapshot.py
@@ -19,24 +19,24 @@
 from badgerbend import api
 from badgerbend.config.module import module_settings
 from badgerbend.config.reading import load
-from badgerbend.disk import write_whole
-from badgerbend.knowledge.record import Answer, Record, Server, decode, encode, export
-from badgerbend.knowledge.trust import Trust
+from badgerbend.disk import write_atomically
+from badgerbend.knowledge.record import AnswerLatency, KnowledgeRecord, ServerObservation, decode, encode, make_record
+from badgerbend.knowledge.trust import PeerTrust
 from badgerbend.logic import Aggregator
-from badgerbend.snapshot.store import pack, read
+from badgerbend.snapshot.store import encode_snapshot, read_snapshot
 from badgerbend.standin.day import RATES
 
 
-def record(servers: int, number: int) -> Record:
-    lines = tuple(Server(f"rates-{i}", 20.0 + i % 7, 100.0 * i) for i in range(servers))
-    return Record(1, 0, 0, number, lines, tuple(Answer(10.0 * i, 20.0, False) for i in range(400)))
+def record(servers: int, number: int) -> KnowledgeRecord:
+    lines = tuple(ServerObservation(f"rates-{i}", 20.0 + i % 7, 100.0 * i) for i in range(servers))
+    return KnowledgeRecord(1, 0, 0, number, lines, tuple(AnswerLatency(10.0 * i, 20.0, False) for i in range(400)))
 
 
 def writer(path: Path, servers: int, first: int) -> None:
     number = first
     while True:
         number += 1
-        write_whole(path, pack(record(servers, number), time.time()))
+        write_atomically(path, encode_snapshot(record(servers, number), time.time()))
         print(number, flush=True)
 
 
@@ -54,7 +54,7 @@
             lines = process.stdout.read().split()
             process.wait()
             said = max([int(x) for x in lines], default=said + 1)
-            found = read(path, time.time()).open_parts  # raises where the file is not whole
+            found = read_snapshot(path, time.time()).open_parts  # raises where the file is not whole
             assert found >= said, (found, said)
             behind.append(found - said)
             said = found
@@ -83,13 +83,13 @@
             what()  # type: ignore[operator]
         return (time.process_time() - began) / times * 1000.0
 
-    own = export(module.known(), names, 0, 0, 0, {})
+    own = make_record(module.known(), names, 0, 0, 0, {})
     numbers = {n: i for i, n in names.items()}
     told = {f"p{i}": own for i in range(3)}
-    out_ms = each(lambda: encode(export(module.known(), names, 0, 0, 0, {})))
-    pack_ms = each(lambda: pack(export(module.known(), names, 0, 0, 0, {}), 0.0))
+    out_ms = each(lambda: encode(make_record(module.known(), names, 0, 0, 0, {})))
+    pack_ms = each(lambda: encode_snapshot(make_record(module.known(), names, 0, 0, 0, {}), 0.0))
     data = encode(own)
-    in_ms = each(lambda: [decode(data) for _ in range(3)]) + each(lambda: Trust().weigh(told, numbers, 0.0))
+    in_ms = each(lambda: [decode(data) for _ in range(3)]) + each(lambda: PeerTrust().combine(told, numbers, 0.0))
     learn_ms = each(lambda: Aggregator._learn(module, prior))
     print(f"\n{servers} servers, a record of {len(data)} bytes; CPU ms on one core")
     print("| export | export and pack a snapshot | take in three records | the module's part |")
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -33,7 +33,7 @@
 )
 from badgerbend.leases.probing import Prober, doubted, learned, said
 from badgerbend.leases.table import LeaseTable
-from badgerbend.membership.swim import Tuning
+from badgerbend.membership.swim import SwimConfig
 from badgerbend.standin.network import Network
 from tests.sockets import EXAMPLE
 
@@ -173,7 +173,7 @@
 
 def test_the_lowest_name_of_a_membership_is_two_holders_where_it_is_cut():
     """Why SWIM's view alone is not taken: the other way in docs/duties.md."""
-    net = Network(3, Tuning())
+    net = Network(3, SwimConfig())
     names = [f"b{i}" for i in range(8)]
     for name in names:
         net.start(name, tuple(names[:2]))
@@ -181,7 +181,7 @@
     net.sides = {name: i % 2 for i, name in enumerate(names)}
 
     def lowest(name):
-        return min([name, *(m.name for m in net.members[name].alive())])
+        return min([name, *(m.name for m in net.members[name].live_members())])
 
     assert net.run(240, lambda: {lowest("b0"), lowest("b1")} == {"b0", "b1"})
 
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -267,13 +267,13 @@
         async with FeedStage(tmp_path, snapshot=Snapshot(str(tmp_path / "seen"))) as s:
             for number in range(24):
                 await s.client.query(f"{{ fullQuote(blocks: [{number}], amount: 5) {{ id }} }}")
-            learning = s.broker.learning
-            seen = learning.record()
+            exchange = s.broker.knowledge_exchange
+            seen = exchange.own_record()
             assert seen.servers
             await s.in_force(with_deadline(2900))
             newest = s.generations.newest
-            assert learning.driver is newest.driver and newest.answers.learning is learning
-            assert {one.name for one in learning.record().servers} == {one.name for one in seen.servers}
+            assert exchange.driver is newest.driver and newest.answers.knowledge_exchange is exchange
+            assert {one.name for one in exchange.own_record().servers} == {one.name for one in seen.servers}
 
     run(main)
 
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -12,27 +12,27 @@
 from hypothesis import strategies as st
 
 from badgerbend import api
-from badgerbend.disk import write_whole
+from badgerbend.disk import write_atomically
 from badgerbend.knowledge.record import (
-    MOST_BYTES,
-    Answer,
-    Record,
+    MAX_RECORD_BYTES,
+    AnswerLatency,
+    KnowledgeRecord,
     RecordError,
-    Server,
+    ServerObservation,
+    aged,
     decode,
     encode,
-    export,
-    older,
+    make_record,
 )
-from badgerbend.knowledge.trust import Rules, Trust
-from badgerbend.snapshot.store import SnapshotError, pack, read, unpack
+from badgerbend.knowledge.trust import PeerTrust, TrustPolicy
+from badgerbend.snapshot.store import SnapshotError, decode_snapshot, encode_snapshot, read_snapshot
 
 NAMES = {f"s{i}": i for i in range(10)}
 
 
 def record(times, usual=20.0, age=500.0, dead=(), broker=0):
-    servers = tuple(Server(name, ms, age, name in dead) for name, ms in times.items())
-    return Record(1, broker, 0, 0, servers, tuple(Answer(age, usual, False) for _ in range(40)))
+    servers = tuple(ServerObservation(name, ms, age, name in dead) for name, ms in times.items())
+    return KnowledgeRecord(1, broker, 0, 0, servers, tuple(AnswerLatency(age, usual, False) for _ in range(40)))
 
 
 TRUE = {f"s{i}": 20.0 for i in range(8)} | {"s8": 160.0, "s9": 160.0}
@@ -104,7 +104,8 @@
 json = st.recursive(
     st.none() | st.booleans() | st.floats() | st.text(max_size=3) | st.integers(-(2**60), 2**60),
     lambda x: (
-        st.lists(x, max_size=4) | st.dictionaries(st.sampled_from([f for f in Record.__struct_fields__]), x, max_size=7)
+        st.lists(x, max_size=4)
+        | st.dictionaries(st.sampled_from([f for f in KnowledgeRecord.__struct_fields__]), x, max_size=7)
     ),
 )
 
@@ -113,19 +114,19 @@
 def test_any_bytes_are_a_record_or_refused(value):
     data = value if isinstance(value, bytes) else msgspec.msgpack.encode(value)
     with contextlib.suppress(RecordError):
-        Trust().weigh({"p": decode(data)}, NAMES, 0.0)
+        PeerTrust().combine({"p": decode(data)}, NAMES, 0.0)
 
 
 @pytest.mark.parametrize(
     "bad",
     [
-        Record(2, 0, 0, 0, (), ()),
-        Record(1, 0, 0, 0, (Server("s", float("nan"), 1.0),), ()),
-        Record(1, 0, 0, 0, (Server("s", float("inf"), 1.0),), ()),
-        Record(1, 0, 0, 0, (Server("s", -1.0, 1.0),), ()),
-        Record(1, 0, 0, 0, (Server("s", 1.0, -1.0),), ()),
-        Record(1, 0, 0, 0, tuple(Server(f"x{i}", 1.0, 1.0) for i in range(3000)), ()),
-        Record(1, 0, 999, 0, (), ()),
+        KnowledgeRecord(2, 0, 0, 0, (), ()),
+        KnowledgeRecord(1, 0, 0, 0, (ServerObservation("s", float("nan"), 1.0),), ()),
+        KnowledgeRecord(1, 0, 0, 0, (ServerObservation("s", float("inf"), 1.0),), ()),
+        KnowledgeRecord(1, 0, 0, 0, (ServerObservation("s", -1.0, 1.0),), ()),
+        KnowledgeRecord(1, 0, 0, 0, (ServerObservation("s", 1.0, -1.0),), ()),
+        KnowledgeRecord(1, 0, 0, 0, tuple(ServerObservation(f"x{i}", 1.0, 1.0) for i in range(3000)), ()),
+        KnowledgeRecord(1, 0, 999, 0, (), ()),
     ],
 )
 def test_absurd_records_are_refused(bad):
@@ -136,12 +137,12 @@
 def test_a_record_is_bounded_and_ages():
     seen = tuple(api.EndpointObservation(i, 5.0, float(i), False) for i in range(5000))
     rows = tuple((1.0, 5.0, False) for _ in range(900))
-    out = export(api.Observations(seen, rows), {i: f"server-{i}" for i in range(5000)}, 1, 0, 7, {(2, 4): 3})
+    out = make_record(api.Observations(seen, rows), {i: f"server-{i}" for i in range(5000)}, 1, 0, 7, {(2, 4): 3})
     assert len(out.servers) == 2000 and max(s.age_ms for s in out.servers) == 1999.0 and len(out.answers) == 400
     data = encode(out)
-    assert len(data) < MOST_BYTES and decode(data) == out
-    assert older(out, 250.0).servers[0].age_ms == 250.0
-    assert older(out, -50.0).servers[0].age_ms == 0.0  # nothing becomes younger
+    assert len(data) < MAX_RECORD_BYTES and decode(data) == out
+    assert aged(out, 250.0).servers[0].age_ms == 250.0
+    assert aged(out, -50.0).servers[0].age_ms == 0.0  # nothing becomes younger
 
 
 # -- trust
@@ -154,22 +155,22 @@
         {f"ghost{i}": 1.0 for i in range(2000)},
     ]
     for lie in lies:
-        trust = Trust()
+        trust = PeerTrust()
         told = {"a": record(TRUE), "b": record(TRUE | {"s8": 120.0}), "liar": record(lie, usual=1e8)}
-        assert slow(trust.weigh(told, NAMES, 0.0)) == {8, 9}, lie
+        assert slow(trust.combine(told, NAMES, 0.0)) == {8, 9}, lie
 
 
 def test_one_liar_of_two_can_hide_a_slow_server_and_slander_none():
     for lie in ({n: 900.0 for n in TRUE}, {n: 1.0 for n in TRUE}):
-        prior = Trust().weigh({"a": record(TRUE), "liar": record(lie)}, NAMES, 0.0)
+        prior = PeerTrust().combine({"a": record(TRUE), "liar": record(lie)}, NAMES, 0.0)
         assert slow(prior) <= {8, 9}
 
 
 def test_a_sole_witness_may_call_few_servers_slow():
-    assert slow(Trust().weigh({"a": record(TRUE)}, NAMES, 0.0)) == {8, 9}
+    assert slow(PeerTrust().combine({"a": record(TRUE)}, NAMES, 0.0)) == {8, 9}
     half = TRUE | {f"s{i}": 160.0 for i in range(5)}
-    assert len(slow(Trust().weigh({"a": record(half)}, NAMES, 0.0))) == 3  # of ten, though it says seven
-    assert len(slow(Trust().weigh({"own": record(half)}, NAMES, 0.0, own=True))) == 7
+    assert len(slow(PeerTrust().combine({"a": record(half)}, NAMES, 0.0))) == 3  # of ten, though it says seven
+    assert len(slow(PeerTrust().combine({"own": record(half)}, NAMES, 0.0, own=True))) == 7
 
 
 @settings(max_examples=200, deadline=None)
@@ -181,8 +182,8 @@
 def test_the_worst_that_one_liar_in_three_can_do_lies_between_what_the_others_say(lie, usual, age):
     first, second = TRUE | {"s1": 28.0}, TRUE | {"s8": 100.0}
     told = {"a": record(first), "b": record(second), "liar": record(lie, usual, age)}
-    trust = Trust()
-    for s in trust.weigh(told, NAMES, 0.0).nodes:
+    trust = PeerTrust()
+    for s in trust.combine(told, NAMES, 0.0).nodes:
         name = f"s{s.node}"
         low, high = sorted((first[name], second[name]))
         assert min(low, 20.0) - 1e-6 <= s.time_ms <= max(high, 20.0) + 1e-6
@@ -190,23 +191,23 @@
 
 
 def test_stale_news_is_not_taken():
-    prior = Trust().weigh({p: record(TRUE, age=300_000.0) for p in "abc"}, NAMES, 0.0)
+    prior = PeerTrust().combine({p: record(TRUE, age=300_000.0) for p in "abc"}, NAMES, 0.0)
     assert not prior.nodes
 
 
 def test_a_peer_that_proves_wrong_loses_its_say_for_a_while():
-    trust, rules = Trust(), Rules()
-    trust.weigh({"a": record(TRUE), "b": record(TRUE | {"s1": 199.0})}, NAMES, 0.0)
+    trust, rules = PeerTrust(), TrustPolicy()
+    trust.combine({"a": record(TRUE), "b": record(TRUE | {"s1": 199.0})}, NAMES, 0.0)
     for node in range(10):
-        trust.own_answer(node, 20.0 if node < 8 else 160.0, 20.0, 100.0)
-    assert trust.believed("a", 100.0) and trust.believed("b", 100.0)
-    trust, lie = Trust(), {n: 200.0 if t == 20.0 else 20.0 for n, t in TRUE.items()}
-    trust.weigh({"b": record(TRUE), "liar": record(lie)}, NAMES, 0.0)
-    lost = [p for node in range(10) for p in trust.own_answer(node, TRUE[f"s{node}"], 20.0, 100.0)]
-    assert lost == ["liar"] and trust.believed("b", 100.0)
+        trust.check_answer(node, 20.0 if node < 8 else 160.0, 20.0, 100.0)
+    assert trust.is_trusted("a", 100.0) and trust.is_trusted("b", 100.0)
+    trust, lie = PeerTrust(), {n: 200.0 if t == 20.0 else 20.0 for n, t in TRUE.items()}
+    trust.combine({"b": record(TRUE), "liar": record(lie)}, NAMES, 0.0)
+    lost = [p for node in range(10) for p in trust.check_answer(node, TRUE[f"s{node}"], 20.0, 100.0)]
+    assert lost == ["liar"] and trust.is_trusted("b", 100.0)
     over = 100.0 + rules.distrust_ms
-    assert not trust.believed("liar", over - 1) and trust.believed("liar", over)
-    assert slow(trust.weigh({"b": record(TRUE), "liar": record({})}, NAMES, 200.0)) == {8, 9}
+    assert not trust.is_trusted("liar", over - 1) and trust.is_trusted("liar", over)
+    assert slow(trust.combine({"b": record(TRUE), "liar": record({})}, NAMES, 200.0)) == {8, 9}
 
 
 # -- snapshots
@@ -215,40 +216,40 @@
 
 def test_a_snapshot_comes_back_as_old_as_its_absence(tmp_path):
     path = tmp_path / "seen"
-    write_whole(path, pack(GOOD, 1000.0))
-    assert read(path, 1007.5).servers[0].age_ms == 500.0 + 7500.0
+    write_atomically(path, encode_snapshot(GOOD, 1000.0))
+    assert read_snapshot(path, 1007.5).servers[0].age_ms == 500.0 + 7500.0
     with pytest.raises(SnapshotError, match="gone back"):
-        read(path, 999.0)
+        read_snapshot(path, 999.0)
     with pytest.raises(FileNotFoundError):
-        read(tmp_path / "none", 0.0)
+        read_snapshot(tmp_path / "none", 0.0)
 
 
 @given(st.data())
 def test_torn_truncated_and_flipped_files_are_refused(data):
-    good = pack(GOOD, 1000.0)
+    good = encode_snapshot(GOOD, 1000.0)
     cut = data.draw(st.integers(0, len(good) - 1))
     for bad in (good[:cut], good + b"x", good[:cut] + b"\x00" * (len(good) - cut) + b"0"):
         with pytest.raises(SnapshotError):
-            unpack(bad, 1001.0)
+            decode_snapshot(bad, 1001.0)
     flipped = bytearray(good)
     flipped[cut] ^= 1 << data.draw(st.integers(0, 7))
     with pytest.raises(SnapshotError):
-        unpack(bytes(flipped), 1001.0)
+        decode_snapshot(bytes(flipped), 1001.0)
 
 
 def test_other_versions_foreign_files_and_folders_are_refused(tmp_path):
-    good = pack(GOOD, 1000.0)
+    good = encode_snapshot(GOOD, 1000.0)
     for bad in (good[:8] + b"\x00\x09" + good[10:], b"PNG" + good, os.urandom(200), b""):
         (tmp_path / "f").write_bytes(bad)
         with pytest.raises(SnapshotError):
-            read(tmp_path / "f", 1001.0)
+            read_snapshot(tmp_path / "f", 1001.0)
     (tmp_path / "d").mkdir()
     with pytest.raises(SnapshotError):
-        read(tmp_path / "d", 0.0)
+        read_snapshot(tmp_path / "d", 0.0)
     with open(tmp_path / "huge", "wb") as huge:
         huge.truncate(1 << 40)
     with pytest.raises(SnapshotError, match="too large"):
-        read(tmp_path / "huge", 0.0)
+        read_snapshot(tmp_path / "huge", 0.0)
 
 
 class Crash(BaseException):
@@ -259,7 +260,7 @@
 def test_a_crash_at_any_call_leaves_the_old_snapshot_or_the_new(tmp_path, seed, monkeypatch):
     """Every call to the system may be the last; a write may have put only some of its bytes on the disk."""
     rng, path = random.Random(seed), tmp_path / "seen"
-    write_whole(path, pack(GOOD, 1000.0))
+    write_atomically(path, encode_snapshot(GOOD, 1000.0))
     new = msgspec.structs.replace(GOOD, open_parts=9)
     left = rng.randrange(9)
 
@@ -282,22 +283,22 @@
             patch.setattr(os, name, dying(getattr(os, name)))
         patch.setattr(os, "write", dying(os.write, partly=True))
         try:
-            write_whole(path, pack(new, 1001.0))
+            write_atomically(path, encode_snapshot(new, 1001.0))
             done = True
         except Crash:
             done = False
-    found = read(path, 1002.0)
+    found = read_snapshot(path, 1002.0)
     assert found.open_parts in ((9,) if done else (0, 9))
     assert not path.with_name("seen.new").exists()
 
 
 def test_a_folder_that_cannot_be_written_keeps_the_old_file(tmp_path):
     path = tmp_path / "seen"
-    write_whole(path, pack(GOOD, 1000.0))
+    write_atomically(path, encode_snapshot(GOOD, 1000.0))
     path.with_name("seen.new").mkdir()
     with pytest.raises(OSError):
-        write_whole(path, pack(GOOD, 1001.0))
-    assert path.read_bytes() == pack(GOOD, 1000.0)
+        write_atomically(path, encode_snapshot(GOOD, 1001.0))
+    assert path.read_bytes() == encode_snapshot(GOOD, 1000.0)
     assert isinstance(path, Path)
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,22 +10,22 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from badgerbend.membership.messages import (
-    MOST_BYTES,
+    MAX_DATAGRAM_BYTES,
     MalformedMessageError,
+    MemberState,
+    MemberUpdate,
     Ping,
-    State,
     Sync,
-    Update,
     decode,
     encode,
-    fill,
+    with_updates,
 )
-from badgerbend.membership.swim import Swim, Tuning
+from badgerbend.membership.swim import Swim, SwimConfig
 from badgerbend.net.seal import Seal, UnsealError
 from badgerbend.standin.network import Network
 from tests.replacing import replace_attribute
 
-QUICK = Tuning(retry_dead_every=3, sync_every=10)
+QUICK = SwimConfig(dead_probe_every_periods=3, sync_every_periods=10)
 
 
 def cluster(count, seed=1, tuning=QUICK):
@@ -47,7 +47,7 @@
     net.run(1)
     for seed in names[:3]:
         net.crash(seed)
-    net.run(60, lambda: all(view.get("m1") == State.DEAD for view in net.views().values()))
+    net.run(60, lambda: all(view.get("m1") == MemberState.DEAD for view in net.views().values()))
     net.sides["m0"] = 0
     net.start("m0", tuple(names[:3]))
     assert net.run(60, net.agreed), net.views()
@@ -58,11 +58,11 @@
     assert net.run(20, net.agreed)
     net.crash("m3")
     assert net.run(60, net.agreed)
-    assert all(v["m3"] == State.DEAD for v in net.views().values())
+    assert all(v["m3"] == MemberState.DEAD for v in net.views().values())
     net.leave("m5")
     left = net.now
     assert net.run(10, net.agreed) and net.now - left < 6
-    assert all(v["m5"] == State.LEFT for v in net.views().values())
+    assert all(v["m5"] == MemberState.LEFT for v in net.views().values())
 
 
 def test_a_restart_is_the_same_member_in_a_new_incarnation():
@@ -90,8 +90,8 @@
         net.sides[name] = 1
     net.run(90)
     views = net.views()
-    assert all(views["m0"][n] == State.DEAD for n in names[4:])
-    assert all(views["m7"][n] == State.DEAD for n in names[:4])
+    assert all(views["m0"][n] == MemberState.DEAD for n in names[4:])
+    assert all(views["m7"][n] == MemberState.DEAD for n in names[:4])
     for name in names:
         net.sides[name] = 0
     assert net.run(120, net.agreed)
@@ -102,18 +102,18 @@
     assert net.run(20, net.agreed)
     victim = net.members["m2"]
     before = victim.incarnation
-    lie = Update("m2", "m2", 1, State.DEAD, before, "m0")
-    me = Update("m0", "m0", 1, State.ALIVE, net.members["m0"].incarnation)
+    lie = MemberUpdate("m2", "m2", 1, MemberState.DEAD, before, "m0")
+    sender = MemberUpdate("m0", "m0", 1, MemberState.ALIVE, net.members["m0"].incarnation)
     for name in ("m1", "m3"):
-        net.members[name].receive(net.now, encode(Sync(False, me, (lie,))), ("m0", 1))
-    assert net.views()["m1"]["m2"] == State.DEAD
+        net.members[name].receive(net.now, encode(Sync(False, sender, (lie,))), ("m0", 1))
+    assert net.views()["m1"]["m2"] == MemberState.DEAD
     assert net.run(60, net.agreed)
     assert victim.incarnation > before
 
 
 def false_alarms(most):
     """Suspicions of sound members, and deaths, that one member which hears little causes in a minute."""
-    net, _ = cluster(10, tuning=replace(QUICK, health_most=most))
+    net, _ = cluster(10, tuning=replace(QUICK, max_health_score=most))
     assert net.run(20, net.agreed)
     deaf, rng = net.members["m0"], random.Random(4)
     receive = deaf.receive
@@ -125,7 +125,7 @@
     deaf.receive = receive
     assert net.run(120, net.agreed)
     wrong = [e.state for _, by, e in net.events if by != "m0" and e.name != "m0"]
-    return wrong.count(State.SUSPECT), wrong.count(State.DEAD)
+    return wrong.count(MemberState.SUSPECT), wrong.count(MemberState.DEAD)
 
 
 def test_one_member_that_hears_badly_does_not_take_the_others_down():
@@ -146,20 +146,20 @@
         return net.agreed()
 
     assert net.run(120, run_and_watch)
-    assert 500 < biggest <= MOST_BYTES
-    long = [Update("n" * 64, "h" * 64, 65535, State.ALIVE, 2**61, "b" * 64, "i" * 64) for _ in range(100)]
-    message, taken = fill(Ping(2**61, "t" * 64, long[0]), long)
-    assert 0 < taken < 100 and len(encode(message)) <= MOST_BYTES
+    assert 500 < biggest <= MAX_DATAGRAM_BYTES
+    long = [MemberUpdate("n" * 64, "h" * 64, 65535, MemberState.ALIVE, 2**61, "b" * 64, "i" * 64) for _ in range(100)]
+    message = with_updates(Ping(2**61, "t" * 64, long[0]), long)
+    assert 0 < len(message.updates) < 100 and len(encode(message)) <= MAX_DATAGRAM_BYTES
 
 
-@given(st.binary(max_size=200) | st.binary(min_size=MOST_BYTES, max_size=MOST_BYTES + 100))
+@given(st.binary(max_size=200) | st.binary(min_size=MAX_DATAGRAM_BYTES, max_size=MAX_DATAGRAM_BYTES + 100))
 def test_any_datagram_is_read_or_refused(data):
     member = Swim("a", ("a", 1), 1, "", QUICK, 1)
     member.receive(0.0, data, ("b", 1))
     try:
         decode(data)
     except MalformedMessageError:
-        assert member.refused == 1 and not member.members
+        assert member.rejected_datagrams == 1 and not member.members
 
 
 @settings(max_examples=40, deadline=None)
@@ -171,17 +171,17 @@
 
 
 def test_a_liar_cannot_grow_the_table_without_end():
-    member = Swim("a", ("a", 1), 1, "", Tuning(members_most=20), 1)
+    member = Swim("a", ("a", 1), 1, "", SwimConfig(max_members=20), 1)
     for i in range(100):
-        me = Update(f"x{i}", "h", 1, State.ALIVE, 1)
-        member.receive(0.0, encode(Sync(False, me)), ("h", 1))
+        sender = MemberUpdate(f"x{i}", "h", 1, MemberState.ALIVE, 1)
+        member.receive(0.0, encode(Sync(False, sender)), ("h", 1))
     assert len(member.members) == 20
 
 
 def test_a_fleet_of_1024_and_as_many_that_died_have_room():
-    member = Swim("a", ("a", 1), 1, "", Tuning(), 1)
+    member = Swim("a", ("a", 1), 1, "", SwimConfig(), 1)
     for i in range(2048):
-        member.receive(0.0, encode(Sync(False, Update(f"x{i}", "h", 1, State.ALIVE, 1))), ("h", 1))
+        member.receive(0.0, encode(Sync(False, MemberUpdate(f"x{i}", "h", 1, MemberState.ALIVE, 1))), ("h", 1))
     assert len(member.members) == 2048
 
 
@@ -220,7 +220,7 @@
     def held_within_bounds(self):
         for name, member in self.net.members.items():
             assert name not in member.members
-            assert 0 <= member.health <= member.tuning.health_most
+            assert 0 <= member.health_score <= member.config.max_health_score
 
     def teardown(self):
         if not hasattr(self, "net"):
@@ -242,13 +242,13 @@
 
 def test_all_orders_of_news_give_three_members_one_view():
     """A bounded search: whatever order the same news arrive in, what is held of the third member is the same."""
-    me = Update("b", "b", 1, State.ALIVE, 1)
+    sender = MemberUpdate("b", "b", 1, MemberState.ALIVE, 1)
     news = [
-        Update("c", "c", 1, State.ALIVE, 5),
-        Update("c", "c", 1, State.SUSPECT, 5, "b"),
-        Update("c", "c", 1, State.DEAD, 5, "b"),
-        Update("c", "c", 1, State.ALIVE, 6),
-        Update("c", "c", 1, State.SUSPECT, 6, "b"),
+        MemberUpdate("c", "c", 1, MemberState.ALIVE, 5),
+        MemberUpdate("c", "c", 1, MemberState.SUSPECT, 5, "b"),
+        MemberUpdate("c", "c", 1, MemberState.DEAD, 5, "b"),
+        MemberUpdate("c", "c", 1, MemberState.ALIVE, 6),
+        MemberUpdate("c", "c", 1, MemberState.SUSPECT, 6, "b"),
     ]
     ends = set()
     for size in range(1, 6):
@@ -256,9 +256,9 @@
             held = set()
             for order in itertools.permutations(chosen):
                 member = Swim("a", ("a", 1), 1, "", QUICK, 1)
-                member.receive(0.0, encode(Sync(False, Update("c", "c", 1, State.ALIVE, 4))), ("c", 1))
+                member.receive(0.0, encode(Sync(False, MemberUpdate("c", "c", 1, MemberState.ALIVE, 4))), ("c", 1))
                 for update in order:
-                    member.receive(0.0, encode(Sync(False, me, (update,))), ("b", 1))
+                    member.receive(0.0, encode(Sync(False, sender, (update,))), ("b", 1))
                 held.add((member.members["c"].incarnation, member.members["c"].state))
             assert len(held) == 1, (chosen, held)
             ends |= held
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -13,13 +13,13 @@
 from badgerbend.config.reading import parse
 from badgerbend.config.settings import Snapshot
 from badgerbend.config.sexpr import SettingsError
-from badgerbend.disk import write_whole
-from badgerbend.knowledge.record import Answer, Record, Server, encode
-from badgerbend.membership.messages import State
+from badgerbend.disk import write_atomically
+from badgerbend.knowledge.record import AnswerLatency, KnowledgeRecord, ServerObservation, encode
+from badgerbend.membership.messages import MemberState
 from badgerbend.net.client import Pool, PoolLimits
 from badgerbend.net.seal import KeyFileError, read_key
-from badgerbend.peering.exchange import Teller, ask
-from badgerbend.snapshot.store import pack
+from badgerbend.peering.exchange import FetchError, KnowledgeServer, fetch_record
+from badgerbend.snapshot.store import encode_snapshot
 from badgerbend.standin.client import Client
 from tests.replacing import replace_attribute
 from tests.sockets import EXAMPLE, Stage, run, until
@@ -63,7 +63,7 @@
 
 
 def alive(broker):
-    return {m.name for m in broker.learning.socket.swim.alive() if m.state == State.ALIVE}
+    return {m.name for m in broker.knowledge_exchange.socket.swim.live_members() if m.state == MemberState.ALIVE}
 
 
 async def ask_all(broker, rounds):
@@ -85,7 +85,7 @@
             await until(lambda: all(len(alive(b)) == 2 for b in first))
             await asyncio.gather(*(ask_all(b, 25) for b in first))
             new = await group.add(3)
-            await until(lambda: new.learning.learned > 0 and not new.driver._events)
+            await until(lambda: new.knowledge_exchange.servers_learned > 0 and not new.driver._events)
             module = new.driver.module
             numbers = {name: n for n, name in new.directory.names.items()}
             assert module.late > 0 and module.usual > 0
@@ -110,12 +110,18 @@
             await group.add(0)
             await ask_all(group.all[0], 5)
             stranger = await group.add(1, key=str(keys / "other"))
-            await until(lambda: group.all[0].learning.socket.refused > 3)
+            await until(lambda: group.all[0].knowledge_exchange.socket.refused > 3)
             assert not alive(group.all[0]) and not alive(stranger)
             got = []
-            ask(read_key(keys / "other"), "127.0.0.1", group.all[0].learning.ports[1], got.append)
+            fetch_record(
+                read_key(keys / "other"), "127.0.0.1", group.all[0].knowledge_exchange.knowledge_port, got.append
+            )
             await until(lambda: got)
-            assert got == ["answer 403"] and group.all[0].learning.teller.refused == 1
+            assert (
+                [type(error) for error in got] == [FetchError]
+                and [str(error) for error in got] == ["answer 403"]
+                and group.all[0].knowledge_exchange.server.rejected == 1
+            )
             await group.close()
 
     run(main)
@@ -129,7 +135,7 @@
             await until(lambda: alive(a) and alive(b))
             await b.stop()
             group.all.remove(b)
-            await until(lambda: a.learning.socket.swim.members["broker-1"].state == State.LEFT)
+            await until(lambda: a.knowledge_exchange.socket.swim.members["broker-1"].state == MemberState.LEFT)
             await group.close()
 
     run(main)
@@ -139,11 +145,11 @@
     key = read_key(keys / "key")
 
     async def main():
-        own = Record(1, 0, 0, 0, (Server("s", 1.0, 2.0),), ())
-        teller = Teller((key,), lambda: own)
-        port = await teller.http.start("127.0.0.1", 0)
+        own = KnowledgeRecord(1, 0, 0, 0, (ServerObservation("s", 1.0, 2.0),), ())
+        server = KnowledgeServer((key,), lambda: own)
+        port = await server.http.start("127.0.0.1", 0)
         got = []
-        ask(key, "127.0.0.1", port, got.append)
+        fetch_record(key, "127.0.0.1", port, got.append)
         await until(lambda: got)
         assert got[0].servers[0].age_ms >= 2.0 and got[0].servers[0].name == "s"
         bad = []
@@ -153,26 +159,29 @@
             pool.request(b"GET /knowledge HTTP/1.1\r\nhost: x\r\n" + head + b"\r\n", lambda r: bad.append(r.status))
         await until(lambda: len(bad) == 3)
         assert bad == [403] * 3
-        await teller.http.close(0)
+        await server.http.close(0)
 
         def liar(exchange):  # knows no key, and plays back a body
             exchange.respond(200, encode(own), b"", ((b"badgerbend-mac", b"00" * 32),))
 
-        replace_attribute(teller.http, "handler", liar)
-        port = await teller.http.start("127.0.0.1", 0)
-        teller.http.closing = False
-        ask(key, "127.0.0.1", port, got.append)
+        replace_attribute(server.http, "handler", liar)
+        port = await server.http.start("127.0.0.1", 0)
+        server.http.closing = False
+        fetch_record(key, "127.0.0.1", port, got.append)
         await until(lambda: len(got) == 2)
-        assert got[1] == "not signed by our key"
-        await teller.http.close(0)
+        assert isinstance(got[1], FetchError) and str(got[1]) == "not signed by our key"
+        await server.http.close(0)
 
     run(main)
 
 
 def test_a_broker_takes_its_own_snapshot_and_writes_the_next(tmp_path):
     file = tmp_path / "seen"
-    servers = tuple(Server(f"rates-{i}", 150.0 if i == 4 else 20.0, 100.0) for i in range(12))
-    write_whole(file, pack(Record(1, 0, 0, 0, servers, (Answer(100.0, 20.0, False),) * 40), time.time()))
+    servers = tuple(ServerObservation(f"rates-{i}", 150.0 if i == 4 else 20.0, 100.0) for i in range(12))
+    write_atomically(
+        file,
+        encode_snapshot(KnowledgeRecord(1, 0, 0, 0, servers, (AnswerLatency(100.0, 20.0, False),) * 40), time.time()),
+    )
 
     async def main():
         async with Stage(snapshot=Snapshot(str(file), 100.0)) as s:
@@ -203,7 +212,7 @@
 def test_without_settings_nothing_is_opened():
     async def main():
         async with Stage() as s:
-            assert s.broker.learning is None
+            assert s.broker.knowledge_exchange is None
 
     run(main)
 
--- a/tests/test_public_interfaces.py
+++ b/tests/test_public_interfaces.py
@@ -17,10 +17,10 @@
 from badgerbend.config.settings import Settings
 from badgerbend.config.sexpr import SettingsError
 from badgerbend.discovery.keyed import NodeRow
-from badgerbend.knowledge.record import Record
+from badgerbend.knowledge.record import KnowledgeRecord
 from badgerbend.platform import config as platform_config
 from badgerbend.platform.config import Limits as PlatformLimits
-from badgerbend.snapshot.store import _Body as SnapshotBody
+from badgerbend.snapshot.store import SnapshotBody
 from badgerbend.wal.store import Owner as VoterOwner
 from tests.interfaces import RecordingMapping, compare, struct_schema
 from tests.platform_stage import SETTINGS, file_of
@@ -158,7 +158,7 @@
     documents = {
         "voter's owner file": VoterOwner,
         "snapshot's body": SnapshotBody,
-        "knowledge record": Record,
+        "knowledge record": KnowledgeRecord,
         "row of the list in the feed": NodeRow,
     }
     compare("documents", {name: struct_schema(kind) for name, kind in documents.items()})
--- a/tests/test_public_status.py
+++ b/tests/test_public_status.py
@@ -11,7 +11,7 @@
 from badgerbend.config.settings import Identity, Tenant
 from badgerbend.lease_service.status import LeaseServiceStatus
 from badgerbend.net.client import End
-from badgerbend.peering.exchange import ask as ask_peer
+from badgerbend.peering.exchange import FetchError, fetch_record
 from badgerbend.sites.status import status as sites_status
 from badgerbend.standin.rig import free_port
 from badgerbend.wal.store import create as create_voter_store
@@ -71,7 +71,7 @@
         self.broker = broker
 
     def members(self):
-        return self.broker.learning.socket.swim.members.values()
+        return self.broker.knowledge_exchange.socket.swim.members.values()
 
     def site_presences(self):
         return [site.presence for site in self.broker.siting.tiers.sites]
@@ -83,7 +83,7 @@
         return msgspec.to_builtins(self.broker.rota.status())
 
     def peers_status(self):
-        return self.broker.learning.status()
+        return self.broker.knowledge_exchange.status()
 
     def sites_status(self):
         return sites_status(self.broker.siting.tiers, self.broker.siting.now_ms())
@@ -93,10 +93,10 @@
         self.broker.siting.tiers.refusals[reason, 0, 0] += 1
 
     def peers_port(self):
-        return self.broker.learning.ports[0]
+        return self.broker.knowledge_exchange.membership_port
 
     def knowledge_port(self):
-        return self.broker.learning.ports[1]
+        return self.broker.knowledge_exchange.knowledge_port
 
 
 class CompleteStage(Stage):
@@ -217,9 +217,9 @@
 async def knowledge(port):
     """What a peer reads of the broker's knowledge: the names in it."""
     done = asyncio.get_running_loop().create_future()
-    ask_peer(KEY.encode(), "127.0.0.1", port, done.set_result)
+    fetch_record(KEY.encode(), "127.0.0.1", port, done.set_result)
     record = await done
-    assert not isinstance(record, str), record
+    assert not isinstance(record, FetchError), record
     return list(msgspec.to_builtins(record))
 
 
