--- a/tests/test_feed_faults.py
+++ b/tests/test_feed_faults.py
@@ -317,8 +317,8 @@
 
     def install(self, revision, changes):
         reason = super().install(revision, changes)
-        if self.held != self.truth[revision]:
-            self.false.append((revision, dict(self.held)))
+        if self.content != self.truth[revision]:
+            self.false.append((revision, dict(self.content)))
         return reason
 
 
@@ -428,7 +428,7 @@
             await made.owner.reaches(3)
             assert made.owner.errors == [("liar", OutOfSequenceError)]
             assert made.client.follower.relay.name == "honest"
-            assert made.owner.held["node/1"] == b"draining"
+            assert made.owner.content["node/1"] == b"draining"
 
     asyncio.run(scene())
 
@@ -468,7 +468,7 @@
             replace_attribute(
                 owner,
                 "unusable",
-                lambda changes, owner=owner, place=place: rows[place].append(owner.held.get("node/5")) or "",
+                lambda changes, owner=owner, place=place: rows[place].append(owner.content.get("node/5")) or "",
             )
             follower = Follower(f"f{place}", "north", [address], VERIFIER, QUICK, place)
             clients.append(FollowerClient(follower, owner))
@@ -486,7 +486,7 @@
             server.published()  # it looks at its pace anew
             for owner in owners:
                 await owner.reaches(control.machine.log.revision)
-                assert owner.held == dict(control.machine.log.content.items())
+                assert owner.content == dict(control.machine.log.content.items())
             control.publish(0.0, change("node/6", "draining"))
             server.published()
             for owner, seen in zip(owners, rows, strict=True):
--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -13,42 +13,63 @@
 from tests.feed_stage import VERIFIER, Control, change
 from tests.replacing import replace_attribute
 
-LONGEST_S = 20.0  # a wait that takes so long has failed
+TIMEOUT_S = 20.0  # a wait that takes so long has failed
 QUICK = FollowerTuning(start_spread=0.0, retry_least=0.02, retry_most=0.1)
 
 
 class Owner:
-    """Puts changes in force in a dict, and tells who waits for a revision."""
+    """Puts changes in force in a dict, and wakes those who wait for a revision."""
 
     def __init__(self):
-        self.held, self.revisions, self.errors = {}, [], []
-        self.news = asyncio.Event()
+        self.content = {}
+        self.revisions = []
+        self.errors = []
+        self.changed = asyncio.Event()
         self.unusable = lambda changes: ""
 
     def install(self, revision, changes):
         for one in changes:
             if one.value is None:
-                self.held.pop(one.key, None)
+                self.content.pop(one.key, None)
             else:
-                self.held[one.key] = one.value
+                self.content[one.key] = one.value
         self.revisions.append(revision)
-        self.news.set()
+        self.changed.set()
         return self.unusable(changes)
 
     def rejected(self, relay, error):
         self.errors.append((relay, type(error)))
-        self.news.set()
+        self.changed.set()
 
     async def until(self, condition):
-        async with asyncio.timeout(LONGEST_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not condition(self):
-                self.news.clear()
-                await self.news.wait()
+                self.changed.clear()
+                await self.changed.wait()
 
     async def reaches(self, revision):
         await self.until(lambda owner: owner.revisions and owner.revisions[-1] >= revision)
 
 
+class ObservedServer(RelayServer):
+    """A relay's server that wakes those who wait for a state of the relay."""
+
+    def __init__(self, relay):
+        super().__init__(relay)
+        self.changed = asyncio.Event()
+
+    def process_actions(self):
+        super().process_actions()
+        self.changed.set()
+
+    async def until(self, condition):
+        """Wait until the relay fulfils a condition: each event of a connection may change its state."""
+        async with asyncio.timeout(TIMEOUT_S):
+            while not condition(self.relay):
+                self.changed.clear()
+                await self.changed.wait()
+
+
 class Fleet:
     """A control machine without agreement, its relay's socket, and followers."""
 
@@ -56,10 +77,12 @@
         self.control = Control(retention)
         self.control.grant()
         self.relay = Relay("relay-1", self.control.machine.log, tuning)
-        self.server, self.clients, self.port = None, [], 0
+        self.server = None
+        self.clients = []
+        self.port = 0
 
     async def __aenter__(self):
-        self.server = RelayServer(self.relay)
+        self.server = ObservedServer(self.relay)
         self.port = await self.server.start("127.0.0.1", 0)
         return self
 
@@ -92,11 +115,9 @@
             fleet.publish(change("node/7", None), change("node/8", "draining"))
             for client, owner in found:
                 await owner.reaches(2)
-                assert owner.held == dict(fleet.control.machine.log.content.items())
+                assert owner.content == dict(fleet.control.machine.log.content.items())
                 assert client.follower.log.checkpoint == fleet.control.machine.log.checkpoint
-            async with asyncio.timeout(LONGEST_S):
-                while fleet.relay.summary().in_force < 20:
-                    await asyncio.sleep(0.05)
+            await fleet.server.until(lambda relay: relay.summary().in_force == 20)
 
     asyncio.run(scene())
 
@@ -131,32 +152,26 @@
 
             replace_attribute(owner, "unusable", unusable)
             fleet.publish(change("configuration/a", "bad"))
-            async with asyncio.timeout(LONGEST_S):
-                while not fleet.relay.summary().refused:
-                    await asyncio.sleep(0.05)
+            await fleet.server.until(lambda relay: relay.summary().refused)
             (laggard,) = fleet.relay.summary().laggards
             assert (laggard.refused, laggard.reason) == (1, "line 3: field `port`")
             fleet.publish(change("configuration/a", "good"))
-            async with asyncio.timeout(LONGEST_S):
-                while fleet.relay.summary().refused:
-                    await asyncio.sleep(0.05)
+            await fleet.server.until(lambda relay: not relay.summary().refused)
 
     asyncio.run(scene())
 
 
-def test_an_owner_that_fails_ends_its_follower_and_the_failure_is_told():
+def test_an_owner_that_fails_ends_its_follower_and_the_failure_is_raised_in_the_loop():
     async def scene():
-        told = []
-        asyncio.get_running_loop().set_exception_handler(lambda loop, context: told.append(context["exception"]))
+        raised = []
+        asyncio.get_running_loop().set_exception_handler(lambda loop, context: raised.append(context["exception"]))
         async with Fleet() as fleet:
             client, owner = fleet.follower("f")
             replace_attribute(owner, "unusable", lambda changes: 1 // 0)
             fleet.publish(change("a", "1"))
             await owner.reaches(1)
-            async with asyncio.timeout(LONGEST_S):
-                while fleet.relay.sessions:
-                    await asyncio.sleep(0.01)
-            assert [type(error) for error in told] == [ZeroDivisionError]
+            await fleet.server.until(lambda relay: not relay.sessions)
+            assert [type(error) for error in raised] == [ZeroDivisionError]
             assert client.follower.in_force == 0 and client.follower.phase is Phase.STOPPED
 
     asyncio.run(scene())
