--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -1,112 +1,119 @@
-"""A control machine on sockets: vote and lease over sealed datagrams, a relay over TCP. `feed.control` decides."""
+"""A control machine over sockets: consensus and leases over sealed datagrams, a relay over TCP.
+
+What is published and when is decided by `feed.control`.
+"""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
-from pathlib import Path
+from typing import assert_never
 
 from badgerbend.consensus import messages as voting
-from badgerbend.consensus.types import RaftConfig
-from badgerbend.feed.control import Abandoned, Action, ControlNode, ControlTuning, Propose, Report
-from badgerbend.feed.log import Retention
+from badgerbend.feed.control import Abandoned, Action, ControlNode, Propose, Report
 from badgerbend.feed.machine import PUBLISH, FeedMachine
 from badgerbend.feed.messages import Change, Summary
-from badgerbend.feed.publisher import Check, Problem, Progress, Publisher, PublisherTuning
-from badgerbend.feed.relay import Relay, RelayTuning
+from badgerbend.feed.publisher import Check, Problem, Progress, Publisher
+from badgerbend.feed.relay import Relay
 from badgerbend.feed.signature import Signer
 from badgerbend.feed_service import control_wire
+from badgerbend.feed_service.control_settings import ControlSettings
 from badgerbend.feed_service.control_wire import Proposal
 from badgerbend.feed_service.relay import RelayServer
 from badgerbend.feed_service.timer import Clock, Timer, monotonic
 from badgerbend.lease_service import wire
 from badgerbend.lease_service.local_voter import LocalVoter
-from badgerbend.leases.holder import LeaseHolder, LeaseTiming
+from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
 from badgerbend.net.seal import Seal
 from badgerbend.net.udp import Address, SealedSocket, address_text
 
-MAX_ROUNDS = 64  # in which the parts of one machine answer each other at once
+MAX_ROUNDS = 64  # of actions at once: the parts of one machine answer each other
 
 
 class NotPublishingError(Exception):
-    """Another machine holds the lease on publishing, or nobody does for now."""
-
+    """This machine does not hold the lease on publishing. holder: who does, as last heard; empty for nobody."""
 
-@dataclass(frozen=True, slots=True)
-class ControlSettings:
-    """One control machine. voters: all of them by name; keys: the fleet's, for datagrams."""
-
-    name: str
-    store_path: Path
-    voters: dict[str, Address]
-    relay_address: Address
-    keys: tuple[bytes, ...]
-    retention: Retention = Retention()
-    raft: RaftConfig = RaftConfig()
-    lease_timing: LeaseTiming = LeaseTiming()
-    publisher_tuning: PublisherTuning = PublisherTuning()
-    relay_tuning: RelayTuning = RelayTuning()
-    control_tuning: ControlTuning = ControlTuning()
+    def __init__(self, holder: str) -> None:
+        super().__init__(f"{holder or 'nobody'} publishes")
+        self.holder = holder
 
 
 class ControlServer(SealedSocket):
-    """Built and used on one running loop. Raises BadStore or OSError where it cannot start."""
+    """One control machine: a voter, the lease on publishing, a publisher and a relay.
+
+    Built and used on one running loop. validate: what is wrong with a change, or an empty string. log_event: writes an
+    event with its fields to the log. Raises StoreError or OSError if the voter's store cannot be used.
+    """
 
     def __init__(
         self,
         settings: ControlSettings,
         signer: Signer,
-        check: Check,
-        note: Callable[..., None],
+        validate: Check,
+        log_event: Callable[..., None],
         clock: Clock = monotonic,
     ) -> None:
-        life = int(time.time() * 1000)
-        super().__init__(Seal(settings.keys, life))
-        self.settings, self.note, self.clock = settings, note, clock
+        incarnation = int(time.time() * 1000)
+        super().__init__(Seal(settings.keys, incarnation))
+        self.settings = settings
+        self.log_event = log_event
+        self.clock = clock
         self.own = settings.voters[settings.name]
-        now, seed = clock(), life << 8
+        now = clock()
+        seed = incarnation << 8
         machine = FeedMachine(settings.retention)
-        self.local_voter = LocalVoter(
-            settings.store_path,
-            settings.raft,
-            settings.lease_timing,
-            seed + 1,
-            clock,
+        self.local_voter = self._create_voter(machine, seed + 1)
+        self.lease_holder = self._create_lease_holder(now, seed + 2)
+        self.relay = Relay(settings.name, machine.log, settings.relay_tuning)
+        self.publisher = Publisher(machine.log, validate, signer, settings.publisher_tuning)
+        self.control_node = ControlNode(
+            self.local_voter.voter,
+            self.lease_holder,
+            machine,
+            self.publisher,
+            self.relay,
+            now,
+            settings.control_tuning,
+        )
+        self.relay_server = RelayServer(self.relay, clock)
+        self._timer = Timer(clock, self._tick)
+        self._closed = False
+
+    def _create_voter(self, machine: FeedMachine, seed: int) -> LocalVoter:
+        return LocalVoter(
+            self.settings.store_path,
+            self.settings.raft,
+            self.settings.lease_timing,
+            seed,
+            self.clock,
             self._to_voter,
             self._to_candidate,
-            note,
+            self.log_event,
             self._settle,
             machine,
         )
-        self.lease_holder = LeaseHolder(
-            settings.name,
+
+    def _create_lease_holder(self, now: float, seed: int) -> LeaseHolder:
+        return LeaseHolder(
+            self.settings.name,
             address_text(self.own),
             {PUBLISH: True},
-            tuple(settings.voters),
-            settings.lease_timing,
-            seed + 2,
+            tuple(self.settings.voters),
+            self.settings.lease_timing,
+            seed,
             now,
         )
-        self.relay = Relay(settings.name, machine.log, settings.relay_tuning)
-        self.publisher = Publisher(machine.log, check, signer, settings.publisher_tuning)
-        self.control_node = ControlNode(
-            self.local_voter.voter, self.lease_holder, machine, self.publisher, self.relay, now, settings.control_tuning
-        )
-        self.relay_server = RelayServer(self.relay, clock)
-        self._timer = Timer(clock, self._tick)
-        self._closed = False
 
     async def start(self) -> int:
-        """Binds both sockets; returns the relay's port."""
+        """Bind both sockets; returns the relay's port. Raises OSError."""
         await self.open(*self.own)
         port = await self.relay_server.start(*self.settings.relay_address)
         self._settle()
         return port
 
     async def close(self) -> None:
-        """Gives the lease back, lets another lead, and ends."""
+        """Return the lease, transfer leadership of the log to another voter, and end."""
         self.lease_holder.leave(self.clock())
         self._settle()
         self.local_voter.hand_over()
@@ -116,26 +123,32 @@
         await self.relay_server.stop()
         self.shut()
 
-    # -- publishing
+    # Publishing.
+
     @property
     def is_publisher(self) -> bool:
         """Whether this machine holds the lease on publishing now."""
         return bool(self.publisher.epoch)
 
     def submit(self, changes: Iterable[Change]) -> tuple[Problem, ...]:
-        """Takes all of these changes for publication, or none of them and says why. Raises NotPublishing."""
+        """Accept all of these changes for publication, or none.
+
+        Returns the problems of those that are rejected. Raises NotPublishingError.
+        """
         if not self.is_publisher:
-            raise NotPublishingError(f"{self.lease_holder.duties[PUBLISH].holder or 'nobody'} publishes")
+            raise NotPublishingError(self.lease_holder.duties[PUBLISH].holder)
         problems = self.publisher.submit(self.clock(), changes)
         self._settle()
         return problems
 
     def progress(self, revision: int) -> Progress:
-        """Who has this revision in force, as far as relays have reported."""
+        """How many followers have a revision in force, as far as relays have reported."""
         return self.publisher.progress(self.clock(), revision)
 
-    # -- datagrams
+    # Datagrams.
+
     def body(self, body: bytes, source: Address) -> None:
+        """Handle the body of a datagram whose seal is valid."""
         if self._closed:
             return
         try:
@@ -143,17 +156,17 @@
         except control_wire.MalformedMessageError:
             self.refused += 1
             return
-        self._heard(message, source)
+        self._receive(message, source)
         self._settle()
 
-    def _heard(self, message: control_wire.ControlMessage, source: Address) -> None:
+    def _receive(self, message: control_wire.ControlMessage, source: Address) -> None:
         match message:
             case LeaseRequest() | LeaseReturn():
                 self.local_voter.from_broker(message, source)
             case LeaseReply():
                 self.lease_holder.told(self.clock(), message)
             case Proposal(command):
-                self._proposed(command)
+                self._propose(command)
             case Summary():
                 self.publisher.heard(self.clock(), message)
             case (
@@ -169,7 +182,7 @@
             case _:
                 self.refused += 1
 
-    def _proposed(self, command: bytes) -> None:
+    def _propose(self, command: bytes) -> None:
         if self.local_voter.broken is None:
             self.local_voter.voter.propose(self.clock(), command)
             self.local_voter.flush()
@@ -190,7 +203,8 @@
             self.lease_holder.told(self.clock(), message)
             self._settle()
 
-    # -- time
+    # Time and actions.
+
     def _tick(self) -> None:
         now = self.clock()
         if now >= self.lease_holder.next_at:
@@ -201,7 +215,7 @@
         self._settle()
 
     def _settle(self) -> None:
-        """Carries out what the parts want, until they want nothing, and sets the clock for what comes next."""
+        """Carry out the actions of all parts until there are none, and schedule the next tick."""
         if self._closed:
             return
         for _ in range(MAX_ROUNDS):
@@ -230,11 +244,13 @@
         match action:
             case Propose(leader, command):
                 if leader == self.settings.name:
-                    self._proposed(command)
+                    self._propose(command)
                 elif leader in self.settings.voters:
                     self.send(self.settings.voters[leader], control_wire.encode_proposal(command))
             case Report(publisher, summary):
                 if publisher in self.settings.voters:
                     self.send(self.settings.voters[publisher], control_wire.encode_summary(summary))
             case Abandoned(changes):
-                self.note("changes not published", changes=len(changes))
+                self.log_event("changes not published", changes=len(changes))
+            case _:
+                assert_never(action)
--- a/badgerbend/feed_service/control_wire.py
+++ b/badgerbend/feed_service/control_wire.py
@@ -1,21 +1,25 @@
-"""Datagrams between control machines: a letter that says whose one is, then the message."""
+"""Datagrams between control machines: one byte for the kind, then the encoded message.
+
+Kinds not defined here are those of `lease_service.wire`.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 from badgerbend.feed import messages
-from badgerbend.feed.errors import MalformedMessageError as MalformedSummary
+from badgerbend.feed.errors import MalformedMessageError as MalformedFeedMessageError
 from badgerbend.feed.messages import Summary
 from badgerbend.lease_service import wire
 
-PROPOSAL, SUMMARY = b"p", b"u"
+PROPOSAL = b"p"
+SUMMARY = b"u"
 MalformedMessageError = wire.MalformedMessageError
 
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A command for the agreed log, from the publisher to the leader."""
+    """A command for the replicated log, from the publisher to the leader."""
 
     command: bytes
 
@@ -24,27 +28,29 @@
 
 
 def encode_proposal(command: bytes) -> bytes:
+    """Return the datagram that proposes a command."""
     return PROPOSAL + command
 
 
 def encode_summary(summary: Summary) -> bytes:
+    """Return the datagram that reports what a relay's followers have in force."""
     return SUMMARY + messages.encode(summary)
 
 
 def decode(body: bytes) -> ControlMessage:
-    """Raises Malformed."""
-    match body[:1]:
-        case b"p":
-            return Proposal(body[1:])
-        case b"u":
-            return _summary(body[1:])
+    """Return the message of a datagram. Raises MalformedMessageError."""
+    kind = body[:1]
+    if kind == PROPOSAL:
+        return Proposal(body[1:])
+    if kind == SUMMARY:
+        return _decode_summary(body[1:])
     return wire.read(body)
 
 
-def _summary(data: bytes) -> Summary:
+def _decode_summary(data: bytes) -> Summary:
     try:
         message = messages.decode(data)
-    except MalformedSummary as error:
+    except MalformedFeedMessageError as error:
         raise MalformedMessageError(str(error)) from error
     if not isinstance(message, Summary):
         raise MalformedMessageError(f"{type(message).__name__} where a summary was due")
--- a/benchmarks/scale/feed_voters.py
+++ b/benchmarks/scale/feed_voters.py
@@ -7,7 +7,8 @@
 from pathlib import Path
 
 from badgerbend.feed.messages import Change
-from badgerbend.feed_service.control import ControlServer, ControlSettings
+from badgerbend.feed_service.control import ControlServer
+from badgerbend.feed_service.control_settings import ControlSettings
 from badgerbend.wal.store import create
 from scale.feed_control import SIGNER
 from scale.feed_messages import (
--- a/tests/feed_process.py
+++ b/tests/feed_process.py
@@ -13,7 +13,8 @@
 from badgerbend.feed.framing import FrameReader
 from badgerbend.feed.messages import Publication, SnapshotPiece
 from badgerbend.feed.relay import Phase, Relay, SendTo
-from badgerbend.feed_service.control import ControlServer, ControlSettings, NotPublishingError
+from badgerbend.feed_service.control import ControlServer, NotPublishingError
+from badgerbend.feed_service.control_settings import ControlSettings
 from badgerbend.feed_service.follower import FollowerClient
 from badgerbend.feed_service.relay import RelayServer
 from badgerbend.feed_service.timer import monotonic
