--- a/benchmarks/snapshot.py
+++ b/benchmarks/snapshot.py
@@ -19,10 +19,10 @@
 from badgerbend import api
 from badgerbend.config.module import module_settings
 from badgerbend.config.reading import load
+from badgerbend.decisions import Aggregator
 from badgerbend.disk import write_atomically
 from badgerbend.knowledge.record import AnswerLatency, KnowledgeRecord, ServerObservation, decode, encode, make_record
 from badgerbend.knowledge.trust import PeerTrust
-from badgerbend.logic import Aggregator
 from badgerbend.snapshot.store import encode_snapshot, read_snapshot
 from badgerbend.standin.day import RATES
 
@@ -83,11 +83,11 @@
             what()  # type: ignore[operator]
         return (time.process_time() - began) / times * 1000.0
 
-    own = make_record(module.known(), names, 0, 0, 0, {})
+    own = make_record(module.observations(), names, 0, 0, 0, {})
     numbers = {n: i for i, n in names.items()}
     told = {f"p{i}": own for i in range(3)}
-    out_ms = each(lambda: encode(make_record(module.known(), names, 0, 0, 0, {})))
-    pack_ms = each(lambda: encode_snapshot(make_record(module.known(), names, 0, 0, 0, {}), 0.0))
+    out_ms = each(lambda: encode(make_record(module.observations(), names, 0, 0, 0, {})))
+    pack_ms = each(lambda: encode_snapshot(make_record(module.observations(), names, 0, 0, 0, {}), 0.0))
     data = encode(own)
     in_ms = each(lambda: [decode(data) for _ in range(3)]) + each(lambda: PeerTrust().combine(told, numbers, 0.0))
     learn_ms = each(lambda: Aggregator._learn(module, prior))
