--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -102,63 +102,68 @@
         self.relay_server.published()
         return self.control.machine.log.revision
 
-    async def in_force(self, text):
+    async def put_in_force(self, text):
         """Publishes a configuration and waits until the broker has it in force."""
         revision = self.publish(text)
         await until(lambda: self.broker.feed_subscription.in_force.current.revision == revision)
 
-    def slow(self, part_ms):
+    def slow_down(self, part_ms):
         for server in self.world.servers.values():
             server.machine.model.part_ms = part_ms
 
-    def counted(self):
-        """Queries ended, by how, and troubles."""
-        samples = [s for m in self.broker.metrics.registry.collect() for s in m.samples]
-        ended, troubles = Counter(), Counter()
+    def count_ends(self):
+        """Return the queries ended, by how, and the faults, by kind."""
+        samples = [sample for metric in self.broker.metrics.registry.collect() for sample in metric.samples]
+        ended = Counter()
+        faults = Counter()
         for sample in samples:
             if sample.name == "badgerbend_queries_total":
                 ended[sample.labels["how"]] += int(sample.value)
             elif sample.name == "badgerbend_troubles_total":
-                troubles[sample.labels["kind"]] += int(sample.value)
-        return +ended, +troubles
+                faults[sample.labels["kind"]] += int(sample.value)
+        return +ended, +faults
 
 
-def test_a_query_under_way_ends_under_its_configuration_and_the_next_under_the_new_one(tmp_path):
+def test_a_query_in_flight_ends_under_its_configuration_and_the_next_under_the_new_one(tmp_path):
     async def main():
-        async with FeedStage(tmp_path) as s:
-            s.slow(SLOW_MS)
-            before = s.generations.current
-            first = asyncio.ensure_future(s.client.query(ASK))
+        async with FeedStage(tmp_path) as stage:
+            stage.slow_down(SLOW_MS)
+            before = stage.generations.current
+            first = asyncio.ensure_future(stage.client.query(ASK))
             await until(lambda: before.driver.queries)
             forms = ("(tenant a (quota-per-s 7))", "(tenant b (quota-per-s 8))")
-            await s.in_force(replaced(with_deadline(300, *forms), "(need 0.75)", "(need 0.9)"))
-            newest = s.generations.current
-            assert newest is not before and s.generations.draining == [before] and before.driver.queries
-            assert [t.quota_per_s for t in newest.driver.module.set.tenants] == [7.0, 8.0]
-            assert [c.complete_weight for c in newest.driver.module.set.classes][1] == 0.9
-            assert (await s.client.query(ASK))[0] == 403  # tenants are told apart from now on
+            await stage.put_in_force(replaced(with_deadline(300, *forms), "(need 0.75)", "(need 0.9)"))
+            newest = stage.generations.current
+            assert newest is not before and stage.generations.draining == [before] and before.driver.queries
+            assert [tenant.quota_per_s for tenant in newest.driver.module.set.tenants] == [7.0, 8.0]
+            assert [one.complete_weight for one in newest.driver.module.set.classes][1] == 0.9
+            assert (await stage.client.query(ASK))[0] == 403  # tenants are told apart from now on
             loop = asyncio.get_running_loop()
             began = loop.time()
-            _, answer, _ = await s.client.query(ASK, badgerbend_tenant="b")
+            _, answer, _ = await stage.client.query(ASK, badgerbend_tenant="b")
             assert answer["errors"] and loop.time() - began < SLOW_MS / 1000.0  # by the new deadline
             status, answer, _ = await first
             assert status == 200 and len(answer["data"]["fullQuote"]) == 4  # by the old one
-            await until(lambda: not s.generations.draining)
-            _, troubles = s.counted()
-            assert not troubles
+            await until(lambda: not stage.generations.draining)
+            _, faults = stage.count_ends()
+            assert not faults
 
     run(main)
 
 
 def test_no_query_is_lost_or_answered_twice_over_many_changes_under_load(tmp_path):
     async def main():
-        async with FeedStage(tmp_path) as s:
-            answered, over, rates = Counter(), asyncio.Event(), itertools.count()
-            s.slow(10.0)
+        async with FeedStage(tmp_path) as stage:
+            answered = Counter()
+            over = asyncio.Event()
+            rates = itertools.count()
+            stage.slow_down(10.0)
 
             async def reads(block):
                 while not over.is_set():
-                    status, answer, _ = await s.client.query(f"{{ fullQuote(blocks: [{block}], amount: 5) {{ id }} }}")
+                    status, answer, _ = await stage.client.query(
+                        f"{{ fullQuote(blocks: [{block}], amount: 5) {{ id }} }}"
+                    )
                     assert status == 200 and "errors" not in answer, answer
                     assert [row["id"] for row in answer["data"]["fullQuote"]] == [f"{block}:{i}" for i in range(4)]
                     answered["read"] += 1
@@ -166,49 +171,50 @@
             async def writes(block):
                 while not over.is_set():
                     rate = next(rates)
-                    one, other = f'"{block}:{rate}"', f'"{block}:{rate}x"'
+                    one = f'"{block}:{rate}"'
+                    other = f'"{block}:{rate}x"'
                     text = (
                         f"mutation {{ a: signLease(block: {block}, rate: {one}) {{ rate }} "
                         f"b: signLease(block: {block}, rate: {other}) {{ rate }} }}"
                     )
-                    status, answer, _ = await s.client.query(text)
+                    status, answer, _ = await stage.client.query(text)
                     assert status == 200 and answer["data"]["a"]["rate"] == f"{block}:{rate}", answer
                     assert answer["data"]["b"]["rate"] == f"{block}:{rate}x"
                     answered["write"] += 1
 
             load = [asyncio.ensure_future(reads(i)) for i in range(CLIENTS)]
             load += [asyncio.ensure_future(writes(i)) for i in range(CLIENTS, CLIENTS + 2)]
-            most_living = 0
+            most_live = 0
             for number in range(CHANGES):
                 goal = answered.total() + CLIENTS
                 await until(lambda goal=goal: answered.total() >= goal or any(one.done() for one in load))
-                await s.in_force(with_deadline(3000 + number))
-                most_living = max(most_living, len(s.generations.live))
-                assert s.generations.current.settings.class_[0].deadline_ms == 3000 + number
+                await stage.put_in_force(with_deadline(3000 + number))
+                most_live = max(most_live, len(stage.generations.live))
+                assert stage.generations.current.settings.class_[0].deadline_ms == 3000 + number
             over.set()
             await asyncio.gather(*load)
-            await until(lambda: not s.generations.draining)
-            ended, troubles = s.counted()
-            assert ended == Counter(answered=answered["read"] + 2 * answered["write"]) and not troubles
-            signed = Counter(p["query"] for r in s.seen("ran") if r["write"] for p in r["parts"])
+            await until(lambda: not stage.generations.draining)
+            ended, faults = stage.count_ends()
+            assert ended == Counter(answered=answered["read"] + 2 * answered["write"]) and not faults
+            signed = Counter(part["query"] for run in stage.seen("ran") if run["write"] for part in run["parts"])
             assert len(signed) == 2 * answered["write"] and set(signed.values()) == {1}
-            assert most_living > 1
+            assert most_live > 1
 
     run(main)
 
 
-def test_an_earlier_generation_is_gone_with_its_last_query(tmp_path):
+def test_an_earlier_generation_is_closed_after_its_last_query(tmp_path):
     async def main():
-        async with FeedStage(tmp_path) as s:
-            s.slow(SLOW_MS)
-            await s.in_force(with_deadline(2900))
-            earlier = weakref.ref(s.generations.current)
-            call = s.client.ask(ASK, None, {}, lambda reply: None)
-            await until(lambda: s.generations.current.driver.queries)
-            await s.in_force(with_deadline(2800))
-            assert s.generations.draining == [earlier()]
+        async with FeedStage(tmp_path) as stage:
+            stage.slow_down(SLOW_MS)
+            await stage.put_in_force(with_deadline(2900))
+            earlier = weakref.ref(stage.generations.current)
+            call = stage.client.ask(ASK, None, {}, lambda reply: None)
+            await until(lambda: stage.generations.current.driver.queries)
+            await stage.put_in_force(with_deadline(2800))
+            assert stage.generations.draining == [earlier()]
             call.abort()  # its client leaves
-            await until(lambda: not s.generations.draining)
+            await until(lambda: not stage.generations.draining)
             await until(lambda: gc.collect() is not None and earlier() is None)
 
     run(main)
@@ -217,63 +223,63 @@
 def test_attempts_that_outlive_their_query_are_waited_for(tmp_path):
     async def main():
         changes = {"attempts": {"cancel": False}}
-        async with FeedStage(tmp_path, **changes) as s:
-            s.slow(SLOW_MS)
-            before = s.generations.current
-            call = s.client.ask(ASK, None, {}, lambda reply: None)
-            await until(lambda: s.seen("ran"))
-            await s.in_force(with_deadline(2900))
+        async with FeedStage(tmp_path, **changes) as stage:
+            stage.slow_down(SLOW_MS)
+            before = stage.generations.current
+            call = stage.client.ask(ASK, None, {}, lambda reply: None)
+            await until(lambda: stage.seen("ran"))
+            await stage.put_in_force(with_deadline(2900))
             call.abort()
             await until(lambda: not before.driver.queries)
-            assert s.generations.draining == [before]
-            await until(lambda: s.seen("answered"))
-            await until(lambda: not s.generations.draining)
+            assert stage.generations.draining == [before]
+            await until(lambda: stage.seen("answered"))
+            await until(lambda: not stage.generations.draining)
 
     run(main)
 
 
-def test_a_new_generation_begins_with_the_list_and_with_what_was_seen_and_hears_news_with_the_earlier(tmp_path):
+def test_a_new_generation_begins_with_the_list_and_earlier_observations_and_receives_updates_like_the_earlier(tmp_path):
     async def main():
-        async with FeedStage(tmp_path) as s:
+        async with FeedStage(tmp_path) as stage:
             for number in range(60):
-                await s.client.query(f"{{ fullQuote(blocks: [{number % 24}], amount: 5) {{ id }} }}")
-            before = s.generations.current
+                await stage.client.query(f"{{ fullQuote(blocks: [{number % 24}], amount: 5) {{ id }} }}")
+            before = stage.generations.current
             await until(lambda: before.driver.module.usual > 0.0)
             known = {one.node: one.time_ms for one in before.driver.known().nodes}
             usual = before.driver.module.usual
             assert known
             for deadline_ms in (2900, 2800, 2700):  # one right after the other: what was seen goes on
-                await s.in_force(with_deadline(deadline_ms))
-            newest = s.generations.current
+                await stage.put_in_force(with_deadline(deadline_ms))
+            newest = stage.generations.current
             await until(lambda: newest.driver.module.nodes)
-            ready = {n.id for n in newest.driver.module.nodes.values() if n.ready}
-            assert ready == set(s.broker.directory.addresses) and len(ready) == 12
+            ready = {node.id for node in newest.driver.module.nodes.values() if node.ready}
+            assert ready == set(stage.broker.directory.addresses) and len(ready) == 12
             assert {one.node: one.time_ms for one in newest.driver.known().nodes} == known
             assert newest.driver.module.usual == pytest.approx(usual, rel=0.5)
-            s.slow(SLOW_MS)
-            held = asyncio.ensure_future(s.client.query(ASK))
+            stage.slow_down(SLOW_MS)
+            first = asyncio.ensure_future(stage.client.query(ASK))
             await until(lambda: newest.driver.queries)
-            await s.in_force(with_deadline(2600))
-            gone = next(iter(s.world.servers))
-            s.world.crash(gone)
-            modules = [one.driver.module for one in s.generations.live]
-            await until(lambda: all(sum(n.ready for n in m.nodes.values()) == 11 for m in modules))
+            await stage.put_in_force(with_deadline(2600))
+            gone = next(iter(stage.world.servers))
+            stage.world.crash(gone)
+            modules = [one.driver.module for one in stage.generations.live]
+            await until(lambda: all(sum(node.ready for node in module.nodes.values()) == 11 for module in modules))
             assert len(modules) == 2
-            await held
+            await first
 
     run(main)
 
 
-def test_who_learns_goes_on_with_the_newest_generation(tmp_path):
+def test_peer_learning_continues_with_the_current_generation(tmp_path):
     async def main():
-        async with FeedStage(tmp_path, snapshot=Snapshot(str(tmp_path / "seen"))) as s:
+        async with FeedStage(tmp_path, snapshot=Snapshot(str(tmp_path / "seen"))) as stage:
             for number in range(24):
-                await s.client.query(f"{{ fullQuote(blocks: [{number}], amount: 5) {{ id }} }}")
-            exchange = s.broker.knowledge_exchange
+                await stage.client.query(f"{{ fullQuote(blocks: [{number}], amount: 5) {{ id }} }}")
+            exchange = stage.broker.knowledge_exchange
             seen = exchange.own_record()
             assert seen.servers
-            await s.in_force(with_deadline(2900))
-            newest = s.generations.current
+            await stage.put_in_force(with_deadline(2900))
+            newest = stage.generations.current
             assert exchange.driver is newest.driver and newest.answers.knowledge_exchange is exchange
             assert {one.name for one in exchange.own_record().servers} == {one.name for one in seen.servers}
 
@@ -283,36 +289,36 @@
 def test_generations_share_the_preference_among_sites(tmp_path):
     async def main():
         sites = Sites((Site("north", (0,), 1), Site("south", (1,), 0)), 1000.0)
-        async with FeedStage(tmp_path, sites=sites) as s:
-            s.slow(SLOW_MS)
-            tiers = s.broker.siting.tiers
-            held = asyncio.ensure_future(s.client.query(ASK))
-            await until(lambda: s.generations.current.driver.queries)
-            await s.in_force(replaced(PUBLISHED, "(free 5)", "(free 6)"))
-            earlier, newest = s.generations.draining[0], s.generations.current
+        async with FeedStage(tmp_path, sites=sites) as stage:
+            stage.slow_down(SLOW_MS)
+            tiers = stage.broker.siting.tiers
+            first = asyncio.ensure_future(stage.client.query(ASK))
+            await until(lambda: stage.generations.current.driver.queries)
+            await stage.put_in_force(replaced(PUBLISHED, "(free 5)", "(free 6)"))
+            earlier, newest = stage.generations.draining[0], stage.generations.current
             assert newest.driver.module.sites is earlier.driver.module.sites is tiers
-            next_one = asyncio.ensure_future(s.client.query(ASK))
+            next_one = asyncio.ensure_future(stage.client.query(ASK))
             await until(lambda: newest.driver.queries)
             assert not set(earlier.driver._owners) & set(newest.driver._owners)  # parts are told apart
-            for status, answer, _ in await asyncio.gather(held, next_one):
+            for status, answer, _ in await asyncio.gather(first, next_one):
                 assert status == 200 and len(answer["data"]["fullQuote"]) == 4
-            await until(lambda: not s.generations.draining and newest.idle)
+            await until(lambda: not stage.generations.draining and newest.idle)
             assert not any(site.seen.out for site in tiers.sites)
-            s.publish(with_deadline(2900))  # another class: preference among sites rests on it
-            await until(lambda: s.relay.summary().refused)
-            assert "broker > class: cannot change" in s.relay.summary().laggards[0].reason
+            stage.publish(with_deadline(2900))  # another class: preference among sites rests on it
+            await until(lambda: stage.relay.summary().refused)
+            assert "broker > class: cannot change" in stage.relay.summary().laggards[0].reason
 
     run(main)
 
 
-def test_a_new_generation_follows_a_list_that_is_told_only_on_asking(tmp_path):
+def test_a_new_generation_follows_a_list_that_is_polled(tmp_path):
     async def main():
-        async with FeedStage(tmp_path, discovery={"mode": "ask"}) as s:
-            await s.in_force(with_deadline(2900))
-            newest = s.generations.current.driver.module
-            await until(lambda: sum(n.ready for n in newest.nodes.values()) == 12)
-            s.world.crash(next(iter(s.world.servers)))
-            await until(lambda: sum(n.ready for n in newest.nodes.values()) == 11)
+        async with FeedStage(tmp_path, discovery={"mode": "ask"}) as stage:
+            await stage.put_in_force(with_deadline(2900))
+            newest = stage.generations.current.driver.module
+            await until(lambda: sum(node.ready for node in newest.nodes.values()) == 12)
+            stage.world.crash(next(iter(stage.world.servers)))
+            await until(lambda: sum(node.ready for node in newest.nodes.values()) == 11)
 
     run(main)
 
@@ -327,19 +333,19 @@
 )
 def test_a_configuration_that_a_broker_cannot_use_changes_nothing_there_and_is_reported(tmp_path, old, new, reason):
     async def main():
-        async with FeedStage(tmp_path) as s:
+        async with FeedStage(tmp_path) as stage:
             assert old in PUBLISHED
-            before = s.generations.current
-            revision = s.publish(replaced(PUBLISHED, old, new))
-            await until(lambda: s.relay.summary().refused)
-            (laggard,) = s.relay.summary().laggards
+            before = stage.generations.current
+            revision = stage.publish(replaced(PUBLISHED, old, new))
+            await until(lambda: stage.relay.summary().refused)
+            (laggard,) = stage.relay.summary().laggards
             assert (laggard.name, laggard.refused) == ("broker-0", revision)
             assert laggard.reason.startswith(reason), laggard.reason
-            assert s.generations.live == (before,)
-            assert (await s.client.query(ASK))[0] == 200
-            await s.in_force(with_deadline(2900))
-            assert s.generations.current is not before
-            await until(lambda: s.relay.summary().refused == 0 and s.relay.summary().in_force == 1)
+            assert stage.generations.live == (before,)
+            assert (await stage.client.query(ASK))[0] == 200
+            await stage.put_in_force(with_deadline(2900))
+            assert stage.generations.current is not before
+            await until(lambda: stage.relay.summary().refused == 0 and stage.relay.summary().in_force == 1)
 
     run(main)
 
@@ -348,32 +354,32 @@
     monkeypatch.setattr(manager, "MAX_GENERATIONS", 2)
 
     async def main():
-        async with FeedStage(tmp_path) as s:
-            s.slow(2 * SLOW_MS)
-            held = asyncio.ensure_future(s.client.query(ASK))
-            await until(lambda: s.generations.current.driver.queries)
-            await s.in_force(with_deadline(2900))
-            s.publish(with_deadline(2800))
-            s.publish(with_deadline(2700))
-            await until(lambda: s.relay.summary().refused)
-            assert s.relay.summary().laggards[0].reason == WAITING_FOR_CAPACITY and len(s.generations.live) == 2
-            assert s.generations.current.settings.class_[0].deadline_ms == 2900
-            assert (await held)[0] == 200
-            await until(lambda: s.generations.current.settings.class_[0].deadline_ms == 2700)
-            await until(lambda: s.relay.summary().refused == 0)
+        async with FeedStage(tmp_path) as stage:
+            stage.slow_down(2 * SLOW_MS)
+            first = asyncio.ensure_future(stage.client.query(ASK))
+            await until(lambda: stage.generations.current.driver.queries)
+            await stage.put_in_force(with_deadline(2900))
+            stage.publish(with_deadline(2800))
+            stage.publish(with_deadline(2700))
+            await until(lambda: stage.relay.summary().refused)
+            assert stage.relay.summary().laggards[0].reason == WAITING_FOR_CAPACITY and len(stage.generations.live) == 2
+            assert stage.generations.current.settings.class_[0].deadline_ms == 2900
+            assert (await first)[0] == 200
+            await until(lambda: stage.generations.current.settings.class_[0].deadline_ms == 2700)
+            await until(lambda: stage.relay.summary().refused == 0)
 
     run(main)
 
 
-def test_one_that_says_what_is_in_force_or_is_taken_away_begins_no_generation(tmp_path):
+def test_an_unchanged_or_removed_configuration_begins_no_generation(tmp_path):
     async def main():
-        async with FeedStage(tmp_path) as s:
-            before = s.generations.current
-            await s.in_force(PUBLISHED)
-            assert s.generations.current is before
-            s.publish(None)
-            await until(lambda: s.broker.feed_subscription.client.follower.in_force == 2)
-            assert s.generations.live == (before,)
+        async with FeedStage(tmp_path) as stage:
+            before = stage.generations.current
+            await stage.put_in_force(PUBLISHED)
+            assert stage.generations.current is before
+            stage.publish(None)
+            await until(lambda: stage.broker.feed_subscription.client.follower.in_force == 2)
+            assert stage.generations.live == (before,)
 
     run(main)
 
@@ -385,28 +391,28 @@
 
 def test_the_list_comes_from_the_feed_in_place_of_consul(tmp_path):
     async def main():
-        async with FeedStage(tmp_path, listed=True) as s:
-            assert len(states_of(s.broker)) == 12 and (await fetch_ready(s)) == 200
+        async with FeedStage(tmp_path, listed=True) as stage:
+            assert len(states_of(stage.broker)) == 12 and (await fetch_ready(stage)) == 200
             for block in range(24):
-                status, answer, _ = await s.client.query(f"{{ fullQuote(blocks: [{block}], amount: 5) {{ id }} }}")
+                status, answer, _ = await stage.client.query(f"{{ fullQuote(blocks: [{block}], amount: 5) {{ id }} }}")
                 assert status == 200 and len(answer["data"]["fullQuote"]) == 4
-            drained, removed = list(s.world.servers)[:2]
-            s.publish_changes(change(f"node/{drained}", s.row(drained, state="draining")))
-            await until(lambda: states_of(s.broker)[drained] == api.EndpointState.DRAINING)
-            s.publish_changes(change(f"node/{removed}", None))
-            await until(lambda: removed not in states_of(s.broker))
-            module = s.generations.current.driver.module
-            await until(lambda: sum(n.ready for n in module.nodes.values()) == 10)
-            s.records.clear()
-            await s.in_force(with_deadline(2900))  # a new generation begins with the feed's list
+            drained, removed = list(stage.world.servers)[:2]
+            stage.publish_changes(change(f"node/{drained}", stage.row(drained, state="draining")))
+            await until(lambda: states_of(stage.broker)[drained] == api.EndpointState.DRAINING)
+            stage.publish_changes(change(f"node/{removed}", None))
+            await until(lambda: removed not in states_of(stage.broker))
+            module = stage.generations.current.driver.module
+            await until(lambda: sum(node.ready for node in module.nodes.values()) == 10)
+            stage.records.clear()
+            await stage.put_in_force(with_deadline(2900))  # a new generation begins with the feed's list
             for block in range(24):
-                assert (await s.client.query(f"{{ fullQuote(blocks: [{block}], amount: 5) {{ id }} }}"))[0] == 200
-            assert not {r["server"] for r in s.seen("arrive")} & {drained, removed}
-            assert not s.seen("told")  # Consul's stand-in was never asked
-            s.relay_server.confirmed(s.relay_server.clock())
-            await until(lambda: s.broker.feed_subscription.age_s < 60.0)  # with the relay's next heartbeat
-            s.broker._gauges()
-            assert s.broker.metrics.list_age._value.get() < 60.0
+                assert (await stage.client.query(f"{{ fullQuote(blocks: [{block}], amount: 5) {{ id }} }}"))[0] == 200
+            assert not {record["server"] for record in stage.seen("arrive")} & {drained, removed}
+            assert not stage.seen("told")  # Consul's stand-in was never asked
+            stage.relay_server.confirmed(stage.relay_server.clock())
+            await until(lambda: stage.broker.feed_subscription.age_s < 60.0)  # with the relay's next heartbeat
+            stage.broker._gauges()
+            assert stage.broker.metrics.list_age._value.get() < 60.0
 
     run(main)
 
@@ -422,28 +428,30 @@
 def test_a_drain_published_while_a_snapshot_of_earlier_content_is_on_its_way_wins(tmp_path):
     async def main():
         slow = RelayTuning(snapshot_bytes_per_second=32 * 1024, snapshot_burst=1)
-        async with FeedStage(tmp_path, listed=True, retention=Retention(publications=1)) as s:
-            drained = next(iter(s.world.servers))
-            others = [change(f"node/x{i}", s.row(drained, zone=200, cell=i % 12, kind=i)) for i in range(3000)]
-            s.publish_changes(*others)
-            relay = Relay("relay-2", s.control.machine.log, slow)
+        async with FeedStage(tmp_path, listed=True, retention=Retention(publications=1)) as stage:
+            drained = next(iter(stage.world.servers))
+            others = [change(f"node/x{i}", stage.row(drained, zone=200, cell=i % 12, kind=i)) for i in range(3000)]
+            stage.publish_changes(*others)
+            relay = Relay("relay-2", stage.control.machine.log, slow)
             server = RelayServer(relay)
             port = await server.start("127.0.0.1", 0)
-            feed = Feed(str(s.key_file), "north", (RelayAt("relay-2", "north", f"127.0.0.1:{port}"),), list=True)
-            graph = s.broker.front.subgraph
-            other = Broker(msgspec.structs.replace(s.settings, feed=feed), graph)
+            feed = Feed(str(stage.key_file), "north", (RelayAt("relay-2", "north", f"127.0.0.1:{port}"),), list=True)
+            graph = stage.broker.front.subgraph
+            other = Broker(msgspec.structs.replace(stage.settings, feed=feed), graph)
             try:
                 await other.start()
                 await until(lambda: relay.snapshots_begun)
                 assert not other.directory.known
-                s.publish_changes(change(f"node/{drained}", s.row(drained, state="draining")))
+                stage.publish_changes(change(f"node/{drained}", stage.row(drained, state="draining")))
                 server.published()
                 await until(lambda: other.directory.known)
-                await until(lambda: other.feed_subscription.client.follower.in_force == s.control.machine.log.revision)
+                await until(
+                    lambda: other.feed_subscription.client.follower.in_force == stage.control.machine.log.revision
+                )
                 await until(lambda: states_of(other)[drained] == api.EndpointState.DRAINING)
                 number = other.directory.known[drained].line.node
                 module = other.driver.module
-                await until(lambda: sum(n.ready for n in module.nodes.values()) == len(states_of(other)) - 1)
+                await until(lambda: sum(node.ready for node in module.nodes.values()) == len(states_of(other)) - 1)
                 assert number not in module.nodes or not module.nodes[number].ready
             finally:
                 await other.stop()
@@ -452,7 +460,7 @@
     run(main)
 
 
-def test_a_public_key_is_read_or_refused(tmp_path):
+def test_a_public_key_is_read_or_rejected(tmp_path):
     file = tmp_path / "key"
     file.write_text(SIGNER.public_key().hex() + "\n")
     assert read_public_key(file) == SIGNER.public_key()
@@ -495,9 +503,9 @@
 
 def test_a_feed_whose_key_cannot_be_read_stops_the_start(tmp_path):
     async def main():
-        async with Stage() as s:
+        async with Stage() as stage:
             feed = Feed("none.pub", "north", (RelayAt("relay-1", "north", "127.0.0.1:1"),))
             with pytest.raises(FileNotFoundError):
-                Broker(msgspec.structs.replace(s.settings, feed=feed), s.broker.front.subgraph, tmp_path)
+                Broker(msgspec.structs.replace(stage.settings, feed=feed), stage.broker.front.subgraph, tmp_path)
 
     run(main)
