--- a/badgerbend/cli_leases.py
+++ b/badgerbend/cli_leases.py
@@ -14,8 +14,8 @@
 from badgerbend.net.fetch import fetch
 from badgerbend.net.seal import KeyFileError, read_key
 from badgerbend.process import BAD_SETTINGS, CANNOT_START, stop
-from badgerbend.wal.store import StoreError, create, read_owner
-from badgerbend.wal.store import read as read_store
+from badgerbend.wal.errors import StoreError
+from badgerbend.wal.store import create_store, read_identity, read_store
 
 duties = typer.Typer(no_args_is_help=True, help="Duties that one broker holds at a time: who holds them, hand-over.")
 voters = typer.Typer(no_args_is_help=True, help="Those who agree on duties: their stores, their state, who votes.")
@@ -61,7 +61,7 @@
     if voter and name not in voter:
         stop(f"{name} is none of the voters that are named; for one that joins later name none", BAD_SETTINGS)
     try:
-        create(folder, name, voter)
+        create_store(folder, name, voter)
     except (StoreError, OSError) as err:
         stop(str(err), BAD_SETTINGS)
     print(f"{folder}: the store of {name}, " + (f"one of {len(voter)}" if voter else "to be added by the others"))
@@ -71,13 +71,15 @@
 def voters_check(folder: Path) -> None:
     """Reads a voter's store and changes nothing; status 2 where it would be refused."""
     try:
-        owner = read_owner(folder)
+        owner = read_identity(folder)
         number, kept, length = read_store(folder)
     except (StoreError, OSError) as err:
         stop(str(err), BAD_SETTINGS)
-    log_, names = kept.log, ", ".join(kept.log.voters()[0]) or "not known yet"
-    print(f"{folder}: {owner.name}, term {kept.term}, voted for {kept.voted or 'nobody'}")
-    print(f"log.{number}: {length} bytes, snapshot at {log_.base}, last entry {log_.last_index}, voters {names}")
+    log_, names = kept.log, ", ".join(kept.log.configuration().voters) or "not known yet"
+    print(f"{folder}: {owner.name}, term {kept.term}, voted for {kept.voted_for or 'nobody'}")
+    print(
+        f"log.{number}: {length} bytes, snapshot at {log_.snapshot_index}, last entry {log_.last_index}, voters {names}"
+    )
 
 
 @voters.command("status")
--- a/badgerbend/consensus/durability.py
+++ b/badgerbend/consensus/durability.py
@@ -10,6 +10,7 @@
 
 from badgerbend.consensus.messages import Entry, LogEntries, Message, Record, Snapshot
 from badgerbend.consensus.pending import HeldMessage, UnsyncedEntries
+from badgerbend.consensus.ready import OutboundMessage, SequencedRecord
 
 
 class Durability:
@@ -18,15 +19,15 @@
     def __init__(self, last_index: int) -> None:
         self.seq = self.synced = 0
         self.durable = last_index
-        self.writes: list[tuple[int, Record]] = []
-        self.messages: list[tuple[str, Message]] = []
+        self.writes: list[SequencedRecord] = []
+        self.messages: list[OutboundMessage] = []
         self.unsynced: deque[UnsyncedEntries] = deque()
         self.held: deque[HeldMessage] = deque()
 
     def write(self, record: Record) -> int:
         """The write's number."""
         self.seq += 1
-        self.writes.append((self.seq, record))
+        self.writes.append(SequencedRecord(self.seq, record))
         return self.seq
 
     def write_entries(self, entries: Sequence[Entry]) -> None:
@@ -49,18 +50,18 @@
         if after > self.synced:
             self.held.append(HeldMessage(after, to, message))
         else:
-            self.messages.append((to, message))
+            self.messages.append(OutboundMessage(to, message))
 
-    def saved(self, seq: int) -> None:
+    def persisted(self, seq: int) -> None:
         """All writes up to this one are on disk."""
         self.synced = max(self.synced, seq)
         while self.unsynced and self.unsynced[0].write <= self.synced:
             self.durable = max(self.durable, self.unsynced.popleft().last_index)
         while self.held and self.held[0].write <= self.synced:
             held = self.held.popleft()
-            self.messages.append((held.to, held.message))
+            self.messages.append(OutboundMessage(held.to, held.message))
 
-    def take(self) -> tuple[list[tuple[int, Record]], list[tuple[str, Message]]]:
+    def take(self) -> tuple[list[SequencedRecord], list[OutboundMessage]]:
         """Writes in their order, and the messages that may be sent, since the last call."""
         taken = self.writes, self.messages
         self.writes, self.messages = [], []
--- a/badgerbend/consensus/log.py
+++ b/badgerbend/consensus/log.py
@@ -4,12 +4,20 @@
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from badgerbend.consensus.messages import Entry, EntryKind, HardState, LogEntries, Record, Snapshot
 
 EMPTY = Snapshot(0, 0, (), b"")
 
 
+class Configuration(NamedTuple):
+    """The voters, and the index of the entry or snapshot that states them."""
+
+    voters: tuple[str, ...]
+    entry_index: int
+
+
 class Log:
     """Indices count from 1; `base` is the snapshot's index, 0 where there is none."""
 
@@ -18,12 +26,12 @@
         self.entries: list[Entry] = list(entries)
 
     @property
-    def base(self) -> int:
+    def snapshot_index(self) -> int:
         return self.snapshot.index
 
     @property
     def last_index(self) -> int:
-        return self.base + len(self.entries)
+        return self.snapshot_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
@@ -31,18 +39,18 @@
 
     def term_at(self, index: int) -> int | None:
         """None where it is not held: before the snapshot, or beyond the end."""
-        if index == self.base:
+        if index == self.snapshot_index:
             return self.snapshot.term
-        if self.base < index <= self.last_index:
-            return self.entries[index - self.base - 1].term
+        if self.snapshot_index < index <= self.last_index:
+            return self.entries[index - self.snapshot_index - 1].term
         return None
 
     def after(self, index: int) -> Sequence[Entry]:
         """Entries beyond an index that is held."""
-        return self.entries[index - self.base :]
+        return self.entries[index - self.snapshot_index :]
 
-    def at(self, index: int) -> Entry:
-        return self.entries[index - self.base - 1]
+    def entry(self, index: int) -> Entry:
+        return self.entries[index - self.snapshot_index - 1]
 
     def missing(self, entries: Sequence[Entry]) -> Sequence[Entry]:
         """Of entries in a row after the base, all from the first that this log does not hold with the same term."""
@@ -63,7 +71,7 @@
 
     def append(self, entries: Sequence[Entry]) -> None:
         """In a row, from an index that is held or follows the last; what stood there is replaced."""
-        del self.entries[entries[0].index - self.base - 1 :]
+        del self.entries[entries[0].index - self.snapshot_index - 1 :]
         self.entries += entries
 
     def take(self, snapshot: Snapshot) -> None:
@@ -72,12 +80,12 @@
         self.entries = list(self.after(snapshot.index)) if fits else []
         self.snapshot = snapshot
 
-    def voters(self) -> tuple[tuple[str, ...], int]:
-        """Who votes by the latest word on it, committed or not, and that word's index."""
+    def configuration(self) -> Configuration:
+        """Return the latest configuration in the log, whether committed or not."""
         for entry in reversed(self.entries):
-            if entry.kind is EntryKind.VOTERS:
-                return entry.voters(), entry.index
-        return self.snapshot.voters, self.base
+            if entry.kind is EntryKind.CONFIGURATION:
+                return Configuration(entry.voters(), entry.index)
+        return Configuration(self.snapshot.voters, self.snapshot_index)
 
 
 @dataclass(slots=True)
@@ -85,18 +93,19 @@
     """What a voter's disk says: the sum of its records."""
 
     term: int = 0
-    voted: str = ""
+    voted_for: str = ""
     log: Log = field(default_factory=Log)
 
-    def add(self, record: Record) -> None:
+    def replay(self, record: Record) -> None:
         """Raises ValueError for one that cannot follow what came before it."""
         match record:
-            case HardState(term, voted):
-                if term < self.term or (term == self.term and self.voted and voted != self.voted):
+            case HardState(term, voted_for):
+                if term < self.term or (term == self.term and self.voted_for and voted_for != self.voted_for):
                     raise ValueError(f"a vote in term {term} after one in term {self.term}")
-                self.term, self.voted = term, voted
+                self.term = term
+                self.voted_for = voted_for
             case LogEntries(entries):
-                if not self.log.base < entries[0].index <= self.log.last_index + 1:
+                if not self.log.snapshot_index < entries[0].index <= self.log.last_index + 1:
                     raise ValueError(f"entry {entries[0].index} after {self.log.last_index}")
                 self.log.append(entries)
             case Snapshot():
@@ -104,7 +113,7 @@
 
     def records(self) -> list[Record]:
         """The fewest records that say the same. Added up, they are a copy."""
-        out: list[Record] = [HardState(self.term, self.voted)]
+        out: list[Record] = [HardState(self.term, self.voted_for)]
         if self.log.snapshot != EMPTY:
             out.append(self.log.snapshot)
         if self.log.entries:
--- a/badgerbend/consensus/messages.py
+++ b/badgerbend/consensus/messages.py
@@ -26,7 +26,7 @@
 
     NOOP = 0  # a leader's first: what it commits commits all before it
     COMMAND = 1  # the machine's
-    VOTERS = 2  # who votes from here on
+    CONFIGURATION = 2  # who votes from here on
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
@@ -36,8 +36,8 @@
     data: Annotated[bytes, msgspec.Meta(max_length=MAX_COMMAND_BYTES)] = b""
 
     def voters(self) -> tuple[str, ...]:
-        """Of an entry of kind VOTERS."""
-        return _names_decoder.decode(self.data)
+        """Of an entry of kind CONFIGURATION."""
+        return _voters_decoder.decode(self.data)
 
 
 # -- what is kept, in the order of its writing
@@ -47,7 +47,7 @@
     """The term a voter is in, and whom it gave its vote in it; empty: nobody yet."""
 
     term: Number
-    voted: TextOrNone
+    voted_for: TextOrNone
 
 
 class LogEntries(msgspec.Struct, array_like=True, frozen=True, tag=2):
@@ -72,43 +72,47 @@
 
 
 class RequestVote(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """pre: only asks whether it would be given; nobody's term changes by it. ceded: its leader told it to."""
+    """A candidate asks for a vote.
+
+    pre_vote: the candidate only asks whether the vote would be granted; nobody's term changes by it.
+    leadership_transfer: the leader told the candidate to start the election.
+    """
 
     term: Number
     source: Text
     last_index: Number
     last_term: Number
-    pre: bool
-    ceded: bool
+    pre_vote: bool
+    leadership_transfer: bool
 
 
 class RequestVoteReply(msgspec.Struct, array_like=True, frozen=True, tag=2):
     term: Number
     source: Text
-    pre: bool
+    pre_vote: bool
     granted: bool
 
 
 class AppendEntries(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Entries after `prev_index`, none for a heartbeat. beat: numbers the leader's rounds, for reads."""
+    """Entries after `prev_index`, none for a heartbeat. heartbeat_round: numbers the leader's rounds, for reads."""
 
     term: Number
     source: Text
     prev_index: Number
     prev_term: Number
     entries: tuple[Entry, ...]
-    commit: Number
-    beat: Number
+    commit_index: Number
+    heartbeat_round: Number
 
 
 class AppendEntriesReply(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """ok: all up to `index` is here and kept. Else `index` is where it may fit."""
+    """success: all up to `index` is here and kept. Else `index` is where it may fit."""
 
     term: Number
     source: Text
-    ok: bool
+    success: bool
     index: Number
-    beat: Number
+    heartbeat_round: Number
 
 
 class InstallSnapshot(msgspec.Struct, array_like=True, frozen=True, tag=5):
@@ -121,19 +125,19 @@
     voters: Names
     offset: Number
     size: Number
-    piece: bytes
-    beat: Number
+    data: bytes
+    heartbeat_round: Number
 
 
 class InstallSnapshotReply(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """So much of the snapshot at `index` is here; once `kept`, all of it, and on disk."""
+    """So much of the snapshot at `index` is here; once `installed`, all of it, and on disk."""
 
     term: Number
     source: Text
     index: Number
     offset: Number
-    kept: bool
-    beat: Number
+    installed: bool
+    heartbeat_round: Number
 
 
 class TimeoutNow(msgspec.Struct, array_like=True, frozen=True, tag=7):
@@ -156,7 +160,7 @@
 _encoder = msgspec.msgpack.Encoder()
 _message_decoder = msgspec.msgpack.Decoder(Message)
 _record_decoder = msgspec.msgpack.Decoder(Record)
-_names_decoder = msgspec.msgpack.Decoder(Names)
+_voters_decoder = msgspec.msgpack.Decoder(Names)
 
 
 class MalformedMessageError(Exception):
@@ -175,12 +179,12 @@
     return _encoder.encode(message)
 
 
-def encode_names(names: tuple[str, ...]) -> bytes:
-    """The data of an entry of kind VOTERS."""
+def encode_voters(names: tuple[str, ...]) -> bytes:
+    """The data of an entry of kind CONFIGURATION."""
     return _encoder.encode(names)
 
 
-def size_of(entry: Entry) -> int:
+def encoded_size(entry: Entry) -> int:
     """Bytes that an entry takes in a message."""
     return len(_encoder.encode(entry))
 
@@ -208,7 +212,7 @@
         if entry.index != prev + 1:
             raise MalformedMessageError("entries out of order")
         prev = entry.index
-        if entry.kind is EntryKind.VOTERS:
+        if entry.kind is EntryKind.CONFIGURATION:
             try:
                 entry.voters()
             except (msgspec.MsgspecError, UnicodeDecodeError) as err:
--- a/badgerbend/consensus/pending.py
+++ b/badgerbend/consensus/pending.py
@@ -32,7 +32,7 @@
 class PendingRead(NamedTuple):
     """A read that is confirmed once a majority has answered this round of heartbeats."""
 
-    beat: int
+    heartbeat_round: int
     token: int
 
 
--- a/badgerbend/consensus/raft.py
+++ b/badgerbend/consensus/raft.py
@@ -30,15 +30,15 @@
     InstallSnapshot,
     InstallSnapshotReply,
     Message,
-    Record,
     RequestVote,
     RequestVoteReply,
     Snapshot,
     TimeoutNow,
-    encode_names,
+    encode_voters,
 )
 from badgerbend.consensus.pending import OwnVote, PendingRead, Transfer
 from badgerbend.consensus.quorum import is_majority, majority_index
+from badgerbend.consensus.ready import Ready
 from badgerbend.consensus.replication import Leadership, Progress, outstanding, snapshot_piece
 from badgerbend.consensus.snapshots import IncomingSnapshot, compacted
 from badgerbend.consensus.types import RaftConfig, Role, StateMachine
@@ -51,6 +51,7 @@
     "Raft",
     "RaftConfig",
     "ReadConfirmed",
+    "Ready",
     "Role",
     "StateMachine",
 ]
@@ -64,19 +65,19 @@
     def __init__(
         self, name: str, kept: PersistentState, machine: StateMachine, tuning: RaftConfig, seed: int, now: float
     ) -> None:
-        self.name, self.machine, self.tuning, self.rng = name, machine, tuning, random.Random(seed)
-        self.term, self.voted, self.log = kept.term, kept.voted, kept.log
-        if self.log.base:
+        self.name, self.state_machine, self.config, self.rng = name, machine, tuning, random.Random(seed)
+        self.term, self.voted_for, self.log = kept.term, kept.voted_for, kept.log
+        if self.log.snapshot_index:
             machine.load(self.log.snapshot.state)
-        self.commit = self.applied = self.log.base
-        self.voters, self.voters_index = self.log.voters()
+        self.commit_index = self.last_applied = self.log.snapshot_index
+        self.voters, self.voters_index = self.log.configuration()
         self.role, self.leader = Role.FOLLOWER, ""
         self.heard_at = -math.inf  # a leader
         self.votes = set[str]()
         self.progress: dict[str, Progress] = {}
         self.joining = ""
         self.transferring: Transfer | None = None
-        self.beat, self.beat_at = 0, math.inf
+        self.heartbeat_round, self.heartbeat_at = 0, math.inf
         self.reads: list[PendingRead] = []
         self.events: list[Event] = []
         self.disk = Durability(self.log.last_index)
@@ -86,13 +87,13 @@
         self.deadline = self._new_deadline(now)
 
     # -- the caller's side
-    def receive(self, now: float, message: Message) -> None:
+    def step(self, now: float, message: Message) -> None:
         if message.source == self.name:
             return
         if isinstance(message, RequestVote):
             self._asked(now, message)
             return
-        granted_ahead = isinstance(message, RequestVoteReply) and message.pre and message.granted
+        granted_ahead = isinstance(message, RequestVoteReply) and message.pre_vote and message.granted
         if message.term > self.term and not granted_ahead:
             self._follow(now, message.term, "")
         if message.term < self.term:
@@ -116,7 +117,7 @@
                 self._installed(now, message)
             case TimeoutNow():
                 if self.role is Role.FOLLOWER and message.source == self.leader and self.name in self.voters:
-                    self._stand(now, ceded=True)
+                    self._stand(now, leadership_transfer=True)
 
     def tick(self, now: float) -> None:
         """What is due by now."""
@@ -126,19 +127,19 @@
                 if self.name in self.voters:
                     self._ask_first(now)
             return
-        fresh = [n for n in self.voters if n == self.name or now - self.progress[n].heard_at < self._patience()]
+        fresh = [n for n in self.voters if n == self.name or now - self.progress[n].last_contact_at < self._patience()]
         if not is_majority(fresh, self.voters):
             self._follow(now, self.term, "")
             return
         if self.transferring is not None and now >= self.transferring.until:
             self.transferring = None
-        if now >= self.beat_at:
-            self._beat(now)
+        if now >= self.heartbeat_at:
+            self._broadcast_heartbeat(now)
 
     @property
     def next_at(self) -> float:
         """When `tick` has something to do."""
-        return self.beat_at if self.role is Role.LEADER else self.deadline
+        return self.heartbeat_at if self.role is Role.LEADER else self.deadline
 
     def propose(self, now: float, data: bytes) -> int | None:
         """A command for the log: its index, or None where this voter does not lead or hands over. It stands once
@@ -147,15 +148,17 @@
             return None
         return self._add(now, EntryKind.COMMAND, data)
 
-    def read(self, now: float, token: int) -> bool:
+    def read_index(self, now: float, token: int) -> bool:
         """Asks for `Confirmed(token)`; False where this voter does not lead. No word comes if it is deposed."""
-        if not self.ready:
+        if not self.is_established_leader:
             return False
-        self.reads.append(PendingRead(self.beat + 1, token))
-        self.beat_at = min(self.beat_at, now + self.tuning.beat_s / 20)  # those that come together share a round
+        self.reads.append(PendingRead(self.heartbeat_round + 1, token))
+        self.heartbeat_at = min(
+            self.heartbeat_at, now + self.config.heartbeat_interval_s / 20
+        )  # those that come together share a round
         return True
 
-    def change(self, now: float, name: str, votes: bool) -> str | None:
+    def change_membership(self, now: float, name: str, votes: bool) -> str | None:
         """Lets another vote, or no longer; what stands against it, or None. One who joins is fed first."""
         refusal = self._change_refused(name, votes)
         if refusal is not None:
@@ -163,15 +166,17 @@
         if votes:
             self.joining = name
             self.progress.setdefault(name, Progress(self.log.last_index + 1, now))
-            self._beat(now)
+            self._broadcast_heartbeat(now)
         else:
-            self._add(now, EntryKind.VOTERS, encode_names(tuple(voter for voter in self.voters if voter != name)))
+            self._add(
+                now, EntryKind.CONFIGURATION, encode_voters(tuple(voter for voter in self.voters if voter != name))
+            )
         return None
 
     def _change_refused(self, name: str, votes: bool) -> str | None:
-        if not self.ready:
+        if not self.is_established_leader:
             return "not the leader"
-        if self.voters_index > self.commit or self.joining not in ("", name):
+        if self.voters_index > self.commit_index or self.joining not in ("", name):
             return "another change is under way"
         if votes == (name in self.voters):
             return "nothing to change"
@@ -181,19 +186,21 @@
             return "the last voter stays"
         return None
 
-    def transfer(self, now: float, to: str = "") -> bool:
+    def transfer_leadership(self, now: float, to: str = "") -> bool:
         """Hands leadership over, to the one that has most where none is named; proposals wait meanwhile."""
         others = [voter for voter in self.voters if voter != self.name]
         if self.role is not Role.LEADER or not others or (to and to not in others):
             return False
-        to = to or max(others, key=lambda other: (self.progress[other].match, self.progress[other].heard_at))
-        self.transferring = Transfer(to, now + self.tuning.election_s)
+        to = to or max(
+            others, key=lambda other: (self.progress[other].match_index, self.progress[other].last_contact_at)
+        )
+        self.transferring = Transfer(to, now + self.config.election_timeout_s)
         self._cede_if_level(now)
         return True
 
-    def saved(self, now: float, seq: int) -> None:
+    def persisted(self, now: float, seq: int) -> None:
         """All writes up to this one are on disk, for good."""
-        self.disk.saved(seq)
+        self.disk.persisted(seq)
         if self._own_vote is not None and self._own_vote.write <= self.disk.synced:
             term = self._own_vote.term
             self._own_vote = None
@@ -202,53 +209,62 @@
         if self.role is Role.LEADER:
             self._advance(now)
 
-    def take(self) -> tuple[list[tuple[int, Record]], list[tuple[str, Message]], list[Event]]:
-        """Writes in their order, messages and events since the last call. Messages do not wait for these writes:
-        those that must were held back."""
-        writes, messages = self.disk.take()
-        events, self.events = self.events, []
-        return writes, messages, events
+    def take_ready(self) -> Ready:
+        """Return what has to be done since the last call.
+
+        The messages do not have to wait for these records: those that must are held back until `persisted`.
+        """
+        records, messages = self.disk.take()
+        return Ready(records, messages, self.take_events())
+
+    def take_events(self) -> list[Event]:
+        """Return the events since they were last taken, in their order."""
+        events = self.events
+        self.events = []
+        return events
 
     @property
-    def ready(self) -> bool:
+    def is_established_leader(self) -> bool:
         """Whether it leads and has an entry of its own term committed."""
-        return self.role is Role.LEADER and self.log.term_at(self.commit) == self.term
+        return self.role is Role.LEADER and self.log.term_at(self.commit_index) == self.term
 
     # -- elections
     def _new_deadline(self, now: float) -> float:
-        return now + self.tuning.election_s * self.rng.uniform(1.0, 2.0)
+        return now + self.config.election_timeout_s * self.rng.uniform(1.0, 2.0)
 
     def _patience(self) -> float:
-        return 2.0 * self.tuning.election_s
+        return 2.0 * self.config.election_timeout_s
 
     def _ask_first(self, now: float) -> None:
-        self.role, self.leader, self.votes = Role.ASKING, "", set()
-        self._ask(pre=True, ceded=False)
+        self.role, self.leader, self.votes = Role.PRE_CANDIDATE, "", set()
+        self._ask(pre_vote=True, leadership_transfer=False)
         self._vote_for_me(now, self.name)
 
-    def _stand(self, now: float, ceded: bool = False) -> None:
+    def _stand(self, now: float, leadership_transfer: bool = False) -> None:
         self.role, self.leader, self.votes = Role.CANDIDATE, "", set()
-        self.term, self.voted = self.term + 1, self.name
+        self.term, self.voted_for = self.term + 1, self.name
         self._own_vote = OwnVote(self.disk.write(HardState(self.term, self.name)), self.term)
         self.deadline = self._new_deadline(now)
-        self._ask(pre=False, ceded=ceded)
+        self._ask(pre_vote=False, leadership_transfer=leadership_transfer)
 
-    def _ask(self, pre: bool, ceded: bool) -> None:
-        log, term = self.log, self.term + pre
+    def _ask(self, pre_vote: bool, leadership_transfer: bool) -> None:
+        log, term = self.log, self.term + pre_vote
         for name in self.voters:
             if name != self.name:
-                message = RequestVote(term, self.name, log.last_index, log.last_term, pre, ceded)
-                self._send(name, message, 0 if pre else self.disk.seq)
+                message = RequestVote(term, self.name, log.last_index, log.last_term, pre_vote, leadership_transfer)
+                self._send(name, message, 0 if pre_vote else self.disk.seq)
 
     def _asked(self, now: float, request: RequestVote) -> None:
         """One who heard a leader lately gives nobody a thought: who was cut off or removed disturbs no one."""
         if request.term < self.term:
-            self._send(request.source, RequestVoteReply(self.term, self.name, request.pre, False), self.disk.seq)
+            self._send(request.source, RequestVoteReply(self.term, self.name, request.pre_vote, False), self.disk.seq)
             return
-        if not request.ceded and (self.role is Role.LEADER or now - self.heard_at < self.tuning.election_s):
+        if not request.leadership_transfer and (
+            self.role is Role.LEADER or now - self.heard_at < self.config.election_timeout_s
+        ):
             return
         up_to_date = (request.last_term, request.last_index) >= (self.log.last_term, self.log.last_index)
-        if request.pre:
+        if request.pre_vote:
             self._answer_pre_vote(request, up_to_date)
         else:
             self._answer_vote(now, request, up_to_date)
@@ -261,9 +277,9 @@
     def _answer_vote(self, now: float, request: RequestVote, up_to_date: bool) -> None:
         if request.term > self.term:
             self._follow(now, request.term, "")
-        granted = up_to_date and self.voted in ("", request.source)
-        if granted and not self.voted:
-            self.voted = request.source
+        granted = up_to_date and self.voted_for in ("", request.source)
+        if granted and not self.voted_for:
+            self.voted_for = request.source
             self.disk.write(HardState(self.term, request.source))
         if granted:
             self.deadline = self._new_deadline(now)
@@ -274,14 +290,14 @@
         return self.disk.seq
 
     def _counted(self, now: float, answer: RequestVoteReply) -> None:
-        asked = Role.ASKING if answer.pre else Role.CANDIDATE
-        if answer.granted and self.role is asked and answer.term == self.term + answer.pre:
+        asked = Role.PRE_CANDIDATE if answer.pre_vote else Role.CANDIDATE
+        if answer.granted and self.role is asked and answer.term == self.term + answer.pre_vote:
             self._vote_for_me(now, answer.source)
 
     def _vote_for_me(self, now: float, name: str) -> None:
         self.votes.add(name)
         if is_majority(self.votes, self.voters):
-            if self.role is Role.ASKING:
+            if self.role is Role.PRE_CANDIDATE:
                 self._stand(now)
             else:
                 self._lead(now)
@@ -290,20 +306,20 @@
         self.role, self.leader, self.transferring, self.joining = Role.LEADER, self.name, None, ""
         following = self.log.last_index + 1
         self.progress = {n: Progress(following, now) for n in self.voters if n != self.name}
-        self.beat, self.reads = 0, []
+        self.heartbeat_round, self.reads = 0, []
         self._add(now, EntryKind.NOOP, b"")
-        self._beat(now)
+        self._broadcast_heartbeat(now)
 
     def _follow(self, now: float, term: int, leader: str) -> None:
         """Follows in this term, which is its own or a later one."""
         if term > self.term:
-            self.term, self.voted = term, ""
+            self.term, self.voted_for = term, ""
             self.disk.write(HardState(term, ""))
         led = self.role is Role.LEADER
         if led or leader != self.leader:
             self.events.append(BecameFollower(term, leader))
         self.role, self.leader, self.transferring, self.joining = Role.FOLLOWER, leader, None, ""
-        self.reads, self.progress, self.beat_at = [], {}, math.inf
+        self.reads, self.progress, self.heartbeat_at = [], {}, math.inf
         self.deadline = self._new_deadline(now)
 
     # -- the leader's log
@@ -315,16 +331,16 @@
         self._advance(now)
         return entry.index
 
-    def _beat(self, now: float) -> None:
-        self.beat += 1
-        self.beat_at = now + self.tuning.beat_s
+    def _broadcast_heartbeat(self, now: float) -> None:
+        self.heartbeat_round += 1
+        self.heartbeat_at = now + self.config.heartbeat_interval_s
         for name, progress in self.progress.items():
             progress.in_flight = 0
             self._feed(name, heartbeat=True)
         self._confirm()
 
     def _leadership(self) -> Leadership:
-        return Leadership(self.term, self.name, self.commit, self.beat)
+        return Leadership(self.term, self.name, self.commit_index, self.heartbeat_round)
 
     def _feed(self, name: str, heartbeat: bool = False) -> None:
         for message in outstanding(self._leadership(), self.log, self.progress[name], heartbeat):
@@ -334,10 +350,10 @@
         progress = self._heard(now, answer)
         if progress is None:
             return
-        if not answer.ok:
+        if not answer.success:
             progress.rejected(answer.index)
             self._feed(answer.source, heartbeat=True)
-        elif answer.index > progress.match:
+        elif answer.index > progress.match_index:
             progress.matched(answer.index)
             self._advance(now)
         self._go_on(now, answer.source)
@@ -346,11 +362,11 @@
         progress = self._heard(now, answer)
         if progress is None:
             return
-        if answer.kept:
+        if answer.installed:
             progress.installed(answer.index)
         else:
-            progress.offset = answer.offset if answer.index == self.log.base else 0
-            if progress.next <= self.log.base:
+            progress.offset = answer.offset if answer.index == self.log.snapshot_index else 0
+            if progress.next_index <= self.log.snapshot_index:
                 progress.in_flight += 1
                 piece = snapshot_piece(self._leadership(), self.log.snapshot, progress.offset)
                 self._send(answer.source, piece, 0)
@@ -361,7 +377,7 @@
         """Notes a follower's answer; None where this voter does not lead or the other is no follower of it."""
         progress = self.progress.get(answer.source) if self.role is Role.LEADER else None
         if progress is not None:
-            progress.answered(now, answer.beat)
+            progress.answered(now, answer.heartbeat_round)
             self._confirm()
         return progress
 
@@ -369,9 +385,9 @@
         if self.role is not Role.LEADER or name not in self.progress:
             return
         self._feed(name)
-        if name == self.joining and self.progress[name].match + JOINED_WITHIN >= self.log.last_index:
+        if name == self.joining and self.progress[name].match_index + JOINED_WITHIN >= self.log.last_index:
             self.joining = ""
-            self._add(now, EntryKind.VOTERS, encode_names((*self.voters, name)))
+            self._add(now, EntryKind.CONFIGURATION, encode_voters((*self.voters, name)))
         self._cede_if_level(now)
 
     def _cede_if_level(self, now: float) -> None:
@@ -379,15 +395,17 @@
         if self.transferring is None:
             return
         to = self.transferring.to
-        if self.progress[to].match == self.log.last_index:
+        if self.progress[to].match_index == self.log.last_index:
             self._send(to, TimeoutNow(self.term, self.name), 0)
 
     def _confirm(self) -> None:
         """Confirms reads whose round of heartbeats a majority has answered."""
         while self.reads:
             read = self.reads[0]
-            answered = [n for n in self.voters if n == self.name or self.progress[n].beat >= read.beat]
-            if read.beat > self.beat or not is_majority(answered, self.voters):
+            answered = [
+                n for n in self.voters if n == self.name or self.progress[n].heartbeat_round >= read.heartbeat_round
+            ]
+            if read.heartbeat_round > self.heartbeat_round or not is_majority(answered, self.voters):
                 return
             self.reads.pop(0)
             self.events.append(ReadConfirmed(read.token))
@@ -395,9 +413,11 @@
     def _advance(self, now: float) -> None:
         """Commits what most voters have on disk, once that reaches an entry of this term (3.6.2: an earlier term's
         is never committed by counting)."""
-        index = majority_index(self.disk.durable if n == self.name else self.progress[n].match for n in self.voters)
-        if index > self.commit and self._countable(index):
-            self.commit = index
+        index = majority_index(
+            self.disk.durable if n == self.name else self.progress[n].match_index for n in self.voters
+        )
+        if index > self.commit_index and self._countable(index):
+            self.commit_index = index
             self._apply(now)
 
     def _countable(self, index: int) -> bool:
@@ -406,11 +426,13 @@
     # -- the follower's log
     def _fed(self, now: float, message: AppendEntries) -> None:
         self._leader_is(now, message.source)
-        base = self.log.base
+        base = self.log.snapshot_index
         if message.prev_index >= base and self.log.term_at(message.prev_index) != message.prev_term:
-            hint = self.log.last_possible_match(message.prev_index, message.prev_term, self.commit)
+            hint = self.log.last_possible_match(message.prev_index, message.prev_term, self.commit_index)
             self._send(
-                message.source, AppendEntriesReply(self.term, self.name, False, hint, message.beat), self._promised()
+                message.source,
+                AppendEntriesReply(self.term, self.name, False, hint, message.heartbeat_round),
+                self._promised(),
             )
             return
         entries = [e for e in message.entries if e.index > base]  # what is compacted was committed, and so the same
@@ -418,11 +440,13 @@
         if missing:
             self._append(missing)
         matched = entries[-1].index if entries else max(message.prev_index, base)
-        if min(message.commit, matched) > self.commit:
-            self.commit = min(message.commit, matched)
+        if min(message.commit_index, matched) > self.commit_index:
+            self.commit_index = min(message.commit_index, matched)
             self._apply(now)
         self._send(
-            message.source, AppendEntriesReply(self.term, self.name, True, matched, message.beat), self._promised()
+            message.source,
+            AppendEntriesReply(self.term, self.name, True, matched, message.heartbeat_round),
+            self._promised(),
         )
 
     def _leader_is(self, now: float, name: str) -> None:
@@ -432,7 +456,7 @@
 
     def _installing(self, now: float, message: InstallSnapshot) -> None:
         self._leader_is(now, message.source)
-        if message.index <= self.commit:
+        if message.index <= self.commit_index:
             self._incoming = None
             self._acknowledge_snapshot(message)
             return
@@ -441,34 +465,36 @@
         incoming = self._incoming
         incoming.add(message)
         if not incoming.whole:
-            so_far = InstallSnapshotReply(self.term, self.name, message.index, incoming.received, False, message.beat)
+            so_far = InstallSnapshotReply(
+                self.term, self.name, message.index, incoming.received, False, message.heartbeat_round
+            )
             self._send(message.source, so_far, 0)
             return
         self._incoming = None
         snapshot = incoming.snapshot(message)
         self._keep(snapshot)
-        self.machine.load(snapshot.state)
-        self.commit = self.applied = snapshot.index
+        self.state_machine.load(snapshot.state)
+        self.commit_index = self.last_applied = snapshot.index
         self._acknowledge_snapshot(message)
 
     def _acknowledge_snapshot(self, message: InstallSnapshot) -> None:
-        kept = InstallSnapshotReply(self.term, self.name, message.index, 0, True, message.beat)
+        kept = InstallSnapshotReply(self.term, self.name, message.index, 0, True, message.heartbeat_round)
         self._send(message.source, kept, self._promised())
 
     def _apply(self, now: float) -> None:
-        while self.applied < self.commit:
-            entry = self.log.at(self.applied + 1)
-            self.applied = entry.index
+        while self.last_applied < self.commit_index:
+            entry = self.log.entry(self.last_applied + 1)
+            self.last_applied = entry.index
             if entry.kind is EntryKind.COMMAND:
-                self.machine.apply(entry.index, entry.data)
+                self.state_machine.apply(entry.index, entry.data)
             self.events.append(EntryApplied(entry))
-        if self.ready and self._told_lead != self.term:
+        if self.is_established_leader and self._told_lead != self.term:
             self._told_lead = self.term
             self.events.append(BecameLeader(self.term))
-        if self.applied - self.log.base >= self.tuning.compact:
-            self._keep(compacted(self.log, self.applied, self.machine.dump()))
-        if self.role is Role.LEADER and self.name not in self.voters and self.voters_index <= self.commit:
-            self._beat(now)  # the others learn that it stands
+        if self.last_applied - self.log.snapshot_index >= self.config.compact_after_entries:
+            self._keep(compacted(self.log, self.last_applied, self.state_machine.dump()))
+        if self.role is Role.LEADER and self.name not in self.voters and self.voters_index <= self.commit_index:
+            self._broadcast_heartbeat(now)  # the others learn that it stands
             self._follow(now, self.term, "")
 
     # -- what is kept
@@ -485,10 +511,10 @@
     def _read_voters(self, changed_from: int) -> None:
         """Who votes, by the log as it is now; only a word on it, or the loss of one, changes that."""
         if changed_from > self.voters_index and not any(
-            e.kind is EntryKind.VOTERS for e in self.log.after(max(changed_from - 1, self.log.base))
+            e.kind is EntryKind.CONFIGURATION for e in self.log.after(max(changed_from - 1, self.log.snapshot_index))
         ):
             return
-        self.voters, self.voters_index = self.log.voters()
+        self.voters, self.voters_index = self.log.configuration()
         if self.role is Role.LEADER:
             following = self.log.last_index + 1
             kept = [n for n in dict.fromkeys((*self.voters, self.joining)) if n not in ("", self.name)]
--- a/badgerbend/consensus/snapshots.py
+++ b/badgerbend/consensus/snapshots.py
@@ -9,8 +9,8 @@
 def compacted(log: Log, index: int, state: bytes) -> Snapshot:
     """A snapshot of all up to an index that the log holds; `state` is the machine's after that entry."""
     voters = log.snapshot.voters
-    for entry in log.entries[: index - log.base]:
-        voters = entry.voters() if entry.kind is EntryKind.VOTERS else voters
+    for entry in log.entries[: index - log.snapshot_index]:
+        voters = entry.voters() if entry.kind is EntryKind.CONFIGURATION else voters
     term = log.term_at(index)
     assert term is not None
     return Snapshot(index, term, voters, state)
@@ -30,7 +30,7 @@
     def add(self, message: InstallSnapshot) -> None:
         """Takes the piece that comes next; another is passed over, and will be sent again."""
         if message.offset == len(self._state):
-            self._state += message.piece
+            self._state += message.data
 
     @property
     def received(self) -> int:
--- a/badgerbend/consensus/types.py
+++ b/badgerbend/consensus/types.py
@@ -19,18 +19,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftConfig:
-    """election_s: who hears no leader for one to two of these stands; beat_s: a leader is heard so often.
+    """Timing, in seconds, and compaction.
 
-    compact: a snapshot is taken after so many entries.
+    election_timeout_s: a voter that hears no leader for one to two of these starts an election.
+    heartbeat_interval_s: time between a leader's rounds of heartbeats.
+    compact_after_entries: a snapshot is taken once so many entries were applied since the last one.
     """
 
-    election_s: float = 1.0
-    beat_s: float = 0.2
-    compact: int = 1000
+    election_timeout_s: float = 1.0
+    heartbeat_interval_s: float = 0.2
+    compact_after_entries: int = 1000
 
 
 class Role(Enum):
     FOLLOWER = auto()
-    ASKING = auto()  # whether it would be given votes
+    PRE_CANDIDATE = auto()  # whether it would be given votes
     CANDIDATE = auto()
     LEADER = auto()
--- a/badgerbend/feed/machine.py
+++ b/badgerbend/feed/machine.py
@@ -31,7 +31,7 @@
 
 
 class FeedMachine:
-    """`consensus.raft.Machine`. on_change is called when the log of publications has grown or was replaced."""
+    """`consensus.types.StateMachine`. on_change is called when the log of publications has grown or was replaced."""
 
     def __init__(self, retention: Retention, on_change: Callable[[], None] = lambda: None) -> None:
         self.table = LeaseTable()
--- a/badgerbend/lease_service/local_voter.py
+++ b/badgerbend/lease_service/local_voter.py
@@ -13,14 +13,14 @@
 from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
 from badgerbend.leases.voter import LeaseStateMachine, Voter
 from badgerbend.net.udp import Address
+from badgerbend.wal.group_commit import GroupCommitWriter
 from badgerbend.wal.store import Store
-from badgerbend.wal.writer import Writer
 
 BROKERS = 4096  # whose addresses are remembered
 
 
 class LocalVoter:
-    """Raises BadStore or OSError where its store cannot be used. send_voter, send_broker: the socket's.
+    """Raises StoreError or OSError where its store cannot be used. send_voter, send_broker: the socket's.
 
     machine: what the agreed log drives, a bare table of leases unless said otherwise.
     """
@@ -41,9 +41,9 @@
         self.clock, self.note, self.changed = clock, note, changed
         self.send_voter, self.send_broker = send_voter, send_broker
         store = Store(folder)
-        self.name = store.owner.name
-        self.voter = Voter(self.name, store.kept, tuning, terms, seed, clock(), machine)
-        self.writer = Writer(store, asyncio.get_running_loop(), self._saved, self._failed)
+        self.name = store.identity.name
+        self.voter = Voter(self.name, store.persistent_state, tuning, terms, seed, clock(), machine)
+        self.writer = GroupCommitWriter(store, asyncio.get_running_loop(), self._saved, self._failed)
         self.broken: str | None = None
         self.brokers: OrderedDict[str, Address] = OrderedDict()
 
@@ -85,7 +85,7 @@
 
     def hand_over(self) -> bool:
         """Before the end of the process: another leads, if this one does. False where there is nothing to hand over."""
-        began = self.broken is None and self.voter.raft.transfer(self.clock())
+        began = self.broken is None and self.voter.raft.transfer_leadership(self.clock())
         self.flush()
         return began
 
--- a/badgerbend/lease_service/service.py
+++ b/badgerbend/lease_service/service.py
@@ -39,7 +39,7 @@
 from badgerbend.net.seal import Seal, bears, read_key
 from badgerbend.net.udp import Address, SealedSocket, address_text
 from badgerbend.runtime.driver import Driver
-from badgerbend.wal.store import StoreError
+from badgerbend.wal.errors import StoreOwnerError
 
 HAND_OVER_S = 0.3  # leadership is awaited to be taken at the end of the process
 
@@ -55,7 +55,7 @@
 
 
 class LeaseService(SealedSocket):
-    """Built and used on one running loop. Raises BadKey, BadStore or OSError where it cannot start."""
+    """Built and used on one running loop. Raises BadKey, StoreError or OSError where it cannot start."""
 
     def __init__(
         self,
@@ -120,7 +120,7 @@
             if self.ballot.name != self.name:
                 named = self.ballot.name
                 self.ballot.close()
-                raise StoreError(f"{self.folder / duties.store}: the store of {named}, and this is {self.name}")
+                raise StoreOwnerError(self.folder / duties.store, named, self.name)
         port = await self.open(duties.host, duties.port)
         if duties.advertise is not None:
             self.own = parse_address(duties.advertise)
@@ -329,7 +329,7 @@
         if len(words) == 3 and words[0] == "voters" and words[1] in ("add", "remove"):
             if self.ballot is None or not self.ballot.voter.leads:
                 return 409, f"not the leader; that is {self.holder.leader if self.holder else ''}"
-            against = self.ballot.voter.raft.change(self.clock(), words[2], words[1] == "add")
+            against = self.ballot.voter.raft.change_membership(self.clock(), words[2], words[1] == "add")
             self.ballot.flush()
             self._after()
             return (409, against) if against else (200, "on the way; see the status")
--- a/badgerbend/lease_service/status.py
+++ b/badgerbend/lease_service/status.py
@@ -6,9 +6,17 @@
 
 import msgspec
 
+from badgerbend.consensus.types import Role
 from badgerbend.lease_service.local_voter import LocalVoter
 from badgerbend.leases.holder import LeaseHolder
 
+ROLE_WORDS = {
+    Role.FOLLOWER: "follower",
+    Role.PRE_CANDIDATE: "asking",
+    Role.CANDIDATE: "candidate",
+    Role.LEADER: "leader",
+}
+
 
 class DutyStatus(msgspec.Struct, frozen=True):
     """A duty as this broker was last told. for_ms: how long it may still act on it."""
@@ -85,17 +93,17 @@
     raft = ballot.voter.raft
     return VoteStatus(
         name=ballot.name,
-        role=raft.role.name.lower(),
+        role=ROLE_WORDS[raft.role],
         term=raft.term,
         leader=raft.leader,
         voters=list(raft.voters),
-        commit=raft.commit,
+        commit=raft.commit_index,
         last=raft.log.last_index,
         broken=ballot.broken,
-        syncs=ballot.writer.syncs,
+        syncs=ballot.writer.sync_count,
         renewals=ballot.voter.renewals,
         others={
-            name: FollowerStatus(progress.match, round((now - progress.heard_at) * 1000.0))
+            name: FollowerStatus(progress.match_index, round((now - progress.last_contact_at) * 1000.0))
             for name, progress in raft.progress.items()
         },
         leases=[LeaseStatus(duty, lease.holder, lease.epoch) for duty, lease in ballot.voter.table.leases.items()],
@@ -108,7 +116,7 @@
     return {
         "term": raft.term,
         "leads": int(ballot.voter.leads),
-        "commit": raft.commit,
-        "syncs": ballot.writer.syncs,
+        "commit": raft.commit_index,
+        "syncs": ballot.writer.sync_count,
         "votes no more": int(ballot.broken is not None),
     }
--- a/badgerbend/leases/table.py
+++ b/badgerbend/leases/table.py
@@ -36,7 +36,7 @@
 
 
 class LeaseTable:
-    """`consensus.raft.Machine`. An epoch is the log's index of its grant: it only grows, over all duties."""
+    """`consensus.types.StateMachine`. An epoch is the log's index of its grant: it only grows, over all duties."""
 
     def __init__(self) -> None:
         self.leases: dict[str, Lease] = {}
--- a/badgerbend/leases/voter.py
+++ b/badgerbend/leases/voter.py
@@ -21,6 +21,7 @@
     Role,
     StateMachine,
 )
+from badgerbend.consensus.ready import OutboundMessage, SequencedRecord
 from badgerbend.leases.holder import LeaseTiming
 from badgerbend.leases.manager import LeaseManager
 from badgerbend.leases.messages import Command, LeaseReply, LeaseRequest, LeaseReturn, LeaseState, encode
@@ -34,8 +35,8 @@
 class VoterOutput:
     """What a voter wants done, in this order. writes: numbered, to be told to `saved` once on disk."""
 
-    writes: list[tuple[int, voting.Record]] = field(default_factory=list)
-    to_voters: list[tuple[str, voting.Message]] = field(default_factory=list)
+    writes: list[SequencedRecord] = field(default_factory=list)
+    to_voters: list[OutboundMessage] = field(default_factory=list)
     to_brokers: list[tuple[str, LeaseReply]] = field(default_factory=list)
     notes: list[tuple[str, dict[str, object]]] = field(default_factory=list)  # for the log
 
@@ -77,9 +78,9 @@
         A leader's own is exact: the time of a `confirm` that a round of heartbeats answered. A voter that follows
         counts the time at which it heard its leader, if it has applied all that the leader had committed and an entry
         of the leader's own term is among that. A leader cut off from the majority speaks on until check-quorum ends
-        its lead, so that this time is too late by at most 2 * election_s, and beside that by as long as the majority's
-        last answers and the leader's message were under way or waited in a process that stood still: the voter cannot
-        see those.
+        its lead, so that this time is too late by at most 2 * election_timeout_s, and beside that by as long as the
+        majority's last answers and the leader's message were under way or waited in a process that stood still: the
+        voter cannot see those.
         """
         self._confirming: tuple[int, float] | None = None  # the token of `confirm`, and when it was called
         self._token = 0
@@ -87,7 +88,7 @@
 
     # -- what happens
     def from_voter(self, now: float, message: voting.Message) -> None:
-        self.raft.receive(now, message)
+        self.raft.step(now, message)
         if isinstance(message, voting.AppendEntries):
             self._heard_leader(now, message)
         self._after(now)
@@ -102,13 +103,13 @@
             self._tell(message, self.keeper.lines(message))
         elif len(self.pending) < MOST_PENDING:
             self._token += 1
-            if self.raft.read(now, self._token):
+            if self.raft.read_index(now, self._token):
                 self.pending[self._token] = (now, message)
         self._after(now)
 
     def saved(self, now: float, seq: int) -> None:
         """All writes up to this one are on disk, for good."""
-        self.raft.saved(now, seq)
+        self.raft.persisted(now, seq)
         self._after(now)
 
     def tick(self, now: float) -> None:
@@ -124,7 +125,7 @@
 
     @property
     def leads(self) -> bool:
-        return self.keeper.leading and self.raft.ready
+        return self.keeper.leading and self.raft.is_established_leader
 
     def put(self, now: float, command: Command) -> int | None:
         """Proposes a command of the owner's; its index, or None where this voter does not lead."""
@@ -138,13 +139,13 @@
 
     def confirm(self, now: float) -> None:
         """Asks for a round of heartbeats that moves `confirmed_at`; nothing happens where this voter does not lead."""
-        if self._confirming is None and self.leads and self.raft.read(now, self._token + 1):
+        if self._confirming is None and self.leads and self.raft.read_index(now, self._token + 1):
             self._token += 1
             self._confirming = (self._token, now)
 
     def take(self) -> VoterOutput:
-        writes, to_voters, _ = self.raft.take()
-        out = VoterOutput(writes, to_voters, self.told, self.notes)
+        ready = self.raft.take_ready()
+        out = VoterOutput(ready.records, ready.messages, self.told, self.notes)
         self.told, self.notes = [], []
         return out
 
@@ -156,8 +157,7 @@
 
     def _after(self, now: float) -> None:
         """Events of the log, in their order, as often as one brings more."""
-        while self.raft.events:
-            events, self.raft.events = self.raft.events, []
+        while events := self.raft.take_events():
             for event in events:
                 match event:
                     case BecameLeader(term):
@@ -177,8 +177,8 @@
         """A leader knows what was agreed on once it has committed an entry of its own term; not before."""
         raft = self.raft
         follows = raft.role is Role.FOLLOWER and (raft.term, raft.leader) == (message.term, message.source)
-        leader_knows = raft.log.term_at(message.commit) == message.term
-        if follows and leader_knows and raft.applied >= message.commit:
+        leader_knows = raft.log.term_at(message.commit_index) == message.term
+        if follows and leader_knows and raft.last_applied >= message.commit_index:
             self.confirmed_at = max(self.confirmed_at, now)
 
     def _confirmed(self, token: int) -> None:
--- a/badgerbend/process.py
+++ b/badgerbend/process.py
@@ -16,7 +16,7 @@
 from badgerbend.config.settings import Settings
 from badgerbend.graphql.schema import Subgraph
 from badgerbend.net.seal import KeyFileError
-from badgerbend.wal.store import StoreError
+from badgerbend.wal.errors import StoreError
 
 BAD_SETTINGS, CANNOT_START = 2, 3
 Make = Callable[[Settings, Subgraph, Path], Broker]
--- a/badgerbend/standin/scene.py
+++ b/badgerbend/standin/scene.py
@@ -34,7 +34,7 @@
 from badgerbend.standin.rig import Line, Rig, free_port
 from badgerbend.standin.work import Model
 from badgerbend.standin.world import World
-from badgerbend.wal.store import create
+from badgerbend.wal.store import create_store
 
 RATES = Path(__file__).parent / "rates" / "broker.conf"
 DOUBTER = "doubter"
@@ -161,7 +161,7 @@
         voters = tuple(VoterAt(name, self.fronts[name]) for name in self.voters)
         for index, name in enumerate(self.names):
             if name in self.voters:
-                create(self.folder / name, name, self.voters)
+                create_store(self.folder / name, name, self.voters)
             duties = Duties(
                 (str(self.folder / "key"),),
                 voters,
--- a/badgerbend/wal/writer.py
+++ b/badgerbend/wal/group_commit.py
@@ -14,19 +14,24 @@
 from badgerbend.wal.store import Store
 
 
-class Writer:
-    """on_saved: called on the loop with a record's number, all up to it kept; on_failed with what went wrong, once."""
+class GroupCommitWriter:
+    """Persists records in a thread of its own.
+
+    on_persisted: called on the loop with a record's number once it and all before it are on disk.
+    on_failed: called on the loop with what went wrong, once.
+    """
 
     def __init__(
         self,
         store: Store,
         loop: asyncio.AbstractEventLoop,
-        on_saved: Callable[[int], None],
+        on_persisted: Callable[[int], None],
         on_failed: Callable[[str], None],
     ) -> None:
         self.store, self.loop = store, loop
-        self.on_saved, self.on_failed = on_saved, on_failed
-        self.syncs = self.written = 0
+        self.on_persisted, self.on_failed = on_persisted, on_failed
+        self.sync_count = 0
+        self.record_count = 0
         self._queue: queue.SimpleQueue[list[tuple[int, Record]] | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="voter's disk", daemon=True)
         self._thread.start()
@@ -60,8 +65,9 @@
             except OSError as err:
                 self._tell(self.on_failed, str(err))
                 return
-            self.syncs, self.written = self.syncs + 1, self.written + len(rows)
-            self._tell(self.on_saved, rows[-1][0])
+            self.sync_count += 1
+            self.record_count += len(rows)
+            self._tell(self.on_persisted, rows[-1][0])
 
     def _keep(self, records: list[Record]) -> None:
         """A snapshot makes most of what came before it needless: a new segment takes its place."""
--- a/benchmarks/scale/duties.py
+++ b/benchmarks/scale/duties.py
@@ -49,7 +49,7 @@
     often = set().union(*fleet.voter(fleet.leader()).keeper.often.values())
     before = {name: process.holder_use.copy() for name, process in fleet.processes.items()}
     leader_before, voter = leader.voter_use.copy(), fleet.voter(fleet.leader())
-    renewals, entries = voter.renewals, voter.raft.applied
+    renewals, entries = voter.renewals, voter.raft.last_applied
     fleet.run(WINDOW_S)
     used = {name: p.holder_use.minus(before[name]) for name, p in fleet.processes.items()}
     led = leader.voter_use.minus(leader_before)
@@ -63,7 +63,7 @@
         ("datagrams sent by the leader", "1/s", led.sent / WINDOW_S, Kind.SIMULATED),
         ("bytes sent and received by the leader", "B/s", _bytes(led) / WINDOW_S, Kind.SIMULATED),
         ("renewals", "1/s", (voter.renewals - renewals) / WINDOW_S, Kind.SIMULATED),
-        ("log entries", "1/s", (voter.raft.applied - entries) / WINDOW_S, Kind.SIMULATED),
+        ("log entries", "1/s", (voter.raft.last_applied - entries) / WINDOW_S, Kind.SIMULATED),
         ("processor time of the leader, messages", "ms/s", led.messages_s / WINDOW_S * 1000.0, Kind.MEASURED),
         ("processor time of the leader, its look at leases", "ms/s", led.ticks_s / WINDOW_S * 1000.0, Kind.MEASURED),
         ("processor time of a broker", "ms/s", 1000.0 * _mean([_cpu_s(u) for u in used.values()]), Kind.MEASURED),
@@ -76,13 +76,13 @@
 def holder_gone(fleet: DutyFleet) -> list[Figure]:
     """The holder of the one duty for all ends politely: a new one is chosen, and all hear of it."""
     holder, size, leader = fleet.holder_of(SLOW_START_DUTY), len(fleet.processes), fleet.leader()
-    entries = fleet.voter(leader).raft.applied
+    entries = fleet.voter(leader).raft.last_applied
     fleet.leave(holder)
     watch = Watch(fleet, taken_over=lambda: fleet.holder_of(SLOW_START_DUTY) not in ("", holder))
     watch.run(AFTER_S)
     rows = (
         ("until another may act", "s", watch.came_s("taken_over"), Kind.SIMULATED),
-        ("log entries", "", fleet.voter(leader).raft.applied - entries, Kind.SIMULATED),
+        ("log entries", "", fleet.voter(leader).raft.last_applied - entries, Kind.SIMULATED),
         ("datagrams sent by the leader, busiest second", "", watch.most_sent(leader), Kind.SIMULATED),
         ("processor time of the leader, busiest second", "ms", watch.most_cpu_s(leader) * 1000.0, Kind.MEASURED),
     )
@@ -216,7 +216,7 @@
         self._settle()
 
     def entry_s(self) -> float:
-        before, over = self.leader.raft.applied, 0
+        before, over = self.leader.raft.last_applied, 0
         self.spent_s = 0.0
         for i in range(REPEATS):
             self.now += STEP_S
@@ -227,8 +227,8 @@
                 raise RuntimeError("the leader took no command")
             over = index
             self._settle()
-        if self.leader.raft.applied - before < REPEATS:
-            raise RuntimeError(f"{self.leader.raft.applied - before} of {REPEATS} entries were applied")
+        if self.leader.raft.last_applied - before < REPEATS:
+            raise RuntimeError(f"{self.leader.raft.last_applied - before} of {REPEATS} entries were applied")
         return self.spent_s / REPEATS
 
     def _settle(self) -> None:
--- a/benchmarks/scale/dutyfleet.py
+++ b/benchmarks/scale/dutyfleet.py
@@ -27,7 +27,7 @@
 VOTERS = ("broker-0", "broker-1", "broker-2")
 REGIONS = 3  # each has probing as a duty of its own; dealing is one for all
 TERMS = LeaseTiming()
-TUNING = RaftConfig(election_s=0.5, beat_s=0.1)  # the defaults of the settings
+TUNING = RaftConfig(election_timeout_s=0.5, heartbeat_interval_s=0.1)  # the defaults of the settings
 DELAY_S = (0.001, 0.01)
 DISK_S = (0.001, 0.005)  # until a write is surely kept
 
@@ -240,5 +240,5 @@
 def new_store() -> PersistentState:
     """What `badgerbend voters create` leaves on the disk of each voter."""
     kept = PersistentState(log=Log())
-    kept.add(voting.decode_record(voting.encode(voting.Snapshot(0, 0, VOTERS, b""))))
+    kept.replay(voting.decode_record(voting.encode(voting.Snapshot(0, 0, VOTERS, b""))))
     return kept
--- a/benchmarks/scale/feed_voters.py
+++ b/benchmarks/scale/feed_voters.py
@@ -8,7 +8,7 @@
 
 from badgerbend.feed.messages import Change
 from badgerbend.feed_service.control import ControlServer, ControlSettings
-from badgerbend.wal.store import create
+from badgerbend.wal.store import create_store
 from scale.feed_control import SIGNER
 from scale.feed_messages import (
     Command,
@@ -54,7 +54,7 @@
 
     async def _start(self, command: StartVoter) -> Listening:
         store = Path(command.store)
-        create(store, command.name, [voter.name for voter in command.voters])
+        create_store(store, command.name, [voter.name for voter in command.voters])
         voters = {voter.name: (HOST, voter.port) for voter in command.voters}
         settings = ControlSettings(command.name, store, voters, (HOST, 0), KEYS)
         self.server = ControlServer(settings, SIGNER, lambda change: "", note)
--- a/benchmarks/voterstore.py
+++ b/benchmarks/voterstore.py
@@ -16,7 +16,7 @@
 sys.path[:0] = [str(Path(__file__).parent.parent)]
 
 from badgerbend.consensus.messages import Entry, EntryKind, LogEntries, encode  # noqa: E402
-from badgerbend.wal.store import Store, create  # noqa: E402
+from badgerbend.wal.store import Store, create_store  # noqa: E402
 
 
 def entry(index: int) -> LogEntries:
@@ -33,14 +33,14 @@
 
 
 def segments(folder: Path, seconds: float, group: int) -> tuple[float, float, int]:
-    create(folder / "s", "v0", ("v0",))
+    create_store(folder / "s", "v0", ("v0",))
     store = Store(folder / "s")
     rate, count = timed(seconds, lambda at, n: store.append([entry(at + i) for i in range(n)]), group)
     store.close()
     began = time.monotonic()
     again = Store(folder / "s")
     took = time.monotonic() - began
-    assert again.kept.log.last_index == count
+    assert again.persistent_state.log.last_index == count
     again.close()
     return rate, took, count
 
--- a/tests/feed_mutants.py
+++ b/tests/feed_mutants.py
@@ -226,7 +226,7 @@
     """Counts the word of a leader that has committed nothing of its own term."""
 
     def _heard_leader(self, now, message):
-        if self.raft.leader == message.source and self.raft.applied >= message.commit:
+        if self.raft.leader == message.source and self.raft.last_applied >= message.commit_index:
             self.confirmed_at = max(self.confirmed_at, now)
 
 
--- a/tests/modelvoters.py
+++ b/tests/modelvoters.py
@@ -65,7 +65,7 @@
     def _boot(self, name):
         kept = PersistentState(log=Log())
         for record in self.disks[name][0]:
-            kept.add(record)
+            kept.replay(record)
         raft = self.rafts[name] = self.kind(name, kept, _Nothing(), RaftConfig(0.0, 1.0, 10**6), 0, 0.0)
         raft.rng = _Dice()
 
@@ -82,14 +82,14 @@
 
     def _collect(self, name):
         raft = self.rafts[name]
-        writes, messages, _ = raft.take()
+        ready = raft.take_ready()
         records, sure = self.disks[name]
-        self.disks[name] = (records + tuple(record for _, record in writes), sure)
-        self.net = tuple(sorted((*self.net, *((to, voting.encode(m)) for to, m in messages))))
+        self.disks[name] = (records + tuple(record for _, record in ready.records), sure)
+        self.net = tuple(sorted((*self.net, *((to, voting.encode(m)) for to, m in ready.messages))))
         if raft.role is Role.LEADER and self.leaders.setdefault(raft.term, name) != name:
             raise Broken(f"term {raft.term} is led by {self.leaders[raft.term]} and by {name}")
-        for index in range(1, raft.commit + 1):
-            entry = raft.log.at(index)
+        for index in range(1, raft.commit_index + 1):
+            entry = raft.log.entry(index)
             if self.committed.setdefault(index, (entry.term, entry.data)) != (entry.term, entry.data):
                 raise Broken(f"{name} committed another entry {index}")
 
@@ -117,7 +117,7 @@
             rows = list(new.net)
             rows.remove(what)
             new.net = tuple(rows)
-            new._touch(name).receive(0.0, voting.decode(data))
+            new._touch(name).step(0.0, voting.decode(data))
         else:
             name = what
             if kind in new.left:
@@ -128,7 +128,7 @@
                 case "sync":
                     raft = new._touch(name)
                     new.disks[name] = (new.disks[name][0], len(new.disks[name][0]))
-                    raft.saved(0.0, raft.disk.seq)
+                    raft.persisted(0.0, raft.disk.seq)
                 case "propose":
                     new._touch(name).propose(0.0, b"x%d" % new.left["propose"])
                 case "crash":
@@ -142,16 +142,16 @@
         rows = []
         for name in NAMES:
             r = self.rafts[name]
-            progress = tuple((n, p.match, p.next, p.in_flight) for n, p in sorted(r.progress.items()))
+            progress = tuple((n, p.match_index, p.next_index, p.in_flight) for n, p in sorted(r.progress.items()))
             entries = tuple((e.term, e.data) for e in r.log.entries)
             held = tuple((to, voting.encode(m)) for _, to, m in r.disk.held)
             rows.append(
                 (
                     r.term,
-                    r.voted,
+                    r.voted_for,
                     r.role,
                     r.leader,
-                    r.commit,
+                    r.commit_index,
                     entries,
                     tuple(sorted(r.votes)),
                     progress,
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -17,7 +17,7 @@
         self.votes.add(name)
         self.heard.append(name)
         if 2 * len(self.heard) > len(self.voters):
-            self._stand(now) if self.role is Role.ASKING else self._lead(now)
+            self._stand(now) if self.role is Role.PRE_CANDIDATE else self._lead(now)
 
 
 class VotesBeforeTheDisk(Raft):
@@ -46,14 +46,14 @@
     """Votes for a candidate that has less than itself."""
 
     def _asked(self, now, m):
-        super()._asked(now, voting.RequestVote(m.term, m.source, 1 << 40, 1 << 40, m.pre, m.ceded))
+        super()._asked(now, voting.RequestVote(m.term, m.source, 1 << 40, 1 << 40, m.pre_vote, m.leadership_transfer))
 
 
 class ReadsWithoutARound(Raft):
-    def read(self, now, token):
-        if self.ready:
+    def read_index(self, now, token):
+        if self.is_established_leader:
             self.events.append(ReadConfirmed(token))
-        return self.ready
+        return self.is_established_leader
 
 
 class HoldsTheWholeLease(LeaseHolder):
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -118,7 +118,7 @@
     caught: float = 0.03  # chance that a leader crashes between a publication and its fan-out
 
 
-TUNING = RaftConfig(election_s=0.4, beat_s=0.1)
+TUNING = RaftConfig(election_timeout_s=0.4, heartbeat_interval_s=0.1)
 TERMS = LeaseTiming(lease_s=1.2, rate=0.01, ask_s=0.4, answer_s=0.15, stall_s=0.3)
 PUBLISHER = PublisherTuning(batch=0.05, again=0.5, summary_fresh=2.0, again_most=4.0)
 RELAY = RelayTuning(
@@ -207,10 +207,10 @@
     def voter_bound_s(self):
         """By how much a voter that follows may take its content for too fresh, beside its leader's message's way.
 
-        A leader cut off from the majority speaks on for 2 * election_s, counted from answers of the majority that were
-        late (late_s) or that waited in a leader that stood still (stop_s). The rest is for delays and clocks.
+        A leader cut off from the majority speaks on for 2 * election_timeout_s, counted from answers of the majority
+        that were late (late_s) or that waited in a leader that stood still (stop_s). The rest is for delays and clocks.
         """
-        return 2 * TUNING.election_s + self.chaos.late_s + self.chaos.stop_s + SLACK_S
+        return 2 * TUNING.election_timeout_s + self.chaos.late_s + self.chaos.stop_s + SLACK_S
 
     def stream_bound_s(self):
         """By how much a heartbeat may be late and still count: a follower leaves a relay that it has not heard for
@@ -252,7 +252,7 @@
         local, seed = host.local(), self.rng.getrandbits(32)
         host.machine = self.kinds.machine(RETENTION)
         host.machine.apply = self._seen_by_judge(host.machine.apply)
-        tuning = replace(TUNING, compact=self.chaos.compact)
+        tuning = replace(TUNING, compact_after_entries=self.chaos.compact)
         kept = self.disks[host.name].kept()
         host.voter = self.kinds.voter(host.name, kept, tuning, TERMS, seed, local, host.machine)
         host.holder = LeaseHolder(host.name, host.name, {PUBLISH: True}, self.voters, TERMS, seed + 1, local)
@@ -602,7 +602,7 @@
             case "give back" if control.running:
                 control.holder.release(control.local())
             case "cede" if control.running and self.now >= control.stopped_until:
-                control.voter.raft.transfer(control.local())
+                control.voter.raft.transfer_leadership(control.local())
                 self.collect(control)
 
     def _damage(self, host):
--- a/tests/simvoters.py
+++ b/tests/simvoters.py
@@ -36,7 +36,7 @@
     def kept(self):
         kept = PersistentState(log=Log())
         for data in self.records:
-            kept.add(voting.decode_record(data))
+            kept.replay(voting.decode_record(data))
         return kept
 
 
@@ -96,7 +96,9 @@
         self.rng = random.Random(seed)
         claimed = self.chaos.rate if self.chaos.rate_claimed is None else self.chaos.rate_claimed
         self.terms = terms or LeaseTiming(lease_s=1.0, rate=claimed, ask_s=0.3, answer_s=0.1, stall_s=0.3)
-        self.tuning = RaftConfig(election_s=0.4, beat_s=0.08, compact=self.chaos.compact)
+        self.tuning = RaftConfig(
+            election_timeout_s=0.4, heartbeat_interval_s=0.08, compact_after_entries=self.chaos.compact
+        )
         self.voter, self.holder = voter, holder
         self.now, self.order, self.due = 0.0, count(), []
         self.cuts = {}  # (from, to): until when nothing gets through
@@ -130,7 +132,7 @@
         seed, local = self.rng.getrandbits(32), process.clock.local(self.now)
         if name in self.voters:
             process.one = self.voter(name, self.disks[name].kept(), self.tuning, self.terms, seed, local)
-            self.applied_at[name, process.life] = process.one.raft.applied
+            self.applied_at[name, process.life] = process.one.raft.last_applied
         else:
             near = {"probe": name != "b2", "deal": True}
             process.one = self.holder(name, f"at-{name}", near, self.voters, self.terms, seed, local)
@@ -277,7 +279,7 @@
             case "fail" if name not in self.voters and self._running(name):
                 process.one.failing("probe", self.rng.random() < 0.5)
             case "cede" if name in self.voters and self._running(name):
-                process.one.raft.transfer(process.clock.local(self.now))
+                process.one.raft.transfer_leadership(process.clock.local(self.now))
                 self._collect(process)
 
     def _crash(self, name, back_s):
@@ -300,19 +302,19 @@
             if first != process.name:
                 raise Broken(f"term {raft.term} is led by {first} and by {process.name}")
         key = process.name, process.life
-        for index in range(max(self.applied_at[key], raft.log.base) + 1, raft.applied + 1):
-            entry = raft.log.at(index)
+        for index in range(max(self.applied_at[key], raft.log.snapshot_index) + 1, raft.last_applied + 1):
+            entry = raft.log.entry(index)
             word = (entry.term, entry.kind, entry.data)
             if self.chosen.setdefault(index, word) != word:
                 raise Broken(f"{process.name} applied another entry {index} than was chosen")
-        if raft.applied < self.applied_at[key]:
-            raise Broken(f"{process.name} went back from {self.applied_at[key]} to {raft.applied}")
-        self.applied_at[key] = raft.applied
+        if raft.last_applied < self.applied_at[key]:
+            raise Broken(f"{process.name} went back from {self.applied_at[key]} to {raft.last_applied}")
+        self.applied_at[key] = raft.last_applied
         if process.one.leads:  # whoever leads knows all that was ever chosen and told
-            if raft.applied < self.acknowledged and raft.ready and max(self.leaders) == raft.term:
+            if raft.last_applied < self.acknowledged and raft.is_established_leader and max(self.leaders) == raft.term:
                 raise Broken(f"{process.name} leads term {raft.term} and lacks acknowledged entries")
-            self.acknowledged = max(self.acknowledged, raft.commit)
-            self._check_table(process.one.table, raft.applied)
+            self.acknowledged = max(self.acknowledged, raft.commit_index)
+            self._check_table(process.one.table, raft.last_applied)
 
     def _check_table(self, table, index):
         """The table is what the chosen entries make of it, in their order: each lease as its history says."""
@@ -385,7 +387,7 @@
         if len(leaders) != 1 or any(p.one is None for p in self.all.values()):
             return False
         table = leaders[0].one.table
-        level = all(self.all[v].one.raft.applied == leaders[0].one.raft.applied for v in self.voters)
+        level = all(self.all[v].one.raft.last_applied == leaders[0].one.raft.last_applied for v in self.voters)
         holders = [table.lease(duty).holder for duty in ("probe", "deal")]
         return level and all(
             h and self.all[h].one.may_act(self.all[h].clock.local(self.now), duty)
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -56,7 +56,7 @@
         rows = [(n, d) for n, d in state.net if n == to and isinstance(voting.decode(d), kinds)]
         rows = [r for r in rows if source is None or voting.decode(r[1]).source == source]
         assert rows, (to, kinds, [(n, voting.decode(d)) for n, d in state.net])
-        newest = max(rows, key=lambda r: (voting.decode(r[1]).term, getattr(voting.decode(r[1]), "beat", 0)))
+        newest = max(rows, key=lambda r: (voting.decode(r[1]).term, getattr(voting.decode(r[1]), "heartbeat_round", 0)))
         state = state.do(("deliver", newest))
         state = state.do(("sync", to))
 
@@ -77,7 +77,7 @@
         deliver("a", voting.AppendEntriesReply, source="b")
     assert state.rafts["b"].log.last_term == 1 and state.rafts["a"].term == 3
     lead("c", 2)
-    while state.rafts["c"].commit < 2:
+    while state.rafts["c"].commit_index < 2:
         deliver("b", voting.AppendEntries, source="c")
         deliver("c", voting.AppendEntriesReply, source="b")
     return state
@@ -85,7 +85,7 @@
 
 def test_an_entry_of_an_earlier_term_is_not_committed_by_counting(monkeypatch):
     state = figure_8(Raft, monkeypatch)
-    assert state.rafts["a"].commit == 0 and state.rafts["c"].commit == 2
+    assert state.rafts["a"].commit_index == 0 and state.rafts["c"].commit_index == 2
     with pytest.raises(Broken, match="committed another entry 1"):
         figure_8(CommitsAnEarlierTerm, monkeypatch)
 
@@ -117,14 +117,14 @@
         while moved:
             moved = False
             for name, raft in self.rafts.items():
-                writes, messages, events = raft.take()
-                self.events[name] += events
-                if writes:
-                    raft.saved(self.now, writes[-1][0])
-                for to, message in messages:
+                ready = raft.take_ready()
+                self.events[name] += ready.events
+                if ready.records:
+                    raft.persisted(self.now, ready.records[-1].sequence)
+                for to, message in ready.messages:
                     if to in self.rafts and not {name, to} & self.cut:
-                        self.rafts[to].receive(self.now, voting.decode(voting.encode(message)))
-                moved = moved or bool(writes or messages or events)
+                        self.rafts[to].step(self.now, voting.decode(voting.encode(message)))
+                moved = moved or bool(ready.records or ready.messages or ready.events)
 
     def run(self, seconds, step=0.05):
         for _ in range(round(seconds / step)):
@@ -135,7 +135,7 @@
             self.settle()
 
     def leader(self):
-        found = [r for n, r in self.rafts.items() if r.ready and n not in self.cut]
+        found = [r for n, r in self.rafts.items() if r.is_established_leader and n not in self.cut]
         assert len(found) == 1
         return found[0]
 
@@ -166,11 +166,11 @@
     circle = Circle(kind=kind)
     circle.run(5)
     old = circle.leader()
-    assert old.read(circle.now, 1)
+    assert old.read_index(circle.now, 1)
     circle.run(0.3)
     assert ReadConfirmed(1) in circle.events[old.name]
     circle.cut = {old.name}
-    assert old.read(circle.now, 2) and old.propose(circle.now, encode(PutFact("k", b"v", 0)))
+    assert old.read_index(circle.now, 2) and old.propose(circle.now, encode(PutFact("k", b"v", 0)))
     circle.run(6)
     return circle, old
 
@@ -194,10 +194,10 @@
     old = circle.leader()
     to = next(n for n in NAMES if n != old.name)
     before = circle.now
-    assert old.transfer(circle.now, to) and old.propose(circle.now, encode(PutFact("k", b"v", 0))) is None
+    assert old.transfer_leadership(circle.now, to) and old.propose(circle.now, encode(PutFact("k", b"v", 0))) is None
     circle.settle()
     assert circle.leader().name == to and circle.now == before
-    assert not circle.rafts[old.name].transfer(circle.now)
+    assert not circle.rafts[old.name].transfer_leadership(circle.now)
 
 
 def test_a_newcomer_is_fed_by_snapshot_and_votes_and_one_that_left_is_not_missed():
@@ -206,53 +206,53 @@
     for i in range(150):
         circle.put(f"fact-{i}", b"x" * 40)
     leader = circle.leader()
-    assert leader.log.base > 100 and len(leader.log.snapshot.state) > 4 * voting.MAX_MESSAGE_BYTES
+    assert leader.log.snapshot_index > 100 and len(leader.log.snapshot.state) > 4 * voting.MAX_MESSAGE_BYTES
     gone = next(n for n in NAMES if n != leader.name)
-    assert leader.change(circle.now, "d", True) is None
-    assert leader.change(circle.now, gone, False) == "another change is under way"
+    assert leader.change_membership(circle.now, "d", True) is None
+    assert leader.change_membership(circle.now, gone, False) == "another change is under way"
     circle.run(3)
     assert circle.rafts["d"].voters == (*NAMES, "d") and len(circle.tables["d"].facts) == 150
-    assert leader.change(circle.now, gone, False) is None
+    assert leader.change_membership(circle.now, gone, False) is None
     circle.run(1)
     circle.cut = {gone, next(n for n in NAMES if n not in (gone, leader.name))}
     circle.put("after")
     circle.run(0.5)  # a follower learns of a commit with the next heartbeat
     assert "after" in circle.tables["d"].facts  # two of three: the newcomer's vote counts, the old one's does not
-    assert leader.change(circle.now, gone, False) == "nothing to change"
+    assert leader.change_membership(circle.now, gone, False) == "nothing to change"
 
 
 def test_a_leader_that_removes_itself_leads_to_the_end_of_that_and_no_further():
     circle = Circle()
     circle.run(5)
     old = circle.leader()
-    assert old.change(circle.now, old.name, False) is None
+    assert old.change_membership(circle.now, old.name, False) is None
     circle.run(6)
     new = circle.leader()
     assert new is not old and set(new.voters) == set(NAMES) - {old.name}
     for name in list(new.voters):
         if name != new.name:
-            assert new.change(circle.now, name, False) is None
+            assert new.change_membership(circle.now, name, False) is None
             circle.run(1)
-    assert new.change(circle.now, new.name, False) == "the last voter stays"
+    assert new.change_membership(circle.now, new.name, False) == "the last voter stays"
 
 
 def test_a_single_voter_leads_and_commits_by_its_own_disk():
     circle = Circle(("a",))
     circle.run(3)
     circle.put("k")
-    assert circle.tables["a"].facts and circle.leader().read(circle.now, 1)
+    assert circle.tables["a"].facts and circle.leader().read_index(circle.now, 1)
     circle.run(0.3)
     assert ReadConfirmed(1) in circle.events["a"]
 
 
 def test_what_is_no_message_is_refused():
     good = voting.AppendEntries(
-        1, "a", 0, 0, (voting.Entry(1, 1, voting.EntryKind.VOTERS, voting.encode_names(NAMES)),), 0, 0
+        1, "a", 0, 0, (voting.Entry(1, 1, voting.EntryKind.CONFIGURATION, voting.encode_voters(NAMES)),), 0, 0
     )
     assert voting.decode(voting.encode(good)) == good
     spoilt = [
         voting.AppendEntries(1, "a", 5, 0, (voting.Entry(1, 1, voting.EntryKind.NOOP),), 0, 0),
-        voting.AppendEntries(1, "a", 0, 0, (voting.Entry(1, 1, voting.EntryKind.VOTERS, b"?"),), 0, 0),
+        voting.AppendEntries(1, "a", 0, 0, (voting.Entry(1, 1, voting.EntryKind.CONFIGURATION, b"?"),), 0, 0),
         voting.RequestVoteReply(1 << 63, "a", False, True),
         voting.RequestVoteReply(1, "", False, True),
     ]
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -59,6 +59,7 @@
     "consensus/pending.py",
     "consensus/quorum.py",
     "consensus/raft.py",
+    "consensus/ready.py",
     "consensus/replication.py",
     "consensus/snapshots.py",
     "consensus/types.py",
--- a/tests/test_feed_control.py
+++ b/tests/test_feed_control.py
@@ -6,7 +6,7 @@
 from badgerbend.feed.follower import FollowerTuning
 from badgerbend.feed.relay import RelayTuning
 from badgerbend.standin.rig import free_port
-from badgerbend.wal.store import create
+from badgerbend.wal.store import create_store
 from tests.feed_lines import ControlSetup, FollowersSetup, Installed, Listening, Publish, Published, Submitted
 from tests.feed_processes import FeedProcess, FeedProcesses
 
@@ -24,7 +24,7 @@
         names = [f"control-{region}" for region in REGIONS]
         voters = {name: ("127.0.0.1", free_port(socket.SOCK_DGRAM)) for name in names}
         for name in names:
-            create(folder / name, name, names)
+            create_store(folder / name, name, names)
         self.setups = {
             name: ControlSetup(name, region, str(folder / name), voters, RELAY)
             for name, region in zip(names, REGIONS, strict=True)
--- a/tests/test_feed_simulated.py
+++ b/tests/test_feed_simulated.py
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_a_leader_cut_off_makes_ages_look_fresh_no_longer_than_check_quorum_lets_it_lead(seed):
     world = World(seed, CUTS_ALONE)
-    assert world.voter_bound_s() == 2 * TUNING.election_s + SLACK_S
+    assert world.voter_bound_s() == 2 * TUNING.election_timeout_s + SLACK_S
     assert play(world) == ""
     assert world.judge.oldest_seen > 2.0 and world.judge.lowest_margin < 1.0
 
--- a/tests/test_planted_defects.py
+++ b/tests/test_planted_defects.py
@@ -72,8 +72,8 @@
 SOUND = """
 class Mutant(Raft):
     def _advance(self, now):
-        self.commit = 1
-        self.log.base = 0
+        self.commit_index = 1
+        self.log.snapshot_index = 0
 
 Other = type("Other", (Raft,), {"_advance": None})
 """
@@ -83,8 +83,8 @@
     "old, new, stale",
     [
         ("def _advance", "def _advance_gone", {"Mutant": {"_advance_gone"}}),
-        ("self.commit", "self.commit_gone", {"Mutant": {"commit_gone"}}),
-        ("self.log.base", "self.log.base_gone", {"self.log": {"base_gone"}}),
+        ("self.commit_index", "self.commit_index_gone", {"Mutant": {"commit_index_gone"}}),
+        ("self.log.snapshot_index", "self.log.snapshot_index_gone", {"self.log": {"snapshot_index_gone"}}),
         ('{"_advance"', '{"_advance_gone"', {"'Other'": {"_advance_gone"}}),
         ("class Mutant(Raft)", "class Base(Raft): ...\nclass Mutant(Base)", {}),
         ("def _advance", "_advance = 1\n    def _receive", {"Mutant": {"_receive"}}),
--- a/tests/test_public_status.py
+++ b/tests/test_public_status.py
@@ -14,7 +14,7 @@
 from badgerbend.peering.exchange import ask as ask_peer
 from badgerbend.sites.status import status as sites_status
 from badgerbend.standin.rig import free_port
-from badgerbend.wal.store import create as create_voter_store
+from badgerbend.wal.store import create_store as create_voter_store
 from tests.interfaces import answer_seen, committed, compare, literals, struct_schema
 from tests.sockets import EXAMPLE, Stage, run, until
 
--- a/tests/test_stored_bytes_ledger.py
+++ b/tests/test_stored_bytes_wal.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from badgerbend.consensus.messages import Entry, EntryKind, HardState, LogEntries, Snapshot, encode_names
+from badgerbend.consensus.messages import Entry, EntryKind, HardState, LogEntries, Snapshot, encode_voters
 from badgerbend.leases.messages import GrantLease, PutFact, ReleaseLease, encode
 from badgerbend.leases.table import Fact, Lease, LeaseTable
-from badgerbend.wal.store import Store, create, read, read_owner
+from badgerbend.wal.store import Store, create_store, read_identity, read_store
 from tests.wire_bytes import DATA
 
 STORES = DATA / "voter-store"
@@ -26,12 +26,12 @@
     Entry(index=3, term=1, kind=EntryKind.COMMAND, data=FREE),
     Entry(index=4, term=3, kind=EntryKind.NOOP, data=b""),
     Entry(index=5, term=3, kind=EntryKind.COMMAND, data=PUT),
-    Entry(index=6, term=3, kind=EntryKind.VOTERS, data=encode_names(NEW_VOTERS)),
+    Entry(index=6, term=3, kind=EntryKind.CONFIGURATION, data=encode_voters(NEW_VOTERS)),
 )
 
 # What is appended to the store, one list a call.
 APPENDS = [
-    [HardState(term=1, voted="v0")],
+    [HardState(term=1, voted_for="v0")],
     [
         LogEntries(
             entries=(
@@ -43,17 +43,17 @@
         ),
         SNAPSHOT,
     ],
-    [HardState(term=2, voted=""), HardState(term=3, voted="v1")],
+    [HardState(term=2, voted_for=""), HardState(term=3, voted_for="v1")],
     [LogEntries(entries=ENTRIES[1:])],
 ]
 APPENDS_AFTER_COMPACTION = [
-    [HardState(term=4, voted="v3"), LogEntries(entries=(Entry(index=7, term=4, kind=EntryKind.NOOP, data=b""),))]
+    [HardState(term=4, voted_for="v3"), LogEntries(entries=(Entry(index=7, term=4, kind=EntryKind.NOOP, data=b""),))]
 ]
 
 
 def write_store(folder, *, compacted):
     """The same calls as those that wrote the fixtures."""
-    create(folder, "v0", VOTERS)
+    create_store(folder, "v0", VOTERS)
     store = Store(folder)
     for records in APPENDS:
         store.append(records)
@@ -86,32 +86,32 @@
 def assert_log(log, entries):
     assert log.snapshot == SNAPSHOT
     assert tuple(log.entries) == entries
-    assert log.voters() == (NEW_VOTERS, 6)
+    assert log.configuration() == (NEW_VOTERS, 6)
 
 
 @pytest.mark.parametrize("name", ["appended", "torn"])
 def test_appended_store_is_read(open_store, name):
     store = open_store(name)
-    assert (store.owner.name, store.owner.voters, store.owner.version) == ("v0", VOTERS, 1)
-    assert store.number == 1
-    assert (store.kept.term, store.kept.voted) == (3, "v1")
-    assert_log(store.kept.log, ENTRIES)
+    assert (store.identity.name, store.identity.voters, store.identity.version) == ("v0", VOTERS, 1)
+    assert store.segment_number == 1
+    assert (store.persistent_state.term, store.persistent_state.voted_for) == (3, "v1")
+    assert_log(store.persistent_state.log, ENTRIES)
 
 
 def test_compacted_store_is_read(open_store):
     store = open_store("compacted")
-    assert store.number == 2
-    assert (store.kept.term, store.kept.voted) == (4, "v3")
-    assert_log(store.kept.log, (*ENTRIES, Entry(index=7, term=4, kind=EntryKind.NOOP, data=b"")))
+    assert store.segment_number == 2
+    assert (store.persistent_state.term, store.persistent_state.voted_for) == (4, "v3")
+    assert_log(store.persistent_state.log, (*ENTRIES, Entry(index=7, term=4, kind=EntryKind.NOOP, data=b"")))
 
 
 @pytest.mark.parametrize("name", ["appended", "compacted", "torn"])
 def test_store_is_read_without_a_change(name):
     before = file_bytes(STORES / name)
-    number, _, good = read(STORES / name)
+    number, _, good = read_store(STORES / name)
     torn = TORN_BYTES if name == "torn" else 0
     assert good == len(before[f"log.{number}"]) - torn
-    assert read_owner(STORES / name).name == "v0"
+    assert read_identity(STORES / name).name == "v0"
     assert file_bytes(STORES / name) == before
 
 
@@ -135,7 +135,7 @@
 
 
 def test_state_in_the_snapshot_and_the_commands_after_it():
-    _, kept, _ = read(STORES / "appended")
+    _, kept, _ = read_store(STORES / "appended")
     table = LeaseTable()
     table.load(kept.log.snapshot.state)
     assert table.dump() == SNAPSHOT_STATE
--- a/tests/test_ledger.py
+++ b/tests/test_wal.py
@@ -9,9 +9,10 @@
 import pytest
 
 from badgerbend.consensus.messages import Entry, EntryKind, HardState, LogEntries, Snapshot, encode
-from badgerbend.wal import store as ledger
-from badgerbend.wal.store import Store, StoreError, create, read
-from badgerbend.wal.writer import Writer
+from badgerbend.wal import store as wal_store
+from badgerbend.wal.errors import StoreError
+from badgerbend.wal.group_commit import GroupCommitWriter
+from badgerbend.wal.store import Store, create_store, read_store
 
 VOTERS = ("v0", "v1", "v2")
 
@@ -21,23 +22,23 @@
 
 
 def said(kept):
-    return kept.term, kept.voted, kept.log.snapshot, tuple(kept.log.entries)
+    return kept.term, kept.voted_for, kept.log.snapshot, tuple(kept.log.entries)
 
 
 @pytest.fixture
 def folder(tmp_path):
-    create(tmp_path / "v0", "v0", VOTERS)
+    create_store(tmp_path / "v0", "v0", VOTERS)
     return tmp_path / "v0"
 
 
 def test_what_was_appended_is_there_at_the_next_start(folder):
     one = Store(folder)
-    assert (one.owner.name, one.kept.log.voters()) == ("v0", (VOTERS, 0))
+    assert (one.identity.name, one.persistent_state.log.configuration()) == ("v0", (VOTERS, 0))
     one.append([HardState(1, "v1"), LogEntries((entry(1), entry(2)))])
     one.append([LogEntries((entry(2, 2, b"y"),)), HardState(3, "")])
     one.close()
     two = Store(folder)
-    assert said(two.kept) == (3, "", Snapshot(0, 0, VOTERS, b""), (entry(1), entry(2, 2, b"y")))
+    assert said(two.persistent_state) == (3, "", Snapshot(0, 0, VOTERS, b""), (entry(1), entry(2, 2, b"y")))
     two.close()
 
 
@@ -52,7 +53,7 @@
     one.close()
     two = Store(folder)
     snapshot = Snapshot(40, 1, VOTERS, b"state")
-    assert said(two.kept) == (4, "v2", snapshot, tuple(entry(i) for i in range(41, 51)))
+    assert said(two.persistent_state) == (4, "v2", snapshot, tuple(entry(i) for i in range(41, 51)))
     two.close()
 
 
@@ -62,13 +63,13 @@
         Store(folder)
     one.close()
     with pytest.raises(StoreError, match="made once"):
-        create(folder, "v0", VOTERS)
+        create_store(folder, "v0", VOTERS)
 
 
 def test_a_voter_without_its_store_does_not_start_as_if_it_were_new(tmp_path):
     with pytest.raises(StoreError, match=r"voter: not there; .*voters create"):
         Store(tmp_path)
-    create(tmp_path / "a", "a", VOTERS)
+    create_store(tmp_path / "a", "a", VOTERS)
     (tmp_path / "a" / "log.1").unlink()
     with pytest.raises(StoreError, match=r"no log\.N.* under a new name"):
         Store(tmp_path / "a")
@@ -77,19 +78,23 @@
 def test_a_write_torn_anywhere_is_cut_off_and_nothing_acknowledged_goes_with_it(folder):
     one = Store(folder)
     one.append([HardState(1, "v1"), LogEntries((entry(1),))])
-    sure, kept = one.length, said(read(folder)[1])
+    sure, kept = one.length, said(read_store(folder)[1])
     one.close()
     path = folder / "log.1"
     whole = path.read_bytes()
-    more = b"".join(ledger._framed(encode(r)) for r in (LogEntries((entry(2, 1, b"long" * 9),)), HardState(2, "")))
+    more = b"".join(wal_store._framed(encode(r)) for r in (LogEntries((entry(2, 1, b"long" * 9),)), HardState(2, "")))
     for cut in range(len(more)):
         path.write_bytes(whole + more[:cut])
         two = Store(folder)
-        assert two.length >= sure and said(two.kept)[:3] == kept[:3] and said(two.kept)[3][:1] == kept[3]
-        two.append([LogEntries((entry(two.kept.log.last_index + 1),))])
+        assert (
+            two.length >= sure
+            and said(two.persistent_state)[:3] == kept[:3]
+            and said(two.persistent_state)[3][:1] == kept[3]
+        )
+        two.append([LogEntries((entry(two.persistent_state.log.last_index + 1),))])
         two.close()
         again = Store(folder)
-        assert again.kept.log.last_index == two.kept.log.last_index + 1
+        assert again.persistent_state.log.last_index == two.persistent_state.log.last_index + 1
         again.close()
         (folder / "mark").unlink()
 
@@ -119,18 +124,18 @@
     one = Store(folder)
     one.append([HardState(1, "v1")])
     one.close()
-    for mark in (b"", b"x" * ledger.MARK.size, (folder / "mark").read_bytes()[:-1] + b"?"):
+    for mark in (b"", b"x" * wal_store.MARK.size, (folder / "mark").read_bytes()[:-1] + b"?"):
         (folder / "mark").write_bytes(mark)
         two = Store(folder)
-        assert two.kept.voted == "v1"
+        assert two.persistent_state.voted_for == "v1"
         two.close()
 
 
 def test_a_file_of_a_newer_version_is_left_alone(folder):
     path = folder / "log.1"
     data = bytearray(path.read_bytes())
-    head = struct.pack(">8sHQ", ledger.MAGIC, 2, 0)
-    data[: ledger.HEAD.size] = head + struct.pack(">I", ledger.google_crc32c.value(head))
+    head = struct.pack(">8sHQ", wal_store.MAGIC, 2, 0)
+    data[: wal_store.HEAD.size] = head + struct.pack(">I", wal_store.google_crc32c.value(head))
     path.write_bytes(data)
     with pytest.raises(StoreError, match="version 2, this reads 1; start the program that wrote it"):
         Store(folder)
@@ -144,7 +149,7 @@
     """Each call to the system is the last one once: the old segment or the new one is whole, and says the same."""
     one = Store(folder)
     one.append([HardState(2, "v1"), LogEntries(tuple(entry(i) for i in range(1, 9))), Snapshot(8, 1, VOTERS, b"s")])
-    expected = said(read(folder)[1])
+    expected = said(read_store(folder)[1])
     one.close()
     calls = 0
 
@@ -173,7 +178,7 @@
             except Crash:
                 done = False
         store.close()
-        assert said(read(folder)[1]) == expected
+        assert said(read_store(folder)[1]) == expected
     assert done  # the last rounds went through whole
 
 
@@ -192,20 +197,20 @@
     with pytest.raises(OSError, match="nothing more is written after .*log.1: No space"):
         one.append([HardState(3, "v0")])
     one.close()
-    assert Store(folder).kept.term in (1, 2)  # acknowledged to nobody: either will do
+    assert Store(folder).persistent_state.term in (1, 2)  # acknowledged to nobody: either will do
 
 
 def test_the_writer_tells_of_groups_in_order_and_of_a_failure_once(folder, monkeypatch):
     async def main():
         loop = asyncio.get_running_loop()
         saved, failed, told = [], [], asyncio.Event()
-        writer = Writer(Store(folder), loop, lambda n: (saved.append(n), told.set()), failed.append)
+        writer = GroupCommitWriter(Store(folder), loop, lambda n: (saved.append(n), told.set()), failed.append)
         for n in range(1, 201):
             writer.write([(n, LogEntries((entry(n),)))])
         while not saved or saved[-1] < 200:
             told.clear()
             await told.wait()
-        assert saved == sorted(saved) and writer.syncs == len(saved) and writer.written == 200
+        assert saved == sorted(saved) and writer.sync_count == len(saved) and writer.record_count == 200
         monkeypatch.setattr(os, "fdatasync", lambda _: (_ for _ in ()).throw(OSError(errno.EIO, "Input/output error")))
         writer.write([(201, HardState(5, ""))])
         while not failed:
@@ -217,5 +222,5 @@
 
     asyncio.run(asyncio.wait_for(main(), 60))
     monkeypatch.undo()
-    kept = read(folder)[1]
+    kept = read_store(folder)[1]
     assert kept.log.last_index == 200 and kept.term in (0, 5)
