--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -51,25 +51,6 @@
         await self.until(lambda owner: owner.revisions and owner.revisions[-1] >= revision)
 
 
-class ObservedServer(RelayServer):
-    """A relay's server that wakes those who wait for a state of the relay."""
-
-    def __init__(self, relay):
-        super().__init__(relay)
-        self.changed = asyncio.Event()
-
-    def process_actions(self):
-        super().process_actions()
-        self.changed.set()
-
-    async def until(self, condition):
-        """Wait until the relay fulfils a condition: each event of a connection may change its state."""
-        async with asyncio.timeout(TIMEOUT_S):
-            while not condition(self.relay):
-                self.changed.clear()
-                await self.changed.wait()
-
-
 class Fleet:
     """A control machine without agreement, its relay's socket, and followers."""
 
@@ -78,11 +59,13 @@
         self.control.grant()
         self.relay = Relay("relay-1", self.control.machine.log, tuning)
         self.server = None
+        self.changed = asyncio.Event()
         self.clients = []
         self.port = 0
 
     async def __aenter__(self):
-        self.server = ObservedServer(self.relay)
+        self.server = RelayServer(self.relay)
+        self._wake_waiters_after(self.server.process_actions)
         self.port = await self.server.start("127.0.0.1", 0)
         return self
 
@@ -91,6 +74,22 @@
             client.stop()
         await self.server.stop()
 
+    def _wake_waiters_after(self, process_actions):
+        """Have the server wake those who wait for a state of the relay each time that it has carried out actions."""
+
+        def process_and_wake():
+            process_actions()
+            self.changed.set()
+
+        replace_attribute(self.server, "process_actions", process_and_wake)
+
+    async def until(self, condition):
+        """Wait until the relay fulfils a condition: each event of a connection may change its state."""
+        async with asyncio.timeout(TIMEOUT_S):
+            while not condition(self.relay):
+                self.changed.clear()
+                await self.changed.wait()
+
     def publish(self, *changes):
         problems = self.control.publish(self.server.clock(), *changes)
         self.server.published()
@@ -117,7 +116,7 @@
                 await owner.reaches(2)
                 assert owner.content == dict(fleet.control.machine.log.content.items())
                 assert client.follower.log.checkpoint == fleet.control.machine.log.checkpoint
-            await fleet.server.until(lambda relay: relay.summary().in_force == 20)
+            await fleet.until(lambda relay: relay.summary().in_force == 20)
 
     asyncio.run(scene())
 
@@ -152,11 +151,11 @@
 
             replace_attribute(owner, "unusable", unusable)
             fleet.publish(change("configuration/a", "bad"))
-            await fleet.server.until(lambda relay: relay.summary().refused)
+            await fleet.until(lambda relay: relay.summary().refused)
             (laggard,) = fleet.relay.summary().laggards
             assert (laggard.refused, laggard.reason) == (1, "line 3: field `port`")
             fleet.publish(change("configuration/a", "good"))
-            await fleet.server.until(lambda relay: not relay.summary().refused)
+            await fleet.until(lambda relay: not relay.summary().refused)
 
     asyncio.run(scene())
 
@@ -170,7 +169,7 @@
             replace_attribute(owner, "unusable", lambda changes: 1 // 0)
             fleet.publish(change("a", "1"))
             await owner.reaches(1)
-            await fleet.server.until(lambda relay: not relay.sessions)
+            await fleet.until(lambda relay: not relay.sessions)
             assert [type(error) for error in raised] == [ZeroDivisionError]
             assert client.follower.in_force == 0 and client.follower.phase is Phase.STOPPED
 
