--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -20,9 +20,9 @@
 from badgerbend.generation import Generation, Generations, Shared
 from badgerbend.graphql.front import GraphQLFront
 from badgerbend.graphql.schema import Subgraph, subgraph
+from badgerbend.lease_service.budget_exchange import create_broker_budget
 from badgerbend.lease_service.http import handle_duties
 from badgerbend.lease_service.service import LeaseService
-from badgerbend.lease_service.slow_start import broker_budget
 from badgerbend.log import get
 from badgerbend.logic import Aggregator
 from badgerbend.metrics import Metrics
@@ -88,20 +88,20 @@
         if settings.sites is not None:
             self.siting = Siting(settings, settings.sites, folder, self.pools.of, now_ms, self.metrics, self.tiers)
         preference = self.preference()
-        slices = broker_budget(settings)
+        broker_budget = create_broker_budget(settings)
         if self.siting is not None:
-            self.siting.tiers.allowance = slices
+            self.siting.tiers.allowance = broker_budget
         shared = Shared(
-            loop, self.directory, self.watch, self.pools.of, self.metrics, self.decisions, preference, slices
+            loop, self.directory, self.watch, self.pools.of, self.metrics, self.decisions, preference, broker_budget
         )
         self.generations = Generations(settings, graph, shared)
         self.learning: Learning | None = None
         if settings.peers is not None or settings.snapshot is not None:
             self.learning = Learning(settings, self.driver, self.directory, self.metrics.trouble)
-        self.rota: LeaseService | None = None
+        self.lease_service: LeaseService | None = None
         if settings.duties is not None:
-            self.rota = LeaseService(
-                settings, settings.duties, folder, self.driver, self.directory, self.pools.of, slices, clock
+            self.lease_service = LeaseService(
+                settings, settings.duties, folder, self.driver, self.directory, self.pools.of, broker_budget, clock
             )
         self._newest(self.generations.newest)
         self.generations.on_newest = self._newest
@@ -164,7 +164,7 @@
     def _newest(self, generation: Generation) -> None:
         """Who learns and who shares duties does so for the newest configuration."""
         generation.answers.learning = self.learning
-        for part in (self.learning, self.rota):
+        for part in (self.learning, self.lease_service):
             if part is not None:
                 part.driver = generation.driver
 
@@ -178,8 +178,8 @@
         self.port = await self.server.start(self.settings.listen.host, self.settings.listen.port)
         if self.learning is not None:
             await self.learning.start()
-        if self.rota is not None:
-            await self.rota.start()
+        if self.lease_service is not None:
+            await self.lease_service.start()
         self.watch.start()
         if self.siting is not None:
             self.siting.start()
@@ -196,8 +196,8 @@
         began = self.loop.time()
         if self.feeding is not None:
             self.feeding.close()
-        if self.rota is not None:
-            await self.rota.close()  # first: others wait for what it holds
+        if self.lease_service is not None:
+            await self.lease_service.close()  # first: others wait for what it holds
         cut = await self.server.close(self.settings.listen.stop_timeout_ms / 1000.0)
         self.watch.close()
         if self.siting is not None:
@@ -221,7 +221,7 @@
             status = self.learning.status() if self.learning is not None else {"members": []}
             exchange.respond(200, msgspec.json.encode(status), b"application/json")
         elif path.startswith(b"/duties"):
-            handle_duties(self.rota, exchange, path)
+            handle_duties(self.lease_service, exchange, path)
         elif path.startswith(b"/sites") and self.siting is not None:
             self.siting.handle(exchange)
         elif path == b"/ready":
@@ -265,8 +265,8 @@
             if socket is not None:
                 for which, n in (("sent", socket.sent), ("received", socket.received), ("refused", socket.refused)):
                     m.datagrams.labels(which).set(n)
-        if self.rota is not None:
-            self.rota.gauges(m)
+        if self.lease_service is not None:
+            self.lease_service.update_metrics(m)
         if self.feeding is not None and isinstance(self.watch, KeyedList):
             m.list_age.set(self.feeding.age_s)
         elif self.watch.heard_at is not None:
--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -68,7 +68,7 @@
         self.own = settings.voters[settings.name]
         now, seed = clock(), life << 8
         machine = FeedMachine(settings.retention)
-        self.ballot = LocalVoter(
+        self.local_voter = LocalVoter(
             settings.store,
             settings.voting,
             settings.terms,
@@ -92,7 +92,7 @@
         self.relay = Relay(settings.name, machine.log, settings.relaying)
         self.publisher = Publisher(machine.log, check, signer, settings.publishing)
         self.node = ControlNode(
-            self.ballot.voter, self.holder, machine, self.publisher, self.relay, now, settings.control
+            self.local_voter.voter, self.holder, machine, self.publisher, self.relay, now, settings.control
         )
         self.server = RelayServer(self.relay, clock)
         self._wake_up = WakeUp(clock, self._tick)
@@ -109,10 +109,10 @@
         """Gives the lease back, lets another lead, and ends."""
         self.holder.leave(self.clock())
         self._after()
-        self.ballot.hand_over()
+        self.local_voter.transfer_leadership()
         self._closed = True
         self._wake_up.cancel()
-        self.ballot.close()
+        self.local_voter.close()
         await self.server.stop()
         self.shut()
 
@@ -149,7 +149,7 @@
     def _heard(self, message: control_wire.Said, source: Address) -> None:
         match message:
             case LeaseRequest() | LeaseReturn():
-                self.ballot.from_broker(message, source)
+                self.local_voter.receive_from_broker(message, source)
             case LeaseReply():
                 self.holder.told(self.clock(), message)
             case Proposal(command):
@@ -165,25 +165,25 @@
                 | voting.InstallSnapshotReply()
                 | voting.TimeoutNow()
             ):
-                self.ballot.from_voter(message)
+                self.local_voter.receive_from_voter(message)
             case _:
                 self.refused += 1
 
     def _proposed(self, command: bytes) -> None:
-        if self.ballot.broken is None:
-            self.ballot.voter.propose(self.clock(), command)
-            self.ballot.flush()
+        if self.local_voter.failure is None:
+            self.local_voter.voter.propose(self.clock(), command)
+            self.local_voter.flush()
 
     def _to_voter(self, name: str, message: voting.Message) -> None:
         address = self.settings.voters.get(name)
         if address is not None:
-            self.send(address, wire.voter_body(message))
+            self.send(address, wire.encode_consensus_message(message))
 
     def _to_candidate(self, address: Address, message: LeaseReply) -> None:
         if address == self.own:
             self.loop.call_soon(self._told_self, message)
         else:
-            self.send(address, wire.broker_body(message))
+            self.send(address, wire.encode_lease_message(message))
 
     def _told_self(self, message: LeaseReply) -> None:
         if not self._closed:
@@ -195,8 +195,8 @@
         now = self.clock()
         if now >= self.holder.next_at:
             self.holder.tick(now)
-        if now >= self.ballot.next_at:
-            self.ballot.tick()
+        if now >= self.local_voter.next_at:
+            self.local_voter.tick()
         self.node.tick(now)
         self._after()
 
@@ -212,18 +212,18 @@
                 self._carry_out(action)
             if not busy:
                 break
-        self.ballot.flush()
+        self.local_voter.flush()
         self.server.pump()
-        self._wake_up.set(min(self.holder.next_at, self.ballot.next_at, self.node.next_at))
+        self._wake_up.set(min(self.holder.next_at, self.local_voter.next_at, self.node.next_at))
 
     def _ask_for_lease(self) -> bool:
         """The holder's words to the voters, this machine's own among them."""
         words = self.holder.take()
         for name, message in words:
             if name == self.settings.name:
-                self.ballot.from_broker(message, self.own)
+                self.local_voter.receive_from_broker(message, self.own)
             else:
-                self.send(self.settings.voters[name], wire.broker_body(message))
+                self.send(self.settings.voters[name], wire.encode_lease_message(message))
         return bool(words)
 
     def _carry_out(self, action: Action) -> None:
--- a/badgerbend/feed_service/control_wire.py
+++ b/badgerbend/feed_service/control_wire.py
@@ -19,7 +19,7 @@
     command: bytes
 
 
-Said = wire.Said | Proposal | Summary
+Said = wire.Message | Proposal | Summary
 
 
 def proposal_body(command: bytes) -> bytes:
@@ -37,7 +37,7 @@
             return Proposal(body[1:])
         case b"u":
             return _summary(body[1:])
-    return wire.read(body)
+    return wire.decode(body)
 
 
 def _summary(data: bytes) -> Summary:
--- /dev/null
+++ b/badgerbend/lease_service/budget_exchange.py
@@ -0,0 +1,119 @@
+"""One broker's part in sharing the slow-start budget: its requests, and the allocator while it is the leader.
+
+The broker that holds the lease on the slow-start duty runs the allocator, and requests from itself as from any other.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from typing import Any
+
+from badgerbend import api
+from badgerbend.config.settings import Settings
+from badgerbend.discovery.directory import Directory
+from badgerbend.leases.messages import BudgetReply, BudgetRequest
+from badgerbend.slow_start_budget.allocator import BudgetAllocator
+from badgerbend.slow_start_budget.broker import BrokerBudget
+from badgerbend.slow_start_budget.timing import BudgetTiming
+
+SLOW_START_DUTY = "cold"  # on the wire; one for the whole fleet, since brokers of all sites may send to a server
+REQUESTS_PER_GRANT = 4.0  # requests during the duration of a grant: three of them may be lost
+
+
+def broker_name(settings: Settings) -> str:
+    """A broker's name among those that share duties."""
+    return f"broker-{settings.identity.index}"
+
+
+def create_broker_budget(settings: Settings) -> BrokerBudget | None:
+    """The budget that a broker's decisions ask; None where the settings have none shared."""
+    duties = settings.duties
+    if duties is None or not duties.dealing:
+        return None
+    timing = BudgetTiming(duties.slice_ms, duties.clock_rate)
+    return BrokerBudget(broker_name(settings), SLOW_START_DUTY, timing, incarnation=int(time.time() * 1000))
+
+
+class BudgetExchange:
+    """The budget and the allocator of one broker, without the socket."""
+
+    def __init__(
+        self, broker_budget: BrokerBudget, directory: Directory, slow_start_ms: float, now_ms: Callable[[], float]
+    ) -> None:
+        """slow_start_ms: how long a server is warming up. now_ms: the decisions' clock, which grants are counted by."""
+        self.broker_budget = broker_budget
+        self.directory = directory
+        self.slow_start_ms = slow_start_ms
+        self.now_ms = now_ms
+        self.allocator = BudgetAllocator(broker_budget.name, SLOW_START_DUTY, broker_budget.timing)
+        self.epoch = 0  # under which this broker allocates; 0: it does not
+        self.unanswered_requests = 0
+
+    @property
+    def request_interval_s(self) -> float:
+        """How often to send requests, before jitter."""
+        return self.broker_budget.timing.grant_ms / 1000.0 / REQUESTS_PER_GRANT
+
+    def create_requests(self) -> list[BudgetRequest]:
+        """What to send to the allocator now; empty while no server is warming up."""
+        now_ms = self.now_ms()
+        self.broker_budget.update_cold_servers(now_ms, self._cold_servers(now_ms))
+        requests = self.broker_budget.create_requests(now_ms)
+        self.unanswered_requests = self.unanswered_requests + 1 if requests else 0
+        return requests
+
+    def _cold_servers(self, now_ms: float) -> dict[int, tuple[str, float]]:
+        return {
+            known.number: (name, known.started)
+            for name, known in self.directory.known.items()
+            if known.line.state == api.EndpointState.READY
+            and known.started_ms
+            and now_ms - known.started_ms < self.slow_start_ms
+        }
+
+    def handle_request(self, clock_ms: float, epoch: int | None, request: BudgetRequest) -> BudgetReply | None:
+        """The reply to a broker's request, if any.
+
+        clock_ms: the clock of the leases. epoch: under which this broker may act on the duty now, None if it may not.
+        """
+        if request.duty != SLOW_START_DUTY:
+            return None
+        if epoch is None:
+            self.stop_allocating()
+            return None
+        if epoch != self.epoch:
+            self.epoch = epoch
+            self.allocator.start(clock_ms)
+        return self.allocator.handle_request(clock_ms, epoch, request)
+
+    def stop_allocating(self) -> None:
+        """This broker does not hold the lease."""
+        if self.epoch:
+            self.epoch = 0
+            self.allocator.stop()
+
+    def apply_reply(self, reply: BudgetReply) -> None:
+        """Takes the grants of a reply that passed the fence."""
+        self.unanswered_requests = 0
+        self.broker_budget.apply_reply(self.now_ms(), reply)
+
+    def status(self) -> dict[str, Any]:
+        """For the status page: what is warming up, the rates that hold here, and what this broker grants to others."""
+        now_ms = self.now_ms()
+        budget = self.broker_budget
+        resources = {resource.name: resource for resource in (*budget.servers.values(), *budget.sites.values())}
+        return {
+            "cold": [
+                {
+                    "thing": name,
+                    "own_per_s": resource.own_rate * 1000.0,
+                    "dealt_per_s": resource.granted_rate * 1000.0 if now_ms < resource.granted_until_ms else None,
+                }
+                for name, resource in sorted(resources.items())
+            ],
+            "slices": budget.grants_applied,
+            "dealt": self.allocator.grants_issued,
+            "books": len(self.allocator.allocations),
+            "unheard": self.unanswered_requests,
+        }
--- a/badgerbend/lease_service/local_voter.py
+++ b/badgerbend/lease_service/local_voter.py
@@ -16,7 +16,7 @@
 from badgerbend.wal.store import Store
 from badgerbend.wal.writer import Writer
 
-BROKERS = 4096  # whose addresses are remembered
+MAX_BROKER_ADDRESSES = 4096  # whose addresses are remembered
 
 
 class LocalVoter:
@@ -44,32 +44,32 @@
         self.name = store.owner.name
         self.voter = Voter(self.name, store.kept, tuning, terms, seed, clock(), machine)
         self.writer = Writer(store, asyncio.get_running_loop(), self._saved, self._failed)
-        self.broken: str | None = None
-        self.brokers: OrderedDict[str, Address] = OrderedDict()
+        self.failure: str | None = None
+        self.broker_addresses: OrderedDict[str, Address] = OrderedDict()
 
-    def from_voter(self, message: voting.Message) -> None:
-        if self.broken is None:
+    def receive_from_voter(self, message: voting.Message) -> None:
+        if self.failure is None:
             self.voter.from_voter(self.clock(), message)
             self.flush()
 
-    def from_broker(self, message: LeaseRequest | LeaseReturn, source: Address) -> None:
-        if self.broken is not None:
+    def receive_from_broker(self, message: LeaseRequest | LeaseReturn, source: Address) -> None:
+        if self.failure is not None:
             return
-        self.brokers[message.source] = source
-        self.brokers.move_to_end(message.source)
-        if len(self.brokers) > BROKERS:
-            self.brokers.popitem(last=False)
+        self.broker_addresses[message.source] = source
+        self.broker_addresses.move_to_end(message.source)
+        if len(self.broker_addresses) > MAX_BROKER_ADDRESSES:
+            self.broker_addresses.popitem(last=False)
         self.voter.from_broker(self.clock(), message)
         self.flush()
 
     def tick(self) -> None:
-        if self.broken is None:
+        if self.failure is None:
             self.voter.tick(self.clock())
             self.flush()
 
     @property
     def next_at(self) -> float:
-        return self.voter.next_at if self.broken is None else float("inf")
+        return self.voter.next_at if self.failure is None else float("inf")
 
     def flush(self) -> None:
         out = self.voter.take()
@@ -78,14 +78,14 @@
         for to, message in out.to_voters:
             self.send_voter(to, message)
         for name, told in out.to_brokers:
-            if name in self.brokers:
-                self.send_broker(self.brokers[name], told)
+            if name in self.broker_addresses:
+                self.send_broker(self.broker_addresses[name], told)
         for what, values in out.notes:
             self.note(what, **values)
 
-    def hand_over(self) -> bool:
+    def transfer_leadership(self) -> bool:
         """Before the end of the process: another leads, if this one does. False where there is nothing to hand over."""
-        began = self.broken is None and self.voter.raft.transfer(self.clock())
+        began = self.failure is None and self.voter.raft.transfer(self.clock())
         self.flush()
         return began
 
@@ -93,12 +93,12 @@
         self.writer.close()
 
     def _saved(self, seq: int) -> None:
-        if self.broken is None:
+        if self.failure is None:
             self.voter.saved(self.clock(), seq)
             self.flush()
             self.changed()
 
     def _failed(self, why: str) -> None:
         """What the disk holds is not known: this broker votes no more until it is started anew. It goes on serving."""
-        self.broken = why
+        self.failure = why
         self.note("votes no more", why=why)
--- a/badgerbend/lease_service/probing.py
+++ b/badgerbend/lease_service/probing.py
@@ -41,7 +41,7 @@
     def may_act(self, duty: str) -> int | None:
         """The epoch under which this broker may act on a duty now, if it may."""
 
-    def to_holder(self, duty: str, body: bytes) -> None:
+    def send_to_holder(self, duty: str, body: bytes) -> None:
         """Sends to whoever holds a duty, as this broker was last told."""
 
     def send(self, address: Address, body: bytes, still: Callable[[], bool] | None = None) -> None: ...
@@ -97,7 +97,7 @@
         if self.may_act() is not None:
             self.heard_doubt(doubt, self.socket.own)
         elif holder.duties[self.duty].holder != self.broker:
-            self.socket.to_holder(self.duty, wire.peer_body(doubt))
+            self.socket.send_to_holder(self.duty, wire.encode_peer_message(doubt))
 
     def heard_doubt(self, doubt: SuspicionReport, source: Address) -> None:
         if doubt.duty == self.duty and self.may_act() is not None:
@@ -142,7 +142,7 @@
             if at == address_text(self.socket.own):
                 self.heard_found(found)
             else:
-                self.socket.send(parse_address(at), wire.peer_body(found), lambda: self.may_act() == epoch)
+                self.socket.send(parse_address(at), wire.encode_peer_message(found), lambda: self.may_act() == epoch)
 
     def heard_found(self, found: ProbeReport) -> None:
         """Under an older epoch than was seen it takes no effect, whoever says it."""
--- a/badgerbend/lease_service/service.py
+++ b/badgerbend/lease_service/service.py
@@ -17,9 +17,9 @@
 from badgerbend.discovery.directory import Directory
 from badgerbend.discovery.members import parse_address
 from badgerbend.lease_service import wire
+from badgerbend.lease_service.budget_exchange import SLOW_START_DUTY, BudgetExchange, broker_name
 from badgerbend.lease_service.local_voter import LocalVoter
 from badgerbend.lease_service.probing import PROBING_DUTY, ProbingDuty
-from badgerbend.lease_service.slow_start import SLOW_START_DUTY, BudgetExchange, broker_name
 from badgerbend.lease_service.status import LeaseServiceStatus, duty_statuses, vote_counts, vote_status
 from badgerbend.leases.fencing import FencingGuard
 from badgerbend.leases.holder import LeaseHolder, LeaseTiming
@@ -32,16 +32,16 @@
     ProbeReport,
     SuspicionReport,
 )
-from badgerbend.leases.slow_start import BrokerBudget
 from badgerbend.log import get
 from badgerbend.metrics import Metrics
 from badgerbend.net.client import Pool
 from badgerbend.net.seal import Seal, bears, read_key
 from badgerbend.net.udp import Address, SealedSocket, address_text
 from badgerbend.runtime.driver import Driver
+from badgerbend.slow_start_budget.broker import BrokerBudget
 from badgerbend.wal.store import StoreError
 
-HAND_OVER_S = 0.3  # leadership is awaited to be taken at the end of the process
+TRANSFER_TIMEOUT_S = 0.3  # leadership is awaited to be taken at the end of the process
 
 
 def lease_timing(duties: Duties) -> LeaseTiming:
@@ -65,19 +65,19 @@
         driver: Driver,
         directory: Directory,
         pool_of: Callable[[int], Pool | None],
-        slices: BrokerBudget | None = None,
+        broker_budget: BrokerBudget | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.settings, self.duties, self.folder = settings, duties, folder
-        self.life = int(time.time() * 1000)
+        self.incarnation = int(time.time() * 1000)
         self.name = broker_name(settings)
         self.keys = tuple(read_key(folder / path) for path in duties.key)
-        super().__init__(Seal(self.keys, self.life))
+        super().__init__(Seal(self.keys, self.incarnation))
         self.driver, self.clock = driver, clock
         self.log = get(part="duties")
-        self.terms = lease_timing(duties)
-        self.voters = {v.name: parse_address(v.address) for v in duties.voter}
-        self.ballot: LocalVoter | None = None
+        self.timing = lease_timing(duties)
+        self.voter_addresses = {v.name: parse_address(v.address) for v in duties.voter}
+        self.local_voter: LocalVoter | None = None
         self.holder: LeaseHolder | None = None
         self.fence = FencingGuard()
         home = settings.sites.home(settings.identity.zone) if settings.sites is not None else None
@@ -93,10 +93,12 @@
             pool_of,
             clock,
         )
-        self.dealing: BudgetExchange | None = None
-        if slices is not None:
-            self.dealing = BudgetExchange(slices, directory, settings.servers.cold_ms, driver.schedule.now_ms)
-        self.dealt = 0  # answers to brokers that asked for an allowance
+        self.budget_exchange: BudgetExchange | None = None
+        if broker_budget is not None:
+            self.budget_exchange = BudgetExchange(
+                broker_budget, directory, settings.servers.cold_ms, driver.schedule.now_ms
+            )
+        self.budget_replies = 0  # answers to brokers that asked for an allowance
         self._timer: asyncio.TimerHandle | None = None
         self._asking: asyncio.TimerHandle | None = None
         self._closed = False
@@ -106,10 +108,10 @@
         duties = self.duties
         if duties.store is not None:
             tuning = RaftConfig(duties.election_ms / 1000.0, duties.beat_ms / 1000.0)
-            self.ballot = LocalVoter(
+            self.local_voter = LocalVoter(
                 self.folder / duties.store,
                 tuning,
-                self.terms,
+                self.timing,
                 self._seed(1),
                 self.clock,
                 self._to_voter,
@@ -117,25 +119,29 @@
                 self._note,
                 self._after,
             )
-            if self.ballot.name != self.name:
-                named = self.ballot.name
-                self.ballot.close()
+            if self.local_voter.name != self.name:
+                named = self.local_voter.name
+                self.local_voter.close()
                 raise StoreError(f"{self.folder / duties.store}: the store of {named}, and this is {self.name}")
         port = await self.open(duties.host, duties.port)
         if duties.advertise is not None:
             self.own = parse_address(duties.advertise)
-        stands = dict.fromkeys([self.duty] * duties.probing + [SLOW_START_DUTY] * (self.dealing is not None), True)
-        at, voters = address_text(self.own), tuple(self.voters)
-        self.holder = LeaseHolder(self.name, at, stands, voters, self.terms, self._seed(2), self.clock())
+        stands = dict.fromkeys(
+            [self.duty] * duties.probing + [SLOW_START_DUTY] * (self.budget_exchange is not None), True
+        )
+        at, voters = address_text(self.own), tuple(self.voter_addresses)
+        self.holder = LeaseHolder(self.name, at, stands, voters, self.timing, self._seed(2), self.clock())
         if duties.probing:
             self.probing.start(self.holder)
-        if self.dealing is not None:
-            self._asking = self.loop.call_later(self.dealing.every_s * self.holder.rng.random(), self._ask)
+        if self.budget_exchange is not None:
+            self._asking = self.loop.call_later(
+                self.budget_exchange.request_interval_s * self.holder.rng.random(), self._ask
+            )
         self._after()
         return port
 
     def _seed(self, what: int) -> int:
-        return (self.settings.seed * 1_000_003 + self.settings.identity.index) * 4 + what + (self.life << 64)
+        return (self.settings.seed * 1_000_003 + self.settings.identity.index) * 4 + what + (self.incarnation << 64)
 
     async def close(self) -> None:
         """Gives back what it holds, lets another lead, and ends."""
@@ -147,25 +153,25 @@
         if self.holder is not None:
             self.holder.leave(self.clock())
             self._send_holder()
-        if self.ballot is not None:
-            if self.ballot.hand_over():
-                until = self.loop.time() + HAND_OVER_S
-                while self.ballot.voter.leads and self.loop.time() < until:
+        if self.local_voter is not None:
+            if self.local_voter.transfer_leadership():
+                until = self.loop.time() + TRANSFER_TIMEOUT_S
+                while self.local_voter.voter.leads and self.loop.time() < until:
                     await asyncio.sleep(0.01)
-            self.ballot.close()
+            self.local_voter.close()
         self.shut()
 
     # -- datagrams
     def body(self, body: bytes, source: Address) -> None:
         try:
-            message = wire.read(body)
+            message = wire.decode(body)
         except wire.MalformedMessageError:
             self.refused += 1
             return
         match message:
             case LeaseRequest() | LeaseReturn():
-                if self.ballot is not None:
-                    self.ballot.from_broker(message, source)
+                if self.local_voter is not None:
+                    self.local_voter.receive_from_broker(message, source)
             case LeaseReply():
                 self._told(message)
             case SuspicionReport():
@@ -177,8 +183,8 @@
             case BudgetReply():
                 self._heard_dealt(message)
             case _:
-                if self.ballot is not None:
-                    self.ballot.from_voter(message)
+                if self.local_voter is not None:
+                    self.local_voter.receive_from_voter(message)
         self._after()
 
     def _told(self, message: LeaseReply) -> None:
@@ -190,15 +196,15 @@
                     self._note("holds", duty=duty, epoch=epoch)
 
     def _to_voter(self, name: str, message: voting.Message) -> None:
-        address = self.voters.get(name)
+        address = self.voter_addresses.get(name)
         if address is not None:
-            self.send(address, wire.voter_body(message))
+            self.send(address, wire.encode_consensus_message(message))
 
     def _to_broker(self, address: Address, message: LeaseReply) -> None:
         if address == self.own:
             self.loop.call_soon(self._told_self, message)
         else:
-            self.send(address, wire.broker_body(message))
+            self.send(address, wire.encode_lease_message(message))
 
     def _told_self(self, message: LeaseReply) -> None:
         if not self._closed:
@@ -208,10 +214,10 @@
     def _send_holder(self) -> None:
         assert self.holder is not None
         for name, message in self.holder.take():
-            if self.ballot is not None and name == self.ballot.name:
-                self.ballot.from_broker(message, self.own)
-            elif name in self.voters:
-                self.send(self.voters[name], wire.broker_body(message))
+            if self.local_voter is not None and name == self.local_voter.name:
+                self.local_voter.receive_from_broker(message, self.own)
+            elif name in self.voter_addresses:
+                self.send(self.voter_addresses[name], wire.encode_lease_message(message))
 
     # -- time
     def _after(self) -> None:
@@ -221,7 +227,7 @@
         self._send_holder()
         if self._timer is not None:
             self._timer.cancel()
-        at = min(self.holder.next_at, self.ballot.next_at if self.ballot is not None else float("inf"))
+        at = min(self.holder.next_at, self.local_voter.next_at if self.local_voter is not None else float("inf"))
         self._timer = self.loop.call_later(max(at - self.clock(), 0.001), self._tick)
 
     def _tick(self) -> None:
@@ -231,8 +237,8 @@
         self.holder.load = float(self.driver.open_parts)
         if now >= self.holder.next_at:
             self.holder.tick(now)
-        if self.ballot is not None and now >= self.ballot.next_at:
-            self.ballot.tick()
+        if self.local_voter is not None and now >= self.local_voter.next_at:
+            self.local_voter.tick()
         self._after()
 
     # -- acting
@@ -240,7 +246,7 @@
         """The epoch under which this broker may act on a duty now, if it may."""
         return self.holder.may_act(self.clock(), duty) if self.holder is not None else None
 
-    def to_holder(self, duty: str, body: bytes) -> None:
+    def send_to_holder(self, duty: str, body: bytes) -> None:
         """To whoever holds a duty, as this broker was last told; to nobody where that is not known."""
         assert self.holder is not None
         mine = self.holder.duties[duty]
@@ -252,25 +258,31 @@
 
     # -- cold allowance
     def _ask(self) -> None:
-        assert self.holder is not None and self.dealing is not None
-        self._asking = self.loop.call_later(self.dealing.every_s * self.holder.rng.uniform(0.8, 1.2), self._ask)
+        assert self.holder is not None and self.budget_exchange is not None
+        self._asking = self.loop.call_later(
+            self.budget_exchange.request_interval_s * self.holder.rng.uniform(0.8, 1.2), self._ask
+        )
         if self.may_act(SLOW_START_DUTY) is None:
-            self.dealing.rest()
-        for ask in self.dealing.asks():  # the dealer asks itself in the same way: its share is seen like any other
-            self.to_holder(SLOW_START_DUTY, wire.peer_body(ask))
+            self.budget_exchange.stop_allocating()
+        for ask in self.budget_exchange.create_requests():
+            self.send_to_holder(SLOW_START_DUTY, wire.encode_peer_message(ask))
 
     def _heard_ask(self, ask: BudgetRequest, source: Address) -> None:
         """An answer is an act: told under the epoch in force now, or not at all."""
-        if self.dealing is None:
+        if self.budget_exchange is None:
             return
-        dealt = self.dealing.asked(self.clock() * 1000.0, self.may_act(SLOW_START_DUTY), ask)
+        dealt = self.budget_exchange.handle_request(self.clock() * 1000.0, self.may_act(SLOW_START_DUTY), ask)
         if dealt is not None:
-            self.dealt += 1
-            self.send(source, wire.peer_body(dealt), lambda: self.may_act(SLOW_START_DUTY) == dealt.epoch)
+            self.budget_replies += 1
+            self.send(source, wire.encode_peer_message(dealt), lambda: self.may_act(SLOW_START_DUTY) == dealt.epoch)
 
     def _heard_dealt(self, dealt: BudgetReply) -> None:
-        if self.dealing is not None and dealt.duty == SLOW_START_DUTY and self.fence.admits(dealt.duty, dealt.epoch):
-            self.dealing.told(dealt)
+        if (
+            self.budget_exchange is not None
+            and dealt.duty == SLOW_START_DUTY
+            and self.fence.admits(dealt.duty, dealt.epoch)
+        ):
+            self.budget_exchange.apply_reply(dealt)
 
     # -- for people
     def _note(self, what: str, **values: object) -> None:
@@ -283,11 +295,11 @@
             name=self.name,
             leader=self.holder.leader if self.holder is not None else "",
             duties=duty_statuses(self.holder, now) if self.holder is not None else [],
-            vote=vote_status(self.ballot, now) if self.ballot is not None else None,
+            vote=vote_status(self.local_voter, now) if self.local_voter is not None else None,
             probes=self.probing.prober.probes,
             findings=self.probing.findings,
-            acts=self.probing.acts + self.dealt,
-            dealing=self.dealing.status() if self.dealing is not None else None,
+            acts=self.probing.acts + self.budget_replies,
+            dealing=self.budget_exchange.status() if self.budget_exchange is not None else None,
             refused_acts=self.fence.refused,
             sent=self.sent,
             received=self.received,
@@ -295,7 +307,7 @@
             bytes=self.bytes,
         )
 
-    def gauges(self, metrics: Metrics) -> None:
+    def update_metrics(self, metrics: Metrics) -> None:
         for duty in duty_statuses(self.holder, self.clock()) if self.holder is not None else ():
             metrics.duties.labels(duty.duty, "held here").set(duty.may_act)
             metrics.duties.labels(duty.duty, "epoch").set(duty.epoch)
@@ -306,10 +318,13 @@
             "datagrams sent": self.sent,
             "datagrams refused": self.refused,
         }
-        if self.dealing is not None:
-            counts |= {"slices dealt": self.dealing.dealer.slices, "slices taken": self.dealing.slices.dealt}
-        if self.ballot is not None:
-            counts |= vote_counts(self.ballot)
+        if self.budget_exchange is not None:
+            counts |= {
+                "slices dealt": self.budget_exchange.allocator.grants_issued,
+                "slices taken": self.budget_exchange.broker_budget.grants_applied,
+            }
+        if self.local_voter is not None:
+            counts |= vote_counts(self.local_voter)
         for what, count in counts.items():
             metrics.rota.labels(what).set(count)
 
@@ -327,10 +342,10 @@
             return 200, "given back"
         words = path.split("/")
         if len(words) == 3 and words[0] == "voters" and words[1] in ("add", "remove"):
-            if self.ballot is None or not self.ballot.voter.leads:
+            if self.local_voter is None or not self.local_voter.voter.leads:
                 return 409, f"not the leader; that is {self.holder.leader if self.holder else ''}"
-            against = self.ballot.voter.raft.change(self.clock(), words[2], words[1] == "add")
-            self.ballot.flush()
+            against = self.local_voter.voter.raft.change(self.clock(), words[2], words[1] == "add")
+            self.local_voter.flush()
             self._after()
             return (409, against) if against else (200, "on the way; see the status")
         return 404, "no such command"
--- a/badgerbend/lease_service/status.py
+++ b/badgerbend/lease_service/status.py
@@ -81,34 +81,34 @@
     ]
 
 
-def vote_status(ballot: LocalVoter, now: float) -> VoteStatus:
-    raft = ballot.voter.raft
+def vote_status(local_voter: LocalVoter, now: float) -> VoteStatus:
+    raft = local_voter.voter.raft
     return VoteStatus(
-        name=ballot.name,
+        name=local_voter.name,
         role=raft.role.name.lower(),
         term=raft.term,
         leader=raft.leader,
         voters=list(raft.voters),
         commit=raft.commit,
         last=raft.log.last_index,
-        broken=ballot.broken,
-        syncs=ballot.writer.syncs,
-        renewals=ballot.voter.renewals,
+        broken=local_voter.failure,
+        syncs=local_voter.writer.syncs,
+        renewals=local_voter.voter.renewals,
         others={
             name: FollowerStatus(progress.match, round((now - progress.heard_at) * 1000.0))
             for name, progress in raft.progress.items()
         },
-        leases=[LeaseStatus(duty, lease.holder, lease.epoch) for duty, lease in ballot.voter.table.leases.items()],
+        leases=[LeaseStatus(duty, lease.holder, lease.epoch) for duty, lease in local_voter.voter.table.leases.items()],
     )
 
 
-def vote_counts(ballot: LocalVoter) -> dict[str, int]:
+def vote_counts(local_voter: LocalVoter) -> dict[str, int]:
     """By name, for the metrics."""
-    raft = ballot.voter.raft
+    raft = local_voter.voter.raft
     return {
         "term": raft.term,
-        "leads": int(ballot.voter.leads),
+        "leads": int(local_voter.voter.leads),
         "commit": raft.commit,
-        "syncs": ballot.writer.syncs,
-        "votes no more": int(ballot.broken is not None),
+        "syncs": local_voter.writer.syncs,
+        "votes no more": int(local_voter.failure is not None),
     }
--- a/badgerbend/lease_service/wire.py
+++ b/badgerbend/lease_service/wire.py
@@ -1,34 +1,40 @@
-"""One datagram: a letter that says whose it is, then the message."""
+"""The format of one datagram between brokers: a byte for the protocol, then the encoded message."""
 
 from __future__ import annotations
 
-from badgerbend.consensus import messages as voting
-from badgerbend.leases import messages as saying
+from badgerbend.consensus import messages as consensus_messages
+from badgerbend.leases import messages as lease_messages
 
-VOTING, SAYING, ACTING = b"v", b"s", b"a"
-Said = voting.Message | saying.Message | saying.PeerMessage
-MalformedMessageError = voting.MalformedMessageError
+CONSENSUS_TAG = b"v"  # between voters
+LEASE_TAG = b"s"  # between a broker and a voter
+PEER_TAG = b"a"  # between brokers, for a duty
+Message = consensus_messages.Message | lease_messages.Message | lease_messages.PeerMessage
+MalformedMessageError = consensus_messages.MalformedMessageError
 
 
-def voter_body(message: voting.Message) -> bytes:
-    return VOTING + voting.encode(message)
+def encode_consensus_message(message: consensus_messages.Message) -> bytes:
+    """The datagram of a message between voters."""
+    return CONSENSUS_TAG + consensus_messages.encode(message)
 
 
-def broker_body(message: saying.Message) -> bytes:
-    return SAYING + saying.encode(message)
+def encode_lease_message(message: lease_messages.Message) -> bytes:
+    """The datagram of a message between a broker and a voter."""
+    return LEASE_TAG + lease_messages.encode(message)
 
 
-def peer_body(act: saying.PeerMessage) -> bytes:
-    return ACTING + saying.encode(act)
+def encode_peer_message(message: lease_messages.PeerMessage) -> bytes:
+    """The datagram of a message between brokers."""
+    return PEER_TAG + lease_messages.encode(message)
 
 
-def read(body: bytes) -> Said:
-    """Raises Malformed."""
-    match body[:1]:
-        case b"v":
-            return voting.decode(body[1:])
-        case b"s":
-            return saying.decode(body[1:])
-        case b"a":
-            return saying.decode_peer_message(body[1:])
-    raise MalformedMessageError(f"letter {body[:1]!r}")
+def decode(datagram: bytes) -> Message:
+    """The message of a datagram. Raises MalformedMessageError for an unknown tag or a message of the wrong shape."""
+    tag = datagram[:1]
+    content = datagram[1:]
+    if tag == CONSENSUS_TAG:
+        return consensus_messages.decode(content)
+    if tag == LEASE_TAG:
+        return lease_messages.decode(content)
+    if tag == PEER_TAG:
+        return lease_messages.decode_peer_message(content)
+    raise MalformedMessageError(f"letter {tag!r}")
--- /dev/null
+++ b/badgerbend/slow_start_budget/broker.py
@@ -0,0 +1,159 @@
+"""A broker's side of the slow-start budget: it reports its demand, and knows which rates it may use now. Pure."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+
+from badgerbend.leases.messages import MAX_SERVERS, BudgetDemand, BudgetReply, BudgetRequest
+from badgerbend.slow_start_budget.timing import BudgetTiming
+
+MAX_REQUESTS = 8  # datagrams that a broker sends at once: 128 resources, those of the largest difference first
+REQUEST_NUMBER_BITS = 20  # 1,048,576 requests of one incarnation; at four a second a day has 345,600
+MAX_COUNTED_PARTS = 4096  # parts counted as demand for one resource between two requests
+MIN_RATE_MULTIPLIER = 1e-6
+
+
+@dataclass(slots=True)
+class Resource:
+    """A server that is warming up, or a site that recovers, as one broker sees it.
+
+    Rates are parts a millisecond; those of a server are as if it were warm. Times are milliseconds of the broker's
+    clock. A server's demand is counted in parts since the last request, a site's is a rate.
+    """
+
+    name: str
+    started_ms: float
+    own_rate: float = 0.0
+    demand_parts: float = 0.0
+    demand_rate: float = 0.0
+    demand_since_ms: float = 0.0
+    counted_parts: set[int] = field(default_factory=set)
+    granted_rate: float = 0.0
+    granted_until_ms: float = -math.inf
+    capped_until_ms: float = -math.inf  # the rate stays at or below the last grant until then, also once that expired
+    granted_request: int = 0  # number of the request whose grant is in force
+
+    def acknowledged_request(self, now_ms: float) -> int:
+        """The request whose grant still binds the broker; 0 for none."""
+        return self.granted_request if now_ms < self.capped_until_ms else 0
+
+
+class BrokerBudget:
+    """One broker's budget, the `api.SlowStartBudget` of its decisions.
+
+    Times are milliseconds of the decisions' clock.
+    """
+
+    def __init__(self, name: str, duty: str, timing: BudgetTiming, incarnation: int) -> None:
+        """incarnation: greater than that of any earlier process of this name, as the start time in ms."""
+        self.name = name
+        self.duty = duty
+        self.timing = timing
+        self.servers: dict[int, Resource] = {}
+        self.sites: dict[str, Resource] = {}
+        self.request_times: dict[int, float] = {}  # by number of the request
+        self.grants_applied = 0
+        self._last_request = incarnation << REQUEST_NUMBER_BITS  # replies to earlier incarnations match no request
+
+    # -- called by the decisions
+
+    def server_rate(self, now_ms: float, node: int, own: float, times: float, part: int, among: int) -> float:
+        """See `api.SlowStartBudget`."""
+        server = self.servers.get(node)
+        if server is None:
+            return own
+        if part not in server.counted_parts and len(server.counted_parts) < MAX_COUNTED_PARTS:
+            server.counted_parts.add(part)
+            server.demand_parts += 1.0 / (max(among, 1) * max(times, MIN_RATE_MULTIPLIER))
+        return self._usable_rate(server, now_ms, own)
+
+    def recovering_site_rate(self, now_ms: float, name: str, own: float, wanted: float) -> float:
+        """See `api.SlowStartBudget`."""
+        resource_name = f"site {name}"
+        site = self.sites.setdefault(resource_name, Resource(resource_name, 0.0))
+        site.demand_rate = wanted
+        return self._usable_rate(site, now_ms, own)
+
+    def _usable_rate(self, resource: Resource, now_ms: float, own_rate: float) -> float:
+        resource.own_rate = own_rate
+        if now_ms < resource.granted_until_ms:
+            return resource.granted_rate
+        if now_ms < resource.capped_until_ms:
+            return min(resource.granted_rate, own_rate)
+        return own_rate
+
+    # -- requests and replies
+
+    def update_cold_servers(self, now_ms: float, cold: Mapping[int, tuple[str, float]]) -> None:
+        """Sets which servers are warming up: by number, their names and start times as the endpoint list states them.
+
+        A grant for an earlier start of a server is dropped.
+        """
+        for number, (name, started_ms) in cold.items():
+            server = self.servers.get(number)
+            if server is None or (server.name, server.started_ms) != (name, started_ms):
+                self.servers[number] = Resource(name, started_ms, demand_since_ms=now_ms)
+        # A server that is still capped is kept: the list may name it again, and the allocator counts on the cap.
+        warm = [n for n, server in self.servers.items() if n not in cold and now_ms >= server.capped_until_ms]
+        for number in warm:
+            del self.servers[number]
+
+    def create_requests(self, now_ms: float) -> list[BudgetRequest]:
+        """What to send to the allocator now; empty where nothing is warming up.
+
+        Resources without demand are reported too: their rate is what others may be granted.
+        """
+        demands = self._server_demands(now_ms) + self._site_demands(now_ms)
+        demands.sort(key=lambda demand: (-abs(demand.wanted - demand.own), demand.thing))
+        requests = list[BudgetRequest]()
+        for first in range(0, min(len(demands), MAX_REQUESTS * MAX_SERVERS), MAX_SERVERS):
+            self._last_request += 1
+            self.request_times[self._last_request] = now_ms
+            reported = tuple(demands[first : first + MAX_SERVERS])
+            requests.append(BudgetRequest(self.name, self.duty, self._last_request, reported))
+        oldest_ms = now_ms - self.timing.grant_ms
+        self.request_times = {number: at for number, at in self.request_times.items() if at > oldest_ms}
+        return requests
+
+    def apply_reply(self, now_ms: float, reply: BudgetReply) -> None:
+        """Takes the grants of a reply that passed the fence. Replies to unknown or expired requests are ignored."""
+        requested_ms = self.request_times.get(reply.seq)
+        if requested_ms is None:
+            return
+        granted_until_ms = requested_ms + self.timing.broker_grant_ms
+        if now_ms >= granted_until_ms:
+            return
+        resources = {(r.name, r.started_ms): r for r in (*self.servers.values(), *self.sites.values())}
+        for grant in reply.slices:
+            resource = resources.get((grant.thing, grant.started))
+            if resource is None or granted_until_ms < resource.granted_until_ms:
+                continue
+            resource.granted_rate = grant.pace
+            resource.granted_until_ms = granted_until_ms
+            resource.granted_request = reply.seq
+            resource.capped_until_ms = now_ms + self.timing.broker_cap_ms
+            self.grants_applied += 1
+
+    def _server_demands(self, now_ms: float) -> list[BudgetDemand]:
+        demands = list[BudgetDemand]()
+        for server in self.servers.values():
+            rate = server.demand_parts / max(now_ms - server.demand_since_ms, 1.0)
+            acknowledged = server.acknowledged_request(now_ms)
+            demands.append(BudgetDemand(server.name, server.started_ms, server.own_rate, rate, acknowledged))
+            server.demand_parts = 0.0
+            server.demand_since_ms = now_ms
+            server.counted_parts.clear()
+        return demands
+
+    def _site_demands(self, now_ms: float) -> list[BudgetDemand]:
+        demands = list[BudgetDemand]()
+        for site in list(self.sites.values()):
+            if site.own_rate > 0.0:
+                acknowledged = site.acknowledged_request(now_ms)
+                demands.append(BudgetDemand(site.name, 0.0, site.own_rate, site.demand_rate, acknowledged))
+                site.own_rate = 0.0  # set again by the decisions as long as the site recovers
+            elif now_ms >= site.capped_until_ms:
+                del self.sites[site.name]
+        return demands
--- a/badgerbend/standin/acts.py
+++ b/badgerbend/standin/acts.py
@@ -49,10 +49,10 @@
         return sorted(((b - a, a) for a, b in zip(edges, edges[1:], strict=False)), reverse=True)
 
 
-def message_of(data: bytes) -> wire.Said | None:
+def message_of(data: bytes) -> wire.Message | None:
     """What a sealed datagram says; None for what is no message of duties."""
     try:
-        return wire.read(data[HEAD.size : -MAC_BYTES])
+        return wire.decode(data[HEAD.size : -MAC_BYTES])
     except wire.MalformedMessageError:
         return None
 
--- a/badgerbend/standin/scene.py
+++ b/badgerbend/standin/scene.py
@@ -117,7 +117,7 @@
 
     def __init__(self, brokers: dict[str, Address], servers: tuple[str, ...], duty: str) -> None:
         super().__init__(Seal((KEY.strip(),), int(time.time() * 1000)))
-        self.brokers, self.act = brokers, wire.peer_body(SuspicionReport(DOUBTER, duty, servers))
+        self.brokers, self.act = brokers, wire.encode_peer_message(SuspicionReport(DOUBTER, duty, servers))
         self.heard = asyncio.Event()
 
     def body(self, body: bytes, source: Address) -> None:
--- a/benchmarks/scale/dealers.py
+++ b/benchmarks/scale/dealers.py
@@ -1,18 +1,19 @@
 """What dealing cold allowance costs its holder, by brokers: one server is cold, and every broker asks for it.
 
-Measured is the product's `Dealer` alone: an answer counts decoding, dealing and encoding.
+Measured is the product's `BudgetAllocator` alone: an answer counts decoding, dealing and encoding.
 """
 
 from __future__ import annotations
 
 import time
 
-from badgerbend.lease_service.slow_start import ASKS, SLOW_START_DUTY
+from badgerbend.lease_service.budget_exchange import REQUESTS_PER_GRANT, SLOW_START_DUTY
 from badgerbend.leases.messages import BudgetDemand, BudgetRequest, decode_peer_message, encode
-from badgerbend.leases.slow_start import BudgetAllocator, BudgetTiming
+from badgerbend.slow_start_budget.allocator import BudgetAllocator
+from badgerbend.slow_start_budget.timing import BudgetTiming
 from scale.figures import Figure, Kind
 
-LENGTHS = BudgetTiming(slice_ms=1000.0, rate=0.01)  # the defaults of the settings
+LENGTHS = BudgetTiming(grant_ms=1000.0, clock_rate=0.01)  # the defaults of the settings
 ASKED_MOST = 400  # asks that are measured, spread over all brokers
 OWN, WANTED = 0.01, 0.02  # parts a ms: more is wanted than is there, so that all of it is dealt
 
@@ -29,17 +30,17 @@
 def answer_s(brokers: int) -> tuple[float, int]:
     """Processor seconds of one answer when all brokers are in the books, and the bytes of an ask and its answer."""
     dealer = BudgetAllocator("broker-0", SLOW_START_DUTY, LENGTHS)
-    dealer.begin(0.0)
-    now = LENGTHS.booked_ms / 2  # nothing is dealt yet, all are noted
+    dealer.start(0.0)
+    now = LENGTHS.allocator_grant_ms / 2  # nothing is dealt yet, all are noted
     for broker in range(brokers):
-        dealer.ask(now, 1, read(ask(broker, 1)))
+        dealer.handle_request(now, 1, read(ask(broker, 1)))
     step = max(1, brokers // ASKED_MOST)
     asks = [ask(broker, 2) for broker in range(0, brokers, step)]
-    now = LENGTHS.booked_ms + 1.0
+    now = LENGTHS.allocator_grant_ms + 1.0
     sizes = 0
     began = time.process_time()
     for data in asks:
-        dealt = dealer.ask(now, 1, read(data))
+        dealt = dealer.handle_request(now, 1, read(data))
         if dealt is None:
             raise RuntimeError("a dealer that may deal gave no answer")
         sizes += len(data) + len(encode(dealt))
@@ -55,7 +56,7 @@
 
 def figures(brokers: int) -> list[Figure]:
     took_s, pair_bytes = answer_s(brokers)
-    asks = brokers * ASKS / (LENGTHS.slice_ms / 1000.0)
+    asks = brokers * REQUESTS_PER_GRANT / (LENGTHS.grant_ms / 1000.0)
     rows = (
         ("asks, all brokers", "1/s", asks, Kind.SIMULATED),
         ("processor time an ask", "ms", took_s * 1000.0, Kind.MEASURED),
--- a/benchmarks/scale/duties.py
+++ b/benchmarks/scale/duties.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from badgerbend.consensus import messages as voting
-from badgerbend.lease_service.slow_start import SLOW_START_DUTY
+from badgerbend.lease_service.budget_exchange import SLOW_START_DUTY
 from badgerbend.leases.manager import LeaseManager
 from badgerbend.leases.messages import Candidacy, LeaseRequest, PutFact, decode, encode
 from badgerbend.leases.table import LeaseTable
--- a/benchmarks/scale/dutyfleet.py
+++ b/benchmarks/scale/dutyfleet.py
@@ -18,8 +18,8 @@
 from badgerbend.consensus.log import Log, PersistentState
 from badgerbend.consensus.raft import RaftConfig
 from badgerbend.lease_service import wire
+from badgerbend.lease_service.budget_exchange import SLOW_START_DUTY
 from badgerbend.lease_service.probing import PROBING_DUTY
-from badgerbend.lease_service.slow_start import SLOW_START_DUTY
 from badgerbend.leases.holder import LeaseHolder, LeaseTiming
 from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
 from badgerbend.leases.voter import Voter
@@ -180,7 +180,7 @@
     def _send_holder(self, name: str) -> None:
         process = self.processes[name]
         began = time.process_time()
-        bodies = [(to, wire.broker_body(message)) for to, message in process.holder.take()]
+        bodies = [(to, wire.encode_lease_message(message)) for to, message in process.holder.take()]
         process.holder_use.messages_s += time.process_time() - began
         for to, body in bodies:
             self._send(process.holder_use, to, body)
@@ -190,8 +190,8 @@
         process = self.processes[name]
         began = time.process_time()
         out = self.voter(name).take()
-        bodies = [(to, wire.voter_body(message)) for to, message in out.to_voters]
-        bodies += [(to, wire.broker_body(told)) for to, told in out.to_brokers]
+        bodies = [(to, wire.encode_consensus_message(message)) for to, message in out.to_voters]
+        bodies += [(to, wire.encode_lease_message(told)) for to, told in out.to_brokers]
         process.voter_use.messages_s += time.process_time() - began
         for seq, _ in out.writes:
             self._at(self.rng.uniform(*DISK_S), lambda seq=seq: self._saved(name, seq))  # type: ignore[misc]
@@ -218,7 +218,7 @@
         if not process.up:
             return
         began = time.process_time()
-        message = wire.read(body)
+        message = wire.decode(body)
         if isinstance(message, LeaseReply):
             use = process.holder_use
             self._looking(to).told(self.now, message)
--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from badgerbend.knowledge.record import MOST_BYTES, MOST_SERVERS, RecordError, decode, encode
-from badgerbend.lease_service.local_voter import BROKERS
+from badgerbend.lease_service.local_voter import MAX_BROKER_ADDRESSES
 from badgerbend.leases.probing import ASKERS_MOST
 from badgerbend.leases.voter import MOST_PENDING
 from badgerbend.membership.messages import State, Sync, Update
@@ -41,7 +41,7 @@
         Tuning().members_most,
         lambda brokers, nodes: brokers + restarts_expected(brokers, HOUR_S),
     ),
-    Limit("rota.voting BROKERS", BROKERS, lambda brokers, nodes: brokers),
+    Limit("rota.voting BROKERS", MAX_BROKER_ADDRESSES, lambda brokers, nodes: brokers),
     Limit("net.seal SENDERS: brokers", SENDERS, lambda brokers, nodes: brokers),
     Limit(
         "net.seal SENDERS: brokers, and a day's replacements at new addresses",
--- a/tests/simallowance.py
+++ b/tests/simallowance.py
@@ -4,7 +4,9 @@
 import random
 
 from badgerbend.leases.fencing import FencingGuard
-from badgerbend.leases.slow_start import BrokerBudget, BudgetAllocator, BudgetTiming
+from badgerbend.slow_start_budget.allocator import BudgetAllocator
+from badgerbend.slow_start_budget.broker import BrokerBudget
+from badgerbend.slow_start_budget.timing import BudgetTiming
 from tests.clock import Clock
 
 LENGTHS = BudgetTiming(1000.0, 0.05)
@@ -30,21 +32,21 @@
         seed,
         brokers=6,
         loss=0.2,
-        slices=BrokerBudget,
-        dealer=BudgetAllocator,
+        budget=BrokerBudget,
+        allocator=BudgetAllocator,
         fence=FencingGuard,
-        rate=LENGTHS.rate,
+        rate=LENGTHS.clock_rate,
     ):
         super().__init__()
         self.rng, self.loss = random.Random(seed), loss
         self.own = [self.rng.choice((0.2, 1.0, 4.0)) for _ in range(brokers)]
         self.wants = [self.rng.choice((0.0, 0.1, 3.0, 20.0)) for _ in range(brokers)]
         self.clocks = [Drifting(self, 1.0 + self.rng.choice((-1, 0, 1)) * rate) for _ in range(brokers)]
-        self.slices = [slices(f"b{i}", DUTY, LENGTHS, seed * 100 + i) for i in range(brokers)]
+        self.budgets = [budget(f"b{i}", DUTY, LENGTHS, seed * 100 + i) for i in range(brokers)]
         self.fences = [fence() for _ in range(brokers)]
-        self.dealers = [dealer(f"b{i}", DUTY, LENGTHS) for i in range(brokers)]
+        self.allocators = [allocator(f"b{i}", DUTY, LENGTHS) for i in range(brokers)]
         self.holder, self.epoch, self.stopped = 0, 1, {}
-        self.dealers[0].begin(self.clocks[0]())
+        self.allocators[0].start(self.clocks[0]())
         self.checks = self.most = self.dealt = 0
         for i in range(brokers):
             self.at(self.now + self.rng.uniform(0, 400), lambda i=i: self.ask(i))
@@ -52,7 +54,7 @@
         self.at(self.now + 300, self.change)
 
     def may(self, i):
-        return self.slices[i].server_rate(self.clocks[i](), NODE, self.own[i], 1.0, 1, 1)
+        return self.budgets[i].server_rate(self.clocks[i](), NODE, self.own[i], 1.0, 1, 1)
 
     def check(self):
         self.checks += 1
@@ -69,12 +71,12 @@
                 self.at(self.now + late, what)
 
     def ask(self, i):
-        now, mine = self.clocks[i](), self.slices[i]
+        now, mine = self.clocks[i](), self.budgets[i]
         self.at(self.now + self.rng.uniform(150, 350), lambda: self.ask(i))
-        mine.listed(now, {NODE: (SERVER, START)})
+        mine.update_cold_servers(now, {NODE: (SERVER, START)})
         self.may(i)
-        mine.nodes[NODE].wanted = self.wants[i] * (now - mine.nodes[NODE].since)
-        for ask in mine.ask(now):
+        mine.servers[NODE].demand_parts = self.wants[i] * (now - mine.servers[NODE].demand_since_ms)
+        for ask in mine.create_requests(now):
             self.send(lambda ask=ask, to=self.holder: self.asked(to, i, ask))
         self.check()
 
@@ -89,7 +91,7 @@
             epoch = self.epoch
         else:
             return
-        dealt = self.dealers[dealer].ask(self.clocks[dealer](), epoch, ask)
+        dealt = self.allocators[dealer].handle_request(self.clocks[dealer](), epoch, ask)
         if dealt is not None:
             self.dealt += 1
             self.send(lambda: self.told(i, dealt))
@@ -97,7 +99,7 @@
 
     def told(self, i, dealt):
         if self.fences[i].admits(dealt.duty, dealt.epoch):
-            self.slices[i].told(self.clocks[i](), dealt)
+            self.budgets[i].apply_reply(self.clocks[i](), dealt)
         self.check()
 
     def moves(self):
@@ -107,7 +109,7 @@
         self.stopped = {}
         if self.rng.random() < 0.5:
             self.stopped = {old: (self.epoch - 1, self.now + self.rng.uniform(100, 4000))}
-        self.dealers[self.holder].begin(self.clocks[self.holder]())
+        self.allocators[self.holder].start(self.clocks[self.holder]())
         self.at(self.now + self.rng.uniform(2500, 8000), self.moves)
 
     def change(self):
--- a/tests/simcold.py
+++ b/tests/simcold.py
@@ -2,7 +2,9 @@
 
 from collections import defaultdict
 
-from badgerbend.leases.slow_start import BrokerBudget, BudgetAllocator, BudgetTiming
+from badgerbend.slow_start_budget.allocator import BudgetAllocator
+from badgerbend.slow_start_budget.broker import BrokerBudget
+from badgerbend.slow_start_budget.timing import BudgetTiming
 from tests.simsites import PACE, World
 
 LENGTHS = BudgetTiming(1000.0, 0.01)
@@ -16,29 +18,29 @@
     module = {"overload_factor": FACTOR, "slow_start_from": COLD_FROM}  # noqa: RUF012
 
     def __init__(self, seed, dealt=True, brokers=(12, 4), servers=16, **changes):
-        self.slices, self.dealt, self.arrivals = {}, dealt, defaultdict(list)
+        self.budgets, self.dealt, self.arrivals = {}, dealt, defaultdict(list)
         super().__init__(seed=seed, brokers=brokers, servers=servers, **changes)
-        self.dealer = BudgetAllocator("dealer", "cold", LENGTHS)
-        self.dealer.begin(self.now)
+        self.allocator = BudgetAllocator("dealer", "cold", LENGTHS)
+        self.allocator.start(self.now)
         self.held = True
-        for i in self.slices:
+        for i in self.budgets:
             self.at(self.now + self.rng.uniform(0, 250), lambda i=i: self.ask(i))
 
     def allowance(self, index, seed):
         if not self.dealt:
             return None
-        self.slices[index] = BrokerBudget(f"b{index}", "cold", LENGTHS, 1)
-        return self.slices[index]
+        self.budgets[index] = BrokerBudget(f"b{index}", "cold", LENGTHS, 1)
+        return self.budgets[index]
 
     def hold(self, held):
         self.held = held
         if held:
-            self.dealer.begin(self.now)
+            self.allocator.start(self.now)
 
     def ask(self, i):
         self.at(self.now + self.rng.uniform(200, 300), lambda: self.ask(i))
-        mine = self.slices[i]
-        mine.listed(
+        mine = self.budgets[i]
+        mine.update_cold_servers(
             self.now,
             {
                 s.node: (str(s.node), s.started)
@@ -46,13 +48,13 @@
                 if s.up and s.started and self.now - s.started < COLD_MS
             },
         )
-        for ask in mine.ask(self.now):
+        for ask in mine.create_requests(self.now):
             self.at(self.now + WAY_MS, lambda ask=ask: self.deals(i, ask))
 
     def deals(self, i, ask):
-        dealt = self.dealer.ask(self.now, 1, ask) if self.held else None
+        dealt = self.allocator.handle_request(self.now, 1, ask) if self.held else None
         if dealt is not None:
-            self.at(self.now + WAY_MS, lambda: self.slices[i].told(self.now, dealt))
+            self.at(self.now + WAY_MS, lambda: self.budgets[i].apply_reply(self.now, dealt))
 
     def count(self, broker, server):
         super().count(broker, server)
--- a/tests/test_allowance.py
+++ b/tests/test_allowance.py
@@ -1,5 +1,7 @@
 """Cold allowance: what is dealt never sums to more than the shares, whatever is lost; who asks nobody keeps its own."""
 
+from dataclasses import replace
+
 import pytest
 
 from badgerbend import api
@@ -13,9 +15,12 @@
     decode_peer_message,
     encode,
 )
-from badgerbend.leases.slow_start import BrokerBudget, BudgetAllocator, BudgetTiming, _Row, fair
 from badgerbend.sites.presence import State
 from badgerbend.sites.tiers import Tiers
+from badgerbend.slow_start_budget.allocator import BudgetAllocator
+from badgerbend.slow_start_budget.broker import BrokerBudget
+from badgerbend.slow_start_budget.fair_share import RateDemand, fair_rate
+from badgerbend.slow_start_budget.timing import BudgetTiming
 from tests.conftest import ALL, Bench, line, of
 from tests.simallowance import DUTY, LENGTHS, NODE, SERVER, START, Over, World
 from tests.simcold import release_and_shift
@@ -25,63 +30,65 @@
 class BelievesAtOnce(BudgetAllocator):
     """Counts on what a broker gives up before it has heard of it."""
 
-    def holds(self, now_ms, row):
-        if row.out and row.heard not in row.out:
-            return list(row.out.values())[-1][0]
-        return super().holds(now_ms, row)
+    def max_usable_rate(self, now_ms, allocation):
+        if allocation.grants and allocation.acknowledged_request not in allocation.grants:
+            return list(allocation.grants.values())[-1].rate
+        return super().max_usable_rate(now_ms, allocation)
 
 
 class CountsTheLast(BudgetAllocator):
     """Forgets that an earlier slice may still be in force."""
 
-    def holds(self, now_ms, row):
-        kept = row.out
-        row.out = {seq: dealt for seq, dealt in kept.items() if seq in (row.heard, max(kept))}
-        if row.out and max(row.out) != row.heard and row.heard in row.out:
-            row.out[row.heard] = 0.0, row.out[row.heard][1]
+    def max_usable_rate(self, now_ms, allocation):
+        all_grants = allocation.grants
+        acknowledged = allocation.acknowledged_request
+        grants = {n: grant for n, grant in all_grants.items() if n in (acknowledged, max(all_grants))}
+        if grants and max(grants) != acknowledged and acknowledged in grants:
+            grants[acknowledged] = replace(grants[acknowledged], rate=0.0)
+        allocation.grants = grants
         try:
-            return super().holds(now_ms, row)
+            return super().max_usable_rate(now_ms, allocation)
         finally:
-            row.out = kept
+            allocation.grants = all_grants
 
 
 class AnswersTwice(BudgetAllocator):
     """Deals anew for a word that came a second time, or was overtaken."""
 
-    def ask(self, now_ms, epoch, ask):
-        for need in ask.needs:
-            if row := self.books.get((need.thing, need.started), {}).get(ask.source):
-                row.last = 0
-        return super().ask(now_ms, epoch, ask)
+    def handle_request(self, now_ms, epoch, request):
+        for demand in request.needs:
+            if allocation := self.allocations.get((demand.thing, demand.started), {}).get(request.source):
+                allocation.last_request = 0
+        return super().handle_request(now_ms, epoch, request)
 
 
 class DealsAtOnce(BudgetAllocator):
-    def begin(self, now_ms):
-        super().begin(now_ms)
-        self.since = -1e9
+    def start(self, now_ms):
+        super().start(now_ms)
+        self.leader_since_ms = -1e9
 
 
 class CountsFromTheAnswer(BrokerBudget):
     """Counts a slice from when it came, not from when it was asked for."""
 
-    def told(self, now_ms, dealt):
-        if dealt.seq in self.asked:
-            self.asked[dealt.seq] = now_ms
-        super().told(now_ms, dealt)
+    def apply_reply(self, now_ms, reply):
+        if reply.seq in self.request_times:
+            self.request_times[reply.seq] = now_ms
+        super().apply_reply(now_ms, reply)
 
 
 class KeepsNothing(BrokerBudget):
     """Goes back to its own share once its slice is over."""
 
-    def _now(self, thing, now_ms, own):
-        thing.own = own
-        return thing.pace if now_ms < thing.until else own
+    def _usable_rate(self, resource, now_ms, own_rate):
+        resource.own_rate = own_rate
+        return resource.granted_rate if now_ms < resource.granted_until_ms else own_rate
 
 
 class NeverEnds(BrokerBudget):
-    def _now(self, thing, now_ms, own):
-        thing.own = own
-        return thing.pace if thing.until > 0 else own
+    def _usable_rate(self, resource, now_ms, own_rate):
+        resource.own_rate = own_rate
+        return resource.granted_rate if resource.granted_until_ms > 0 else own_rate
 
 
 def test_the_sum_stays_within_the_shares_whatever_is_lost_late_or_replaced():
@@ -97,13 +104,13 @@
 @pytest.mark.parametrize(
     "kinds",
     [
-        {"dealer": BelievesAtOnce},
-        {"dealer": CountsTheLast},
-        {"dealer": AnswersTwice},
-        {"dealer": DealsAtOnce},
-        {"slices": CountsFromTheAnswer},
-        {"slices": KeepsNothing},
-        {"slices": NeverEnds},
+        {"allocator": BelievesAtOnce},
+        {"allocator": CountsTheLast},
+        {"allocator": AnswersTwice},
+        {"allocator": DealsAtOnce},
+        {"budget": CountsFromTheAnswer},
+        {"budget": KeepsNothing},
+        {"budget": NeverEnds},
         {"rate": 0.4},
     ],
     ids=lambda kinds: "clocks beyond the bound" if "rate" in kinds else next(iter(kinds.values())).__name__,
@@ -122,20 +129,21 @@
     for r in range(rounds):
         at = now + r * 200.0
         for s, want, own in zip(slices, wants, owns, strict=True):
-            s.listed(at, {NODE: (SERVER, START)})
+            s.update_cold_servers(at, {NODE: (SERVER, START)})
             s.server_rate(at, NODE, own, 1.0, 1, 1)
-            s.nodes[NODE].wanted, s.nodes[NODE].since = want * 100.0, at - 100.0
-            for ask in s.ask(at):
-                dealt = dealer.ask(at, 5, ask)
+            s.servers[NODE].demand_parts = want * 100.0
+            s.servers[NODE].demand_since_ms = at - 100.0
+            for ask in s.create_requests(at):
+                dealt = dealer.handle_request(at, 5, ask)
                 if dealt is not None:
-                    s.told(at, dealt)
+                    s.apply_reply(at, dealt)
     at = now + rounds * 200.0 - 100.0
     return [s.server_rate(at, NODE, own, 1.0, 1, 1) for s, own in zip(slices, owns, strict=True)]
 
 
 def fleet(n):
     dealer = BudgetAllocator("d", DUTY, LENGTHS)
-    dealer.begin(0.0)
+    dealer.start(0.0)
     return dealer, [BrokerBudget(f"b{i}", DUTY, LENGTHS, i) for i in range(n)]
 
 
@@ -151,43 +159,46 @@
 def test_without_a_dealer_or_soon_after_one_came_each_keeps_to_its_own():
     dealer, slices = fleet(3)
     assert deal(dealer, slices, 10.0, wants=[0.0, 5.0, 5.0], owns=[1.0, 2.0, 3.0], rounds=1) == [1.0, 2.0, 3.0]
-    assert dealer.slices == 0
+    assert dealer.grants_issued == 0
     got = deal(dealer, slices, 2000.0, wants=[0.0, 5.0, 5.0], owns=[1.0, 2.0, 3.0])
     assert got == pytest.approx([0.0, 2.5, 3.5])
     # it is silent: what was given ends, what was given up is kept to for a while, then all is as before
-    for at, may in ((2600.0 + LENGTHS.held_ms, [0.0, 2.0, 3.0]), (2600.0 + LENGTHS.kept_ms, [1.0, 2.0, 3.0])):
+    for at, may in (
+        (2600.0 + LENGTHS.broker_grant_ms, [0.0, 2.0, 3.0]),
+        (2600.0 + LENGTHS.broker_cap_ms, [1.0, 2.0, 3.0]),
+    ):
         assert [s.server_rate(at, NODE, n, 1.0, 1, 1) for s, n in zip(slices, (1.0, 2.0, 3.0), strict=True)] == may
 
 
 def test_a_server_that_starts_again_is_another_and_a_warm_one_is_nobody_s():
     dealer, slices = fleet(2)
     assert deal(dealer, slices, 2000.0, wants=[0.0, 9.0], owns=[1.0, 1.0])[1] == pytest.approx(2.0)
-    slices[1].listed(2700.0, {NODE: (SERVER, START + 1.0)})
+    slices[1].update_cold_servers(2700.0, {NODE: (SERVER, START + 1.0)})
     assert slices[1].server_rate(2700.0, NODE, 1.0, 1.0, 1, 1) == 1.0
-    late = BudgetReply("d", DUTY, 5, next(iter(slices[1].asked)), (BudgetGrant(SERVER, START, 9.0),))
-    slices[1].told(2700.0, late)  # a word on the start before
+    late = BudgetReply("d", DUTY, 5, next(iter(slices[1].request_times)), (BudgetGrant(SERVER, START, 9.0),))
+    slices[1].apply_reply(2700.0, late)  # a word on the start before
     assert slices[1].server_rate(2700.0, NODE, 1.0, 1.0, 1, 1) == 1.0
-    slices[0].listed(9000.0, {})
-    assert slices[0].server_rate(9000.0, NODE, 1.0, 1.0, 1, 1) == 1.0 and not slices[0].ask(9000.0)
+    slices[0].update_cold_servers(9000.0, {})
+    assert slices[0].server_rate(9000.0, NODE, 1.0, 1.0, 1, 1) == 1.0 and not slices[0].create_requests(9000.0)
 
 
 def test_a_want_counts_each_part_once_among_the_servers_it_may_go_to():
     s = BrokerBudget("b", DUTY, LENGTHS, 1)
-    s.listed(0.0, {1: ("one", 1.0), 2: ("two", 1.0)})
+    s.update_cold_servers(0.0, {1: ("one", 1.0), 2: ("two", 1.0)})
     for part in (10, 11):
         for _ in range(5):  # looked at again and again while it waits
             s.server_rate(100.0, 1, 0.5, 0.25, part, 2)
             s.server_rate(100.0, 2, 0.5, 0.25, part, 2)
-    (ask,) = s.ask(1000.0)
+    (ask,) = s.create_requests(1000.0)
     assert {n.thing: n.wanted for n in ask.needs} == pytest.approx({"one": 0.004, "two": 0.004})
     assert all(n.own == 0.5 and n.heard == 0 for n in ask.needs)
 
 
 def test_many_cold_servers_take_several_words_the_most_uneven_first():
     s = BrokerBudget("b", DUTY, LENGTHS, 1)
-    s.listed(0.0, {i: (f"s{i:03}", 1.0) for i in range(400)})
+    s.update_cold_servers(0.0, {i: (f"s{i:03}", 1.0) for i in range(400)})
     s.server_rate(10.0, 300, 1.0, 1.0, 1, 1)
-    asks = s.ask(100.0)
+    asks = s.create_requests(100.0)
     assert len(asks) == 8 and all(len(a.needs) == MAX_SERVERS for a in asks)
     assert asks[0].needs[0].thing == "s300" and len({a.seq for a in asks}) == 8
 
@@ -198,16 +209,16 @@
         at = 2000.0 + r * 200.0
         for s, want in zip(slices, (0.1, 4.0), strict=True):
             s.recovering_site_rate(at, "east", 1.0, want)
-            for ask in s.ask(at):
-                s.told(at, dealer.ask(at, 5, ask))
+            for ask in s.create_requests(at):
+                s.apply_reply(at, dealer.handle_request(at, 5, ask))
     assert [s.recovering_site_rate(2700.0, "east", 1.0, 1.0) for s in slices] == pytest.approx([0.1, 1.9])
-    assert not slices[0].ask(2800.0) or slices[0].sites  # stated once more, then it is in
-    assert not slices[0].ask(9000.0) and not slices[0].sites
+    assert not slices[0].create_requests(2800.0) or slices[0].sites  # stated once more, then it is in
+    assert not slices[0].create_requests(9000.0) and not slices[0].sites
 
 
 def test_max_min_and_nothing_made():
-    book = {"a": _Row(2.0, 0.5), "b": _Row(1.0, 1.2), "c": _Row(1.0, 9.0), "d": _Row(0.0, 9.0)}
-    parts = {b: fair(book, b) for b in book}
+    book = {"a": RateDemand(2.0, 0.5), "b": RateDemand(1.0, 1.2), "c": RateDemand(1.0, 9.0), "d": RateDemand(0.0, 9.0)}
+    parts = {b: fair_rate(book, b) for b in book}
     assert sum(parts.values()) == pytest.approx(4.0)
     assert parts["a"] == pytest.approx(0.5) and parts["b"] == pytest.approx(1.2)
     assert parts["c"] - 1.0 == pytest.approx(parts["d"])
@@ -228,18 +239,18 @@
     dealer, slices = fleet(3)
     deal(dealer, slices, 2000.0, wants=[0.0, 9.0, 9.0], owns=[1.0] * 3)
     late = BrokerBudget("x", DUTY, LENGTHS, 9)
-    for at in (2600.0 + 2 * LENGTHS.counted_ms, 2600.0 + 6 * LENGTHS.counted_ms):
-        late.listed(at, {1: ("other", 1.0)})
+    for at in (2600.0 + 2 * LENGTHS.allocator_cap_ms, 2600.0 + 6 * LENGTHS.allocator_cap_ms):
+        late.update_cold_servers(at, {1: ("other", 1.0)})
         late.server_rate(at, 1, 1.0, 1.0, 1, 1)
-        for ask in late.ask(at):
-            dealer.ask(at, 5, ask)
-    assert set(dealer.books) == {("other", 1.0)}
+        for ask in late.create_requests(at):
+            dealer.handle_request(at, 5, ask)
+    assert set(dealer.allocations) == {("other", 1.0)}
 
 
 def test_lengths_leave_time_for_both_clocks():
     lengths = BudgetTiming(1000.0, 0.1)
-    assert lengths.held_ms / (1 - 0.1) <= lengths.booked_ms / (1 + 0.1) + 1e-9  # ended there before here, by true time
-    assert lengths.counted_ms / (1 - 0.1) <= lengths.kept_ms / (1 + 0.1) + 1e-9
+    assert lengths.broker_grant_ms / (1 - 0.1) <= lengths.allocator_grant_ms / (1 + 0.1) + 1e-9
+    assert lengths.allocator_cap_ms / (1 - 0.1) <= lengths.broker_cap_ms / (1 + 0.1) + 1e-9
 
 
 # -- the decisions ask
--- a/tests/test_dealing.py
+++ b/tests/test_dealing.py
@@ -4,7 +4,7 @@
 import signal
 
 from badgerbend.lease_service import wire
-from badgerbend.lease_service.slow_start import SLOW_START_DUTY
+from badgerbend.lease_service.budget_exchange import SLOW_START_DUTY
 from badgerbend.leases.messages import BudgetDemand, BudgetGrant, BudgetReply, BudgetRequest
 from badgerbend.net.seal import HEAD, MAC_BYTES
 from badgerbend.standin.acts import judge_deals, message_of
@@ -106,7 +106,7 @@
 
 
 def line(t, source, to, message):
-    data = bytes(HEAD.size) + wire.peer_body(message) + bytes(MAC_BYTES)
+    data = bytes(HEAD.size) + wire.encode_peer_message(message) + bytes(MAC_BYTES)
     return {"k": "passed", "t": t, "from": source, "to": to, "data": data}
 
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -292,8 +292,10 @@
         b"v\xc1",
     ):
         with pytest.raises(MalformedMessageError):
-            wire.read(body)
-    assert wire.read(wire.peer_body(SuspicionReport("a", "probe", ("s",)))) == SuspicionReport("a", "probe", ("s",))
+            wire.decode(body)
+    assert wire.decode(wire.encode_peer_message(SuspicionReport("a", "probe", ("s",)))) == SuspicionReport(
+        "a", "probe", ("s",)
+    )
     for text in ("here", "here:", ":1", "here:0", "here:x"):
         with pytest.raises(ValueError, match="HOST:PORT"):
             parse_address(text)
--- a/tests/test_public_status.py
+++ b/tests/test_public_status.py
@@ -77,10 +77,10 @@
         return [site.presence for site in self.broker.siting.tiers.sites]
 
     def raft(self):
-        return self.broker.rota.ballot.voter.raft
+        return self.broker.lease_service.local_voter.voter.raft
 
     def rota_status(self):
-        return msgspec.to_builtins(self.broker.rota.status())
+        return msgspec.to_builtins(self.broker.lease_service.status())
 
     def peers_status(self):
         return self.broker.learning.status()
--- a/tests/test_scenes.py
+++ b/tests/test_scenes.py
@@ -117,7 +117,7 @@
         # an act under an epoch of the far future, from one without the key; and an old datagram once more
         name = stage.names[0]
         target, front = stage.rig.fronts[name].real, stage.rig.fronts["doubter"].transport
-        act = wire.peer_body(ProbeReport("doubter", "probe", 1 << 40, ()))
+        act = wire.encode_peer_message(ProbeReport("doubter", "probe", 1 << 40, ()))
         front.sendto(Seal((b"another key, not theirs",), 1).close(act, sender_of(stage.doubter.own)), target)
         said = [r["data"] for r in stage.lines if (r["from"], r["to"]) == ("doubter", name)]
         front.sendto(said[-1], target)
--- a/tests/test_wire_bytes_duties.py
+++ b/tests/test_wire_bytes_duties.py
@@ -131,19 +131,19 @@
 def test_datagram_between_voters(key):
     message = CONSENSUS_MESSAGES[key]
     expected = b"v" + fixture_bytes(key)
-    assert wire.voter_body(message) == expected
-    assert wire.read(expected) == message
+    assert wire.encode_consensus_message(message) == expected
+    assert wire.decode(expected) == message
 
 
 @pytest.mark.parametrize("key", MESSAGES)
 def test_datagram_between_broker_and_voter(key):
     expected = b"s" + fixture_bytes(key)
-    assert wire.broker_body(MESSAGES[key]) == expected
-    assert wire.read(expected) == MESSAGES[key]
+    assert wire.encode_lease_message(MESSAGES[key]) == expected
+    assert wire.decode(expected) == MESSAGES[key]
 
 
 @pytest.mark.parametrize("key", ACTS)
 def test_datagram_between_brokers(key):
     expected = b"a" + fixture_bytes(key)
-    assert wire.peer_body(ACTS[key]) == expected
-    assert wire.read(expected) == ACTS[key]
+    assert wire.encode_peer_message(ACTS[key]) == expected
+    assert wire.decode(expected) == ACTS[key]
