--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -8,7 +8,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent / "badgerbend"
-BARE = {"__init__", "api", "logic", "facts", "benchlink"}
+BARE = {"__init__", "api", "logic", "platform_settings", "benchlink"}
 MAY = {  # room: rooms of ours that it may import
     "config": {"api"},
     "runtime": {"api", "logic"},
@@ -35,11 +35,11 @@
     },
     "feed": {"consensus", "leases"},
     "feed_service": {"consensus", "leases", "feed", "net", "lease_service"},
-    "configuration_check": {"config", "feed"},
-    "change_check": {"config", "configuration_check", "discovery", "feed"},
+    "publication_validation": {"config", "discovery", "feed"},
+    "publication_validation/configurations": {"config", "feed"},
     "pools": {"discovery", "net"},
-    "generation": {"api", "config", "discovery", "graphql", "logic", "metrics", "net", "peering", "runtime"},
-    "feeding": {"config", "discovery", "feed", "feed_service", "generation", "graphql", "log", "metrics"},
+    "generations": {"api", "config", "discovery", "graphql", "logic", "metrics", "net", "peering", "runtime"},
+    "feed_subscription": {"config", "discovery", "feed", "feed_service", "generations", "graphql", "log", "metrics"},
     "knowledge": {"api"},
     "snapshot": {"knowledge"},
     "disk": set(),
@@ -60,9 +60,9 @@
     "sites": {"api", "config"},
     "siting": {"config", "log", "metrics", "net", "sites"},
     "metrics": {"api", "log", "runtime"},
-    "facts": {"api"},
+    "platform_settings": {"api"},
     "frames": {"api", "runtime"},
-    "platform": {"api", "discovery", "facts", "frames", "logic", "net", "runtime"},
+    "platform": {"api", "discovery", "platform_settings", "frames", "logic", "net", "runtime"},
 }
 PURE = (
     "consensus/durability.py",
@@ -171,7 +171,7 @@
         for module in imports(ROOT / f"{name}.py"):
             top = module.split(".")[0]
             assert top in sys.stdlib_module_names or top == "badgerbend", (name, module)
-        assert rooms(ROOT / f"{name}.py") <= {"api", "logic", "facts"}
+        assert rooms(ROOT / f"{name}.py") <= {"api", "logic", "platform_settings"}
 
 
 @pytest.mark.parametrize("name", PURE)
@@ -187,7 +187,7 @@
     libraries = {name.split(".")[0] for name in found} - set(sys.stdlib_module_names) - {"badgerbend"}
     assert {n for n in libraries if "cython" not in n} <= {"httptools", "msgspec", "typing_extensions"}
     mine = {name.split(".")[1] for name in found if name.startswith("badgerbend.")}
-    assert mine <= {"api", "logic", "facts", "discovery", "frames", "net", "platform", "runtime"}
+    assert mine <= {"api", "logic", "platform_settings", "discovery", "frames", "net", "platform", "runtime"}
 
 
 def test_nothing_but_the_command_line_knows_the_stand_ins():
