--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from badgerbend.knowledge.record import MAX_RECORD_BYTES, MAX_SERVERS, RecordError, decode, encode
-from badgerbend.lease_service.local_voter import BROKERS
+from badgerbend.lease_service.local_voter import MAX_BROKER_ADDRESSES
 from badgerbend.leases.probing import ASKERS_MOST
 from badgerbend.leases.voter import MOST_PENDING
 from badgerbend.membership.messages import MemberState, MemberUpdate, Sync
@@ -41,7 +41,7 @@
         SwimConfig().max_members,
         lambda brokers, nodes: brokers + restarts_expected(brokers, HOUR_S),
     ),
-    Limit("rota.voting BROKERS", BROKERS, lambda brokers, nodes: brokers),
+    Limit("rota.voting BROKERS", MAX_BROKER_ADDRESSES, lambda brokers, nodes: brokers),
     Limit("net.seal SENDERS: brokers", SENDERS, lambda brokers, nodes: brokers),
     Limit(
         "net.seal SENDERS: brokers, and a day's replacements at new addresses",
