--- a/badgerbend/metrics.py
+++ b/badgerbend/metrics.py
@@ -48,7 +48,7 @@
             registry=r,
         )
         self.duties = Gauge("badgerbend_duty", "What this broker knows of a duty", ["duty", "what"], registry=r)
-        self.rota = Gauge("badgerbend_duties", "Its part in duties and votes, see docs/duties.md", ["what"], registry=r)
+        self.rota = Gauge("badgerbend_duties", "Its part in duties and votes, see docs/leases.md", ["what"], registry=r)
         self._outcomes = {o: self.attempts.labels(o.label.lower()) for o in api.Outcome}
         self._log = get(part="broker")
         self._name_classes(classes)
--- a/badgerbend/standin/acts.py
+++ b/badgerbend/standin/acts.py
@@ -110,7 +110,7 @@
     """What brokers were dealt of cold allowance, and what they stated as their shares, from what arrived.
 
     A slice is taken to last from when its ask passed, as its broker counts it; who was dealt less keeps to it for
-    three lengths, as `docs/duties.md` says. Shares change with traffic, so the sum is held against the most that each
+    three lengths, as `docs/leases.md` says. Shares change with traffic, so the sum is held against the most that each
     stated within that time.
     """
     finding = Finding("no more is dealt than the shares")
