--- a/badgerbend/feed/control.py
+++ b/badgerbend/feed/control.py
@@ -144,7 +144,7 @@
         self._proposals.extend(self.publisher.take())
         if not self._proposals or now < self._propose_at:
             return
-        leader = self.name if self.voter.leads else self.voter.raft.leader or self.holder.leader
+        leader = self.name if self.voter.is_leader else self.voter.raft.leader or self.holder.leader
         self._propose_at = now + self.tuning.proposals_every
         left = self.tuning.proposals_at_once
         while self._proposals and left:
--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -22,8 +22,9 @@
 from badgerbend.feed_service.timer import Clock, WakeUp, monotonic
 from badgerbend.lease_service import wire
 from badgerbend.lease_service.local_voter import LocalVoter
-from badgerbend.leases.holder import LeaseHolder, LeaseTiming
+from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
+from badgerbend.leases.timing import LeaseTiming
 from badgerbend.net.seal import Seal
 from badgerbend.net.udp import Address, SealedSocket, address_text
 
@@ -107,7 +108,7 @@
 
     async def close(self) -> None:
         """Gives the lease back, lets another lead, and ends."""
-        self.holder.leave(self.clock())
+        self.holder.shut_down(self.clock())
         self._after()
         self.ballot.hand_over()
         self._closed = True
@@ -151,7 +152,7 @@
             case LeaseRequest() | LeaseReturn():
                 self.ballot.from_broker(message, source)
             case LeaseReply():
-                self.holder.told(self.clock(), message)
+                self.holder.receive_reply(self.clock(), message)
             case Proposal(command):
                 self._proposed(command)
             case Summary():
@@ -187,7 +188,7 @@
 
     def _told_self(self, message: LeaseReply) -> None:
         if not self._closed:
-            self.holder.told(self.clock(), message)
+            self.holder.receive_reply(self.clock(), message)
             self._after()
 
     # -- time
@@ -218,7 +219,7 @@
 
     def _ask_for_lease(self) -> bool:
         """The holder's words to the voters, this machine's own among them."""
-        words = self.holder.take()
+        words = self.holder.drain_output()
         for name, message in words:
             if name == self.settings.name:
                 self.ballot.from_broker(message, self.own)
--- a/badgerbend/lease_service/local_voter.py
+++ b/badgerbend/lease_service/local_voter.py
@@ -9,8 +9,8 @@
 
 from badgerbend.consensus import messages as voting
 from badgerbend.consensus.types import RaftConfig
-from badgerbend.leases.holder import LeaseTiming
 from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
+from badgerbend.leases.timing import LeaseTiming
 from badgerbend.leases.voter import LeaseStateMachine, Voter
 from badgerbend.net.udp import Address
 from badgerbend.wal.store import Store
@@ -49,7 +49,7 @@
 
     def from_voter(self, message: voting.Message) -> None:
         if self.broken is None:
-            self.voter.from_voter(self.clock(), message)
+            self.voter.receive_from_voter(self.clock(), message)
             self.flush()
 
     def from_broker(self, message: LeaseRequest | LeaseReturn, source: Address) -> None:
@@ -59,7 +59,7 @@
         self.brokers.move_to_end(message.source)
         if len(self.brokers) > BROKERS:
             self.brokers.popitem(last=False)
-        self.voter.from_broker(self.clock(), message)
+        self.voter.receive_from_broker(self.clock(), message)
         self.flush()
 
     def tick(self) -> None:
@@ -72,7 +72,7 @@
         return self.voter.next_at if self.broken is None else float("inf")
 
     def flush(self) -> None:
-        out = self.voter.take()
+        out = self.voter.drain_output()
         if out.writes:
             self.writer.write(out.writes)
         for to, message in out.to_voters:
@@ -80,7 +80,7 @@
         for name, told in out.to_brokers:
             if name in self.brokers:
                 self.send_broker(self.brokers[name], told)
-        for what, values in out.notes:
+        for what, values in out.log_records:
             self.note(what, **values)
 
     def hand_over(self) -> bool:
--- a/badgerbend/lease_service/probing.py
+++ b/badgerbend/lease_service/probing.py
@@ -12,9 +12,9 @@
 from badgerbend.discovery.members import parse_address
 from badgerbend.lease_service import wire
 from badgerbend.leases.fencing import FencingGuard
+from badgerbend.leases.health_checks import HealthChecker, observations_of, suspected_servers, suspicion_report
 from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import ProbeReport, SuspicionReport
-from badgerbend.leases.probing import Prober, doubted, learned, said
 from badgerbend.net.client import End, Pool, Reply
 from badgerbend.net.udp import Address, address_text
 from badgerbend.runtime.driver import Driver
@@ -64,7 +64,7 @@
     ) -> None:
         self.socket, self.duty, self.broker, self.fence = socket, duty, broker, fence
         self.driver, self.directory, self.pool_of, self.clock = driver, directory, pool_of, clock
-        self.prober = Prober(duty, broker, duties.probe_every_ms / 1000.0, duties.probes)
+        self.prober = HealthChecker(duty, broker, duties.probe_every_ms / 1000.0, duties.probes)
         self.findings = 0  # rows that others' probes told this broker
         self.acts = 0
         self._answered_at = self._probed_since = NEVER
@@ -90,10 +90,10 @@
     def _say_doubts(self, holder: LeaseHolder) -> None:
         wait_s = DOUBT_S * holder.rng.uniform(0.8, 1.2)
         self._doubts = self.socket.loop.call_later(wait_s, self._say_doubts, holder)
-        doubts = doubted(self.driver.known(), self.directory.names)
+        doubts = suspected_servers(self.driver.known(), self.directory.names)
         if not doubts:
             return
-        doubt = said(doubts, self.broker, self.duty)
+        doubt = suspicion_report(doubts, self.broker, self.duty)
         if self.may_act() is not None:
             self.heard_doubt(doubt, self.socket.own)
         elif holder.duties[self.duty].holder != self.broker:
@@ -101,16 +101,16 @@
 
     def heard_doubt(self, doubt: SuspicionReport, source: Address) -> None:
         if doubt.duty == self.duty and self.may_act() is not None:
-            self.prober.doubt(self.clock(), doubt, address_text(source))
+            self.prober.receive_suspicions(self.clock(), doubt, address_text(source))
 
     # -- probes
     def _look(self, holder: LeaseHolder) -> None:
         self._looks = self.socket.loop.call_later(LOOK_S, self._look, holder)
         if self.may_act() is None:
-            self.prober.stop()
+            self.prober.clear()
             self._probed_since = NEVER
             return
-        for server in self.prober.due(self.clock()):
+        for server in self.prober.start_due_checks(self.clock()):
             known = self.directory.known.get(server)
             pool = self.pool_of(known.number) if known is not None else None
             if pool is None:
@@ -128,7 +128,7 @@
             self._probed_since = now
         answered_at = max(self._probed_since, self._answered_at)
         failing = self._probed_since >= 0 and now - answered_at > FAILED_FOR_S
-        holder.failing(self.duty, failing)
+        holder.set_failing(self.duty, failing)
 
     def found(self, server: str, served: bool, took_ms: float) -> None:
         """A probe's end. It is an act: told under the epoch in force now, or not at all."""
@@ -137,7 +137,7 @@
         epoch = self.may_act()
         if epoch is None or self._closed:
             return
-        for at, found in self.prober.found(self.clock(), epoch, server, served, took_ms):
+        for at, found in self.prober.finish_check(self.clock(), epoch, server, served, took_ms):
             self.acts += 1
             if at == address_text(self.socket.own):
                 self.heard_found(found)
@@ -148,10 +148,10 @@
         """Under an older epoch than was seen it takes no effect, whoever says it."""
         if found.duty != self.duty or not self.fence.admits(found.duty, found.epoch):
             return
-        self.findings += len(found.rows)
+        self.findings += len(found.results)
         known = self.directory.known
-        numbers = {row.server: known[row.server].number for row in found.rows if row.server in known}
-        self.driver.learn(learned(found, numbers))
+        numbers = {row.server: known[row.server].number for row in found.results if row.server in known}
+        self.driver.learn(observations_of(found, numbers))
 
 
 class _Probe:
--- a/badgerbend/lease_service/service.py
+++ b/badgerbend/lease_service/service.py
@@ -22,7 +22,7 @@
 from badgerbend.lease_service.slow_start import SLOW_START_DUTY, BudgetExchange, broker_name
 from badgerbend.lease_service.status import LeaseServiceStatus, duty_statuses, vote_counts, vote_status
 from badgerbend.leases.fencing import FencingGuard
-from badgerbend.leases.holder import LeaseHolder, LeaseTiming
+from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import (
     BudgetReply,
     BudgetRequest,
@@ -33,6 +33,7 @@
     SuspicionReport,
 )
 from badgerbend.leases.slow_start import BrokerBudget
+from badgerbend.leases.timing import LeaseTiming
 from badgerbend.log import get
 from badgerbend.metrics import Metrics
 from badgerbend.net.client import Pool
@@ -145,12 +146,12 @@
             if timer is not None:
                 timer.cancel()
         if self.holder is not None:
-            self.holder.leave(self.clock())
+            self.holder.shut_down(self.clock())
             self._send_holder()
         if self.ballot is not None:
             if self.ballot.hand_over():
                 until = self.loop.time() + HAND_OVER_S
-                while self.ballot.voter.leads and self.loop.time() < until:
+                while self.ballot.voter.is_leader and self.loop.time() < until:
                     await asyncio.sleep(0.01)
             self.ballot.close()
         self.shut()
@@ -183,11 +184,11 @@
 
     def _told(self, message: LeaseReply) -> None:
         if self.holder is not None:
-            before = self.holder.held()
-            self.holder.told(self.clock(), message)
-            for duty, epoch in self.holder.held():
-                if (duty, epoch) not in before:
-                    self._note("holds", duty=duty, epoch=epoch)
+            before = self.holder.granted_leases()
+            self.holder.receive_reply(self.clock(), message)
+            for lease in self.holder.granted_leases():
+                if lease not in before:
+                    self._note("holds", duty=lease.duty, epoch=lease.epoch)
 
     def _to_voter(self, name: str, message: voting.Message) -> None:
         address = self.voters.get(name)
@@ -207,7 +208,7 @@
 
     def _send_holder(self) -> None:
         assert self.holder is not None
-        for name, message in self.holder.take():
+        for name, message in self.holder.drain_output():
             if self.ballot is not None and name == self.ballot.name:
                 self.ballot.from_broker(message, self.own)
             elif name in self.voters:
@@ -244,9 +245,9 @@
         """To whoever holds a duty, as this broker was last told; to nobody where that is not known."""
         assert self.holder is not None
         mine = self.holder.duties[duty]
-        if mine.holder and mine.at:
+        if mine.holder and mine.holder_address:
             try:
-                self.send(parse_address(mine.at), body)
+                self.send(parse_address(mine.holder_address), body)
             except ValueError:
                 self.refused += 1
 
@@ -284,11 +285,11 @@
             leader=self.holder.leader if self.holder is not None else "",
             duties=duty_statuses(self.holder, now) if self.holder is not None else [],
             vote=vote_status(self.ballot, now) if self.ballot is not None else None,
-            probes=self.probing.prober.probes,
+            probes=self.probing.prober.checks_started,
             findings=self.probing.findings,
             acts=self.probing.acts + self.dealt,
             dealing=self.dealing.status() if self.dealing is not None else None,
-            refused_acts=self.fence.refused,
+            refused_acts=self.fence.rejected,
             sent=self.sent,
             received=self.received,
             refused=self.refused,
@@ -300,9 +301,9 @@
             metrics.duties.labels(duty.duty, "held here").set(duty.may_act)
             metrics.duties.labels(duty.duty, "epoch").set(duty.epoch)
         counts = {
-            "probes": self.probing.prober.probes,
+            "probes": self.probing.prober.checks_started,
             "findings": self.probing.findings,
-            "acts refused": self.fence.refused,
+            "acts refused": self.fence.rejected,
             "datagrams sent": self.sent,
             "datagrams refused": self.refused,
         }
@@ -320,14 +321,14 @@
     def command(self, path: str) -> tuple[int, str]:
         """`hand-over`, `voters/add/NAME`, `voters/remove/NAME`: an HTTP status, and a word."""
         if path == "hand-over":
-            if self.holder is None or not self.holder.held():
+            if self.holder is None or not self.holder.granted_leases():
                 return 409, "nothing is held here"
             self.holder.release(self.clock())
             self._after()
             return 200, "given back"
         words = path.split("/")
         if len(words) == 3 and words[0] == "voters" and words[1] in ("add", "remove"):
-            if self.ballot is None or not self.ballot.voter.leads:
+            if self.ballot is None or not self.ballot.voter.is_leader:
                 return 409, f"not the leader; that is {self.holder.leader if self.holder else ''}"
             against = self.ballot.voter.raft.change(self.clock(), words[2], words[1] == "add")
             self.ballot.flush()
--- a/badgerbend/lease_service/status.py
+++ b/badgerbend/lease_service/status.py
@@ -74,8 +74,8 @@
             duty=name,
             holder=duty.holder,
             epoch=duty.holder_epoch,
-            may_act=now < duty.until and duty.epoch > 0,
-            for_ms=round(max(duty.until - now, 0.0) * 1000.0) if duty.epoch else 0,
+            may_act=now < duty.valid_until and duty.epoch > 0,
+            for_ms=round(max(duty.valid_until - now, 0.0) * 1000.0) if duty.epoch else 0,
         )
         for name, duty in holder.duties.items()
     ]
@@ -107,7 +107,7 @@
     raft = ballot.voter.raft
     return {
         "term": raft.term,
-        "leads": int(ballot.voter.leads),
+        "leads": int(ballot.voter.is_leader),
         "commit": raft.commit,
         "syncs": ballot.writer.syncs,
         "votes no more": int(ballot.broken is not None),
--- a/badgerbend/leases/fencing.py
+++ b/badgerbend/leases/fencing.py
@@ -7,13 +7,13 @@
     """One receiver's, of all duties. What it has seen should outlive it where its effects do."""
 
     def __init__(self) -> None:
-        self.newest: dict[str, int] = {}
-        self.refused = 0
+        self.highest_epochs: dict[str, int] = {}
+        self.rejected = 0
 
     def admits(self, duty: str, epoch: int) -> bool:
         """Whether an act under this epoch may take effect; if so, none under an older one will again."""
-        if epoch < self.newest.get(duty, 0):
-            self.refused += 1
+        if epoch < self.highest_epochs.get(duty, 0):
+            self.rejected += 1
             return False
-        self.newest[duty] = epoch
+        self.highest_epochs[duty] = epoch
         return True
--- a/badgerbend/leases/messages.py
+++ b/badgerbend/leases/messages.py
@@ -9,7 +9,7 @@
 from badgerbend.consensus.messages import MAX_COMMAND_BYTES, Number, Text, TextOrNone, decode_typed
 
 MAX_DUTIES = 16  # that one broker stands for: a message about all of them fits a datagram
-MAX_WAIT_S = 60.0
+MAX_REQUEST_DELAY_S = 60.0
 MAX_SERVERS = 16  # that one datagram names
 MAX_KEY_BYTES = 64
 MAX_VALUE_BYTES = MAX_COMMAND_BYTES - 200
@@ -23,11 +23,11 @@
 
 
 class GrantLease(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """The duty is free, and `over` was its last epoch: it goes to `holder`, and the entry's index is its epoch."""
+    """The duty is free, and `previous_epoch` was its last: it goes to `holder`, and the entry's index is its epoch."""
 
     duty: Text
     holder: Text
-    over: Number
+    previous_epoch: Number
 
 
 class ReleaseLease(msgspec.Struct, array_like=True, frozen=True, tag=2):
@@ -38,12 +38,12 @@
 
 
 class PutFact(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """A fact that the fleet agrees on, as which version is in force. over: the index of the word it replaces, 0 where
-    there must be none. An empty value takes it back."""
+    """A fact that the fleet agrees on, as which version is in force. previous_index: of the entry that it
+    replaces, 0 where there must be none. An empty value takes it back."""
 
     key: Key
     value: Annotated[bytes, msgspec.Meta(max_length=MAX_VALUE_BYTES)]
-    over: Number
+    previous_index: Number
 
 
 Command = GrantLease | ReleaseLease | PutFact
@@ -52,59 +52,72 @@
 
 
 class Candidacy(msgspec.Struct, array_like=True, frozen=True):
-    """A broker's word on one duty. epoch: of the lease it holds, 0 for none. near: whether it is at the duty's own
-    site. failing: it is up, but its acts come to nothing."""
+    """A broker's word on one duty. epoch: of the lease it holds, 0 for none. is_local: whether it is at the duty's own
+    site. is_failing: it is up, but its acts come to nothing."""
 
     duty: Text
     epoch: Number
-    near: bool
-    failing: bool
+    is_local: bool
+    is_failing: bool
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
     """A broker stands for these duties, and renews what it holds of them. seq: of its own, sent back in the answer.
-    at: where other brokers reach it."""
+    address: where other brokers reach it."""
 
     source: Text
     seq: Number
-    at: Text
+    address: Text
     load: Load
-    votes: bool
-    stands: Annotated[tuple[Candidacy, ...], msgspec.Meta(max_length=MAX_DUTIES)]
+    is_voter: bool
+    candidacies: Annotated[tuple[Candidacy, ...], msgspec.Meta(max_length=MAX_DUTIES)]
+
+
+class LeaseId(msgspec.Struct, array_like=True, frozen=True):
+    """One lease: no two leases on a duty have the same epoch."""
+
+    duty: Text
+    epoch: Number
 
 
 class LeaseReturn(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """A broker has stopped acting and gives leases back: duty and epoch. gone: it stands for nothing any more."""
+    """A broker has stopped acting and gives leases back. is_departing: it stands for nothing any more."""
 
     source: Text
     seq: Number
-    held: Annotated[tuple[tuple[Text, Number], ...], msgspec.Meta(max_length=MAX_DUTIES)]
-    gone: bool
+    returned_leases: Annotated[tuple[LeaseId, ...], msgspec.Meta(max_length=MAX_DUTIES)]
+    is_departing: bool
 
 
 class LeaseState(msgspec.Struct, array_like=True, frozen=True):
-    """Who holds a duty, by its leader, and where it is reached, where that is known. renewed: the lease runs anew from
-    when the answered `Want` was sent. yields: somebody better placed waits, the holder is asked to give it back."""
+    """Who holds a lease, as the leader states it, and the holder's address where that is known.
+
+    renewed: the lease runs anew from when the answered `LeaseRequest` was sent. should_yield: another candidate is
+    better placed, and the holder is asked to return the lease.
+    """
 
     duty: Text
     holder: TextOrNone
-    at: TextOrNone
+    address: TextOrNone
     epoch: Number
     renewed: bool
-    yields: bool
+    should_yield: bool
 
 
 class LeaseReply(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """A voter's answer. seq: of the `Want` or `Leave`, 0 where it comes unasked. leader: whom to ask; empty while there
-    is none. leads: whether that is the voter that speaks. wait_s: others stand who show themselves often enough; a
-    broker that holds nothing need not for so long."""
+    """A voter's reply. seq: of the `LeaseRequest` or `LeaseReturn`, 0 where it answers none.
+
+    leader: the voter to send requests to; empty while there is none. is_leader: whether that is the sender.
+    request_delay_s: how long a broker that holds nothing may wait before its next request, since there are enough
+    other candidates that send theirs often.
+    """
 
     source: Text
     seq: Number
     leader: TextOrNone
-    leads: bool
-    lines: Annotated[tuple[LeaseState, ...], msgspec.Meta(max_length=MAX_DUTIES)]
-    wait_s: Annotated[float, msgspec.Meta(ge=0, le=MAX_WAIT_S)] = 0.0
+    is_leader: bool
+    leases: Annotated[tuple[LeaseState, ...], msgspec.Meta(max_length=MAX_DUTIES)]
+    request_delay_s: Annotated[float, msgspec.Meta(ge=0, le=MAX_REQUEST_DELAY_S)] = 0.0
 
 
 Message = LeaseRequest | LeaseReturn | LeaseReply
@@ -124,8 +137,8 @@
     """What a probe found: whether the server served it, how long that took, how long ago it was sent, in ms."""
 
     server: Text
-    served: bool
-    took_ms: Took
+    succeeded: bool
+    latency_ms: Took
     age_ms: Took
 
 
@@ -135,7 +148,7 @@
     source: Text
     duty: Text
     epoch: Number
-    rows: Annotated[tuple[ProbeResult, ...], msgspec.Meta(max_length=MAX_SERVERS)]
+    results: Annotated[tuple[ProbeResult, ...], msgspec.Meta(max_length=MAX_SERVERS)]
 
 
 class BudgetDemand(msgspec.Struct, array_like=True, frozen=True):
--- a/badgerbend/leases/table.py
+++ b/badgerbend/leases/table.py
@@ -1,6 +1,6 @@
 """Who holds which duty, and the facts agreed on: the machine that the voters' log drives. Pure, and reads no clock.
 
-It knows nothing of time: a lease stands here until a command ends it. When that may be, the leader says (`keeper`).
+It knows nothing of time: a lease stands here until a command ends it. When that may be, the leader says (`manager`).
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     facts: list[tuple[str, bytes, int]]
 
 
-NONE = Lease()
+NO_LEASE = Lease()
 
 
 class LeaseTable:
@@ -43,7 +43,7 @@
         self.facts: dict[str, Fact] = {}
 
     def lease(self, duty: str) -> Lease:
-        return self.leases.get(duty, NONE)
+        return self.leases.get(duty, NO_LEASE)
 
     def apply(self, index: int, data: bytes) -> None:
         """A command that no longer fits what stands changes nothing: two leaders' words may cross."""
@@ -52,16 +52,16 @@
         except MalformedMessageError:  # of a later version, perhaps: skipped by all alike
             return
         match command:
-            case GrantLease(duty, holder, over):
+            case GrantLease(duty, holder, previous_epoch):
                 lease = self.lease(duty)
-                if not lease.holder and lease.epoch == over:
+                if not lease.holder and lease.epoch == previous_epoch:
                     self.leases[duty] = Lease(holder, index)
             case ReleaseLease(duty, epoch):
                 if self.lease(duty).epoch == epoch and self.lease(duty).holder:
                     self.leases[duty] = Lease("", epoch)
-            case PutFact(key, value, over):
+            case PutFact(key, value, previous_index):
                 fact = self.facts.get(key)
-                if (fact.index if fact else 0) == over:
+                if (fact.index if fact else 0) == previous_index:
                     if value:
                         self.facts[key] = Fact(value, index)
                     else:
--- a/badgerbend/leases/voter.py
+++ b/badgerbend/leases/voter.py
@@ -1,4 +1,4 @@
-"""One voter whole: agreement, the table of leases, and its keeper while this one leads. Pure.
+"""One voter whole: agreement, the table of leases, and its manager while this one leads. Pure.
 
 Time, messages of voters and brokers, and word of what reached the disk go in; what is to be written and sent comes out.
 """
@@ -21,13 +21,13 @@
     Role,
     StateMachine,
 )
-from badgerbend.leases.holder import LeaseTiming
 from badgerbend.leases.manager import LeaseManager
 from badgerbend.leases.messages import Command, LeaseReply, LeaseRequest, LeaseReturn, LeaseState, encode
 from badgerbend.leases.table import LeaseTable
+from badgerbend.leases.timing import LeaseTiming
 
 DUE_S = 0.05  # how often a leader looks at leases: small beside any of them
-MOST_PENDING = 4096  # renewals that wait for their round
+MAX_PENDING_RENEWALS = 4096  # renewals that wait for their round
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
     writes: list[tuple[int, voting.Record]] = field(default_factory=list)
     to_voters: list[tuple[str, voting.Message]] = field(default_factory=list)
     to_brokers: list[tuple[str, LeaseReply]] = field(default_factory=list)
-    notes: list[tuple[str, dict[str, object]]] = field(default_factory=list)  # for the log
+    log_records: list[tuple[str, dict[str, object]]] = field(default_factory=list)  # for the log
 
 
 class LeaseStateMachine(StateMachine, Protocol):
@@ -50,25 +50,25 @@
 class Voter:
     """`kept`: what its disk holds. machine: what the log drives, a bare table of leases unless said otherwise."""
 
-    raft_kind: type[Raft] = Raft
-    keeper_kind: type[LeaseManager] = LeaseManager
+    raft_class: type[Raft] = Raft
+    manager_class: type[LeaseManager] = LeaseManager
 
     def __init__(
         self,
         name: str,
         kept: PersistentState,
         tuning: RaftConfig,
-        terms: LeaseTiming,
+        timing: LeaseTiming,
         seed: int,
         now: float,
         machine: LeaseStateMachine | None = None,
     ) -> None:
-        self.name, self.terms = name, terms
+        self.name, self.timing = name, timing
         self.table = LeaseTable() if machine is None else machine.table
-        self.raft = self.raft_kind(name, kept, self.table if machine is None else machine, tuning, seed, now)
-        self.keeper = self.keeper_kind(self.table, terms, seed + 1)
-        self.told: list[tuple[str, LeaseReply]] = []
-        self.notes: list[tuple[str, dict[str, object]]] = []
+        self.raft = self.raft_class(name, kept, self.table if machine is None else machine, tuning, seed, now)
+        self.manager = self.manager_class(self.table, timing, seed + 1)
+        self._replies: list[tuple[str, LeaseReply]] = []
+        self._log_records: list[tuple[str, dict[str, object]]] = []
         self.pending: dict[int, tuple[float, LeaseRequest]] = {}
         self.renewals = 0
         self.confirmed_at = -math.inf
@@ -86,21 +86,21 @@
         self._due_at = now
 
     # -- what happens
-    def from_voter(self, now: float, message: voting.Message) -> None:
+    def receive_from_voter(self, now: float, message: voting.Message) -> None:
         self.raft.receive(now, message)
         if isinstance(message, voting.AppendEntries):
             self._heard_leader(now, message)
         self._after(now)
 
-    def from_broker(self, now: float, message: LeaseRequest | LeaseReturn) -> None:
-        if not self.leads:
+    def receive_from_broker(self, now: float, message: LeaseRequest | LeaseReturn) -> None:
+        if not self.is_leader:
             self._tell(message, ())
         elif isinstance(message, LeaseReturn):
-            self._propose(now, self.keeper.leave(message))
+            self._propose(now, self.manager.receive_return(message))
             self._tell(message, ())
-        elif not self.keeper.want(now, message):
-            self._tell(message, self.keeper.lines(message))
-        elif len(self.pending) < MOST_PENDING:
+        elif not self.manager.receive_request(now, message):
+            self._tell(message, self.manager.current_leases(message))
+        elif len(self.pending) < MAX_PENDING_RENEWALS:
             self._token += 1
             if self.raft.read(now, self._token):
                 self.pending[self._token] = (now, message)
@@ -113,20 +113,20 @@
 
     def tick(self, now: float) -> None:
         self.raft.tick(now)
-        if self.leads and now >= self._due_at:
+        if self.is_leader and now >= self._due_at:
             self._due_at = now + DUE_S
-            self._propose(now, self.keeper.due(now))
+            self._propose(now, self.manager.due_commands(now))
         self._after(now)
 
     @property
     def next_at(self) -> float:
-        return min(self.raft.next_at, self._due_at) if self.leads else self.raft.next_at
+        return min(self.raft.next_at, self._due_at) if self.is_leader else self.raft.next_at
 
     @property
-    def leads(self) -> bool:
-        return self.keeper.leading and self.raft.ready
+    def is_leader(self) -> bool:
+        return self.manager.is_leading and self.raft.ready
 
-    def put(self, now: float, command: Command) -> int | None:
+    def propose_command(self, now: float, command: Command) -> int | None:
         """Proposes a command of the owner's; its index, or None where this voter does not lead."""
         return self.propose(now, encode(command))
 
@@ -138,21 +138,21 @@
 
     def confirm(self, now: float) -> None:
         """Asks for a round of heartbeats that moves `confirmed_at`; nothing happens where this voter does not lead."""
-        if self._confirming is None and self.leads and self.raft.read(now, self._token + 1):
+        if self._confirming is None and self.is_leader and self.raft.read(now, self._token + 1):
             self._token += 1
             self._confirming = (self._token, now)
 
-    def take(self) -> VoterOutput:
+    def drain_output(self) -> VoterOutput:
         writes, to_voters, _ = self.raft.take()
-        out = VoterOutput(writes, to_voters, self.told, self.notes)
-        self.told, self.notes = [], []
+        out = VoterOutput(writes, to_voters, self._replies, self._log_records)
+        self._replies, self._log_records = [], []
         return out
 
     # -- inside
     def _propose(self, now: float, commands: list[Command]) -> None:
         for command in commands:
             if self.raft.propose(now, encode(command)) is None:
-                self.keeper.refused(command)
+                self.manager.proposal_dropped(command)
 
     def _after(self, now: float) -> None:
         """Events of the log, in their order, as often as one brings more."""
@@ -161,13 +161,13 @@
             for event in events:
                 match event:
                     case BecameLeader(term):
-                        self.keeper.lead(now)
+                        self.manager.become_leader(now)
                         self._due_at = now
-                        self.notes.append(("leads", {"term": term}))
+                        self._log_records.append(("leads", {"term": term}))
                     case BecameFollower(term, leader):
-                        self.keeper.rest()
+                        self.manager.step_down()
                         self.pending, self._confirming = {}, None
-                        self.notes.append(("follows", {"term": term, "leader": leader}))
+                        self._log_records.append(("follows", {"term": term, "leader": leader}))
                     case ReadConfirmed(token):
                         self._confirmed(token)
                     case EntryApplied():
@@ -189,19 +189,19 @@
         received, want = self.pending.pop(token, (0.0, None))
         if want is not None:
             self.renewals += 1
-            self._tell(want, tuple(self.keeper.renew(received, want)))
+            self._tell(want, tuple(self.manager.renew(received, want)))
 
     def _applied(self, now: float) -> None:
-        if not self.keeper.leading:
+        if not self.manager.is_leading:
             return
-        for duty in self.keeper.changed(now):
+        for duty in self.manager.table_changed(now):
             lease = self.table.lease(duty)
-            self.notes.append(("granted", {"duty": duty, "holder": lease.holder, "epoch": lease.epoch}))
-            told = LeaseReply(self.name, 0, self.name, True, (self.keeper.line(duty),))
-            self.told += [(name, told) for name in (lease.holder, *self.keeper.silent(duty))]
+            self._log_records.append(("granted", {"duty": duty, "holder": lease.holder, "epoch": lease.epoch}))
+            told = LeaseReply(self.name, 0, self.name, True, (self.manager.lease_state(duty),))
+            self._replies += [(name, told) for name in (lease.holder, *self.manager.infrequent_candidates(duty))]
         self._due_at = now  # a duty that fell free is given on at once
 
     def _tell(self, to: LeaseRequest | LeaseReturn, lines: tuple[LeaseState, ...] | list[LeaseState]) -> None:
-        leader = self.raft.leader if not self.leads else self.name
-        wait_s = self.keeper.wait_s(to) if self.leads and isinstance(to, LeaseRequest) else 0.0
-        self.told.append((to.source, LeaseReply(self.name, to.seq, leader, self.leads, tuple(lines), wait_s)))
+        leader = self.raft.leader if not self.is_leader else self.name
+        wait_s = self.manager.request_delay_s(to) if self.is_leader and isinstance(to, LeaseRequest) else 0.0
+        self._replies.append((to.source, LeaseReply(self.name, to.seq, leader, self.is_leader, tuple(lines), wait_s)))
--- a/badgerbend/standin/acts.py
+++ b/badgerbend/standin/acts.py
@@ -68,7 +68,7 @@
     for line in sorted(lines, key=lambda row: float(row["t"])):
         message, t, sender = message_of(line["data"]), float(line["t"]), str(line["from"])
         if isinstance(message, LeaseReply):
-            for told in message.lines if message.leads else ():
+            for told in message.leases if message.is_leader else ():
                 if told.holder:
                     grants.checked += 1
                     first = granted.setdefault((told.duty, told.epoch), told.holder)
--- a/badgerbend/standin/scene.py
+++ b/badgerbend/standin/scene.py
@@ -223,7 +223,7 @@
     def leader(self) -> str:
         for row in reversed(self.lines):
             message = message_of(row["data"])
-            if isinstance(message, LeaseReply) and message.leads:
+            if isinstance(message, LeaseReply) and message.is_leader:
                 return message.source
         return self.voters[0]
 
--- a/benchmarks/scale/duties.py
+++ b/benchmarks/scale/duties.py
@@ -46,7 +46,7 @@
 def quiet(fleet: DutyFleet) -> list[Figure]:
     """Every broker stands, every duty is held, and nothing changes."""
     leader = fleet.processes[fleet.leader()]
-    often = set().union(*fleet.voter(fleet.leader()).keeper.often.values())
+    often = set().union(*fleet.voter(fleet.leader()).manager.frequent_candidates.values())
     before = {name: process.holder_use.copy() for name, process in fleet.processes.items()}
     leader_before, voter = leader.voter_use.copy(), fleet.voter(fleet.leader())
     renewals, entries = voter.renewals, voter.raft.applied
@@ -209,7 +209,7 @@
     def _renew(self, want: bytes) -> None:
         self.now += STEP_S
         began = time.process_time()
-        self.leader.from_broker(self.now, decode(want))  # type: ignore[arg-type]
+        self.leader.receive_from_broker(self.now, decode(want))  # type: ignore[arg-type]
         self.now = max(self.now, self.leader.raft.next_at)
         self.leader.tick(self.now)
         self.spent_s += time.process_time() - began
@@ -221,7 +221,7 @@
         for i in range(REPEATS):
             self.now += STEP_S
             began = time.process_time()
-            index = self.leader.put(self.now, PutFact("version", b"%d" % i, over))
+            index = self.leader.propose_command(self.now, PutFact("version", b"%d" % i, over))
             self.spent_s += time.process_time() - began
             if index is None:
                 raise RuntimeError("the leader took no command")
@@ -238,7 +238,7 @@
 
     def _leader_round(self) -> bool:
         began = time.process_time()
-        out = self.leader.take()
+        out = self.leader.drain_output()
         data = [(to, voting.encode(message)) for to, message in out.to_voters]
         for _, told in out.to_brokers:
             encode(told)
@@ -248,17 +248,17 @@
         answers = [answer for to, body in data if to in self.others for answer in self._follower(self.others[to], body)]
         began = time.process_time()
         for body in answers:
-            self.leader.from_voter(self.now, voting.decode(body))
+            self.leader.receive_from_voter(self.now, voting.decode(body))
         self.spent_s += time.process_time() - began
         return bool(out.writes or answers)
 
     def _follower(self, voter: Voter, body: bytes) -> list[bytes]:
-        voter.from_voter(self.now, voting.decode(body))
-        out = voter.take()
+        voter.receive_from_voter(self.now, voting.decode(body))
+        out = voter.drain_output()
         messages = list(out.to_voters)
         if out.writes:
             voter.saved(self.now, out.writes[-1][0])
-            messages += voter.take().to_voters
+            messages += voter.drain_output().to_voters
         return [voting.encode(message) for to, message in messages if to == self.leader.name]
 
 
@@ -277,9 +277,9 @@
         )
     gc.collect()
     tracemalloc.start()
-    keeper = LeaseManager(LeaseTable(), TERMS, 1)
+    manager = LeaseManager(LeaseTable(), TERMS, 1)
     for data in wants:
-        keeper.want(0.0, decode(data))  # type: ignore[arg-type]
+        manager.receive_request(0.0, decode(data))  # type: ignore[arg-type]
     gc.collect()
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
--- a/benchmarks/scale/dutyfleet.py
+++ b/benchmarks/scale/dutyfleet.py
@@ -20,8 +20,9 @@
 from badgerbend.lease_service import wire
 from badgerbend.lease_service.probing import PROBING_DUTY
 from badgerbend.lease_service.slow_start import SLOW_START_DUTY
-from badgerbend.leases.holder import LeaseHolder, LeaseTiming
+from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
+from badgerbend.leases.timing import LeaseTiming
 from badgerbend.leases.voter import Voter
 
 VOTERS = ("broker-0", "broker-1", "broker-2")
@@ -111,7 +112,7 @@
         """The voter that leads; empty while none does."""
         for name in VOTERS:
             process = self.processes[name]
-            if process.up and process.voter is not None and process.voter.leads:
+            if process.up and process.voter is not None and process.voter.is_leader:
                 return name
         return ""
 
@@ -132,7 +133,9 @@
     def settled(self) -> bool:
         """Whether all brokers that are up agree on a leader that is up."""
         leader = self.leader()
-        running = [process.holder for process in self.processes.values() if process.up and not process.holder.gone]
+        running = [
+            process.holder for process in self.processes.values() if process.up and not process.holder.is_shut_down
+        ]
         return bool(leader) and all(holder.leader == leader for holder in running)
 
     def _looking(self, name: str) -> LeaseHolder:
@@ -146,7 +149,7 @@
 
     def leave(self, name: str) -> None:
         """A broker ends politely; it does not vote."""
-        self.processes[name].holder.leave(self.now)
+        self.processes[name].holder.shut_down(self.now)
         self._send_holder(name)
 
     # -- time
@@ -180,7 +183,7 @@
     def _send_holder(self, name: str) -> None:
         process = self.processes[name]
         began = time.process_time()
-        bodies = [(to, wire.broker_body(message)) for to, message in process.holder.take()]
+        bodies = [(to, wire.broker_body(message)) for to, message in process.holder.drain_output()]
         process.holder_use.messages_s += time.process_time() - began
         for to, body in bodies:
             self._send(process.holder_use, to, body)
@@ -189,7 +192,7 @@
     def _send_voter(self, name: str) -> None:
         process = self.processes[name]
         began = time.process_time()
-        out = self.voter(name).take()
+        out = self.voter(name).drain_output()
         bodies = [(to, wire.voter_body(message)) for to, message in out.to_voters]
         bodies += [(to, wire.broker_body(told)) for to, told in out.to_brokers]
         process.voter_use.messages_s += time.process_time() - began
@@ -221,13 +224,13 @@
         message = wire.read(body)
         if isinstance(message, LeaseReply):
             use = process.holder_use
-            self._looking(to).told(self.now, message)
+            self._looking(to).receive_reply(self.now, message)
         elif isinstance(message, LeaseRequest | LeaseReturn):
             use = process.voter_use
-            self.voter(to).from_broker(self.now, message)
+            self.voter(to).receive_from_broker(self.now, message)
         else:
             use = process.voter_use
-            self.voter(to).from_voter(self.now, cast(voting.Message, message))
+            self.voter(to).receive_from_voter(self.now, cast(voting.Message, message))
         use.messages_s += time.process_time() - began
         use.received += 1
         use.bytes_received += len(body)
--- a/benchmarks/scale/feed_voters.py
+++ b/benchmarks/scale/feed_voters.py
@@ -82,7 +82,7 @@
         assert self.server is not None
         server, revision = self.server, self.server.relay.log.revision
         progress = server.progress(revision)
-        return Standing(server.ballot.voter.leads, server.publishes, revision, progress.in_force)
+        return Standing(server.ballot.voter.is_leader, server.publishes, revision, progress.in_force)
 
     def _measured(self) -> Measured:
         snapshots = 0 if self.server is None else self.server.relay.snapshots_begun
--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -10,8 +10,8 @@
 
 from badgerbend.knowledge.record import MOST_BYTES, MOST_SERVERS, RecordError, decode, encode
 from badgerbend.lease_service.local_voter import BROKERS
-from badgerbend.leases.probing import ASKERS_MOST
-from badgerbend.leases.voter import MOST_PENDING
+from badgerbend.leases.health_checks import MAX_SUBSCRIBERS
+from badgerbend.leases.voter import MAX_PENDING_RENEWALS
 from badgerbend.membership.messages import State, Sync, Update
 from badgerbend.membership.messages import encode as encode_datagram
 from badgerbend.membership.swim import Swim, Tuning
@@ -48,8 +48,8 @@
         SENDERS,
         lambda brokers, nodes: brokers + restarts_expected(brokers, DAY_S),
     ),
-    Limit("duties.probing ASKERS_MOST", ASKERS_MOST, lambda brokers, nodes: brokers),
-    Limit("duties.voter MOST_PENDING: a renewal by each broker", MOST_PENDING, lambda brokers, nodes: brokers),
+    Limit("duties.probing ASKERS_MOST", MAX_SUBSCRIBERS, lambda brokers, nodes: brokers),
+    Limit("duties.voter MOST_PENDING: a renewal by each broker", MAX_PENDING_RENEWALS, lambda brokers, nodes: brokers),
     Limit("knowledge.record MOST_SERVERS", MOST_SERVERS, lambda brokers, nodes: nodes),
     Limit(
         "knowledge.record MOST_BYTES: a record of all nodes",
--- a/tests/feed_process.py
+++ b/tests/feed_process.py
@@ -257,7 +257,7 @@
         server, log = self.server, self.server.relay.log
         progress = server.progress(log.revision)
         return ControlReport(
-            leads=server.ballot.voter.leads,
+            leads=server.ballot.voter.is_leader,
             publishes=server.publishes,
             epoch=log.epoch,
             revision=log.revision,
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -58,14 +58,14 @@
 
 class HoldsTheWholeLease(LeaseHolder):
     def _window(self):
-        return self.terms.lease_s
+        return self.timing.lease_duration_s
 
 
 class CountsFromTheAnswer(LeaseHolder):
-    def told(self, now, message):
+    def receive_reply(self, now, message):
         if message.seq in self._sent:
             self._sent[message.seq] = now
-        super().told(now, message)
+        super().receive_reply(now, message)
 
 
 class NoticesNoStall(LeaseHolder):
@@ -85,27 +85,27 @@
 class TakesBackWhatItGave(LeaseHolder):
     def _line(self, now, line, sent):
         if line.duty in self.duties:
-            self.duties[line.duty].given = 0
+            self.duties[line.duty].returned_epoch = 0
         super()._line(now, line, sent)
 
 
 class WaitsForNobody(LeaseManager):
     """A new leader ends leases as if it had renewed none, though the last one did."""
 
-    def lead(self, now):
-        super().lead(now)
-        for held in self.holds.values():
+    def become_leader(self, now):
+        super().become_leader(now)
+        for held in self.lease_clocks.values():
             held.ends = now
 
 
 class WaitsNoLonger(LeaseManager):
     def _waited(self):
-        return self.terms.lease_s
+        return self.timing.lease_duration_s
 
 
 class RenewsWhatEnds(LeaseManager):
     def renew(self, received, want):
-        for held in self.holds.values():
+        for held in self.lease_clocks.values():
             held.closing = False
         return super().renew(received, want)
 
@@ -122,8 +122,8 @@
         return True
 
 
-def voter(raft=Raft, keeper=LeaseManager):
-    return type("Mutant", (Voter,), {"raft_kind": raft, "keeper_kind": keeper})
+def voter(raft=Raft, manager=LeaseManager):
+    return type("Mutant", (Voter,), {"raft_class": raft, "manager_class": manager})
 
 
 DRIFT = Chaos(rate=0.1, rate_claimed=0.1)
@@ -139,11 +139,15 @@
     "entries not synced": ({"voter": voter(AcknowledgesBeforeTheDisk)}, DISKS, 19),
     "own entries not synced": ({"voter": voter(CountsOwnBeforeTheDisk)}, DISKS, 102),
     "a vote for a shorter log": ({"voter": voter(TakesAnyLog)}, NETS, 5),
-    "a lease not shortened by drift": ({"holder": HoldsTheWholeLease, "voter": voter(keeper=WaitsNoLonger)}, DRIFT, 23),
+    "a lease not shortened by drift": (
+        {"holder": HoldsTheWholeLease, "voter": voter(manager=WaitsNoLonger)},
+        DRIFT,
+        23,
+    ),
     "a lease counted from its answer": ({"holder": CountsFromTheAnswer}, Chaos(late=0.2, every_s=0.3), 104),
     "a stall not noticed": ({"holder": NoticesNoStall}, STALLS, 2),
     "a lease taken back after it was given": ({"holder": TakesBackWhatItGave}, LATE, 73),
-    "a new leader that does not wait": ({"voter": voter(keeper=WaitsForNobody)}, Chaos(every_s=0.4), 101),
-    "a lease renewed while it ends": ({"voter": voter(keeper=RenewsWhatEnds)}, STALLS, 24),
+    "a new leader that does not wait": ({"voter": voter(manager=WaitsForNobody)}, Chaos(every_s=0.4), 101),
+    "a lease renewed while it ends": ({"voter": voter(manager=RenewsWhatEnds)}, STALLS, 24),
     "an epoch not checked": ({"fence": AdmitsAll}, Chaos(), 1),
 }
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -31,7 +31,8 @@
 from badgerbend.feed.publisher import Publisher, PublisherTuning
 from badgerbend.feed.relay import Close, Relay, RelayTuning, SendTo
 from badgerbend.leases import messages as saying
-from badgerbend.leases.holder import LeaseHolder, LeaseTiming
+from badgerbend.leases.holder import LeaseHolder
+from badgerbend.leases.timing import LeaseTiming
 from badgerbend.leases.voter import Voter
 from tests.feed_judge import Judge
 from tests.feed_liar import Liar
@@ -119,7 +120,13 @@
 
 
 TUNING = RaftConfig(election_s=0.4, beat_s=0.1)
-TERMS = LeaseTiming(lease_s=1.2, rate=0.01, ask_s=0.4, answer_s=0.15, stall_s=0.3)
+TERMS = LeaseTiming(
+    lease_duration_s=1.2,
+    clock_drift_bound=0.01,
+    candidacy_interval_s=0.4,
+    reply_timeout_s=0.15,
+    stall_threshold_s=0.3,
+)
 PUBLISHER = PublisherTuning(batch=0.05, again=0.5, summary_fresh=2.0, again_most=4.0)
 RELAY = RelayTuning(
     heartbeat=0.4,
@@ -356,7 +363,7 @@
             self._wake(host)
 
     def _collect_voter(self, host):
-        out = host.voter.take()
+        out = host.voter.drain_output()
         disk = self.disks[host.name]
         for seq, record in out.writes:
             disk.records.append(voting.encode(record))
@@ -365,9 +372,9 @@
             self._datagram(host, to, self._from_voter, (self.now, voting.encode(message)))
         for to, told in out.to_brokers:
             self._datagram(host, to, self._told, saying.encode(told))
-        for to, message in host.holder.take():
+        for to, message in host.holder.drain_output():
             self._datagram(host, to, self._from_holder, saying.encode(message))
-        if host.control.grown and host.voter.leads and not self.healed and self.rng.random() < self.chaos.caught:
+        if host.control.grown and host.voter.is_leader and not self.healed and self.rng.random() < self.chaos.caught:
             self._count("crash before fan-out")
             self._crash(host.name, self.rng.random() * 3.0)
             return
@@ -514,15 +521,15 @@
     def _from_voter(self, host, datagram):
         sent_at, data = datagram
         before = host.voter.confirmed_at
-        host.voter.from_voter(host.local(), voting.decode(data))
+        host.voter.receive_from_voter(host.local(), voting.decode(data))
         if host.voter.confirmed_at > before:
-            host.age_bound_s = SLACK_S if host.voter.leads else self.voter_bound_s() + self.now - sent_at
+            host.age_bound_s = SLACK_S if host.voter.is_leader else self.voter_bound_s() + self.now - sent_at
 
     def _from_holder(self, host, data):
-        host.voter.from_broker(host.local(), saying.decode(data))
+        host.voter.receive_from_broker(host.local(), saying.decode(data))
 
     def _told(self, host, data):
-        host.holder.told(host.local(), saying.decode(data))
+        host.holder.receive_reply(host.local(), saying.decode(data))
 
     def _proposed(self, host, data):
         host.voter.propose(host.local(), data)
@@ -564,7 +571,7 @@
             case "crash":
                 self._crash(name, self.rng.choice((0.05, 1.0, 6.0)) * self.rng.random())
             case "crash leader":
-                for leader in [h.name for h in self._controls() if h.voter.leads]:
+                for leader in [h.name for h in self._controls() if h.voter.is_leader]:
                     self._crash(leader, self.rng.random() * 4.0)
             case "crash mid-snapshot":
                 loading = [h for h in self.hosts.values() if h.running and h.relay is not None and h.relay._loading]
--- a/tests/simvoters.py
+++ b/tests/simvoters.py
@@ -1,7 +1,7 @@
 """Voters, brokers and receivers in simulated time, with bad networks, disks and clocks; and what must always hold.
 
-The product's own `Voter`, `Holder` and `Fence` run here; only sockets, disks and clocks are stood in for. All chance
-comes from the seed. What is broken is raised as `Broken`, at the moment it happens.
+The product's own `Voter`, `LeaseHolder` and `FencingGuard` run here; only sockets, disks and clocks are simulated. All
+chance comes from the seed. What is broken is raised as `Broken`, at the moment it happens.
 """
 
 import heapq
@@ -14,7 +14,8 @@
 from badgerbend.consensus.raft import RaftConfig, Role
 from badgerbend.leases import messages as saying
 from badgerbend.leases.fencing import FencingGuard
-from badgerbend.leases.holder import LeaseHolder, LeaseTiming
+from badgerbend.leases.holder import LeaseHolder
+from badgerbend.leases.timing import LeaseTiming
 from badgerbend.leases.voter import Voter
 
 
@@ -91,11 +92,17 @@
 class World:
     """Run it with `run`. kinds: other classes in the place of the product's, for mutants."""
 
-    def __init__(self, seed, chaos=None, terms=None, voter=Voter, holder=LeaseHolder, fence=FencingGuard):
+    def __init__(self, seed, chaos=None, timing=None, voter=Voter, holder=LeaseHolder, fence=FencingGuard):
         self.chaos = chaos or Chaos()
         self.rng = random.Random(seed)
         claimed = self.chaos.rate if self.chaos.rate_claimed is None else self.chaos.rate_claimed
-        self.terms = terms or LeaseTiming(lease_s=1.0, rate=claimed, ask_s=0.3, answer_s=0.1, stall_s=0.3)
+        self.timing = timing or LeaseTiming(
+            lease_duration_s=1.0,
+            clock_drift_bound=claimed,
+            candidacy_interval_s=0.3,
+            reply_timeout_s=0.1,
+            stall_threshold_s=0.3,
+        )
         self.tuning = RaftConfig(election_s=0.4, beat_s=0.08, compact=self.chaos.compact)
         self.voter, self.holder = voter, holder
         self.now, self.order, self.due = 0.0, count(), []
@@ -129,11 +136,11 @@
         self.all[name] = process
         seed, local = self.rng.getrandbits(32), process.clock.local(self.now)
         if name in self.voters:
-            process.one = self.voter(name, self.disks[name].kept(), self.tuning, self.terms, seed, local)
+            process.one = self.voter(name, self.disks[name].kept(), self.tuning, self.timing, seed, local)
             self.applied_at[name, process.life] = process.one.raft.applied
         else:
             near = {"probe": name != "b2", "deal": True}
-            process.one = self.holder(name, f"at-{name}", near, self.voters, self.terms, seed, local)
+            process.one = self.holder(name, f"at-{name}", near, self.voters, self.timing, seed, local)
             self._at(0.005, self._act, name, process.life)
         self._wake(process)
 
@@ -159,7 +166,7 @@
     def _collect(self, process):
         if process.name in self.voters:
             self._check_voter(process)
-            out = process.one.take()
+            out = process.one.drain_output()
             disk = self.disks[process.name]
             for seq, record in out.writes:
                 disk.records.append(voting.encode(record))
@@ -172,7 +179,7 @@
             for to, told in out.to_brokers:
                 self._send(process.name, to, saying.encode(told))
         else:
-            for to, message in process.one.take():
+            for to, message in process.one.drain_output():
                 self._send(process.name, to, saying.encode(message))
             self._check_holder(process)
         self._wake(process)
@@ -211,11 +218,11 @@
             return
         local = process.clock.local(self.now)
         if to in self.voters and source in self.voters:
-            process.one.from_voter(local, voting.decode(data))
+            process.one.receive_from_voter(local, voting.decode(data))
         elif to in self.voters:
-            process.one.from_broker(local, saying.decode(data))
+            process.one.receive_from_broker(local, saying.decode(data))
         else:
-            process.one.told(local, saying.decode(data))
+            process.one.receive_reply(local, saying.decode(data))
         self._collect(process)
 
     # -- acts
@@ -271,11 +278,11 @@
                 process.stalled_until = self.now + self.rng.choice((0.2, 1.0, 5.0)) * self.rng.random()
                 self._wake(process)
             case "leave" if name not in self.voters and self._running(name):
-                process.one.leave(process.clock.local(self.now))
+                process.one.shut_down(process.clock.local(self.now))
                 self._collect(process)
                 self._crash(name, self.rng.random())
             case "fail" if name not in self.voters and self._running(name):
-                process.one.failing("probe", self.rng.random() < 0.5)
+                process.one.set_failing("probe", self.rng.random() < 0.5)
             case "cede" if name in self.voters and self._running(name):
                 process.one.raft.transfer(process.clock.local(self.now))
                 self._collect(process)
@@ -308,7 +315,7 @@
         if raft.applied < self.applied_at[key]:
             raise Broken(f"{process.name} went back from {self.applied_at[key]} to {raft.applied}")
         self.applied_at[key] = raft.applied
-        if process.one.leads:  # whoever leads knows all that was ever chosen and told
+        if process.one.is_leader:  # whoever leads knows all that was ever chosen and told
             if raft.applied < self.acknowledged and raft.ready and max(self.leaders) == raft.term:
                 raise Broken(f"{process.name} leads term {raft.term} and lacks acknowledged entries")
             self.acknowledged = max(self.acknowledged, raft.commit)
@@ -324,7 +331,7 @@
                     continue
                 command = saying.decode_command(data)
                 holder, epoch = holders.get(command.duty, ("", 0))
-                if isinstance(command, saying.GrantLease) and not holder and epoch == command.over:
+                if isinstance(command, saying.GrantLease) and not holder and epoch == command.previous_epoch:
                     holders[command.duty] = (command.holder, at)
                 elif isinstance(command, saying.ReleaseLease) and holder and epoch == command.epoch:
                     holders[command.duty] = ("", epoch)
@@ -336,7 +343,7 @@
         """Who may act until when, in true time; nobody else may at that moment."""
         for duty, mine in process.one.duties.items():
             held = self.believes.setdefault(duty, {})
-            until = process.clock.true(mine.until) if mine.epoch else -1.0
+            until = process.clock.true(mine.valid_until) if mine.epoch else -1.0
             held.pop(process.name, None)
             if until <= self.now:
                 continue
@@ -381,7 +388,7 @@
 
     def settled(self):
         """Whether one leads, all agree with it, and each duty has a holder that may act."""
-        leaders = [p for n, p in self.all.items() if n in self.voters and p.one is not None and p.one.leads]
+        leaders = [p for n, p in self.all.items() if n in self.voters and p.one is not None and p.one.is_leader]
         if len(leaders) != 1 or any(p.one is None for p in self.all.values()):
             return False
         table = leaders[0].one.table
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -6,9 +6,10 @@
 from badgerbend.consensus import replication
 from badgerbend.consensus.log import Log, PersistentState
 from badgerbend.consensus.raft import BecameLeader, EntryApplied, Raft, RaftConfig, ReadConfirmed, Role
-from badgerbend.leases.holder import LeaseHolder, LeaseTiming
-from badgerbend.leases.messages import GrantLease, LeaseReply, LeaseState, PutFact, ReleaseLease, encode
+from badgerbend.leases.holder import LeaseHolder
+from badgerbend.leases.messages import GrantLease, LeaseId, LeaseReply, LeaseState, PutFact, ReleaseLease, encode
 from badgerbend.leases.table import Lease, LeaseTable
+from badgerbend.leases.timing import LeaseTiming
 from tests.modelvoters import NAMES, State, search
 from tests.mutants import MUTANTS, CommitsAnEarlierTerm, LosesALease, ReadsWithoutARound, VotesBeforeTheDisk
 from tests.simvoters import Broken, Chaos, World
@@ -287,9 +288,9 @@
 def holder(now=0.0):
     """A broker that has heard who held the duty before, and has asked once."""
     one = LeaseHolder("b0", "127.0.0.1:1", {"probe": True}, ("v0", "v1"), LeaseTiming(), 1, now)
-    one.told(now, told(0, epoch=2, renewed=False, holder="b7"))
+    one.receive_reply(now, told(0, epoch=2, renewed=False, holder="b7"))
     one.tick(now + 1.0)
-    return one, one.take()[0][1].seq
+    return one, one.drain_output()[0][1].seq
 
 
 def told(seq, epoch=5, renewed=True, holder="b0", yields=False):
@@ -298,30 +299,30 @@
 
 def test_a_grant_alone_lets_nobody_act_and_a_renewal_counts_from_its_request():
     one, seq = holder()
-    one.told(1.1, told(0, renewed=False))
+    one.receive_reply(1.1, told(0, renewed=False))
     assert one.may_act(1.1, "probe") is None and one.next_at == 1.1
     one.tick(1.1)
-    (_, want) = one.take()[0]
-    assert want.stands[0].epoch == 5
-    one.told(1.4, told(want.seq))
+    (_, want) = one.drain_output()[0]
+    assert want.candidacies[0].epoch == 5
+    one.receive_reply(1.4, told(want.seq))
     assert one.may_act(1.4, "probe") == 5 and one.may_act(1.8, "probe") == 5
     for at in range(19, 30):
         one.tick(at / 10)
     assert one.may_act(1.1 + 2.0 * 0.99 - 0.001, "probe") == 5
     assert one.may_act(1.1 + 2.0 * 0.99 + 0.001, "probe") is None
-    one.told(3.1, told(12345))  # an answer to no request of this life
+    one.receive_reply(3.1, told(12345))  # an answer to no request of this life
     assert one.may_act(3.1, "probe") is None
 
 
 def test_after_a_stall_only_what_is_asked_after_it_counts():
     one, seq = holder()
-    one.told(1.1, told(seq))
+    one.receive_reply(1.1, told(seq))
     assert one.may_act(1.1, "probe") == 5
     assert one.may_act(1.7, "probe") is None  # 600 ms without a look at the clock
-    one.told(1.75, told(seq))
+    one.receive_reply(1.75, told(seq))
     assert one.may_act(1.75, "probe") is None
     one.tick(1.8)
-    one.told(1.9, told(one.take()[-1][1].seq))
+    one.receive_reply(1.9, told(one.drain_output()[-1][1].seq))
     assert one.may_act(1.9, "probe") == 5
 
 
@@ -329,24 +330,28 @@
     # Its Leave was still on the way: the new life renewed the lease, the leader then ended it, and two could act.
     one = LeaseHolder("b0", "127.0.0.1:1", {"probe": True}, ("v0", "v1"), LeaseTiming(), 1, 0.0)
     one.tick(1.0)
-    seq = one.take()[0][1].seq
-    one.told(1.1, told(seq))
-    assert one.may_act(1.1, "probe") is None and not one.held()
-    assert {m.held for _, m in one.take()} == {(("probe", 5),)}
-    one.told(1.2, told(seq, epoch=8))
+    seq = one.drain_output()[0][1].seq
+    one.receive_reply(1.1, told(seq))
+    assert one.may_act(1.1, "probe") is None and not one.granted_leases()
+    assert {m.returned_leases for _, m in one.drain_output()} == {(LeaseId("probe", 5),)}
+    one.receive_reply(1.2, told(seq, epoch=8))
     assert one.may_act(1.2, "probe") == 8
 
 
 def test_what_was_given_back_is_not_taken_up_again():
     one, seq = holder()
-    one.told(1.1, told(seq))
-    one.told(1.2, told(0, renewed=False, yields=True))
-    leaves = [m for _, m in one.take()]
-    assert one.may_act(1.2, "probe") is None and {m.held for m in leaves} == {(("probe", 5),)} and len(leaves) == 2
-    one.told(1.3, told(seq))
-    assert one.may_act(1.3, "probe") is None and not one.held()
-    one.told(1.3, told(seq, epoch=9))
+    one.receive_reply(1.1, told(seq))
+    one.receive_reply(1.2, told(0, renewed=False, yields=True))
+    leaves = [m for _, m in one.drain_output()]
+    assert (
+        one.may_act(1.2, "probe") is None
+        and {m.returned_leases for m in leaves} == {(LeaseId("probe", 5),)}
+        and len(leaves) == 2
+    )
+    one.receive_reply(1.3, told(seq))
+    assert one.may_act(1.3, "probe") is None and not one.granted_leases()
+    one.receive_reply(1.3, told(seq, epoch=9))
     assert one.may_act(1.3, "probe") == 9
-    one.leave(1.4)
-    one.told(1.45, told(seq, epoch=11))
+    one.shut_down(1.4)
+    one.receive_reply(1.45, told(seq, epoch=11))
     assert one.may_act(1.45, "probe") is None and one.next_at == float("inf")
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -40,8 +40,9 @@
 from badgerbend.feed.publisher import Publisher, PublisherTuning
 from badgerbend.feed.relay import Relay, RelayTuning
 from badgerbend.feed.snapshot import SnapshotAssembly
-from badgerbend.leases.holder import LeaseHolder, LeaseTiming
+from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import GrantLease, encode
+from badgerbend.leases.timing import LeaseTiming
 from badgerbend.leases.voter import Voter
 from tests.feed_stage import ADDRESS, SIGNER, VERIFIER, Control, Stage, change
 from tests.replacing import replace_attribute
@@ -731,27 +732,27 @@
 
 def test_a_voter_that_follows_is_confirmed_by_a_leader_that_knows_what_was_agreed_on():
     voter = voter_of("a", "b", "c")
-    voter.from_voter(1.0, heard(1, "b", (0, 0), 0, voting.Entry(1, 1, voting.EntryKind.NOOP)))
+    voter.receive_from_voter(1.0, heard(1, "b", (0, 0), 0, voting.Entry(1, 1, voting.EntryKind.NOOP)))
     assert voter.confirmed_at == -math.inf  # nothing of its term is committed
-    voter.from_voter(2.0, heard(1, "b", (1, 1), 1))
+    voter.receive_from_voter(2.0, heard(1, "b", (1, 1), 1))
     assert voter.confirmed_at == 2.0
-    voter.from_voter(3.0, heard(2, "c", (1, 1), 1, voting.Entry(2, 2, voting.EntryKind.NOOP)))
+    voter.receive_from_voter(3.0, heard(2, "c", (1, 1), 1, voting.Entry(2, 2, voting.EntryKind.NOOP)))
     assert voter.confirmed_at == 2.0  # a new leader, that may not know yet what the last one committed
-    voter.from_voter(4.0, heard(2, "c", (2, 2), 3))
+    voter.receive_from_voter(4.0, heard(2, "c", (2, 2), 3))
     assert voter.confirmed_at == 2.0  # the leader has committed what this voter lacks
-    voter.from_voter(5.0, heard(2, "c", (2, 2), 2))
+    voter.receive_from_voter(5.0, heard(2, "c", (2, 2), 2))
     assert voter.confirmed_at == 5.0
-    voter.from_voter(6.0, heard(1, "b", (1, 1), 1))
+    voter.receive_from_voter(6.0, heard(1, "b", (1, 1), 1))
     assert voter.confirmed_at == 5.0  # a leader of the past
 
 
 def test_a_voter_that_leads_is_confirmed_as_of_when_it_asked():
     voter = voter_of("a")
     now = 0.0
-    while not voter.leads:
+    while not voter.is_leader:
         now = voter.next_at
         voter.tick(now)
-        for number, _ in voter.take().writes:
+        for number, _ in voter.drain_output().writes:
             voter.saved(now, number)
     assert voter.confirmed_at == -math.inf
     voter.confirm(now + 1.0)
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -58,9 +58,9 @@
     voters = " ".join(f'(voter {v.name} (address "{v.address}"))' for v in THREE)
     got = parse(f'{text} (duties (key "k") {voters} (store "v") (lease-ms 3000) (clock-rate 0.02)))', "f").duties
     assert got == Duties(("k",), THREE, store="v", lease_ms=3000.0, clock_rate=0.02)
-    terms = lease_timing(got)
-    assert (terms.lease_s, terms.held_s, terms.waited_s) == (3.0, 3.0 * 0.98, 3.0 * 1.02)
-    assert replace(terms, rate=0.0).held_s == 3.0
+    timing = lease_timing(got)
+    assert (timing.lease_duration_s, timing.holder_lease_s, timing.leader_lease_s) == (3.0, 3.0 * 0.98, 3.0 * 1.02)
+    assert replace(timing, clock_drift_bound=0.0).holder_lease_s == 3.0
     with pytest.raises(SettingsError, match="address nowhere is not HOST:PORT"):
         parse(f'{text} (duties (key "k") (voter a (address "nowhere"))))', "f")
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -4,11 +4,19 @@
 
 from badgerbend import api
 from badgerbend.leases.fencing import FencingGuard
-from badgerbend.leases.holder import LeaseHolder, LeaseTiming
-from badgerbend.leases.manager import ENOUGH, SELDOM, STEADY, TAKEN_UP, LeaseManager
+from badgerbend.leases.health_checks import HealthChecker, observations_of, suspected_servers, suspicion_report
+from badgerbend.leases.holder import LeaseHolder
+from badgerbend.leases.manager import (
+    HANDOVER_LEASES,
+    MAX_FREQUENT_CANDIDATES,
+    MAX_REQUEST_INTERVALS,
+    UNCONFIRMED_GRANT_TIMEOUTS,
+    LeaseManager,
+)
 from badgerbend.leases.messages import (
     Candidacy,
     GrantLease,
+    LeaseId,
     LeaseReply,
     LeaseRequest,
     LeaseReturn,
@@ -19,12 +27,12 @@
     SuspicionReport,
     encode,
 )
-from badgerbend.leases.probing import Prober, doubted, learned, said
 from badgerbend.leases.table import LeaseTable
+from badgerbend.leases.timing import LeaseTiming
 from badgerbend.membership.swim import Tuning
 from badgerbend.standin.network import Network
 
-TERMS = LeaseTiming(lease_s=2.0, rate=0.01, ask_s=1.0, answer_s=0.25)
+TIMING = LeaseTiming(lease_duration_s=2.0, clock_drift_bound=0.01, candidacy_interval_s=1.0, reply_timeout_s=0.25)
 
 
 class Led:
@@ -32,8 +40,8 @@
 
     def __init__(self, *brokers):
         self.table, self.now, self.index = LeaseTable(), 0.0, 0
-        self.keeper = LeaseManager(self.table, TERMS, 1)
-        self.keeper.lead(0.0)
+        self.manager = LeaseManager(self.table, TIMING, 1)
+        self.manager.become_leader(0.0)
         self.brokers = {b: LeaseRequest(b, 1, f"127.0.0.1:{i + 1}", 0.0, False, ()) for i, b in enumerate(brokers)}
         self.near, self.failing, self.lines = dict.fromkeys(brokers, True), set(), {}
 
@@ -41,7 +49,7 @@
         for command in commands:
             self.index += 1
             self.table.apply(self.index, encode(command))
-            self.keeper.changed(self.now)
+            self.manager.table_changed(self.now)
         return commands
 
     def run(self, seconds, silent=()):
@@ -54,11 +62,13 @@
                     continue
                 lease = self.table.lease("probe")
                 stand = Candidacy("probe", lease.epoch * (lease.holder == name), self.near[name], name in self.failing)
-                want = msgspec.structs.replace(want, stands=(stand,))
+                want = msgspec.structs.replace(want, candidacies=(stand,))
                 self.lines[name] = (
-                    self.keeper.renew(self.now, want) if self.keeper.want(self.now, want) else self.keeper.lines(want)
+                    self.manager.renew(self.now, want)
+                    if self.manager.receive_request(self.now, want)
+                    else self.manager.current_leases(want)
                 )[0]
-            done += self.apply(self.keeper.due(self.now))
+            done += self.apply(self.manager.due_commands(self.now))
         return done
 
     @property
@@ -70,13 +80,13 @@
     led = Led("far", "near")
     led.near["far"] = False
     assert not led.run(0.75) and led.run(0.5) == [GrantLease("probe", "near", 0)]
-    assert led.lines["near"].at == "127.0.0.1:2"
+    assert led.lines["near"].address == "127.0.0.1:2"
 
 
 def test_the_least_loaded_of_those_at_the_site_that_do_not_vote_is_chosen():
     led = Led("voter", "busy", "idle", "far")
     led.near["far"] = False
-    led.brokers["voter"] = msgspec.structs.replace(led.brokers["voter"], votes=True)
+    led.brokers["voter"] = msgspec.structs.replace(led.brokers["voter"], is_voter=True)
     led.brokers["busy"] = msgspec.structs.replace(led.brokers["busy"], load=900.0)
     led.run(2)
     assert led.holder == "idle"
@@ -95,10 +105,10 @@
 def test_a_grant_that_is_not_taken_up_is_given_on_and_not_to_the_same():
     led = Led("a", "b")
     led.run(0.75)
-    led.keeper.candidates["probe"].pop("b", None)
+    led.manager.candidates["probe"].pop("b", None)
     (grant,) = led.run(0.25, silent=("a", "b"))
     assert grant.holder == "a"
-    done = led.run(TAKEN_UP * TERMS.answer_s + 0.5, silent=("a",))
+    done = led.run(UNCONFIRMED_GRANT_TIMEOUTS * TIMING.reply_timeout_s + 0.5, silent=("a",))
     assert [type(c) for c in done] == [ReleaseLease, GrantLease] and led.holder == "b"
 
 
@@ -106,9 +116,10 @@
     led = Led("a", "b")
     led.run(3)
     old, epoch = led.holder, led.table.lease("probe").epoch
-    assert led.apply(led.keeper.leave(LeaseReturn(old, 5, (("probe", epoch),), True))) == [ReleaseLease("probe", epoch)]
-    assert not led.keeper.leave(LeaseReturn(old, 6, (("probe", epoch),), True))
-    (grant,) = led.apply(led.keeper.due(led.now))
+    returned = (LeaseId("probe", epoch),)
+    assert led.apply(led.manager.receive_return(LeaseReturn(old, 5, returned, True))) == [ReleaseLease("probe", epoch)]
+    assert not led.manager.receive_return(LeaseReturn(old, 6, returned, True))
+    (grant,) = led.apply(led.manager.due_commands(led.now))
     assert grant.holder != old
 
 
@@ -118,13 +129,13 @@
     led.run(3)
     assert led.holder == "a"
     led.brokers["a"] = msgspec.structs.replace(led.brokers["a"], load=1e6)
-    led.run(4 * STEADY * TERMS.lease_s)
-    assert led.holder == "a" and not led.lines["a"].yields
+    led.run(4 * HANDOVER_LEASES * TIMING.lease_duration_s)
+    assert led.holder == "a" and not led.lines["a"].should_yield
     led.near = {"a": False, "b": True}
-    led.run(STEADY * TERMS.lease_s - 1)
-    assert not led.lines["a"].yields
+    led.run(HANDOVER_LEASES * TIMING.lease_duration_s - 1)
+    assert not led.lines["a"].should_yield
     led.run(3)
-    assert led.lines["a"].yields and led.lines["a"].renewed
+    assert led.lines["a"].should_yield and led.lines["a"].renewed
 
 
 def test_a_holder_that_fails_is_asked_to_give_back_and_waited_for_if_it_does_not():
@@ -132,10 +143,10 @@
     led.run(3)
     old, epoch = led.holder, led.table.lease("probe").epoch
     led.failing = {old}
-    assert not led.run(TERMS.lease_s)
+    assert not led.run(TIMING.lease_duration_s)
     led.run(0.5)
     last = led.now
-    assert led.lines[old].yields and not led.lines[old].renewed and led.holder == old
+    assert led.lines[old].should_yield and not led.lines[old].renewed and led.holder == old
     done = led.run(3)
     assert done[0] == ReleaseLease("probe", epoch) and led.holder != old and led.now - last > 1.0
     other = led.holder
@@ -148,14 +159,14 @@
     led = Led("a")
     led.run(3)
     epoch = led.table.lease("probe").epoch
-    want = msgspec.structs.replace(led.brokers["a"], stands=(Candidacy("probe", epoch - 1, True, False),))
-    assert not led.keeper.want(led.now, want)
-    want = msgspec.structs.replace(want, stands=(Candidacy("probe", epoch, True, False),))
-    assert led.keeper.want(led.now, want) and led.keeper.renew(led.now, want)[0].renewed
-    (free,) = led.keeper.due(led.now + 3.0)
-    assert free == ReleaseLease("probe", epoch) and not led.keeper.renew(led.now, want)[0].renewed
-    led.keeper.refused(free)  # it did not get into the log
-    assert led.keeper.renew(led.now, want)[0].renewed
+    want = msgspec.structs.replace(led.brokers["a"], candidacies=(Candidacy("probe", epoch - 1, True, False),))
+    assert not led.manager.receive_request(led.now, want)
+    want = msgspec.structs.replace(want, candidacies=(Candidacy("probe", epoch, True, False),))
+    assert led.manager.receive_request(led.now, want) and led.manager.renew(led.now, want)[0].renewed
+    (free,) = led.manager.due_commands(led.now + 3.0)
+    assert free == ReleaseLease("probe", epoch) and not led.manager.renew(led.now, want)[0].renewed
+    led.manager.proposal_dropped(free)  # it did not get into the log
+    assert led.manager.renew(led.now, want)[0].renewed
 
 
 def test_the_lowest_name_of_a_membership_is_two_holders_where_it_is_cut():
@@ -176,49 +187,61 @@
 # -- hundreds of candidates
 
 
-def crowd(keeper, now, names, near=True):
+def crowd(manager, now, names, near=True):
     """They show themselves; by name, how long each may stay silent."""
     waits = {}
     for i, name in enumerate(names):
         want = LeaseRequest(name, 1, f"127.0.0.1:{i + 1}", 0.0, False, (Candidacy("probe", 0, near, False),))
-        keeper.want(now, want)
-        waits[name] = keeper.wait_s(want)
+        manager.receive_request(now, want)
+        waits[name] = manager.request_delay_s(want)
     return waits
 
 
 def test_of_hundreds_of_candidates_a_few_show_themselves_often_and_others_take_their_place():
     led = Led()
-    waits = crowd(led.keeper, 0.0, [f"b{i}" for i in range(200)])
+    waits = crowd(led.manager, 0.0, [f"b{i}" for i in range(200)])
     often = [name for name, wait in waits.items() if not wait]
-    assert len(often) == ENOUGH and len(led.keeper.silent("probe")) == 200 - ENOUGH
-    assert max(waits.values()) == TERMS.ask_s * SELDOM  # 200 of them would come in every 12.5 s
-    assert crowd(led.keeper, 1.0, often) == dict.fromkeys(often, 0.0)  # the same ones again
-    later = crowd(led.keeper, 1.0 + 3.1 * TERMS.ask_s, ["b150", "b151", "b152"])  # those are silent: a site was lost
+    assert (
+        len(often) == MAX_FREQUENT_CANDIDATES
+        and len(led.manager.infrequent_candidates("probe")) == 200 - MAX_FREQUENT_CANDIDATES
+    )
+    assert (
+        max(waits.values()) == TIMING.candidacy_interval_s * MAX_REQUEST_INTERVALS
+    )  # 200 of them would come in every 12.5 s
+    assert crowd(led.manager, 1.0, often) == dict.fromkeys(often, 0.0)  # the same ones again
+    later = crowd(
+        led.manager, 1.0 + 3.1 * TIMING.candidacy_interval_s, ["b150", "b151", "b152"]
+    )  # those are silent: a site was lost
     assert list(later.values()) == [0.0] * 3
-    (grant,) = led.keeper.due(led.now + 4.2)
+    (grant,) = led.manager.due_commands(led.now + 4.2)
     assert isinstance(grant, GrantLease) and grant.holder in later  # who is heard is given it, and nobody of the lost
 
 
 def test_better_placed_candidates_take_the_place_of_worse_ones():
     led = Led()
-    crowd(led.keeper, 0.0, [f"far{i}" for i in range(30)], near=False)
-    assert crowd(led.keeper, 0.1, ["near"]) == {"near": 0.0}
-    assert len(led.keeper.often["probe"]) == ENOUGH and "near" in led.keeper.often["probe"]
+    crowd(led.manager, 0.0, [f"far{i}" for i in range(30)], near=False)
+    assert crowd(led.manager, 0.1, ["near"]) == {"near": 0.0}
+    assert (
+        len(led.manager.frequent_candidates["probe"]) == MAX_FREQUENT_CANDIDATES
+        and "near" in led.manager.frequent_candidates["probe"]
+    )
 
 
 def test_a_broker_waits_as_it_was_told_but_not_when_no_answer_came():
-    holder = LeaseHolder("b1", "127.0.0.1:1", {"probe": True}, ("v1",), TERMS, 1, 0.0)
+    holder = LeaseHolder("b1", "127.0.0.1:1", {"probe": True}, ("v1",), TIMING, 1, 0.0)
     holder.tick(holder.next_at)
-    ((_, want),) = holder.take()
-    holder.told(0.3, LeaseReply("v1", want.seq, "v1", True, (LeaseState("probe", "b9", "", 4, False, False),), 9.0))
+    ((_, want),) = holder.drain_output()
+    holder.receive_reply(
+        0.3, LeaseReply("v1", want.seq, "v1", True, (LeaseState("probe", "b9", "", 4, False, False),), 9.0)
+    )
     assert 0.3 + 0.8 * 9.0 <= holder.next_at <= 0.3 + 9.0
     for n in range(1, 19):  # its loop does not stand still
         holder.tick(0.3 + 0.4 * n)
-    assert not holder.take()
-    while not (said := holder.take()):
+    assert not holder.drain_output()
+    while not (said := holder.drain_output()):
         holder.tick(min(holder.next_at, holder._alive_at + 0.4))
     assert len(said) == 1 and holder.next_at < 10.5  # it asked, and nobody has answered yet
-    holder.told(9.6, LeaseReply("v1", 0, "v1", True, (LeaseState("probe", "b1", "", 7, False, False),), 0.0))
+    holder.receive_reply(9.6, LeaseReply("v1", 0, "v1", True, (LeaseState("probe", "b1", "", 7, False, False),), 0.0))
     assert holder.next_at == 9.6  # granted: renewed at once, however long it was to wait
 
 
@@ -229,7 +252,7 @@
     fence = FencingGuard()
     assert fence.admits("probe", 5) and fence.admits("probe", 5) and fence.admits("deal", 1)
     assert not fence.admits("probe", 4) and fence.admits("probe", 9) and not fence.admits("probe", 5)
-    assert fence.refused == 2
+    assert fence.rejected == 2
 
 
 def seen(node, time_ms, dead=False):
@@ -240,31 +263,31 @@
     known = api.Observations(
         (seen(1, 20.0), seen(2, 25.0), seen(3, 400.0), seen(4, 30.0, dead=True), seen(9, 900.0)), ()
     )
-    assert doubted(known, {1: "s1", 2: "s2", 3: "s3", 4: "s4"}) == ["s4", "s3"]
-    assert doubted(api.Observations((), ()), {}) == []
-    assert len(said([f"s{i}" for i in range(100)], "b0", "probe").servers) == 16
+    assert suspected_servers(known, {1: "s1", 2: "s2", 3: "s3", 4: "s4"}) == ["s4", "s3"]
+    assert suspected_servers(api.Observations((), ()), {}) == []
+    assert len(suspicion_report([f"s{i}" for i in range(100)], "b0", "probe").servers) == 16
 
 
 def test_a_server_is_asked_as_often_whoever_many_doubt_it_and_all_of_them_are_told():
-    prober = Prober("probe", "b0", every_s=0.5, most=2)
+    prober = HealthChecker("probe", "b0", interval_s=0.5, max_in_flight=2)
     for i in range(50):
-        prober.doubt(0.0, SuspicionReport(f"b{i}", "probe", ("s1", "s2", "s3")), f"127.0.0.1:{i + 1}")
-    assert prober.due(0.0) == ["s1", "s2"] and prober.due(0.1) == []
-    told = prober.found(0.2, 7, "s1", True, 12.0)
+        prober.receive_suspicions(0.0, SuspicionReport(f"b{i}", "probe", ("s1", "s2", "s3")), f"127.0.0.1:{i + 1}")
+    assert prober.start_due_checks(0.0) == ["s1", "s2"] and prober.start_due_checks(0.1) == []
+    told = prober.finish_check(0.2, 7, "s1", True, 12.0)
     assert len(told) == 50 and told[0] == (
         "127.0.0.1:1",
         ProbeReport("b0", "probe", 7, (ProbeResult("s1", True, 12.0, 200.0),)),
     )
-    assert prober.found(0.2, 7, "s1", True, 12.0) == []  # a second word on the same probe
-    assert prober.due(0.3) == ["s3"] and prober.due(0.6) == []  # two at once
-    prober.found(0.6, 7, "s2", False, 1000.0)
-    assert prober.due(0.7) == ["s1"]
+    assert prober.finish_check(0.2, 7, "s1", True, 12.0) == []  # a second word on the same probe
+    assert prober.start_due_checks(0.3) == ["s3"] and prober.start_due_checks(0.6) == []  # two at once
+    prober.finish_check(0.6, 7, "s2", False, 1000.0)
+    assert prober.start_due_checks(0.7) == ["s1"]
     for server in ("s1", "s3"):
-        prober.found(1.0, 7, server, True, 1.0)
-    assert prober.due(20.0) == [] and not prober.servers  # nobody doubts any more
-    assert prober.probes == 4
+        prober.finish_check(1.0, 7, server, True, 1.0)
+    assert prober.start_due_checks(20.0) == [] and not prober.servers  # nobody doubts any more
+    assert prober.checks_started == 4
 
 
 def test_a_finding_takes_the_place_of_no_own_sight():
     found = ProbeReport("b0", "probe", 7, (ProbeResult("s1", False, 1000.0, 50.0), ProbeResult("gone", True, 1.0, 1.0)))
-    assert learned(found, {"s1": 4}) == api.Observations((api.EndpointObservation(4, 1000.0, 50.0, True),), ())
+    assert observations_of(found, {"s1": 4}) == api.Observations((api.EndpointObservation(4, 1000.0, 50.0, True),), ())
--- a/tests/test_scenes.py
+++ b/tests/test_scenes.py
@@ -88,7 +88,7 @@
 
         def leads(since):
             found = [message_of(r["data"]) for r in stage.lines[since:] if r["k"] == "passed"]
-            return {m.source for m in found if isinstance(m, LeaseReply) and m.leads}
+            return {m.source for m in found if isinstance(m, LeaseReply) and m.is_leader}
 
         since = len(stage.lines)
         await until(lambda: leads(since) - {leader})
--- a/tests/test_stored_bytes_feed.py
+++ b/tests/test_stored_bytes_feed.py
@@ -56,8 +56,8 @@
     """A lease, a fact, two publications, and all parts but the first of a third."""
     machine = FeedMachine(RETENTION)
     commands = [
-        encode(GrantLease(duty="publish", holder="c1", over=0)),
-        encode(PutFact(key="version", value=b"\x00v2\xff", over=0)),
+        encode(GrantLease(duty="publish", holder="c1", previous_epoch=0)),
+        encode(PutFact(key="version", value=b"\x00v2\xff", previous_index=0)),
     ]
     first, second, third = (split(publication) for publication in publications())
     for index, command in enumerate([*commands, *first, *second, *third[1:]], 1):
--- a/tests/test_stored_bytes_ledger.py
+++ b/tests/test_stored_bytes_ledger.py
@@ -15,9 +15,9 @@
 NEW_VOTERS = ("v0", "v1", "v3")
 TORN_BYTES = 13  # of the record whose writing was cut short
 
-GRANT = encode(GrantLease(duty="probe:north", holder="b1", over=0))
+GRANT = encode(GrantLease(duty="probe:north", holder="b1", previous_epoch=0))
 FREE = encode(ReleaseLease(duty="probe:north", epoch=2))
-PUT = encode(PutFact(key="version", value=b"\x00v2\xff", over=0))
+PUT = encode(PutFact(key="version", value=b"\x00v2\xff", previous_index=0))
 
 # The state after the first two commands, as the snapshot in the store holds it.
 SNAPSHOT_STATE = bytes.fromhex("929193ab70726f62653a6e6f727468a262310290")
--- a/tests/test_wire_bytes_leases.py
+++ b/tests/test_wire_bytes_leases.py
@@ -13,6 +13,7 @@
     Candidacy,
     Command,
     GrantLease,
+    LeaseId,
     LeaseReply,
     LeaseRequest,
     LeaseReturn,
@@ -33,38 +34,45 @@
 from tests.wire_bytes import assert_same_bytes, fixture_bytes, fixture_keys
 
 COMMANDS = {
-    "duties/command/grant": GrantLease(duty="probe:north", holder="b1", over=17),
+    "duties/command/grant": GrantLease(duty="probe:north", holder="b1", previous_epoch=17),
     "duties/command/free": ReleaseLease(duty="probe:north", epoch=18),
-    "duties/command/put": PutFact(key="version", value=b"\x00v2\xff", over=19),
-    "duties/command/put-empty": PutFact(key="version", value=b"", over=20),
+    "duties/command/put": PutFact(key="version", value=b"\x00v2\xff", previous_index=19),
+    "duties/command/put-empty": PutFact(key="version", value=b"", previous_index=20),
 }
 
 MESSAGES = {
     "duties/message/acquire": LeaseRequest(
         source="b1",
         seq=41,
-        at="10.0.0.1:7000",
+        address="10.0.0.1:7000",
         load=0.25,
-        votes=True,
-        stands=(
-            Candidacy(duty="probe:north", epoch=18, near=True, failing=False),
-            Candidacy(duty="deal", epoch=0, near=False, failing=True),
+        is_voter=True,
+        candidacies=(
+            Candidacy(duty="probe:north", epoch=18, is_local=True, is_failing=False),
+            Candidacy(duty="deal", epoch=0, is_local=False, is_failing=True),
         ),
     ),
-    "duties/message/release": LeaseReturn(source="b1", seq=42, held=(("probe:north", 18), ("deal", 21)), gone=True),
+    "duties/message/release": LeaseReturn(
+        source="b1",
+        seq=42,
+        returned_leases=(LeaseId(duty="probe:north", epoch=18), LeaseId(duty="deal", epoch=21)),
+        is_departing=True,
+    ),
     "duties/message/response": LeaseReply(
         source="v0",
         seq=43,
         leader="v1",
-        leads=False,
-        lines=(
-            LeaseState(duty="probe:north", holder="b1", at="10.0.0.1:7000", epoch=18, renewed=True, yields=False),
-            LeaseState(duty="deal", holder="", at="", epoch=21, renewed=False, yields=True),
+        is_leader=False,
+        leases=(
+            LeaseState(
+                duty="probe:north", holder="b1", address="10.0.0.1:7000", epoch=18, renewed=True, should_yield=False
+            ),
+            LeaseState(duty="deal", holder="", address="", epoch=21, renewed=False, should_yield=True),
         ),
-        wait_s=1.5,
+        request_delay_s=1.5,
     ),
     "duties/message/response-without-leader": LeaseReply(
-        source="v0", seq=0, leader="", leads=False, lines=(), wait_s=0.0
+        source="v0", seq=0, leader="", is_leader=False, leases=(), request_delay_s=0.0
     ),
 }
 
@@ -74,9 +82,9 @@
         source="b1",
         duty="probe:north",
         epoch=18,
-        rows=(
-            ProbeResult(server="s1", served=True, took_ms=12.5, age_ms=250.0),
-            ProbeResult(server="s2", served=False, took_ms=1000.0, age_ms=0.5),
+        results=(
+            ProbeResult(server="s1", succeeded=True, latency_ms=12.5, age_ms=250.0),
+            ProbeResult(server="s2", succeeded=False, latency_ms=1000.0, age_ms=0.5),
         ),
     ),
     "duties/act/allowance-request": BudgetRequest(
@@ -111,7 +119,7 @@
 
 
 def test_response_without_wait_is_decoded_with_its_default():
-    expected = LeaseReply(source="v0", seq=7, leader="", leads=False, lines=(), wait_s=0.0)
+    expected = LeaseReply(source="v0", seq=7, leader="", is_leader=False, leases=(), request_delay_s=0.0)
     assert decode(bytes.fromhex("9603a2763007a0c290")) == expected
 
 
