--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -29,7 +29,7 @@
 )
 from badgerbend.leases.table import LeaseTable
 from badgerbend.leases.timing import LeaseTiming
-from badgerbend.membership.swim import Tuning
+from badgerbend.membership.swim import SwimConfig
 from badgerbend.standin.network import Network
 
 TIMING = LeaseTiming(lease_duration_s=2.0, clock_drift_bound=0.01, candidacy_interval_s=1.0, reply_timeout_s=0.25)
@@ -171,7 +171,7 @@
 
 def test_the_lowest_name_of_a_membership_is_two_holders_where_it_is_cut():
     """Why SWIM's view alone is not taken: the other way in docs/leases.md."""
-    net = Network(3, Tuning())
+    net = Network(3, SwimConfig())
     names = [f"b{i}" for i in range(8)]
     for name in names:
         net.start(name, tuple(names[:2]))
@@ -179,7 +179,7 @@
     net.sides = {name: i % 2 for i, name in enumerate(names)}
 
     def lowest(name):
-        return min([name, *(m.name for m in net.members[name].alive())])
+        return min([name, *(m.name for m in net.members[name].live_members())])
 
     assert net.run(240, lambda: {lowest("b0"), lowest("b1")} == {"b0", "b1"})
 
