--- a/badgerbend/lease_service/status.py
+++ b/badgerbend/lease_service/status.py
@@ -82,8 +82,8 @@
             duty=name,
             holder=duty.holder,
             epoch=duty.holder_epoch,
-            may_act=now < duty.until and duty.epoch > 0,
-            for_ms=round(max(duty.until - now, 0.0) * 1000.0) if duty.epoch else 0,
+            may_act=now < duty.valid_until and duty.epoch > 0,
+            for_ms=round(max(duty.valid_until - now, 0.0) * 1000.0) if duty.epoch else 0,
         )
         for name, duty in holder.duties.items()
     ]
@@ -115,7 +115,7 @@
     raft = local_voter.voter.raft
     return {
         "term": raft.term,
-        "leads": int(local_voter.voter.leads),
+        "leads": int(local_voter.voter.is_leader),
         "commit": raft.commit_index,
         "syncs": local_voter.writer.sync_count,
         "votes no more": int(local_voter.failure is not None),
