--- a/badgerbend/feed_service/control_wire.py
+++ b/badgerbend/feed_service/control_wire.py
@@ -24,7 +24,7 @@
     command: bytes
 
 
-ControlMessage = wire.Said | Proposal | Summary
+ControlMessage = wire.Message | Proposal | Summary
 
 
 def encode_proposal(command: bytes) -> bytes:
@@ -44,7 +44,7 @@
         return Proposal(body[1:])
     if kind == SUMMARY:
         return _decode_summary(body[1:])
-    return wire.read(body)
+    return wire.decode(body)
 
 
 def _decode_summary(data: bytes) -> Summary:
