--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -24,8 +24,15 @@
 from badgerbend.lease_service import wire
 from badgerbend.lease_service.local_voter import LocalVoter
 from badgerbend.leases.holder import LeaseHolder
-from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
-from badgerbend.leases.timing import LeaseTiming
+from badgerbend.leases.messages import (
+    BudgetReply,
+    BudgetRequest,
+    LeaseReply,
+    LeaseRequest,
+    LeaseReturn,
+    ProbeReport,
+    SuspicionReport,
+)
 from badgerbend.net.seal import Seal
 from badgerbend.net.udp import Address, SealedSocket, address_text
 
@@ -180,8 +187,10 @@
                 | voting.TimeoutNow()
             ):
                 self.local_voter.receive_from_voter(message)
+            case SuspicionReport() | ProbeReport() | BudgetRequest() | BudgetReply():
+                self.refused += 1  # messages between brokers
             case _:
-                self.refused += 1
+                assert_never(message)
 
     def _propose(self, command: bytes) -> None:
         if self.local_voter.failure is None:
--- a/badgerbend/feed_service/control_settings.py
+++ b/badgerbend/feed_service/control_settings.py
@@ -10,7 +10,7 @@
 from badgerbend.feed.log import Retention
 from badgerbend.feed.publisher import PublisherTuning
 from badgerbend.feed.relay import RelayTuning
-from badgerbend.leases.holder import LeaseTiming
+from badgerbend.leases.timing import LeaseTiming
 from badgerbend.net.udp import Address
 
 
