--- a/tests/feed_process.py
+++ b/tests/feed_process.py
@@ -47,14 +47,14 @@
 KEYS = (b"a key of control machines for tests",)
 
 
-def tell(event):
-    """An event for the test, at once."""
+def emit(event):
+    """Send an event to the test, at once."""
     sys.stdout.buffer.write(encode_line(event))
     sys.stdout.buffer.flush()
 
 
 class RememberingClock:
-    """The monotonic clock, and what it said last: the time that a core was last called with."""
+    """The monotonic clock, and its last reading: the time that a state machine was last called with."""
 
     def __init__(self):
         self.last = 0.0
@@ -65,13 +65,18 @@
 
 
 class MeasuredRelay(Relay):
-    """A relay that measures what it wants sent."""
+    """A relay that measures what it has sent."""
 
     def __init__(self, name, log, tuning, clock):
         super().__init__(name, log, tuning)
         self.clock = clock
-        self.loading_most = self.in_flight_most = self.largest_frame = self.largest_piece = self.snapshot_bytes = 0
-        self.over_pace = self.over_pace_most = 0.0
+        self.loading_most = 0
+        self.in_flight_most = 0
+        self.largest_frame = 0
+        self.largest_piece = 0
+        self.snapshot_bytes = 0
+        self.over_pace = 0.0
+        self.over_pace_most = 0.0
         self._leaked_at = 0.0
 
     def take(self):
@@ -99,21 +104,23 @@
 
 
 class ReportingOwner:
-    """Keeps what is in force and reports each install with its digest."""
+    """Holds the content in force and reports each install with its digest."""
 
     def __init__(self, name, installed=lambda: None):
-        self.name, self.installed = name, installed
-        self.in_force, self.revision = Content(), 0
+        self.name = name
+        self.installed = installed
+        self.in_force = Content()
+        self.revision = 0
 
     def install(self, revision, changes):
         self.in_force.apply(changes)
         self.revision = revision
-        tell(Installed(self.name, revision, self.in_force.digest().hex()))
+        emit(Installed(self.name, revision, self.in_force.digest().hex()))
         self.installed()
         return ""
 
     def rejected(self, relay, error):
-        tell(Refused(self.name, relay, type(error).__name__))
+        emit(Refused(self.name, relay, type(error).__name__))
 
 
 class ReportingClient(FollowerClient):
@@ -125,7 +132,7 @@
         if isinstance(message, Publication):
             self.publications += 1
         if isinstance(message, SnapshotPiece):
-            tell(PieceCame(self.follower.name, self.follower.relay.name))
+            emit(PieceCame(self.follower.name, self.follower.relay.name))
         super().stream_message(stream, message)
 
 
@@ -136,7 +143,8 @@
         self.setup = setup
         self.clock = RememberingClock()
         self.random = random.Random(1)
-        self.control = self.client = None
+        self.control = None
+        self.client = None
         self.waiting_most = 0
         log = self._log()
         self.relay = MeasuredRelay(setup.name, log, setup.tuning, self.clock)
@@ -155,7 +163,7 @@
         return follower.log
 
     async def start(self):
-        tell(Listening(await self.server.start("127.0.0.1", 0)))
+        emit(Listening(await self.server.start("127.0.0.1", 0)))
         if self.client is not None:
             self.client.start()
         self.confirming = asyncio.create_task(self._confirm())
@@ -169,7 +177,7 @@
                     self._publish(self._rows(command))
                     await asyncio.sleep(0)
             case Report():
-                tell(self._report())
+                emit(self._report())
 
     def _rows(self, fill):
         return [
@@ -180,7 +188,7 @@
         problems = self.control.publish(self.clock(), *changes)
         assert not problems, problems
         log = self.relay.log
-        tell(Published(log.revision, log.checkpoint.content.hex()))
+        emit(Published(log.revision, log.checkpoint.content.hex()))
         self._republish()
 
     def _republish(self):
@@ -188,7 +196,7 @@
         self.waiting_most = max(self.waiting_most, self.server.max_unsent_bytes())
 
     async def _confirm(self):
-        """Tells the relay up to when its log is known to be the newest."""
+        """Notify the relay, again and again, up to when its log is known to be the newest."""
         while True:
             now = self.clock()
             age = 0.0 if self.client is None else self.client.follower.age_s(now)
@@ -201,7 +209,9 @@
             revision=relay.log.revision,
             digest=relay.log.content.digest().hex(),
             followers=relay.summary().followers,
-            blocked=tuple(s.name for s in relay.sessions.values() if s.in_flight >= relay.tuning.window),
+            blocked=tuple(
+                session.name for session in relay.sessions.values() if session.in_flight >= relay.tuning.window
+            ),
             snapshots_begun=relay.snapshots_begun,
             cut=relay.cut,
             loading_most=relay.loading_most,
@@ -215,16 +225,16 @@
 
 
 class ReportingControl(ControlServer):
-    """Tells of each revision that its replica comes to."""
+    """Reports each revision that its replica reaches."""
 
-    told = 0
+    reported_revision = 0
 
     def _settle(self):
         super()._settle()
         log = self.relay.log
-        if log.revision > self.told:
-            self.told = log.revision
-            tell(Published(log.revision, log.checkpoint.content.hex()))
+        if log.revision > self.reported_revision:
+            self.reported_revision = log.revision
+            emit(Published(log.revision, log.checkpoint.content.hex()))
 
 
 class ControlProcess:
@@ -237,14 +247,14 @@
         self.server = ReportingControl(settings, SIGNER, lambda change: "", lambda what, **values: None)
 
     async def start(self):
-        tell(Listening(await self.server.start()))
+        emit(Listening(await self.server.start()))
 
     async def carry_out(self, command):
         match command:
             case Publish():
-                tell(Submitted(self._submit(command)))
+                emit(Submitted(self._submit(command)))
             case Report():
-                tell(self._report())
+                emit(self._report())
 
     def _submit(self, command):
         try:
@@ -255,7 +265,8 @@
         return True
 
     def _report(self):
-        server, log = self.server, self.server.relay.log
+        server = self.server
+        log = server.relay.log
         progress = server.progress(log.revision)
         return ControlReport(
             leads=server.local_voter.voter.is_leader,
@@ -286,7 +297,7 @@
     async def carry_out(self, command):
         match command:
             case Report():
-                tell(FollowersReport(tuple(map(self._state, self.clients, self.owners))))
+                emit(FollowersReport(tuple(map(self._state, self.clients, self.owners))))
 
     def _state(self, client, owner):
         follower = client.follower
--- a/tests/feed_processes.py
+++ b/tests/feed_processes.py
@@ -20,9 +20,9 @@
     encode_line,
 )
 
-LONGEST_S = 60.0  # a wait that takes so long has failed; nothing waits for a time to pass
-ASK_AGAIN_S = 0.05
-MOST_TEXT = 1000  # of an event in a message
+TIMEOUT_S = 60.0  # a wait that takes so long has failed; nothing waits for a time to pass
+POLL_INTERVAL_S = 0.05
+MAX_EVENT_TEXT = 1000  # of an event in a message
 
 
 class FeedProcess:
@@ -32,12 +32,12 @@
         self.process = process
         self.events = []
         self.ended = False
-        self._news = asyncio.Condition()
+        self._changed = asyncio.Condition()
         self._reading = asyncio.create_task(self._read())
 
     @classmethod
-    async def started(cls, setup):
-        """Starts one; it may not be ready yet."""
+    async def start(cls, setup):
+        """Start one; it may not be ready yet."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -48,55 +48,55 @@
         )
         return cls(process)
 
-    def say(self, command):
-        """A command; its effect is waited for with `until`."""
+    def send(self, command):
+        """Send a command; its effect is waited for with `until`."""
         self.process.stdin.write(encode_line(command))
 
     def seen(self, kind):
-        """All events of a type so far."""
+        """Return all events of a type so far."""
         return [event for event in self.events if isinstance(event, kind)]
 
     async def until(self, condition):
-        """Waits until the events so far fulfil a condition; what it was."""
+        """Wait until the events so far fulfil a condition; returns its result."""
         try:
-            async with asyncio.timeout(LONGEST_S), self._news:
+            async with asyncio.timeout(TIMEOUT_S), self._changed:
                 while not (found := condition(self)):
                     assert not self.ended, "the process has ended"
-                    await self._news.wait()
+                    await self._changed.wait()
                 return found
         except TimeoutError:
-            raise AssertionError(f"{LONGEST_S:g} s; {len(self.events)} events, last {self._last()}") from None
+            raise AssertionError(f"{TIMEOUT_S:g} s; {len(self.events)} events, last {self._last()}") from None
 
     async def next(self, kind, after):
-        """The first event of a type that comes after so many of it."""
+        """Wait for the first event of a type after so many of it."""
         return await self.until(lambda process: process.seen(kind)[after : after + 1]) and self.seen(kind)[after]
 
     async def report(self):
-        """How it stands now."""
+        """Ask for its state."""
         kind = (RelayReport, FollowersReport, ControlReport)
         before = len(self.seen(kind))
-        self.say(Report())
+        self.send(Report())
         return await self.next(kind, before)
 
     async def report_where(self, condition):
-        """Asks until the report fulfils a condition."""
+        """Ask until the report fulfils a condition; its state is measured in time, so that no event tells of it."""
         try:
-            async with asyncio.timeout(LONGEST_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while not condition(report := await self.report()):
-                    await asyncio.sleep(ASK_AGAIN_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
                 return report
         except TimeoutError:
-            raise AssertionError(f"{LONGEST_S:g} s; last report {self._last()}") from None
+            raise AssertionError(f"{TIMEOUT_S:g} s; last report {self._last()}") from None
 
-    def stop(self):
-        """It runs no further until it is told to go on."""
+    def pause(self):
+        """Stop it with a signal until `resume`."""
         self.process.send_signal(signal.SIGSTOP)
 
-    def go_on(self):
+    def resume(self):
         self.process.send_signal(signal.SIGCONT)
 
     def kill(self):
-        """Ends it by its own id, also where it is stopped."""
+        """End it by its own id, also while it is paused."""
         if self.process.returncode is None:
             self.process.kill()
 
@@ -107,16 +107,16 @@
 
     def _last(self):
         """The last event, for a message."""
-        return repr(self.events[-1:])[:MOST_TEXT]
+        return repr(self.events[-1:])[:MAX_EVENT_TEXT]
 
     async def _read(self):
         while line := await self.process.stdout.readline():
-            async with self._news:
+            async with self._changed:
                 self.events.append(decode_event(line))
-                self._news.notify_all()
-        async with self._news:
+                self._changed.notify_all()
+        async with self._changed:
             self.ended = True
-            self._news.notify_all()
+            self._changed.notify_all()
 
 
 class FeedProcesses:
@@ -135,38 +135,38 @@
             await process.wait()
 
     async def relay(self, setup):
-        """A relay that listens, and its address."""
-        process = await self._started(setup)
+        """Start a relay; returns its process and its address once it listens."""
+        process = await self._start(setup)
         listening = await process.next(Listening, 0)
         return process, RelayAddress(setup.name, setup.region, "127.0.0.1", listening.port)
 
     async def relays(self, *setups):
-        """Relays that start at once."""
+        """Start relays at the same time."""
         return await asyncio.gather(*map(self.relay, setups))
 
     async def followers(self, setup):
-        return await self._started(setup)
+        return await self._start(setup)
 
-    async def _started(self, setup):
-        process = await FeedProcess.started(setup)
+    async def _start(self, setup):
+        process = await FeedProcess.start(setup)
         self.processes.append(process)
         return process
 
 
 def truth_of(core):
-    """The digest of each revision that a publishing process has reported."""
+    """Return the digest of each revision that a publishing process has reported."""
     return {event.revision: event.digest for event in core.seen(Published)}
 
 
 async def published(core, command, batches=1):
-    """Has a process publish; the last event of it."""
+    """Have a process publish; returns the event of the last publication."""
     before = len(core.seen(Published))
-    core.say(command)
+    core.send(command)
     return await core.next(Published, before + batches - 1)
 
 
 def installs_of(process):
-    """The revisions that each follower of a process has put in force, in their order."""
+    """Return the revisions that each follower of a process has installed, in their order."""
     found = defaultdict(list)
     for event in process.seen(Installed):
         found[event.follower].append(event.revision)
@@ -174,7 +174,7 @@
 
 
 async def all_reach(process, followers, newest):
-    """Waits until so many followers have a published revision in force."""
+    """Wait until so many followers have a published revision in force."""
 
     def reached(process):
         last = {event.follower: event for event in process.seen(Installed)}
@@ -186,8 +186,8 @@
             assert event.digest == newest.digest
 
 
-def assert_true(process, core):
-    """Nothing but what was published was ever in force, and no revision went back or came twice."""
+def assert_consistent(process, core):
+    """Assert that only published content was in force, and that no revision went back or was repeated."""
     truth = truth_of(core)
     for event in process.seen(Installed):
         assert event.digest == truth[event.revision], event
--- a/tests/tcp_proxy.py
+++ b/tests/tcp_proxy.py
@@ -1,25 +1,30 @@
-"""A TCP proxy between two processes of a test whose link can be cut: silently, or with its connections reset."""
+"""A TCP proxy between two processes of a test whose link can be cut, silently or with its connections reset."""
 
 import asyncio
 from enum import Enum, auto
 
-CHUNK = 64 * 1024
+CHUNK_BYTES = 64 * 1024
 
 
 class Link(Enum):
+    """The state of a link."""
+
     UP = auto()
-    BLACK_HOLE = auto()  # connections stand and are taken; nothing gets through, on these also later
-    REFUSED = auto()  # connections are reset, new ones too
+    BLACK_HOLE = auto()  # connections stay open and are accepted; their bytes are lost, now and after `heal`
+    REFUSED = auto()  # all connections are reset, new ones too
 
 
 class TcpProxy:
     """Listens on loopback and forwards to one address."""
 
     def __init__(self, host, port):
-        self.host, self.port = host, port
+        self.host = host
+        self.port = port
         self.link = Link.UP
         self._cuts = 0
-        self._server, self._writers, self._tasks = None, set(), set()
+        self._server = None
+        self._writers = set()
+        self._tasks = set()
 
     async def __aenter__(self):
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -35,14 +40,14 @@
         return self._server.sockets[0].getsockname()[1]
 
     def cut(self, link):
-        """Cuts the link; what is on its way is lost."""
+        """Cut the link; bytes in flight are lost."""
         self.link = link
         self._cuts += 1
         if link is Link.REFUSED:
             self._reset()
 
     def heal(self):
-        """The link stands again, for new connections only: the old ones, which have lost bytes, stay silent."""
+        """Restore the link, for new connections only: the old ones, which have lost bytes, stay silent."""
         self.link = Link.UP
         self._cuts += 1
 
@@ -68,9 +73,9 @@
             self._tasks.discard(asyncio.current_task())
 
     async def _forward(self, reader, writer):
-        """Until the end of one side; nothing more once the link was cut."""
+        """Forward until one side ends; bytes that arrive after the link was cut are lost."""
         cuts = self._cuts if self.link is Link.UP else None
-        while data := await reader.read(CHUNK):
+        while data := await reader.read(CHUNK_BYTES):
             if cuts == self._cuts:
                 writer.write(data)
                 await writer.drain()
--- a/tests/test_feed_control.py
+++ b/tests/test_feed_control.py
@@ -29,7 +29,9 @@
             name: ControlSetup(name, region, str(folder / name), voters, RELAY)
             for name, region in zip(names, REGIONS, strict=True)
         }
-        self.running, self.relays, self.followers = {}, [], []
+        self.running = {}
+        self.relays = []
+        self.followers = []
         self.values = 0
 
     async def start(self):
@@ -41,9 +43,9 @@
             setup = FollowersSetup(COUNT, region, tuple(self.relays), FOLLOWER)
             self.followers.append(await self.processes.followers(setup))
 
-    async def boot(self, name):
-        """Starts a machine again with what its disk holds, its relay at a new port that followers do not know."""
-        process = await FeedProcess.started(self.setups[name])
+    async def restart(self, name):
+        """Start a machine again with what its disk holds, its relay at a new port that followers do not know."""
+        process = await FeedProcess.start(self.setups[name])
         self.processes.processes.append(process)
         await process.next(Listening, 0)
         self.running[name] = process
@@ -52,7 +54,7 @@
         self.running.pop(name).kill()
 
     async def publisher(self):
-        """The machine that publishes, once there is one, and its report."""
+        """Wait until a machine publishes; returns its name and its report."""
         async with asyncio.timeout(60):
             while True:
                 for name, process in list(self.running.items()):
@@ -62,15 +64,15 @@
                 await asyncio.sleep(0.05)
 
     async def submit(self, name):
-        """Whether a machine took a change of a row, with a value that no other change has."""
+        """Submit a change of a row, with a value that no other change has; returns whether it was accepted."""
         process = self.running[name]
         before = len(process.seen(Submitted))
         self.values += 1
-        process.say(Publish(((f"node/{self.values % 5}", f"ready {self.values}"),)))
+        process.send(Publish(((f"node/{self.values % 5}", f"ready {self.values}"),)))
         return (await process.next(Submitted, before)).taken
 
     async def publish(self, count):
-        """Has so many changes published one after the other; the revision that holds the last."""
+        """Publish so many changes one after the other; returns the revision of the last."""
         for _ in range(count):
             async with asyncio.timeout(60):
                 while not (revision := await self._publish_one()):
@@ -78,7 +80,7 @@
         return revision
 
     async def _publish_one(self):
-        """The revision that a change led to; nothing where the lease ended first and the change was given back."""
+        """Publish a change; returns its revision, or 0 if the lease ended first and the change was abandoned."""
         name, before = await self.publisher()
         if not await self.submit(name):
             return 0
@@ -91,14 +93,14 @@
             await asyncio.sleep(0.01)
 
     async def all_reach(self, revision):
-        """Waits until all machines that run and all followers hold a revision."""
+        """Wait until all running machines and all followers hold a revision."""
         await asyncio.gather(
             *(process.until(lambda process: newest_of(process) >= revision) for process in self.running.values()),
             *(process.until(lambda process: followers_at(process, revision)) for process in self.followers),
         )
 
     def assert_agreed(self):
-        """No two processes ever had different content at one revision, and no follower's revision went back."""
+        """Assert that content never differed at one revision, and that no follower's revision went back."""
         digests = {}
         for process in self.processes.processes:
             for event in [*process.seen(Published), *process.seen(Installed)]:
@@ -130,7 +132,7 @@
     asyncio.run(run())
 
 
-def test_what_is_published_is_in_force_in_all_regions_and_the_publisher_knows(tmp_path):
+def test_a_publication_is_in_force_in_all_regions_and_the_publisher_knows(tmp_path):
     async def what(controls):
         newest = await controls.publish(20)
         await controls.all_reach(newest)
@@ -154,7 +156,7 @@
         second, after = await controls.publisher()
         assert second != first and after.epoch > before.epoch
         await controls.all_reach(newest)
-        await controls.boot(first)
+        await controls.restart(first)
         newest = await controls.publish(3)
         await controls.all_reach(newest)
         report = await controls.running[first].report()
@@ -168,10 +170,10 @@
         await controls.all_reach(await controls.publish(3))
         first, before = await controls.publisher()
         stopped = controls.running.pop(first)
-        stopped.stop()
-        stopped.say(Publish((("node/0", "of the old publisher"),)))  # it reads this when it goes on
+        stopped.pause()
+        stopped.send(Publish((("node/0", "of the old publisher"),)))  # it reads this when it goes on
         newest = await controls.publish(5)
-        stopped.go_on()
+        stopped.resume()
         await stopped.next(Submitted, len(stopped.seen(Submitted)))
         controls.running[first] = stopped
         await controls.all_reach(await controls.publish(5))
@@ -183,7 +185,7 @@
     scene(tmp_path, what)
 
 
-def test_a_minority_publishes_nothing_serves_on_and_says_how_old_it_is(tmp_path):
+def test_a_minority_publishes_nothing_and_serves_on_reporting_its_age(tmp_path):
     async def what(controls):
         newest = await controls.publish(3)
         await controls.all_reach(newest)
@@ -197,14 +199,16 @@
         report = await process.report()
         assert report.revision == newest
         home = controls.followers[0]
-        states = (await home.report_where(lambda r: all(s.age_s > 2.5 for s in r.followers))).followers
+        states = (
+            await home.report_where(lambda report: all(state.age_s > 2.5 for state in report.followers))
+        ).followers
         assert {state.revision for state in states} == {newest}
         for name in lost:
-            await controls.boot(name)
+            await controls.restart(name)
         newest = await controls.publish(3)
         await controls.running[alone].until(lambda process: newest_of(process) >= newest)
         await controls.followers[0].until(lambda process: followers_at(process, newest))
-        await home.report_where(lambda r: all(s.age_s < 2.0 for s in r.followers))
+        await home.report_where(lambda report: all(state.age_s < 2.0 for state in report.followers))
 
     scene(tmp_path, what)
 
@@ -218,7 +222,7 @@
         process = controls.running[name]
         batch = Publish(tuple((f"row/{i}", f"{i} " + "x" * 150) for i in range(1500)))
         before = len(process.seen(Submitted))
-        process.say(batch)
+        process.send(batch)
         assert (await process.next(Submitted, before)).taken
         await controls.all_reach(newest + 1)
 
--- a/tests/test_feed_faults.py
+++ b/tests/test_feed_faults.py
@@ -23,7 +23,7 @@
 from tests.feed_processes import (
     FeedProcesses,
     all_reach,
-    assert_true,
+    assert_consistent,
     installs_of,
     published,
 )
@@ -39,31 +39,32 @@
 SLOW_LOAD = replace(RELAY, snapshot_bytes_per_second=100_000, snapshot_burst=40_000)  # some 0.4 s a piece
 SHORT_RETENTION = Retention(publications=8)
 CONTENT = Fill(batches=10, rows=250, value_bytes=1000)  # of the same 250 rows each time: an empty replica has to load
-LONGEST_S = 60.0
-FRESH_S, OLD_S = 1.5, 2.5  # ages of replicas that are connected to the publisher, and that surely are not
+TIMEOUT_S = 60.0
+FRESH_S = 1.5  # the age of a replica that is connected to the publisher is less
+OLD_S = 2.5  # the age of a replica that surely is not is more
 
 
-def one(key, value):
-    """A batch of one change."""
+def batch_of_one(key, value):
+    """Return a batch of one change."""
     return Publish(((key, value),))
 
 
 async def until(condition):
-    """Waits for something in this process."""
-    async with asyncio.timeout(LONGEST_S):
+    """Wait for a condition of this process."""
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
 
 
-# -- processes
+# Relays and followers in processes of their own.
 
 
-def begun_at(process, relay):
-    """Followers that got a piece of a snapshot from a relay."""
+def loading_from(process, relay):
+    """Return the followers that received a piece of a snapshot from a relay."""
     return {event.follower for event in process.seen(PieceCame) if event.relay == relay}
 
 
-def amid_a_snapshot(process):
+def loading_partly(process):
     """Whether a follower has some pieces of its first snapshot, and others have loaded theirs."""
     pieces = Counter(event.follower for event in process.seen(PieceCame))
     loaded = installs_of(process)
@@ -81,34 +82,34 @@
             )
             await slow.next(Installed, 0)
             followers = await all_of.followers(FollowersSetup(10, "north", (slow_address, other_address), QUICK))
-            await followers.until(amid_a_snapshot)
+            await followers.until(loading_partly)
             slow.kill()
-            newest = await published(core, one("node/1", "draining"))
+            newest = await published(core, batch_of_one("node/1", "draining"))
             await all_reach(followers, 10, newest)
-            assert begun_at(followers, "slow") & begun_at(followers, "other")
+            assert loading_from(followers, "slow") & loading_from(followers, "other")
             report = await followers.report()
             assert {state.relay for state in report.followers} == {"other"}
             assert {state.digest for state in report.followers} == {newest.digest}
-            assert_true(followers, core)
+            assert_consistent(followers, core)
 
     asyncio.run(scene())
 
 
-def test_a_stopped_follower_holds_a_window_at_most_is_cut_and_comes_back_by_a_snapshot():
+def test_a_paused_follower_has_a_window_in_flight_at_most_is_disconnected_and_returns_by_a_snapshot():
     async def scene():
         async with FeedProcesses() as all_of:
             tuning = replace(RELAY, window=100_000, stalled=1.0)
             core, address = await all_of.relay(RelaySetup(tuning=tuning, retention=SHORT_RETENTION))
-            first = await published(core, one("node/1", "ready"))
+            first = await published(core, batch_of_one("node/1", "ready"))
             stopped = await all_of.followers(FollowersSetup(1, "north", (address,), QUICK))
             awake = await all_of.followers(FollowersSetup(1, "south", (address,), QUICK))
             await asyncio.gather(all_reach(stopped, 1, first), all_reach(awake, 1, first))
             before = await core.report()
-            stopped.stop()
-            large, batches = Fill(batches=10, rows=100, value_bytes=2000), 0
-            while (
-                "north-0" not in (await core.report()).blocked and batches < 500
-            ):  # until the sockets' own buffers are full
+            stopped.pause()
+            large = Fill(batches=10, rows=100, value_bytes=2000)
+            batches = 0
+            # Until the sockets' own buffers are full.
+            while "north-0" not in (await core.report()).blocked and batches < 500:
                 await published(core, large, large.batches)
                 batches += large.batches
             newest = await published(core, Fill(batches=20, rows=1, value_bytes=10), 20)
@@ -116,32 +117,32 @@
             await core.report_where(lambda report: report.followers == 1)
             assert report.in_flight_most <= tuning.window + report.largest_frame
             assert report.waiting_most <= tuning.window + report.largest_frame + WRITE_HIGH
-            stopped.go_on()
+            stopped.resume()
             await asyncio.gather(all_reach(stopped, 1, newest), all_reach(awake, 1, newest))
             assert stopped.seen(PieceCame)
             assert (await core.report()).snapshots_begun > before.snapshots_begun
-            assert_true(stopped, core)
+            assert_consistent(stopped, core)
 
     asyncio.run(scene())
 
 
-def test_a_stopped_follower_of_a_quiet_feed_is_cut_and_comes_back_by_a_snapshot():
+def test_a_paused_follower_of_a_quiet_feed_is_disconnected_and_returns_by_a_snapshot():
     async def scene():
         async with FeedProcesses() as all_of:
             tuning = replace(RELAY, silent=2.0)
             core, address = await all_of.relay(RelaySetup(tuning=tuning, retention=SHORT_RETENTION))
-            first = await published(core, one("node/1", "ready"))
+            first = await published(core, batch_of_one("node/1", "ready"))
             followers = await all_of.followers(FollowersSetup(3, "north", (address,), QUICK))
             await all_reach(followers, 3, first)
-            followers.stop()
+            followers.pause()
             await core.report_where(lambda report: report.followers == 0)
             newest = await published(core, Fill(batches=20, rows=1, value_bytes=10), 20)
-            followers.go_on()
+            followers.resume()
             await all_reach(followers, 3, newest)
             report = await core.report()
             assert report.cut >= 3 and report.snapshots_begun >= 3
             assert {tuple(revisions) for revisions in installs_of(followers).values()} == {(1, 21)}
-            assert_true(followers, core)
+            assert_consistent(followers, core)
 
     asyncio.run(scene())
 
@@ -155,7 +156,7 @@
         async with FeedProcesses() as all_of:
             retention = Retention(publications=publications_kept)
             core, origin = await all_of.relay(RelaySetup(tuning=RELAY, retention=retention))
-            first = await published(core, one("node/1", "ready"))
+            first = await published(core, batch_of_one("node/1", "ready"))
             async with TcpProxy(origin.host, origin.port) as proxy:
                 through = replace(origin, port=proxy.listening_port)
                 (relay, address), (_, majority_address) = await all_of.relays(
@@ -192,8 +193,8 @@
                 else:
                     assert snapshots == [1, 5]
                     assert taken == {(first.revision, newest.revision)}
-                assert_true(minority, core)
-                assert_true(majority, core)
+                assert_consistent(minority, core)
+                assert_consistent(majority, core)
 
     asyncio.run(scene())
 
@@ -202,7 +203,7 @@
     async def scene():
         async with FeedProcesses() as all_of:
             core, origin = await all_of.relay(RelaySetup(tuning=RELAY))
-            first = await published(core, one("node/1", "ready"))
+            first = await published(core, batch_of_one("node/1", "ready"))
             (near, near_address), (far, far_address) = await all_of.relays(
                 RelaySetup("near", "north", RELAY, upstream=(origin,), upstream_tuning=QUICK),
                 RelaySetup("far", "south", RELAY, upstream=(origin,), upstream_tuning=QUICK),
@@ -222,7 +223,7 @@
             assert {state.publications for state in report.followers} == {len(expected) - 1}  # the first was loaded
             assert {state.relay for state in report.followers} == {"far"}
             assert (await far.report()).snapshots_begun == 0
-            assert_true(followers, core)
+            assert_consistent(followers, core)
 
     asyncio.run(scene())
 
@@ -252,7 +253,7 @@
             assert report.snapshots_begun >= many
             states = (await followers.report()).followers
             assert {state.digest for state in states} == {newest.digest}
-            assert_true(followers, core)
+            assert_consistent(followers, core)
 
     asyncio.run(scene())
 
@@ -270,7 +271,7 @@
             await all_reach(followers, many, newest)
             assert followers.seen(Refused) == []
             assert (await core.report()).snapshots_begun == many
-            assert_true(followers, core)
+            assert_consistent(followers, core)
 
     asyncio.run(scene())
 
@@ -286,12 +287,12 @@
             expected = Content()
             expected.apply([change("node/1", "draining")])
             assert newest.digest == expected.digest().hex()
-            assert_true(followers, core)
+            assert_consistent(followers, core)
 
     asyncio.run(scene())
 
 
-# -- relays of the test's own
+# Relays within the test's process.
 
 
 class LyingRelay(Relay):
@@ -313,7 +314,8 @@
 
     def __init__(self, truth):
         super().__init__()
-        self.truth, self.false = truth, []
+        self.truth = truth
+        self.false = []
 
     def install(self, revision, changes):
         reason = super().install(revision, changes)
@@ -330,7 +332,8 @@
         self.control.grant()
         log = self.control.machine.log
         self.truth = {}
-        self.liar, self.honest = LyingRelay("liar", log, RELAY), Relay("honest", log, RELAY)
+        self.liar = LyingRelay("liar", log, RELAY)
+        self.honest = Relay("honest", log, RELAY)
 
     async def __aenter__(self):
         self.servers = [RelayServer(self.liar), RelayServer(self.honest)]
@@ -378,8 +381,10 @@
         return data
     log = PublicationLog()
     changes = (change("node/1", "gone"),)
-    content, digest = log.content.digest_after((change("node/2", "ready"), *changes)), changes_digest(changes)
-    epoch, revision = message.checkpoint.epoch, message.checkpoint.revision
+    content = log.content.digest_after((change("node/2", "ready"), *changes))
+    digest = changes_digest(changes)
+    epoch = message.checkpoint.epoch
+    revision = message.checkpoint.revision
     signature = Ed25519Signer(bytes(32)).sign(signed_bytes(epoch, revision, content, digest))
     return frame(Publication(Checkpoint(epoch, revision, content, digest, signature), changes))
 
--- a/tests/test_planted_defects.py
+++ b/tests/test_planted_defects.py
@@ -29,7 +29,7 @@
             "snapshot_bytes",
         },
         "ReportingClient": {"publications"},
-        "ReportingControl": {"told"},
+        "ReportingControl": {"reported_revision"},
     },
     "tests/known_red.py": {"report": {"longrepr"}},  # of pytest
     "tests/modelvoters.py": {"new": {"__dict__"}},
