--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -199,3 +199,13 @@
     for file in ROOT.rglob("*.py"):
         if "standin" not in file.parts and file.name != "cli.py":
             assert "standin" not in rooms(file), file
+
+
+def test_the_page_names_every_package_and_none_that_is_gone():
+    page = (ROOT.parent / "docs" / "architecture.md").read_text()
+    table = page.partition("## Packages and arrows")[2].partition("## Glossary")[0]
+    cells = [line.split("|")[1] for line in table.splitlines() if line.startswith("| `")]
+    named = {name.strip(" `/").removesuffix(".py") for cell in cells for name in cell.split(",")}
+    modules = {path.stem for path in ROOT.glob("[a-z]*.py")}
+    packages = {path.parent.name for path in ROOT.glob("*/__init__.py")}
+    assert named == modules | packages
