--- a/tests/test_scenes.py
+++ b/tests/test_scenes.py
@@ -5,7 +5,7 @@
 
 import uvloop
 
-from badgerbend.duties.messages import Found, Told
+from badgerbend.duties.messages import Found, Leave, Told
 from badgerbend.net.fetch import fetch
 from badgerbend.net.seal import Seal
 from badgerbend.net.udp import sender_of
@@ -38,6 +38,21 @@
     return any(r["from"] == name and r["k"] == "passed" and r["to"] == "doubter" for r in stage.lines[since:])
 
 
+def told_to_hold(stage, name):
+    """Whether a leader's last word to a broker said that it holds the duty of probing."""
+    messages = (message_of(r["data"]) for r in reversed(stage.lines) if r["to"] == name and r["k"] == "passed")
+    lines = (line for m in messages if isinstance(m, Told) and m.leads for line in m.lines)
+    return next((line.holder == name for line in lines if line.duty == "probe"), False)
+
+
+def gave_back(stage, name, since):
+    """Whether a broker has told all other voters that it goes, and that its lease of probing ends with it."""
+    messages = ((r["to"], message_of(r["data"])) for r in stage.lines[since:] if r["from"] == name)
+    leaves = ((to, m) for to, m in messages if isinstance(m, Leave) and m.gone)
+    told = {to for to, leave in leaves if "probe" in dict(leave.held)}
+    return told >= set(stage.voters) - {name}
+
+
 async def another_holds(stage, old):
     """Until somebody else's acts arrive; who that is."""
     since = len(stage.lines)
@@ -110,7 +125,11 @@
 def test_a_rolling_restart_hands_all_over_and_a_forged_act_takes_no_effect(tmp_path):
     async def main(stage):
         for name in stage.names:
+            since, acted, held = len(stage.lines), stage.holder() == name, told_to_hold(stage, name)
             assert await stage.processes[name].ended() == 0
+            if acted:  # back only once another acts: a leader elected a moment ago would choose it once more
+                await another_holds(stage, name)
+                assert gave_back(stage, name, since) or not held
             await stage.processes[name].start()
         since = len(stage.lines)
         await until(lambda: any(acts_of(stage, n, since) for n in stage.names))
