--- a/badgerbend/feed_subscription/subscription.py
+++ b/badgerbend/feed_subscription/subscription.py
@@ -16,6 +16,7 @@
 from badgerbend.feed_service.follower import FollowerClient
 from badgerbend.feed_subscription.public_key import read_public_key
 from badgerbend.feed_subscription.reader import ConfigurationReader, UsableConfiguration
+from badgerbend.feed_subscription.rejections import describe_rejection
 from badgerbend.generations.manager import GenerationManager
 from badgerbend.log import get
 from badgerbend.metrics import Metrics
@@ -92,7 +93,7 @@
 
     def rejected(self, relay: str, error: FeedError) -> None:
         """Count a message of a relay that could not be used."""
-        self.metrics.trouble("feed not used", f"{relay}: {type(error).__name__}: {error}")
+        self.metrics.trouble("feed not used", describe_rejection(relay, error))
 
     # Activation.
 
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -110,6 +110,7 @@
     "feed_service/control_settings.py",
     "feed_service/control_wire.py",
     "feed_subscription/reader.py",
+    "feed_subscription/rejections.py",
     "generations/driver.py",
     "generations/manager.py",
     "publication_validation/changes.py",
--- a/tests/test_configuration_validation.py
+++ b/tests/test_configuration_validation.py
@@ -1,4 +1,4 @@
-"""The publisher refuses a bad configuration before anybody gets it, and says where it is wrong."""
+"""The publisher rejects a bad configuration before any broker receives it, and says where it is wrong."""
 
 import pytest
 
@@ -33,7 +33,7 @@
         ("(rank-by monthly)))", "(rank-by monthly))", f"{KEY}:7:1: the file ends inside a list"),
     ],
 )
-def test_a_bad_configuration_is_refused_by_line_and_field_before_anybody_gets_it(old, new, reason):
+def test_a_bad_configuration_is_rejected_by_line_and_field_before_any_broker_receives_it(old, new, reason):
     assert old in GOOD
     stage = staged()
     stage.publish(change(KEY, GOOD))
@@ -45,11 +45,11 @@
     assert stage.followers["f"].log.content.get("node/1") is None  # of the same batch: all of it or nothing
 
 
-def test_bytes_that_are_no_text_are_refused():
+def test_bytes_that_are_no_text_are_rejected():
     assert validate_configuration(Change(KEY, b"(broker \xff)")) == f"{KEY}: not UTF-8 at byte 8"
 
 
-def test_removals_and_other_keys_are_not_judged():
+def test_removals_and_other_keys_are_not_validated():
     assert validate_configuration(Change(KEY, None)) == ""
     assert validate_configuration(Change("node/1", b"(broker")) == ""
     assert validate_configuration(Change("configuration", b"(broker")) == ""
