--- a/tests/test_published.py
+++ b/tests/test_published.py
@@ -1,4 +1,4 @@
-"""A published configuration as a running broker takes it: what it may change, and what stays the broker's own."""
+"""What a published configuration may change in a running broker, and what stays as in the broker's own file."""
 
 import msgspec
 import pytest
@@ -10,10 +10,9 @@
 from tests.replacing import replaced
 from tests.test_settings import GOOD
 
-REPLACE = msgspec.structs.replace
-PLAIN = reading.parse(GOOD, "own")
-OWN = REPLACE(
-    PLAIN, listen=Listen(port=9), identity=Identity(3, 8, 1), servers=Servers(idle_ms=77.0, cold_ms=55.0), seed=5
+PARSED = reading.parse(GOOD, "local")
+LOCAL = msgspec.structs.replace(
+    PARSED, listen=Listen(port=9), identity=Identity(3, 8, 1), servers=Servers(idle_ms=77.0, cold_ms=55.0), seed=5
 )
 
 
@@ -21,19 +20,21 @@
     return GOOD.rstrip().removesuffix(")") + "\n  " + "\n  ".join(forms) + ")\n"
 
 
-def test_what_a_configuration_leaves_out_stays_the_brokers_own_where_it_cannot_change():
+def test_forms_left_out_that_cannot_change_stay_as_in_the_local_settings():
     text = with_forms("(tenant a (quota-per-s 7))", "(attempts (most 2))", "(max-open 50)")
     text = replaced(text, "4000", "4500")
-    got = settings_in_force(OWN, text, "c")
-    assert got.class_[0].deadline_ms == 4500.0 and got.max_open == 50
-    assert got.tenant == (Tenant("a", 7.0),) and got.attempts == Attempts(most=2)
-    assert (got.listen, got.identity, got.seed) == (OWN.listen, OWN.identity, 5)
-    assert got.servers == Servers(idle_ms=77.0)  # its connections stay; the rest of the form is as published: default
+    merged = settings_in_force(LOCAL, text, "c")
+    assert merged.class_[0].deadline_ms == 4500.0 and merged.max_open == 50
+    assert merged.tenant == (Tenant("a", 7.0),) and merged.attempts == Attempts(most=2)
+    assert (merged.listen, merged.identity, merged.seed) == (LOCAL.listen, LOCAL.identity, 5)
+    assert merged.servers == Servers(
+        idle_ms=77.0
+    )  # its connections stay; the rest of the form is as published: default
 
 
-def test_a_form_that_cannot_change_may_be_stated_as_it_is():
+def test_a_form_that_cannot_change_may_be_stated_unchanged():
     text = with_forms("(listen (port 9))", "(identity (index 3) (count 8) (zone 1))", "(servers (idle-ms 77))")
-    assert settings_in_force(OWN, text, "c").servers == Servers(idle_ms=77.0)
+    assert settings_in_force(LOCAL, text, "c").servers == Servers(idle_ms=77.0)
 
 
 @pytest.mark.parametrize(
@@ -50,10 +51,10 @@
         '(duties (key "k") (voter v (address "h:1")))',
     ],
 )
-def test_what_cannot_change_is_refused_with_its_place(form):
+def test_a_change_of_what_cannot_change_is_rejected_with_its_place(form):
     name = form[1:].split()[0]
     with pytest.raises(sexpr.SettingsError) as caught:
-        settings_in_force(OWN, with_forms(form), "configuration/b")
+        settings_in_force(LOCAL, with_forms(form), "configuration/b")
     assert str(caught.value).startswith(f"configuration/b:7:3: broker > {name}: cannot change while the broker runs")
 
 
@@ -63,29 +64,29 @@
         ("schema.graphql", "other.graphql", "c:3:3: broker > schema"),
     ):
         with pytest.raises(sexpr.SettingsError, match=f"{path}: cannot change"):
-            settings_in_force(OWN, replaced(GOOD, old, new), "c")
+            settings_in_force(LOCAL, replaced(GOOD, old, new), "c")
     with pytest.raises(sexpr.SettingsError, match="c:7:12: broker > servers > idle-ms: cannot change"):
-        settings_in_force(OWN, with_forms("(servers (idle-ms 78))"), "c")
+        settings_in_force(LOCAL, with_forms("(servers (idle-ms 78))"), "c")
 
 
-def test_what_preference_among_sites_rests_on_cannot_change():
+def test_what_the_site_preference_depends_on_cannot_change():
     sites = Sites((Site("n", (0,), 1), Site("s", (1,), 7)), 100.0)
-    own = REPLACE(OWN, sites=sites)
-    assert settings_in_force(own, with_forms("(max-open 50)"), "c").sites == sites
+    local = msgspec.structs.replace(LOCAL, sites=sites)
+    assert settings_in_force(local, with_forms("(max-open 50)"), "c").sites == sites
     for form in ("(tenant a (quota-per-s 7))", "(servers (cold-ms 56))", "(over-share-worth 0.2)"):
         with pytest.raises(sexpr.SettingsError, match="cannot change"):
-            settings_in_force(own, with_forms(form), "c")
+            settings_in_force(local, with_forms(form), "c")
     with pytest.raises(sexpr.SettingsError, match="broker > class: cannot change"):
-        settings_in_force(own, replaced(GOOD, "4000", "4500"), "c")
+        settings_in_force(local, replaced(GOOD, "4000", "4500"), "c")
 
 
-def test_what_cold_allowance_rests_on_cannot_change():
-    own = REPLACE(OWN, duties=Duties(("k",), (VoterAt("v", "h:1"),)))
-    assert settings_in_force(own, GOOD, "c").servers == own.servers
+def test_what_the_slow_start_budget_depends_on_cannot_change():
+    local = msgspec.structs.replace(LOCAL, duties=Duties(("k",), (VoterAt("v", "h:1"),)))
+    assert settings_in_force(local, GOOD, "c").servers == local.servers
     with pytest.raises(sexpr.SettingsError, match="c:7:3: broker > servers: cannot change"):
-        settings_in_force(own, with_forms("(servers (idle-ms 77) (cold-ms 56))"), "c")
+        settings_in_force(local, with_forms("(servers (idle-ms 77) (cold-ms 56))"), "c")
 
 
-def test_every_broker_takes_its_own_settings():
+def test_every_broker_accepts_its_own_settings():
     form = "(identity (index 3) (count 8) (zone 1)) (listen (port 9)) (servers (idle-ms 77) (cold-ms 55)) (seed 5)"
-    assert settings_in_force(OWN, with_forms(form), "c") == OWN
+    assert settings_in_force(LOCAL, with_forms(form), "c") == LOCAL
