--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -49,8 +49,8 @@
     assert directory.known["s0"].line.state == READY  # not before it is whole
     reading.take()
     views = list(reading.news())
-    assert all(v.kind == api.UpdateKind.DELTA and len(v.lines) <= SLICE for v in views)
-    assert sum(len(v.lines) for v in views) == 1000
+    assert all(v.kind == api.UpdateKind.DELTA and len(v.endpoints) <= SLICE for v in views)
+    assert sum(len(v.endpoints) for v in views) == 1000
     again = Reading(directory, many(990, "draining"), 2.0, 2.0)
     list(again.slices())
     again.take()
@@ -88,7 +88,7 @@
             tell = stage.broker.driver.view
 
             def view(told):
-                sizes.append(len(told.lines))
+                sizes.append(len(told.endpoints))
                 tell(told)
 
             replace_attribute(stage.broker.driver, "view", view)
--- a/tests/test_feed_faults.py
+++ b/tests/test_feed_faults.py
@@ -388,9 +388,9 @@
 
 
 LIES = {
-    "altered changes": (altered_changes, "TamperedChanges"),
-    "forged checkpoint": (forged_checkpoint, "BadSignature"),
-    "flipped bit": (flipped_bit, "Malformed"),
+    "altered changes": (altered_changes, "TamperedChangesError"),
+    "forged checkpoint": (forged_checkpoint, "SignatureError"),
+    "flipped bit": (flipped_bit, "MalformedMessageError"),
 }
 
 
@@ -425,7 +425,7 @@
             made.liar.lie = lambda data: replay if isinstance(decoded(data), Publication) else data
             made.publish(change("node/3", "ready"))
             await made.owner.reaches(3)
-            assert made.owner.errors == [("liar", "OutOfSequence")]
+            assert made.owner.errors == [("liar", "OutOfSequenceError")]
             assert made.client.follower.relay.name == "honest"
             assert made.owner.held["node/1"] == b"draining"
 
--- a/tests/test_keyed_list.py
+++ b/tests/test_keyed_list.py
@@ -77,7 +77,7 @@
         self.views.append(view)
         if view.kind == api.UpdateKind.FULL:
             self.states = {}
-        for line in view.lines:
+        for line in view.endpoints:
             self.states[line.node] = line.state
             if line.state == READY:
                 self.ever_ready.add(line.node)
@@ -99,7 +99,7 @@
     assert not told.views and not told.directory.known and told.list.heard_at is None
     assert 1000 / SLICE <= told.turns.run() <= 1000 / SLICE + 1
     (view,) = told.views
-    assert view.kind == api.UpdateKind.FULL and len(view.lines) == len(told.directory.known) == 1000
+    assert view.kind == api.UpdateKind.FULL and len(view.endpoints) == len(told.directory.known) == 1000
     assert told.taken == 1 and told.list.heard_at is not None
 
 
@@ -133,7 +133,7 @@
     told.views.clear()
     told.list.change({"s5": None, "s6": row(6, state="draining"), "new": row(1)})
     assert told.turns.run() == 2  # rows, then names that left
-    lines = [line for view in told.views for line in view.lines]
+    lines = [line for view in told.views for line in view.endpoints]
     assert all(view.kind == api.UpdateKind.DELTA for view in told.views)
     assert sorted(line.state for line in lines) == [GONE, READY, DRAINING]
     assert "s5" not in told.directory.known and len(told.directory.addresses) == len(told.directory.names) == 1000
@@ -178,7 +178,7 @@
     reading = Reading(told.directory, (), 1.0, 1.0, whole=False, left=["s1", "never"])
     reading.take()
     (view,) = reading.news()
-    assert [(line.node, line.state) for line in view.lines] == [(node, GONE)]
+    assert [(line.node, line.state) for line in view.endpoints] == [(node, GONE)]
     assert node not in told.directory.addresses and node not in told.directory.names
     with pytest.raises(ListError):
         Reading(told.directory, (), 1.0, 1.0).take()  # a whole list without rows stays an error
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -34,8 +34,8 @@
 def test_a_configuration_as_settings():
     got = config.parse(file_of(8500), {})
     s = got.settings
-    assert (s.cells, s.reach, s.parts_per_call, s.max_attempts, s.brokers) == (3, 1, 4, 4, 1)
-    assert [c.effect for c in s.classes] == ["safe", "safe", "keyed"] and s.classes[1].need == 0.5
+    assert (s.cell_count, s.cells_per_shard, s.parts_per_call, s.max_attempts, s.broker_count) == (3, 1, 4, 4, 1)
+    assert [c.effect for c in s.classes] == ["safe", "safe", "keyed"] and s.classes[1].complete_weight == 0.5
     assert s.tenants == (api.Tenant(1000.0),) and s.connection_idle_ms == 30_000.0 and not s.polls_endpoint_list
     assert (got.classes, got.tenants, got.shards, got.streams) == (("quote", "some", "accept"), ("acme",), 18, 8)
     assert got.discovery == ("127.0.0.1", 8500) and got.seed == 0x8C1F30D2 and got.limits.descriptors == 256
@@ -478,7 +478,7 @@
     for states in (("up", "draining"), ("draining", "up")):
         rows = listed(msgspec.json.encode([row | {"state": state} for state in states]))
         view, wrong = directory.read(rows, 0.0, 0.0)
-        assert [line.state for line in view.lines] == [api.EndpointState.DRAINING] and len(wrong) == 1
+        assert [line.state for line in view.endpoints] == [api.EndpointState.DRAINING] and len(wrong) == 1
 
 
 def test_a_row_that_repeats_what_is_known_takes_back_the_one_before_it():
@@ -488,7 +488,7 @@
     reading = Reading(directory, listed(msgspec.json.encode([row | {"state": "up"}, row])), 1.0, 1.0, whole=False)
     list(reading.slices())
     reading.take()
-    assert [line.state for view in reading.news() for line in view.lines] == []
+    assert [line.state for view in reading.news() for line in view.endpoints] == []
     assert directory.known["s0"].line.state == api.EndpointState.DRAINING
 
 
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -117,7 +117,7 @@
     def view(news):
         if news.kind is api.UpdateKind.FAILED:
             heard.append((agent.time(), "failed"))
-        heard.extend((agent.time(), line.state) for line in news.lines)
+        heard.extend((agent.time(), line.state) for line in news.endpoints)
         if module:
             agent.clock.at(agent.clock.now, lambda: step(news))
 
