--- a/badgerbend/feed/commands.py
+++ b/badgerbend/feed/commands.py
@@ -10,14 +10,14 @@
 import msgspec
 
 from badgerbend.consensus.messages import MAX_COMMAND_BYTES
-from badgerbend.feed.content import hashed
-from badgerbend.feed.errors import TooLargeError
-from badgerbend.feed.messages import MOST_CHANGES, Number, Publication, read
+from badgerbend.feed.content import hash_bytes
+from badgerbend.feed.errors import PublicationTooLargeError
+from badgerbend.feed.messages import MAX_CHANGES, Number, Publication, decode_with
 
-PART_BYTES = MAX_COMMAND_BYTES - 60  # of a publication's bytes in one entry: the rest is the command's head
-MOST_PARTS = 400
-WHOLE_BYTES = 8  # of the hash that tells two publications of one revision apart
-MOST_PUBLICATION = PART_BYTES * MOST_PARTS  # bytes of an encoded publication
+MAX_PART_BYTES = MAX_COMMAND_BYTES - 60  # of a publication's bytes in one entry: the rest is the command's head
+MAX_PARTS = 400
+PUBLICATION_ID_BYTES = 8  # of the hash that tells two publications of one revision apart
+MAX_PUBLICATION_BYTES = MAX_PART_BYTES * MAX_PARTS  # bytes of an encoded publication
 
 
 class PublishPart(msgspec.Struct, array_like=True, frozen=True, tag="publish"):
@@ -25,10 +25,10 @@
 
     epoch: Number
     revision: Number
-    whole: Annotated[bytes, msgspec.Meta(min_length=WHOLE_BYTES, max_length=WHOLE_BYTES)]
-    part: Annotated[int, msgspec.Meta(ge=0, lt=MOST_PARTS)]
-    parts: Annotated[int, msgspec.Meta(ge=1, le=MOST_PARTS)]
-    data: Annotated[bytes, msgspec.Meta(max_length=PART_BYTES)]
+    publication_id: Annotated[bytes, msgspec.Meta(min_length=PUBLICATION_ID_BYTES, max_length=PUBLICATION_ID_BYTES)]
+    part_index: Annotated[int, msgspec.Meta(ge=0, lt=MAX_PARTS)]
+    part_count: Annotated[int, msgspec.Meta(ge=1, le=MAX_PARTS)]
+    data: Annotated[bytes, msgspec.Meta(max_length=MAX_PART_BYTES)]
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -36,13 +36,13 @@
 _publication_decoder = msgspec.msgpack.Decoder(Publication)
 
 
-def split(publication: Publication) -> list[bytes]:
+def split_publication(publication: Publication) -> list[bytes]:
     """The commands that publish it, in order. Raises TooLarge."""
     data = _encoder.encode(publication)
-    if len(data) > MOST_PUBLICATION or len(publication.changes) > MOST_CHANGES:
-        raise TooLargeError(f"a publication of {len(data)} bytes; {MOST_PUBLICATION} at most")
-    pieces = [data[at : at + PART_BYTES] for at in range(0, len(data), PART_BYTES)]
-    checkpoint, whole = publication.checkpoint, hashed(data)[:WHOLE_BYTES]
+    if len(data) > MAX_PUBLICATION_BYTES or len(publication.changes) > MAX_CHANGES:
+        raise PublicationTooLargeError(f"a publication of {len(data)} bytes; {MAX_PUBLICATION_BYTES} at most")
+    pieces = [data[at : at + MAX_PART_BYTES] for at in range(0, len(data), MAX_PART_BYTES)]
+    checkpoint, whole = publication.checkpoint, hash_bytes(data)[:PUBLICATION_ID_BYTES]
     return [
         _encoder.encode(PublishPart(checkpoint.epoch, checkpoint.revision, whole, place, len(pieces), piece))
         for place, piece in enumerate(pieces)
@@ -59,4 +59,4 @@
 
 def decode_publication(data: bytes) -> Publication:
     """Raises Malformed."""
-    return read(_publication_decoder, data)
+    return decode_with(_publication_decoder, data)
--- a/badgerbend/feed/configuration.py
+++ b/badgerbend/feed/configuration.py
@@ -24,27 +24,27 @@
     settings: Settings
 
 
-class ConfigurationInForce(Generic[Settings]):
+class ActiveConfiguration(Generic[Settings]):
     """`read` makes settings of a configuration's bytes and raises UnusableConfiguration."""
 
     def __init__(self, read: Callable[[bytes], Settings], first: Settings) -> None:
         self.read = read
         self.current = Generation(0, first)
-        self.refused: tuple[int, str] | None = None  # the last revision that was not usable, and why
+        self.rejected: tuple[int, str] | None = None  # the last revision that was not usable, and why
         self._next: Generation[Settings] | None = None
 
-    def offer(self, revision: int, data: bytes) -> str:
-        """Checks a configuration; what is wrong with it, or nothing. It is in force after the next `turn`."""
+    def stage(self, revision: int, data: bytes) -> str:
+        """Checks a configuration; what is wrong with it, or nothing. It is in force after the next `activate`."""
         try:
             settings = self.read(data)
         except UnusableConfigurationError as error:
-            self.refused = (revision, str(error))
+            self.rejected = (revision, str(error))
             return str(error)
-        self.refused = None
+        self.rejected = None
         self._next = Generation(revision, settings)
         return ""
 
-    def turn(self) -> bool:
+    def activate(self) -> bool:
         """Between two turns of the loop: whether another generation is in force now."""
         if self._next is None:
             return False
--- a/badgerbend/feed/content.py
+++ b/badgerbend/feed/content.py
@@ -11,19 +11,19 @@
 
 from badgerbend.feed.messages import DIGEST_BYTES, Change
 
-BUCKETS = 256  # part of the protocol: both sides hash alike
+BUCKET_COUNT = 256  # part of the protocol: both sides hash alike
 
 
-def hashed(data: bytes) -> bytes:
+def hash_bytes(data: bytes) -> bytes:
     """The hash that digests are made of."""
     return blake2b(data, digest_size=DIGEST_BYTES).digest()
 
 
-def bucket_of(key: str) -> int:
+def bucket_index(key: str) -> int:
     return blake2b(key.encode(), digest_size=1).digest()[0]
 
 
-EMPTY_BUCKET = hashed(b"")
+EMPTY_BUCKET = hash_bytes(b"")
 
 
 def _size_of(key: str, value: bytes | None) -> int:
@@ -34,19 +34,19 @@
 class Content:
     """Keys and values by bucket. Changes are applied in place; `apply` gives back what undoes them."""
 
-    __slots__ = ("_buckets", "_digests", "_stale", "size")
+    __slots__ = ("_buckets", "_digests", "_stale", "size_bytes")
 
     def __init__(self) -> None:
-        self._buckets: list[dict[str, bytes]] = [{} for _ in range(BUCKETS)]
-        self._digests = [EMPTY_BUCKET] * BUCKETS
+        self._buckets: list[dict[str, bytes]] = [{} for _ in range(BUCKET_COUNT)]
+        self._digests = [EMPTY_BUCKET] * BUCKET_COUNT
         self._stale = set[int]()  # buckets whose digest is to be made anew
-        self.size = 0  # bytes of all keys and values
+        self.size_bytes = 0  # bytes of all keys and values
 
     def __len__(self) -> int:
         return sum(map(len, self._buckets))
 
     def get(self, key: str) -> bytes | None:
-        return self._buckets[bucket_of(key)].get(key)
+        return self._buckets[bucket_index(key)].get(key)
 
     def items(self) -> Iterator[tuple[str, bytes]]:
         """All entries, bucket by bucket."""
@@ -57,7 +57,7 @@
         """Applies changes in their order: of two of one key the later stands. What undoes them is returned."""
         undo = []
         for change in changes:
-            place = bucket_of(change.key)
+            place = bucket_index(change.key)
             bucket = self._buckets[place]
             replaced = bucket.get(change.key)
             undo.append(Change(change.key, replaced))
@@ -65,7 +65,7 @@
                 bucket.pop(change.key, None)
             else:
                 bucket[change.key] = change.value
-            self.size += _size_of(change.key, change.value) - _size_of(change.key, replaced)
+            self.size_bytes += _size_of(change.key, change.value) - _size_of(change.key, replaced)
             self._stale.add(place)
         undo.reverse()
         return tuple(undo)
@@ -75,7 +75,7 @@
         for place in self._stale:
             self._digests[place] = self._bucket_digest(place)
         self._stale.clear()
-        return hashed(b"".join(self._digests))
+        return hash_bytes(b"".join(self._digests))
 
     def digest_after(self, changes: Iterable[Change]) -> bytes:
         """The digest that these changes would lead to; the content stays as it is."""
@@ -90,7 +90,7 @@
         other._buckets = [dict(bucket) for bucket in self._buckets]
         other._digests = list(self._digests)
         other._stale = set(self._stale)
-        other.size = self.size
+        other.size_bytes = self.size_bytes
         return other
 
     def changes_to(self, other: Content) -> tuple[Change, ...]:
@@ -106,4 +106,4 @@
         for key, value in sorted(self._buckets[place].items()):
             name = key.encode()
             parts += [len(name).to_bytes(4, "big"), name, len(value).to_bytes(4, "big"), value]
-        return hashed(b"".join(parts))
+        return hash_bytes(b"".join(parts))
--- a/badgerbend/feed/errors.py
+++ b/badgerbend/feed/errors.py
@@ -39,5 +39,5 @@
     """A relay that announces revisions and does not send them."""
 
 
-class TooLargeError(FeedError):
+class PublicationTooLargeError(FeedError):
     """A change that does not fit into one publication."""
--- a/badgerbend/feed/follower.py
+++ b/badgerbend/feed/follower.py
@@ -22,8 +22,8 @@
     SignatureError,
     StaleEpochError,
 )
-from badgerbend.feed.framing import frame
-from badgerbend.feed.log import NOTHING, PublicationLog, Retention
+from badgerbend.feed.framing import encode_frame
+from badgerbend.feed.log import NO_RETENTION, PublicationLog, Retention
 from badgerbend.feed.messages import (
     Change,
     Checkpoint,
@@ -38,7 +38,7 @@
 from badgerbend.feed.signature import Verifier
 from badgerbend.feed.snapshot import SnapshotAssembly
 
-MOST_REASON = 200
+MAX_REASON_CHARACTERS = 200
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,18 +55,18 @@
 class FollowerTuning:
     """Times in seconds."""
 
-    start_spread: float = 0.5  # a zone's followers that start at once do not connect at once
-    retry_least: float = 0.1  # the first pause between attempts; each further one doubles, with full jitter
-    retry_most: float = 10.0
+    start_jitter: float = 0.5  # a zone's followers that start at once do not connect at once
+    backoff_base: float = 0.1  # the first pause between attempts; each further one doubles, with full jitter
+    backoff_max: float = 10.0
     connect_timeout: float = 3.0
-    silence: float = 4.0  # without a word from the relay, beside four heartbeats
-    distrust: float = 60.0  # a relay that sent what cannot be used is left out so long
-    behind_most: float = 30.0  # a relay may announce a revision so long before it sends something towards it
-    stale: float = 5.0  # a relay that has known nothing new for so long is left for another
-    stale_again: float = 30.0  # and tried again after so long
-    home_after: float = 120.0  # connected to another region, it tries its own again after this
-    status_every: float = 1.0  # at most so often is a changed status sent
-    status_idle: float = 10.0  # and so often at least
+    heartbeat_timeout: float = 4.0  # without a word from the relay, beside four heartbeats
+    quarantine: float = 60.0  # a relay that sent what cannot be used is left out so long
+    progress_timeout: float = 30.0  # a relay may announce a revision so long before it sends something towards it
+    staleness_limit: float = 5.0  # a relay that has known nothing new for so long is left for another
+    stale_retry_interval: float = 30.0  # and tried again after so long
+    failback_interval: float = 120.0  # connected to another region, it tries its own again after this
+    status_min_interval: float = 1.0  # at most so often is a changed status sent
+    status_max_interval: float = 10.0  # and so often at least
 
 
 # -- what a follower wants done, in this order
@@ -93,33 +93,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Install:
-    """The replica is at this revision: put these changes in force, then say `applied` or `refused`."""
+    """The replica is at this revision: put these changes in force, then say `applied` or `rejected`."""
 
     revision: int
     changes: tuple[Change, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Rejected:
+class MessageRejected:
     """For the log: a relay sent something that was not used."""
 
     relay: str
     error: FeedError
 
 
-Action = Connect | Send | Disconnect | Install | Rejected
+Action = Connect | Send | Disconnect | Install | MessageRejected
 
 
-class Phase(Enum):
-    WAITING = auto()  # until the next attempt
+class FollowerPhase(Enum):
+    BACKING_OFF = auto()  # until the next attempt
     CONNECTING = auto()
     STREAMING = auto()
-    LOADING = auto()  # a snapshot is on its way
+    RECEIVING_SNAPSHOT = auto()  # a snapshot is on its way
     STOPPED = auto()
 
 
+CONNECTION_PHASES = (FollowerPhase.CONNECTING, FollowerPhase.STREAMING, FollowerPhase.RECEIVING_SNAPSHOT)
+
+
 class Follower:
-    """One follower. `take` what it wants done after each call."""
+    """One follower. `take_actions` what it wants done after each call."""
 
     def __init__(
         self,
@@ -129,16 +132,16 @@
         verifier: Verifier,
         tuning: FollowerTuning,
         seed: int,
-        retention: Retention = NOTHING,
+        retention: Retention = NO_RETENTION,
     ) -> None:
         self.name, self.region, self.verifier, self.tuning = name, region, verifier, tuning
         self.log = PublicationLog(retention)
-        self.phase = Phase.WAITING
+        self.phase = FollowerPhase.BACKING_OFF
         self.relay: RelayAddress | None = None
         self.attempt = 0
-        self.in_force = 0
-        self.refused_revision = 0
-        self.refused_reason = ""
+        self.applied_revision = 0
+        self.rejected_revision = 0
+        self.rejected_reason = ""
         self._random = random.Random(seed)
         self._relays = self._preferred(relays)
         self._avoided: dict[str, float] = {}  # relays that are distrusted or stale, and until when
@@ -157,34 +160,38 @@
     # -- the caller's side
     def start(self, now: float) -> None:
         """Begins to look for a relay."""
-        self._wait(now + self._random.random() * self.tuning.start_spread)
+        self._wait(now + self._random.random() * self.tuning.start_jitter)
 
     def stop(self) -> None:
         """Nothing more is asked for; the replica stays."""
         self._drop_connection()
-        self.phase = Phase.STOPPED
+        self.phase = FollowerPhase.STOPPED
         self._deadline = self._home_at = self._status_at = math.inf
 
     def connected(self, now: float, attempt: int) -> None:
-        if attempt != self.attempt or self.phase is not Phase.CONNECTING:
+        if attempt != self.attempt or self.phase is not FollowerPhase.CONNECTING:
             return
-        self.phase = Phase.STREAMING
+        self.phase = FollowerPhase.STREAMING
         self._heard(now)
         self._relay_as_of = now
-        self._home_at = now + self.tuning.home_after if self._abroad() else math.inf
+        self._home_at = now + self.tuning.failback_interval if self._abroad() else math.inf
         digest = self.log.content.digest()
-        self._damaged = self._damaged or digest != self.log.checkpoint.content
+        self._damaged = self._damaged or digest != self.log.checkpoint.content_digest
         self._send(Hello(self.name, self.log.epoch, self.log.revision, digest, self._damaged))
         self._status_at = now
 
     def closed(self, now: float, attempt: int) -> None:
         """The connection has ended, or did not come about."""
-        if attempt == self.attempt and self.phase in (Phase.CONNECTING, Phase.STREAMING, Phase.LOADING):
+        if attempt == self.attempt and self.phase in (
+            FollowerPhase.CONNECTING,
+            FollowerPhase.STREAMING,
+            FollowerPhase.RECEIVING_SNAPSHOT,
+        ):
             self._retry(now)
 
     def received(self, now: float, attempt: int, message: Message) -> None:
         """A message of the relay."""
-        if attempt != self.attempt or self.phase not in (Phase.STREAMING, Phase.LOADING):
+        if attempt != self.attempt or self.phase not in (FollowerPhase.STREAMING, FollowerPhase.RECEIVING_SNAPSHOT):
             return
         if now >= self._deadline:  # this process stood still: how long ago a heartbeat was written, nobody knows
             self._due(now)
@@ -203,33 +210,33 @@
                 case _:
                     raise OutOfSequenceError(f"{type(message).__name__} from a relay")
         except FeedError as error:
-            self.unusable(now, attempt, error)
+            self.protocol_error(now, attempt, error)
 
-    def unusable(self, now: float, attempt: int, error: FeedError) -> None:
+    def protocol_error(self, now: float, attempt: int, error: FeedError) -> None:
         """The relay sent what cannot be used: another one is tried, with the replica as it was."""
         if attempt != self.attempt or self.relay is None:
             return
-        self._actions.append(Rejected(self.relay.name, error))
+        self._actions.append(MessageRejected(self.relay.name, error))
         own_fault = isinstance(error, DigestMismatchError) and self._assembly is None  # the replica's, no snapshot's
         if not own_fault:
-            self._avoided[self.relay.name] = now + self.tuning.distrust
+            self._avoided[self.relay.name] = now + self.tuning.quarantine
         self._drop_connection()
         self._retry(now)
 
     def applied(self, now: float, revision: int) -> None:
         """The owner has put this revision in force."""
-        if revision > self.in_force:
-            self.in_force = revision
+        if revision > self.applied_revision:
+            self.applied_revision = revision
             self._status_due(now)
 
-    def refused(self, now: float, revision: int, reason: str) -> None:
+    def rejected(self, now: float, revision: int, reason: str) -> None:
         """The owner could not use the configuration of this revision; what was in force stays."""
-        self.refused_revision, self.refused_reason = revision, reason
+        self.rejected_revision, self.rejected_reason = revision, reason
         self._status_due(now)
 
     def accepted(self, now: float) -> None:
         """A later configuration took the place of the one refused."""
-        self.refused_revision, self.refused_reason = 0, ""
+        self.rejected_revision, self.rejected_reason = 0, ""
         self._status_due(now)
 
     def tick(self, now: float) -> None:
@@ -241,7 +248,7 @@
             self._drop_connection()
             self._wait(now)
         if now >= self._status_at:
-            self._status_at = now + self.tuning.status_idle
+            self._status_at = now + self.tuning.status_max_interval
             self._status_prompt = False
             self._send(self._status(now))
 
@@ -254,11 +261,11 @@
         """How old the replica may be: so long ago nothing newer had been agreed on. Infinite before the first word.
 
         Too low by as long as the last heartbeat was on its way: over a connection that takes a relay's window in less
-        than `silence`, no longer than that and one heartbeat.
+        than `heartbeat_timeout`, no longer than that and one heartbeat.
         """
         return max(now - self._as_of, 0.0)
 
-    def take(self) -> list[Action]:
+    def take_actions(self) -> list[Action]:
         """What is to be done, in this order, since the last call."""
         actions, self._actions = self._actions, []
         return actions
@@ -275,7 +282,7 @@
         return at_home and self.relay is not None and self.relay.region != self.region
 
     def _wait(self, until: float) -> None:
-        self.phase, self.relay, self._assembly = Phase.WAITING, None, None
+        self.phase, self.relay, self._assembly = FollowerPhase.BACKING_OFF, None, None
         self._deadline = until
         self._behind_since = math.inf
         self._home_at = self._status_at = math.inf
@@ -283,13 +290,13 @@
 
     def _retry(self, now: float) -> None:
         """Waits with exponential back-off and full jitter."""
-        pause = min(self.tuning.retry_most, self.tuning.retry_least * 2.0 ** min(self._failures, 20))
+        pause = min(self.tuning.backoff_max, self.tuning.backoff_base * 2.0 ** min(self._failures, 20))
         self._failures += 1
         self._wait(now + self._random.random() * pause)
 
     def _due(self, now: float) -> None:
         """The phase's time is over."""
-        if self.phase is Phase.WAITING:
+        if self.phase is FollowerPhase.BACKING_OFF:
             self._connect(now)
         else:  # no connection in time, or a silent relay
             self._drop_connection()
@@ -297,7 +304,7 @@
 
     def _connect(self, now: float) -> None:
         self.attempt += 1
-        self.phase, self.relay = Phase.CONNECTING, self._next_relay(now)
+        self.phase, self.relay = FollowerPhase.CONNECTING, self._next_relay(now)
         self._deadline = now + self.tuning.connect_timeout
         self._actions.append(Connect(self.attempt, self.relay))
 
@@ -311,22 +318,22 @@
         return self._avoided.get(relay.name, -math.inf) <= now
 
     def _drop_connection(self) -> None:
-        if self.phase in (Phase.CONNECTING, Phase.STREAMING, Phase.LOADING):
+        if self.phase in CONNECTION_PHASES:
             self._actions.append(Disconnect(self.attempt))
 
     def _send(self, message: Hello | Status) -> None:
-        if self.phase in (Phase.STREAMING, Phase.LOADING):
-            self._actions.append(Send(self.attempt, frame(message)))
+        if self.phase in (FollowerPhase.STREAMING, FollowerPhase.RECEIVING_SNAPSHOT):
+            self._actions.append(Send(self.attempt, encode_frame(message)))
 
     def _heard(self, now: float) -> None:
-        self._deadline = now + self.tuning.silence
+        self._deadline = now + self.tuning.heartbeat_timeout
 
     # -- what relays say
     def _heartbeat(self, now: float, message: Heartbeat) -> None:
         """Its age counts only for a replica that holds what the relay holds."""
-        if not message.waiting:
+        if not message.snapshot_pending:
             self._relay_as_of = max(self._relay_as_of, now - message.age_ms / 1000.0)
-            if now - self._relay_as_of > self.tuning.stale and self._leave_stale(now):
+            if now - self._relay_as_of > self.tuning.staleness_limit and self._leave_stale(now):
                 return
         if self.log.revision >= message.revision:
             self._failures = 0
@@ -335,7 +342,7 @@
                 self._as_of = max(self._as_of, now - message.age_ms / 1000.0)
             return
         self._behind_since = min(self._behind_since, now)
-        if now - self._behind_since > self.tuning.behind_most:
+        if now - self._behind_since > self.tuning.progress_timeout:
             raise NoProgressError(f"revision {message.revision} announced, {self.log.revision} sent")
 
     def _leave_stale(self, now: float) -> bool:
@@ -344,7 +351,7 @@
         others = [relay for relay in self._relays if relay != self.relay and self._usable(relay, now)]
         if not others:
             return False
-        self._avoided[self.relay.name] = now + self.tuning.stale_again * self._random.uniform(0.5, 1.0)
+        self._avoided[self.relay.name] = now + self.tuning.stale_retry_interval * self._random.uniform(0.5, 1.0)
         self._drop_connection()
         self._retry(now)
         return True
@@ -369,7 +376,7 @@
         self._verify(checkpoint)
         if checkpoint.epoch < self.log.epoch:
             raise StaleEpochError(f"a snapshot of epoch {checkpoint.epoch} after {self.log.epoch}")
-        self._assembly, self.phase = SnapshotAssembly(message), Phase.LOADING
+        self._assembly, self.phase = SnapshotAssembly(message), FollowerPhase.RECEIVING_SNAPSHOT
         self._take_whole_snapshot()  # of an empty content no piece follows
 
     def _replaces(self, checkpoint: Checkpoint) -> bool:
@@ -388,11 +395,11 @@
     def _take_whole_snapshot(self) -> None:
         """Puts the snapshot in the replica's place once all of it is there."""
         assembly = self._assembly
-        if assembly is None or not assembly.whole:
+        if assembly is None or not assembly.complete:
             return
         changes = self.log.content.changes_to(assembly.content)
-        self.log.reset(assembly.content, assembly.checkpoint)
-        self._assembly, self.phase, self._damaged = None, Phase.STREAMING, False
+        self.log.install_snapshot(assembly.content, assembly.checkpoint)
+        self._assembly, self.phase, self._damaged = None, FollowerPhase.STREAMING, False
         self._install(changes)
 
     def _verify(self, checkpoint: Checkpoint) -> None:
@@ -405,12 +412,17 @@
 
     # -- status
     def _status_due(self, now: float) -> None:
-        if self.phase in (Phase.STREAMING, Phase.LOADING) and not self._status_prompt:
+        if self.phase in (FollowerPhase.STREAMING, FollowerPhase.RECEIVING_SNAPSHOT) and not self._status_prompt:
             self._status_prompt = True
-            self._status_at = now + self._random.random() * self.tuning.status_every
+            self._status_at = now + self._random.random() * self.tuning.status_min_interval
 
     def _status(self, now: float) -> Status:
-        return Status(self.in_force, self.refused_revision, self.refused_reason[:MOST_REASON], self._age_ms(now))
+        return Status(
+            self.applied_revision,
+            self.rejected_revision,
+            self.rejected_reason[:MAX_REASON_CHARACTERS],
+            self._age_ms(now),
+        )
 
     def _age_ms(self, now: float) -> int:
         age = self.age_s(now)
--- a/badgerbend/feed/framing.py
+++ b/badgerbend/feed/framing.py
@@ -7,15 +7,15 @@
 from collections.abc import Iterator
 
 from badgerbend.feed.errors import MalformedMessageError
-from badgerbend.feed.messages import MOST_FRAME, Message, decode, encode
+from badgerbend.feed.messages import MAX_FRAME_BYTES, Message, decode, encode
 
-HEAD = struct.Struct(">II")  # length and CRC-32 of the message's bytes
+FRAME_HEADER = struct.Struct(">II")  # length and CRC-32 of the message's bytes
 
 
-def frame(message: Message) -> bytes:
+def encode_frame(message: Message) -> bytes:
     """The message as it goes onto the stream."""
     data = encode(message)
-    return HEAD.pack(len(data), zlib.crc32(data)) + data
+    return FRAME_HEADER.pack(len(data), zlib.crc32(data)) + data
 
 
 class FrameReader:
@@ -29,14 +29,14 @@
         self._buffer += data
         start = 0
         try:
-            while len(self._buffer) - start >= HEAD.size:
-                length, checksum = HEAD.unpack_from(self._buffer, start)
-                if length > MOST_FRAME:
-                    raise MalformedMessageError(f"a frame of {length} bytes; {MOST_FRAME} at most")
-                end = start + HEAD.size + length
+            while len(self._buffer) - start >= FRAME_HEADER.size:
+                length, checksum = FRAME_HEADER.unpack_from(self._buffer, start)
+                if length > MAX_FRAME_BYTES:
+                    raise MalformedMessageError(f"a frame of {length} bytes; {MAX_FRAME_BYTES} at most")
+                end = start + FRAME_HEADER.size + length
                 if len(self._buffer) < end:
                     return
-                body = bytes(self._buffer[start + HEAD.size : end])
+                body = bytes(self._buffer[start + FRAME_HEADER.size : end])
                 start = end
                 if zlib.crc32(body) != checksum:
                     raise MalformedMessageError("a frame whose checksum does not fit")
--- a/badgerbend/feed/machine.py
+++ b/badgerbend/feed/machine.py
@@ -1,7 +1,7 @@
-"""The state machine of the agreed log with the feed in it: publications beside the table of leases. Pure.
+"""The replicated state machine of the control machines: the log of publications beside the table of leases. Pure.
 
-A publication stands only if its epoch is that of the lease on `PUBLISH`, and if it follows the last revision: so a
-publisher that was deposed publishes nothing more, whatever of it is still on the way. Every voter decides alike.
+A publication is accepted only under the epoch of the current lease on `PUBLISH_LEASE`, and only as the next revision.
+A deposed publisher can therefore publish nothing more, however late its commands arrive. Every voter decides alike.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from badgerbend.feed.messages import Change, Checkpoint, Publication
 from badgerbend.leases.table import LeaseTable
 
-PUBLISH = "publish"  # the duty whose holder publishes
+PUBLISH_LEASE = "publish"  # the duty whose holder publishes
 
 
 class _Dump(msgspec.Struct, array_like=True):
@@ -30,13 +30,13 @@
     pending: list[tuple[int, bytes]]
 
 
-class FeedMachine:
-    """`consensus.raft.Machine`. on_change is called when the log of publications has grown or was replaced."""
+class FeedStateMachine:
+    """`consensus.raft.Machine`. on_log_change is called when the log of publications has grown or was replaced."""
 
-    def __init__(self, retention: Retention, on_change: Callable[[], None] = lambda: None) -> None:
+    def __init__(self, retention: Retention, on_log_change: Callable[[], None] = lambda: None) -> None:
         self.table = LeaseTable()
         self.log = PublicationLog(retention)
-        self.on_change = on_change
+        self.on_log_change = on_log_change
         self.last_error: FeedError | None = None  # why the last publication that did not stand did not
         self._pending_of = (0, 0, b"")  # epoch, revision and hash of the publication whose parts are coming
         self._pending: dict[int, bytes] = {}
@@ -46,20 +46,20 @@
         part = decode_part(data)
         if part is None:
             self.table.apply(index, data)
-        elif self.publishes(part.epoch):
+        elif self.is_current_epoch(part.epoch):
             self._add(part)
 
-    def waits_for(self, command: bytes) -> bool:
+    def needs_part(self, command: bytes) -> bool:
         """Whether a command is a part that would bring its publication on: not one that is there already."""
         part = decode_part(command)
         if part is None:
             return True
-        same = (part.epoch, part.revision, part.whole) == self._pending_of
-        return not (same and part.part in self._pending)
+        same = (part.epoch, part.revision, part.publication_id) == self._pending_of
+        return not (same and part.part_index in self._pending)
 
-    def publishes(self, epoch: int) -> bool:
+    def is_current_epoch(self, epoch: int) -> bool:
         """Whether this is the epoch of the lease on publishing."""
-        lease = self.table.lease(PUBLISH)
+        lease = self.table.lease(PUBLISH_LEASE)
         return bool(lease.holder) and lease.epoch == epoch
 
     def dump(self) -> bytes:
@@ -81,18 +81,18 @@
         content = Content()
         content.apply(Change(key, value) for key, value in found.entries)
         self.table.load(found.table)
-        self.log.reset(content, found.checkpoint)
+        self.log.install_snapshot(content, found.checkpoint)
         self._pending_of = (found.pending_epoch, found.pending_revision, found.pending_whole)
         self._pending = dict(found.pending)
-        self.on_change()
+        self.on_log_change()
 
     def _add(self, part: PublishPart) -> None:
         """Puts parts together, in whatever order they come; those of another publication end what had begun."""
-        which = (part.epoch, part.revision, part.whole)
+        which = (part.epoch, part.revision, part.publication_id)
         if which != self._pending_of:
             self._pending_of, self._pending = which, {}
-        self._pending[part.part] = part.data
-        if len(self._pending) == part.parts:
+        self._pending[part.part_index] = part.data
+        if len(self._pending) == part.part_count:
             data = b"".join(piece for _, piece in sorted(self._pending.items()))
             self._pending = {}
             self._publish(part, data)
@@ -105,7 +105,7 @@
         except FeedError as error:
             self.last_error = error
             return
-        self.on_change()
+        self.on_log_change()
 
     def _check_head(self, part: PublishPart, publication: Publication) -> None:
         """The epoch that was checked is the one that is signed."""
--- a/badgerbend/feed/messages.py
+++ b/badgerbend/feed/messages.py
@@ -8,18 +8,18 @@
 
 from badgerbend.feed.errors import MalformedMessageError
 
-MOST_FRAME = 512 * 1024  # bytes of one message: a publication or a piece of a snapshot, with room
-MOST_CHANGES = 8192  # of one publication
-MOST_VALUE = 256 * 1024  # bytes of one value
-MOST_PIECE = 256 * 1024  # bytes of a snapshot's piece once it is unpacked
-MOST_LAGGARDS = 16  # followers that a summary names
+MAX_FRAME_BYTES = 512 * 1024  # bytes of one message: a publication or a piece of a snapshot, with room
+MAX_CHANGES = 8192  # of one publication
+MAX_VALUE_BYTES = 256 * 1024  # bytes of one value
+MAX_PIECE_BYTES = 256 * 1024  # bytes of a snapshot's piece once it is unpacked
+MAX_LAGGARDS = 16  # followers that a summary names
 DIGEST_BYTES = 16
 SIGNATURE_BYTES = 64
 
 MessageType = TypeVar("MessageType")
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Key = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
-Value = Annotated[bytes, msgspec.Meta(max_length=MOST_VALUE)]
+Value = Annotated[bytes, msgspec.Meta(max_length=MAX_VALUE_BYTES)]
 Number = Annotated[int, msgspec.Meta(ge=0, lt=1 << 62)]
 Digest = Annotated[bytes, msgspec.Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
 Signature = Annotated[bytes, msgspec.Meta(min_length=SIGNATURE_BYTES, max_length=SIGNATURE_BYTES)]
@@ -39,13 +39,13 @@
 
     epoch: Number
     revision: Number
-    content: Digest
-    changes: Digest
+    content_digest: Digest
+    changes_digest: Digest
     signature: Signature
 
     def signed_bytes(self) -> bytes:
         """What the signature is over."""
-        return signed_bytes(self.epoch, self.revision, self.content, self.changes)
+        return signed_bytes(self.epoch, self.revision, self.content_digest, self.changes_digest)
 
 
 def signed_bytes(epoch: int, revision: int, content: bytes, changes: bytes) -> bytes:
@@ -60,7 +60,7 @@
     """A batch of changes that takes a replica from the revision before the checkpoint's to the checkpoint's."""
 
     checkpoint: Checkpoint
-    changes: Annotated[tuple[Change, ...], msgspec.Meta(max_length=MOST_CHANGES)]
+    changes: Annotated[tuple[Change, ...], msgspec.Meta(max_length=MAX_CHANGES)]
 
 
 class Heartbeat(msgspec.Struct, array_like=True, frozen=True, tag=2):
@@ -70,21 +70,21 @@
     epoch: Number
     revision: Number
     age_ms: Milliseconds
-    waiting: bool = False
+    snapshot_pending: bool = False
 
 
 class SnapshotBegin(msgspec.Struct, array_like=True, frozen=True, tag=3):
     """A whole snapshot follows, in so many pieces."""
 
     checkpoint: Checkpoint
-    pieces: Annotated[int, msgspec.Meta(ge=0, le=65536)]
+    piece_count: Annotated[int, msgspec.Meta(ge=0, le=65536)]
 
 
 class SnapshotPiece(msgspec.Struct, array_like=True, frozen=True, tag=4):
     """A piece of a snapshot: entries as a MessagePack array of changes, deflated."""
 
     index: Number
-    packed: Annotated[bytes, msgspec.Meta(max_length=MOST_FRAME)]
+    compressed: Annotated[bytes, msgspec.Meta(max_length=MAX_FRAME_BYTES)]
 
 
 # -- follower to relay
@@ -103,8 +103,8 @@
 class Status(msgspec.Struct, array_like=True, frozen=True, tag=6):
     """What a follower has in force. refused: the newest revision whose configuration it could not use, 0 for none."""
 
-    in_force: Number
-    refused: Number
+    applied_revision: Number
+    rejected_revision: Number
     reason: Reason
     age_ms: Milliseconds
 
@@ -116,8 +116,8 @@
     """A follower that has not got the newest revision in force."""
 
     name: Name
-    in_force: Number
-    refused: Number
+    applied_revision: Number
+    rejected_revision: Number
     reason: Reason
 
 
@@ -127,10 +127,10 @@
     relay: Name
     revision: Number
     followers: Number
-    in_force: Number
-    refused: Number
-    oldest: Number
-    laggards: Annotated[tuple[Laggard, ...], msgspec.Meta(max_length=MOST_LAGGARDS)]
+    applied: Number
+    rejected: Number
+    oldest_applied: Number
+    laggards: Annotated[tuple[Laggard, ...], msgspec.Meta(max_length=MAX_LAGGARDS)]
 
 
 Message = Publication | Heartbeat | SnapshotBegin | SnapshotPiece | Hello | Status | Summary
@@ -145,7 +145,7 @@
     return _encoder.encode(message)
 
 
-def read(decoder: msgspec.msgpack.Decoder[MessageType], data: bytes) -> MessageType:
+def decode_with(decoder: msgspec.msgpack.Decoder[MessageType], data: bytes) -> MessageType:
     """What a decoder makes of bytes from elsewhere. Raises Malformed."""
     try:
         return decoder.decode(data)
@@ -155,7 +155,7 @@
 
 def decode(data: bytes) -> Message:
     """Raises Malformed."""
-    return read(_decoder, data)
+    return decode_with(_decoder, data)
 
 
 def encode_changes(changes: tuple[Change, ...]) -> bytes:
@@ -164,4 +164,4 @@
 
 def decode_changes(data: bytes) -> tuple[Change, ...]:
     """Raises Malformed."""
-    return read(_changes_decoder, data)
+    return decode_with(_changes_decoder, data)
--- a/badgerbend/feed/publisher.py
+++ b/badgerbend/feed/publisher.py
@@ -13,13 +13,13 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from badgerbend.feed.commands import MOST_PUBLICATION, split
+from badgerbend.feed.commands import MAX_PUBLICATION_BYTES, split_publication
 from badgerbend.feed.log import PublicationLog, changes_digest
-from badgerbend.feed.messages import MOST_CHANGES, Change, Checkpoint, Laggard, Publication, Summary, signed_bytes
+from badgerbend.feed.messages import MAX_CHANGES, Change, Checkpoint, Laggard, Publication, Summary, signed_bytes
 from badgerbend.feed.signature import Signer
 
 HEAD_BYTES = 400  # of an encoded publication: all but its changes
-MOST_DOUBLINGS = 20  # of a pause, before its limit is looked at
+MAX_BACKOFF_DOUBLINGS = 20  # of a pause, before its limit is looked at
 CHANGE_BYTES = 16  # what a change takes beside its key and value, at most
 
 
@@ -27,31 +27,33 @@
 class PublisherTuning:
     """Times in seconds."""
 
-    batch: float = 0.05  # changes that come within this go out together
-    again: float = 1.0  # a proposal that has not come about is made again; each further pause doubles
-    summary_fresh: float = 5.0  # a relay's summary counts so long
-    again_most: float = 16.0  # the longest pause: repeats of a large publication would fill the log before it stands
+    batch_window: float = 0.05  # changes that come within this go out together
+    retry_interval: float = 1.0  # a proposal that has not come about is made again; each further pause doubles
+    summary_ttl: float = 5.0  # a relay's summary counts so long
+    max_retry_interval: float = (
+        16.0  # the longest pause: repeats of a large publication would fill the log before it stands
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Problem:
+class RejectedChange:
     """Why a change is refused; the text names the line and the field where there are any."""
 
     key: str
     reason: str
 
 
-Check = Callable[[Change], str]  # what is wrong with a change, or nothing
+ChangeCheck = Callable[[Change], str]  # what is wrong with a change, or nothing
 
 
 @dataclass(frozen=True, slots=True)
-class Progress:
+class RolloutProgress:
     """How far a revision has come: followers known, those that have it in force, and some that have not."""
 
     revision: int
     followers: int
-    in_force: int
-    refused: int
+    applied: int
+    rejected: int
     laggards: tuple[Laggard, ...]
     silent_relays: tuple[str, ...]
 
@@ -59,7 +61,7 @@
 class Publisher:
     """Publishes while it holds the lease. `log` is a replica of the agreed log's publications."""
 
-    def __init__(self, log: PublicationLog, check: Check, signer: Signer, tuning: PublisherTuning) -> None:
+    def __init__(self, log: PublicationLog, check: ChangeCheck, signer: Signer, tuning: PublisherTuning) -> None:
         self.log, self.check, self.signer, self.tuning = log, check, signer, tuning
         self.epoch = 0  # of the lease, 0 while it is another's
         self.proposals = 0
@@ -72,12 +74,12 @@
         self._summaries: dict[str, tuple[float, Summary]] = {}
 
     # -- the lease
-    def lead(self, now: float, epoch: int) -> None:
+    def lease_granted(self, now: float, epoch: int) -> None:
         """The lease was granted; the log holds all that was published before it."""
         self.epoch, self._flying, self._again_at = epoch, None, math.inf
         self._propose_next(now)
 
-    def rest(self) -> tuple[Change, ...]:
+    def lease_lost(self) -> tuple[Change, ...]:
         """The lease is over. Changes that are not known to be published are given back: their submitter looks at the
         feed and submits what is missing to whoever publishes next, since a later value may stand by then."""
         flying = self._flying.changes if self._flying is not None else ()
@@ -89,16 +91,16 @@
         return abandoned
 
     # -- changes
-    def submit(self, now: float, changes: Iterable[Change]) -> tuple[Problem, ...]:
+    def submit(self, now: float, changes: Iterable[Change]) -> tuple[RejectedChange, ...]:
         """Takes all of these changes, or none of them and says why."""
         batch = tuple(changes)
-        problems = tuple(Problem(change.key, reason) for change in batch if (reason := self._wrong(change)))
+        problems = tuple(RejectedChange(change.key, reason) for change in batch if (reason := self._wrong(change)))
         if not problems:
             self._waiting.extend(batch)
             self._waiting_since = min(self._waiting_since, now)
         return problems
 
-    def published(self, now: float) -> None:
+    def log_advanced(self, now: float) -> None:
         """The log has grown."""
         flying = self._flying
         if flying is None or self.log.revision < flying.checkpoint.revision:
@@ -124,31 +126,31 @@
         """When `tick` has something to do."""
         if not self.epoch:
             return math.inf
-        return self._again_at if self._flying is not None else self._waiting_since + self.tuning.batch
+        return self._again_at if self._flying is not None else self._waiting_since + self.tuning.batch_window
 
-    def take(self) -> list[bytes]:
+    def take_commands(self) -> list[bytes]:
         """Commands for the agreed log, in this order, since the last call."""
         out, self._out = self._out, []
         return out
 
     # -- progress
-    def heard(self, now: float, summary: Summary) -> None:
+    def record_summary(self, now: float, summary: Summary) -> None:
         """A relay's summary."""
         self._summaries[summary.relay] = (now, summary)
 
-    def progress(self, now: float, revision: int) -> Progress:
+    def progress(self, now: float, revision: int) -> RolloutProgress:
         """Who has this revision in force, by the relays' last summaries."""
         fresh, silent = [], []
         for relay, (heard_at, summary) in sorted(self._summaries.items()):
-            if now - heard_at <= self.tuning.summary_fresh:
+            if now - heard_at <= self.tuning.summary_ttl:
                 fresh.append(summary)
             else:
                 silent.append(relay)
-        return Progress(
+        return RolloutProgress(
             revision,
             sum(summary.followers for summary in fresh),
-            sum(_in_force(summary, revision) for summary in fresh),
-            sum(summary.refused for summary in fresh),
+            sum(_applied(summary, revision) for summary in fresh),
+            sum(summary.rejected for summary in fresh),
             tuple(laggard for summary in fresh for laggard in summary.laggards),
             tuple(silent),
         )
@@ -156,13 +158,13 @@
     # -- inside
     def _wrong(self, change: Change) -> str:
         size = _size_of(change)
-        if size + HEAD_BYTES > MOST_PUBLICATION:
-            return f"{size} bytes; {MOST_PUBLICATION - HEAD_BYTES} at most"
+        if size + HEAD_BYTES > MAX_PUBLICATION_BYTES:
+            return f"{size} bytes; {MAX_PUBLICATION_BYTES - HEAD_BYTES} at most"
         return self.check(change)
 
     def _propose_next(self, now: float) -> None:
         """The next batch, once its first change has waited for others or the batch is full."""
-        if not self.epoch or not self._waiting or now < self._waiting_since + self.tuning.batch:
+        if not self.epoch or not self._waiting or now < self._waiting_since + self.tuning.batch_window:
             return
         changes = self._next_batch()
         self._waiting_since = now if self._waiting else math.inf
@@ -176,8 +178,8 @@
     def _next_batch(self) -> tuple[Change, ...]:
         """As many changes as one publication holds, in their order."""
         changes: list[Change] = []
-        room = MOST_PUBLICATION - HEAD_BYTES
-        while self._waiting and len(changes) < MOST_CHANGES:
+        room = MAX_PUBLICATION_BYTES - HEAD_BYTES
+        while self._waiting and len(changes) < MAX_CHANGES:
             room -= _size_of(self._waiting[0])
             if room < 0:
                 break
@@ -185,10 +187,10 @@
         return tuple(changes)
 
     def _propose(self, now: float, publication: Publication) -> None:
-        pause = self.tuning.again * 2.0 ** min(self._repeats, MOST_DOUBLINGS)
-        self._again_at = now + min(pause, self.tuning.again_most)
+        pause = self.tuning.retry_interval * 2.0 ** min(self._repeats, MAX_BACKOFF_DOUBLINGS)
+        self._again_at = now + min(pause, self.tuning.max_retry_interval)
         self.proposals += 1
-        self._out += split(publication)
+        self._out += split_publication(publication)
 
 
 def _size_of(change: Change) -> int:
@@ -196,8 +198,8 @@
     return len(change.key.encode()) + len(change.value or b"") + CHANGE_BYTES
 
 
-def _in_force(summary: Summary, revision: int) -> int:
+def _applied(summary: Summary, revision: int) -> int:
     """Followers that surely have the revision: all of the relay's if none is older, else those at its own revision."""
-    if summary.oldest >= revision:
+    if summary.oldest_applied >= revision:
         return summary.followers
-    return summary.in_force if summary.revision >= revision else 0
+    return summary.applied if summary.revision >= revision else 0
--- a/badgerbend/feed/relay.py
+++ b/badgerbend/feed/relay.py
@@ -15,9 +15,9 @@
 from enum import Enum, auto
 
 from badgerbend.feed.errors import FeedError, OutOfSequenceError
-from badgerbend.feed.framing import frame
+from badgerbend.feed.framing import encode_frame
 from badgerbend.feed.log import PublicationLog
-from badgerbend.feed.messages import MOST_LAGGARDS, Heartbeat, Hello, Laggard, Message, Status, Summary
+from badgerbend.feed.messages import MAX_LAGGARDS, Heartbeat, Hello, Laggard, Message, Status, Summary
 from badgerbend.feed.snapshot import SnapshotImage
 
 SNAPSHOT_BEGIN = -1  # the place of a snapshot's head before its pieces
@@ -28,16 +28,16 @@
 class RelayTuning:
     """Times in seconds, sizes in bytes."""
 
-    heartbeat: float = 1.0
-    window: int = 256 * 1024  # bytes on the way to one follower, before its connection has taken them
-    stalled: float = 10.0  # a follower that takes nothing for so long is cut; it resumes when it is back
-    hello_within: float = 5.0  # a connection that does not say who it is for so long is cut
-    silent: float = 30.0  # a follower that says nothing for so long is cut
-    snapshots_at_once: int = 16
+    heartbeat_interval: float = 1.0
+    send_window: int = 256 * 1024  # bytes on the way to one follower, before its connection has taken them
+    stall_timeout: float = 10.0  # a follower that takes nothing for so long is cut; it resumes when it is back
+    hello_timeout: float = 5.0  # a connection that does not say who it is for so long is cut
+    idle_timeout: float = 30.0  # a follower that says nothing for so long is cut
+    max_concurrent_snapshots: int = 16
     snapshot_bytes_per_second: int = 16 * 1024 * 1024  # of all followers together
-    snapshot_burst: int = 1024 * 1024
-    image_behind: int = 256  # an image serves new snapshots while no more publications have come since
-    sessions_most: int = 8192
+    snapshot_burst_bytes: int = 1024 * 1024
+    max_image_lag: int = 256  # an image serves new snapshots while no more publications have come since
+    max_sessions: int = 8192
 
 
 # -- what a relay wants done, in this order
@@ -58,14 +58,14 @@
 Action = SendTo | Close
 
 
-class Phase(Enum):
-    GREETING = auto()  # no hello yet
+class SessionPhase(Enum):
+    AWAITING_HELLO = auto()  # no hello yet
     STREAMING = auto()
-    QUEUED = auto()  # for a snapshot
-    LOADING = auto()  # a snapshot is on its way
+    SNAPSHOT_QUEUED = auto()  # for a snapshot
+    SENDING_SNAPSHOT = auto()  # a snapshot is on its way
 
 
-class _Session:
+class Session:
     """One follower's connection."""
 
     __slots__ = (
@@ -74,31 +74,31 @@
         "epoch",
         "position",
         "digest",
-        "in_force",
-        "refused",
+        "applied_revision",
+        "rejected_revision",
         "reason",
         "wants_snapshot",
         "image",
         "next_piece",
         "in_flight",
         "blocked_since",
-        "heard_at",
+        "last_received_at",
     )
 
     def __init__(self, now: float) -> None:
         self.name = ""
-        self.phase = Phase.GREETING
+        self.phase = SessionPhase.AWAITING_HELLO
         self.epoch = 0  # of what the follower held at its hello
         self.position = 0  # the revision up to which the follower has been sent everything
         self.digest: bytes | None = None  # of its content there, until it was compared with the log's
         self.wants_snapshot = False  # whatever the follower holds, it cannot use it
-        self.in_force = self.refused = 0
+        self.applied_revision = self.rejected_revision = 0
         self.reason = ""
         self.image: SnapshotImage | None = None
         self.next_piece = 0
         self.in_flight = 0
         self.blocked_since = math.inf
-        self.heard_at = now
+        self.last_received_at = now
 
 
 class Relay:
@@ -106,40 +106,40 @@
 
     def __init__(self, name: str, log: PublicationLog, tuning: RelayTuning) -> None:
         self.name, self.log, self.tuning = name, log, tuning
-        self.sessions: dict[int, _Session] = {}
-        self.snapshots_begun = 0
-        self.cut = 0  # connections given up because their followers said or took nothing
+        self.sessions: dict[int, Session] = {}
+        self.snapshots_started = 0
+        self.evicted = 0  # connections given up because their followers said or took nothing
         self._confirmed_at = -math.inf
         self._queue: deque[int] = deque()  # sessions that wait for a snapshot
         self._loading = set[int]()
         self._image: SnapshotImage | None = None
-        self._allowance = float(tuning.snapshot_burst)  # bytes of snapshots that may go out now
+        self._allowance = float(tuning.snapshot_burst_bytes)  # bytes of snapshots that may go out now
         self._allowance_at = -math.inf
         self._heartbeat_at = math.inf
         self._pace_at = math.inf
         self._actions: list[Action] = []
 
     # -- the log's side
-    def confirmed(self, now: float, as_of: float | None = None) -> None:
+    def mark_current(self, now: float, as_of: float | None = None) -> None:
         """At `as_of` (now, unless said otherwise) the log held all that was agreed on."""
         self._confirmed_at = max(self._confirmed_at, now if as_of is None else as_of)
 
-    def published(self, now: float) -> None:
+    def log_advanced(self, now: float) -> None:
         """The log has grown, or was replaced by a snapshot."""
         for number, session in self.sessions.items():
-            if session.phase is Phase.STREAMING:
+            if session.phase is SessionPhase.STREAMING:
                 self._stream(now, number, session)
         self._load(now)
 
     # -- the followers' side
     def opened(self, now: float, number: int) -> None:
         """A connection; the caller numbers them."""
-        if len(self.sessions) >= self.tuning.sessions_most:
+        if len(self.sessions) >= self.tuning.max_sessions:
             self._actions.append(Close(number, "too many followers"))
             return
-        self.sessions[number] = _Session(now)
+        self.sessions[number] = Session(now)
         if math.isinf(self._heartbeat_at):
-            self._heartbeat_at = now + self.tuning.heartbeat
+            self._heartbeat_at = now + self.tuning.heartbeat_interval
 
     def closed(self, now: float, number: int) -> None:
         """A connection has ended."""
@@ -152,7 +152,7 @@
         session = self.sessions.get(number)
         if session is None:
             return
-        session.heard_at = now
+        session.last_received_at = now
         try:
             match message:
                 case Hello():
@@ -162,9 +162,9 @@
                 case _:
                     raise OutOfSequenceError(f"{type(message).__name__} from a follower")
         except FeedError as error:
-            self.unusable(now, number, error)
+            self.protocol_error(now, number, error)
 
-    def unusable(self, now: float, number: int, error: FeedError) -> None:
+    def protocol_error(self, now: float, number: int, error: FeedError) -> None:
         """A follower sent what cannot be used."""
         self._cut(now, number, str(error))
 
@@ -174,15 +174,15 @@
         if session is None:
             return
         session.in_flight, session.blocked_since = 0, math.inf
-        if session.phase is Phase.STREAMING:
+        if session.phase is SessionPhase.STREAMING:
             self._stream(now, number, session)
-        elif session.phase is Phase.LOADING:
+        elif session.phase is SessionPhase.SENDING_SNAPSHOT:
             self._load(now)
 
     def tick(self, now: float) -> None:
         """What is due by now."""
         if now >= self._heartbeat_at:
-            self._heartbeat_at = now + self.tuning.heartbeat if self.sessions else math.inf
+            self._heartbeat_at = now + self.tuning.heartbeat_interval if self.sessions else math.inf
             self._beat(now)
         if now >= self._pace_at:
             self._load(now)
@@ -192,7 +192,7 @@
         """When `tick` has something to do."""
         return min(self._heartbeat_at, self._pace_at)
 
-    def take(self) -> list[Action]:
+    def take_actions(self) -> list[Action]:
         """What is to be done, in this order, since the last call."""
         actions, self._actions = self._actions, []
         return actions
@@ -203,59 +203,66 @@
 
     def summary(self) -> Summary:
         """How many followers have the log's revision in force, and the furthest behind."""
-        greeted = [session for session in self.sessions.values() if session.phase is not Phase.GREETING]
-        behind = [session for session in greeted if session.in_force < self.log.revision or session.refused]
-        behind.sort(key=lambda session: session.in_force)
+        greeted = [session for session in self.sessions.values() if session.phase is not SessionPhase.AWAITING_HELLO]
+        behind = [
+            session for session in greeted if session.applied_revision < self.log.revision or session.rejected_revision
+        ]
+        behind.sort(key=lambda session: session.applied_revision)
         return Summary(
             self.name,
             self.log.revision,
             len(greeted),
-            sum(session.in_force >= self.log.revision for session in greeted),
-            sum(session.refused > 0 for session in greeted),
-            min((session.in_force for session in greeted), default=self.log.revision),
-            tuple(Laggard(s.name, s.in_force, s.refused, s.reason) for s in behind[:MOST_LAGGARDS]),
+            sum(session.applied_revision >= self.log.revision for session in greeted),
+            sum(session.rejected_revision > 0 for session in greeted),
+            min((session.applied_revision for session in greeted), default=self.log.revision),
+            tuple(Laggard(s.name, s.applied_revision, s.rejected_revision, s.reason) for s in behind[:MAX_LAGGARDS]),
         )
 
     # -- messages of followers
-    def _hello(self, now: float, number: int, session: _Session, message: Hello) -> None:
-        if session.phase is not Phase.GREETING:
+    def _hello(self, now: float, number: int, session: Session, message: Hello) -> None:
+        if session.phase is not SessionPhase.AWAITING_HELLO:
             raise OutOfSequenceError("a second hello")
         session.name, session.epoch = message.name, message.epoch
         session.position, session.digest = message.revision, message.digest
-        session.in_force = message.revision
-        self._send(now, number, session, frame(self._heartbeat(now)))
+        session.applied_revision = message.revision
+        self._send(now, number, session, encode_frame(self._heartbeat(now)))
         session.wants_snapshot = message.wants_snapshot or self._far_behind(message.revision)
-        session.phase = Phase.STREAMING
+        session.phase = SessionPhase.STREAMING
         self._stream(now, number, session)
 
     def _far_behind(self, revision: int) -> bool:
         """Whether the publications since are more than the content itself: they would go out without a pace."""
-        if not self.log.oldest <= revision < self.log.revision:
+        if not self.log.oldest_revision <= revision < self.log.revision:
             return False
-        return revision == 0 or self.log.bytes_after(revision) > max(self.log.content.size, self.tuning.window)
+        limit = max(self.log.content.size_bytes, self.tuning.send_window)
+        return revision == 0 or self.log.bytes_after(revision) > limit
 
-    def _status(self, session: _Session, message: Status) -> None:
-        if session.phase is Phase.GREETING:
+    def _status(self, session: Session, message: Status) -> None:
+        if session.phase is SessionPhase.AWAITING_HELLO:
             raise OutOfSequenceError("a status before the hello")
-        session.in_force, session.refused, session.reason = message.in_force, message.refused, message.reason
+        session.applied_revision, session.rejected_revision, session.reason = (
+            message.applied_revision,
+            message.rejected_revision,
+            message.reason,
+        )
 
     # -- streaming
-    def _stream(self, now: float, number: int, session: _Session) -> None:
+    def _stream(self, now: float, number: int, session: Session) -> None:
         """Sends what follows the session's place in the log, as far as the window lets it."""
         if session.position > self.log.revision:
             return  # the follower knows more than this relay; it hears when the log has passed it
-        if session.wants_snapshot or session.position < self.log.oldest or not self._same_past(session):
+        if session.wants_snapshot or session.position < self.log.oldest_revision or not self._same_past(session):
             if session.wants_snapshot or session.position < self.log.revision or session.epoch < self.log.epoch:
                 self._queue_snapshot(now, number, session)
             return  # else it would refuse a snapshot: it waits for a later revision
-        while session.in_flight < self.tuning.window:
+        while session.in_flight < self.tuning.send_window:
             following = self.log.next_after(session.position)
             if following is None:
                 return
             session.position = following.checkpoint.revision
             self._send(now, number, session, following.frame)
 
-    def _same_past(self, session: _Session) -> bool:
+    def _same_past(self, session: Session) -> bool:
         """Whether the follower's content was the log's at its revision; looked at once."""
         if session.digest is None:
             return True
@@ -265,15 +272,15 @@
         return True
 
     # -- snapshots
-    def _queue_snapshot(self, now: float, number: int, session: _Session) -> None:
-        session.phase = Phase.QUEUED
+    def _queue_snapshot(self, now: float, number: int, session: Session) -> None:
+        session.phase = SessionPhase.SNAPSHOT_QUEUED
         self._queue.append(number)
         self._load(now)
 
     def _load(self, now: float) -> None:
         """Begins snapshots and sends pieces, as number and bytes at once allow."""
         self._refill(now)
-        while self._queue and len(self._loading) < self.tuning.snapshots_at_once:
+        while self._queue and len(self._loading) < self.tuning.max_concurrent_snapshots:
             self._begin_snapshot(now, self._queue.popleft())
         for number in list(self._loading):
             if number in self._loading:  # the end of another's may have brought this one to its own end
@@ -284,17 +291,17 @@
     def _refill(self, now: float) -> None:
         passed = max(now - self._allowance_at, 0.0)
         refilled = self._allowance + passed * self.tuning.snapshot_bytes_per_second
-        self._allowance = min(refilled, float(self.tuning.snapshot_burst))
+        self._allowance = min(refilled, float(self.tuning.snapshot_burst_bytes))
         self._allowance_at = now
 
     def _begin_snapshot(self, now: float, number: int) -> None:
         session = self.sessions.get(number)
-        if session is None or session.phase is not Phase.QUEUED:
+        if session is None or session.phase is not SessionPhase.SNAPSHOT_QUEUED:
             return
         session.image, session.next_piece = self._image_now(session.position), SNAPSHOT_BEGIN
-        session.phase = Phase.LOADING
+        session.phase = SessionPhase.SENDING_SNAPSHOT
         self._loading.add(number)
-        self.snapshots_begun += 1
+        self.snapshots_started += 1
 
     def _image_now(self, held: int = -1) -> SnapshotImage:
         """The last image while the log leads on from it and is not far ahead; else a new one. held: the revision of
@@ -302,27 +309,27 @@
         image = self._image
         if image is not None:
             behind = self.log.revision - image.checkpoint.revision
-            same_past = self.log.digest_at(image.checkpoint.revision) == image.checkpoint.content
+            same_past = self.log.digest_at(image.checkpoint.revision) == image.checkpoint.content_digest
             later = not behind or image.checkpoint.revision > held
-            if same_past and later and behind <= self.tuning.image_behind:
+            if same_past and later and behind <= self.tuning.max_image_lag:
                 return image
         self._image = SnapshotImage(self.log.content, self.log.checkpoint)
         return self._image
 
-    def _send_pieces(self, now: float, number: int, session: _Session) -> None:
+    def _send_pieces(self, now: float, number: int, session: Session) -> None:
         image = session.image
         assert image is not None
-        while session.next_piece < image.pieces:
-            if self._allowance <= 0 or session.in_flight >= self.tuning.window:
+        while session.next_piece < image.piece_count:
+            if self._allowance <= 0 or session.in_flight >= self.tuning.send_window:
                 return
-            data = image.begin if session.next_piece == SNAPSHOT_BEGIN else image.piece(session.next_piece)
+            data = image.begin_frame if session.next_piece == SNAPSHOT_BEGIN else image.piece_frame(session.next_piece)
             session.next_piece += 1
             self._allowance -= len(data)
             self._send(now, number, session, data)
         self._loading.discard(number)
         session.image, session.digest, session.wants_snapshot = None, None, False
         session.position, session.epoch = image.checkpoint.revision, image.checkpoint.epoch
-        session.phase = Phase.STREAMING
+        session.phase = SessionPhase.STREAMING
         self._stream(now, number, session)
 
     # -- time
@@ -332,29 +339,29 @@
 
     def _beat(self, now: float) -> None:
         """A heartbeat to all, and an end to those that take or say nothing."""
-        newest = frame(self._heartbeat(now))
+        newest = encode_frame(self._heartbeat(now))
         for number, session in list(self.sessions.items()):
             reason = self._failing(now, session)
             if reason:
-                self.cut += 1
+                self.evicted += 1
                 self._cut(now, number, reason)
-            elif session.phase is not Phase.GREETING and session.in_flight < self.tuning.window:
-                waits = session.phase in (Phase.QUEUED, Phase.LOADING)
+            elif session.phase is not SessionPhase.AWAITING_HELLO and session.in_flight < self.tuning.send_window:
+                waits = session.phase in (SessionPhase.SNAPSHOT_QUEUED, SessionPhase.SENDING_SNAPSHOT)
                 self._send(now, number, session, _waiting_heartbeat(session) if waits else newest)
 
-    def _failing(self, now: float, session: _Session) -> str:
+    def _failing(self, now: float, session: Session) -> str:
         """Why a follower's connection is given up, or nothing."""
-        if session.phase is Phase.GREETING:
-            return "no hello" if now - session.heard_at > self.tuning.hello_within else ""
-        if now - session.heard_at > self.tuning.silent:
+        if session.phase is SessionPhase.AWAITING_HELLO:
+            return "no hello" if now - session.last_received_at > self.tuning.hello_timeout else ""
+        if now - session.last_received_at > self.tuning.idle_timeout:
             return "says nothing"
-        if now - session.blocked_since > self.tuning.stalled:
+        if now - session.blocked_since > self.tuning.stall_timeout:
             return "takes nothing"
         return ""
 
-    def _send(self, now: float, number: int, session: _Session, data: bytes) -> None:
+    def _send(self, now: float, number: int, session: Session, data: bytes) -> None:
         session.in_flight += len(data)
-        if session.in_flight >= self.tuning.window:
+        if session.in_flight >= self.tuning.send_window:
             session.blocked_since = min(session.blocked_since, now)
         self._actions.append(SendTo(number, data))
 
@@ -363,6 +370,6 @@
         self.closed(now, number)
 
 
-def _waiting_heartbeat(session: _Session) -> bytes:
+def _waiting_heartbeat(session: Session) -> bytes:
     """To a follower that waits for its snapshot: it announces nothing that others' loads hold up, and no age."""
-    return frame(Heartbeat(session.epoch, session.position, round(LONGEST_AGE_S * 1000.0), True))
+    return encode_frame(Heartbeat(session.epoch, session.position, round(LONGEST_AGE_S * 1000.0), True))
--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -9,11 +9,11 @@
 
 from badgerbend.consensus import messages as voting
 from badgerbend.consensus.types import RaftConfig
-from badgerbend.feed.control import Abandoned, Action, ControlNode, ControlTuning, Propose, Report
+from badgerbend.feed.control import Action, ChangesAbandoned, ControlNode, ControlTuning, Propose, ReportSummary
 from badgerbend.feed.log import Retention
-from badgerbend.feed.machine import PUBLISH, FeedMachine
+from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
 from badgerbend.feed.messages import Change, Summary
-from badgerbend.feed.publisher import Check, Problem, Progress, Publisher, PublisherTuning
+from badgerbend.feed.publisher import ChangeCheck, Publisher, PublisherTuning, RejectedChange, RolloutProgress
 from badgerbend.feed.relay import Relay, RelayTuning
 from badgerbend.feed.signature import Signer
 from badgerbend.feed_service import control_wire
@@ -58,7 +58,7 @@
         self,
         settings: ControlSettings,
         signer: Signer,
-        check: Check,
+        check: ChangeCheck,
         note: Callable[..., None],
         clock: Clock = monotonic,
     ) -> None:
@@ -67,7 +67,7 @@
         self.settings, self.note, self.clock = settings, note, clock
         self.own = settings.voters[settings.name]
         now, seed = clock(), life << 8
-        machine = FeedMachine(settings.retention)
+        machine = FeedStateMachine(settings.retention)
         self.ballot = LocalVoter(
             settings.store,
             settings.voting,
@@ -83,7 +83,7 @@
         self.holder = LeaseHolder(
             settings.name,
             address_text(self.own),
-            {PUBLISH: True},
+            {PUBLISH_LEASE: True},
             tuple(settings.voters),
             settings.terms,
             seed + 2,
@@ -122,15 +122,15 @@
         """Whether this machine holds the lease on publishing now."""
         return bool(self.publisher.epoch)
 
-    def submit(self, changes: Iterable[Change]) -> tuple[Problem, ...]:
+    def submit(self, changes: Iterable[Change]) -> tuple[RejectedChange, ...]:
         """Takes all of these changes for publication, or none of them and says why. Raises NotPublishing."""
         if not self.publishes:
-            raise NotPublishingError(f"{self.holder.duties[PUBLISH].holder or 'nobody'} publishes")
+            raise NotPublishingError(f"{self.holder.duties[PUBLISH_LEASE].holder or 'nobody'} publishes")
         problems = self.publisher.submit(self.clock(), changes)
         self._after()
         return problems
 
-    def progress(self, revision: int) -> Progress:
+    def progress(self, revision: int) -> RolloutProgress:
         """Who has this revision in force, as far as relays have reported."""
         return self.publisher.progress(self.clock(), revision)
 
@@ -155,7 +155,7 @@
             case Proposal(command):
                 self._proposed(command)
             case Summary():
-                self.publisher.heard(self.clock(), message)
+                self.publisher.record_summary(self.clock(), message)
             case (
                 voting.RequestVote()
                 | voting.RequestVoteReply()
@@ -206,8 +206,8 @@
             return
         for _ in range(MOST_TURNS):
             busy = self._ask_for_lease()
-            busy |= self.node.settle(self.clock())
-            for action in self.node.take():
+            busy |= self.node.synchronize(self.clock())
+            for action in self.node.take_actions():
                 busy = True
                 self._carry_out(action)
             if not busy:
@@ -233,8 +233,8 @@
                     self._proposed(command)
                 elif leader in self.settings.voters:
                     self.send(self.settings.voters[leader], control_wire.proposal_body(command))
-            case Report(publisher, summary):
+            case ReportSummary(publisher, summary):
                 if publisher in self.settings.voters:
                     self.send(self.settings.voters[publisher], control_wire.summary_body(summary))
-            case Abandoned(changes):
+            case ChangesAbandoned(changes):
                 self.note("changes not published", changes=len(changes))
--- a/badgerbend/feed_service/follower.py
+++ b/badgerbend/feed_service/follower.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from badgerbend.feed.errors import FeedError
-from badgerbend.feed.follower import Action, Connect, Disconnect, Follower, Install, Rejected, Send
+from badgerbend.feed.follower import Action, Connect, Disconnect, Follower, Install, MessageRejected, Send
 from badgerbend.feed.messages import Change, Message
 from badgerbend.feed_service.stream import MessageStream
 from badgerbend.feed_service.timer import Clock, WakeUp, monotonic
@@ -66,7 +66,7 @@
         self._pump()
 
     def stream_unusable(self, stream: MessageStream, error: FeedError) -> None:
-        self.follower.unusable(self.clock(), stream.number, error)
+        self.follower.protocol_error(self.clock(), stream.number, error)
         self._pump()
 
     def stream_writable(self, stream: MessageStream) -> None:
@@ -88,7 +88,7 @@
             return
         self._pumping = True
         try:
-            while actions := self.follower.take():
+            while actions := self.follower.take_actions():
                 for action in actions:
                     self._carry_out(action)
         except Exception:
@@ -101,7 +101,7 @@
     def _fail(self) -> None:
         """Its owner failed amid an install: what is in force is not known, so nothing more is reported or taken."""
         self.follower.stop()
-        self.follower.take()
+        self.follower.take_actions()
         self._disconnect()
         self._wake_up.cancel()
 
@@ -116,7 +116,7 @@
                 self._disconnect()
             case Install():
                 self._install(action)
-            case Rejected():
+            case MessageRejected():
                 self.owner.rejected(action.relay, action.error)
 
     async def _connect(self, action: Connect) -> None:
@@ -145,8 +145,8 @@
     def _install(self, action: Install) -> None:
         reason = self.owner.install(action.revision, action.changes)
         now = self.clock()
-        if not reason and self.follower.refused_revision:
+        if not reason and self.follower.rejected_revision:
             self.follower.accepted(now)
-        elif reason and reason != self.follower.refused_reason:
-            self.follower.refused(now, action.revision, reason)
+        elif reason and reason != self.follower.rejected_reason:
+            self.follower.rejected(now, action.revision, reason)
         self.follower.applied(now, action.revision)
--- a/badgerbend/feed_service/relay.py
+++ b/badgerbend/feed_service/relay.py
@@ -36,17 +36,17 @@
 
     def published(self) -> None:
         """The relay's log has grown."""
-        self.relay.published(self.clock())
+        self.relay.log_advanced(self.clock())
         self.pump()
 
     def confirmed(self, as_of: float) -> None:
         """The relay's log held all that was agreed on at this time."""
-        self.relay.confirmed(self.clock(), as_of)
+        self.relay.mark_current(self.clock(), as_of)
 
     def pump(self) -> None:
         """Carries out what the core wants. Call it after each of its calls."""
         for _ in range(ROUNDS):
-            actions = self.relay.take()
+            actions = self.relay.take_actions()
             if not actions and not self._written:
                 break
             for action in actions:
@@ -94,7 +94,7 @@
         self.pump()
 
     def stream_unusable(self, stream: MessageStream, error: FeedError) -> None:
-        self.relay.unusable(self.clock(), stream.number, error)
+        self.relay.protocol_error(self.clock(), stream.number, error)
         self.pump()
 
     def stream_writable(self, stream: MessageStream) -> None:
--- a/badgerbend/feeding.py
+++ b/badgerbend/feeding.py
@@ -11,7 +11,7 @@
 from badgerbend.config.settings import Settings
 from badgerbend.config.sexpr import SettingsError
 from badgerbend.discovery.keyed import KeyedList
-from badgerbend.feed.configuration import ConfigurationInForce, UnusableConfigurationError
+from badgerbend.feed.configuration import ActiveConfiguration, UnusableConfigurationError
 from badgerbend.feed.errors import FeedError
 from badgerbend.feed.follower import Follower, FollowerTuning, RelayAddress
 from badgerbend.feed.messages import Change
@@ -66,7 +66,7 @@
         self.own, self.feed, self.generations, self.metrics = settings, feed, generations, metrics
         self.listed = listed
         self.log = get(part="feed")
-        self.in_force = ConfigurationInForce(self._read, Usable(settings, generations.newest.graph))
+        self.in_force = ActiveConfiguration(self._read, Usable(settings, generations.newest.graph))
         follower = Follower(
             f"broker-{settings.identity.index}",
             feed.region,
@@ -104,8 +104,8 @@
         for change in changes:
             if change.key == self.feed.configuration:
                 self._configure(revision, change.value)
-        if self.in_force.refused is not None:
-            return self.in_force.refused[1]
+        if self.in_force.rejected is not None:
+            return self.in_force.rejected[1]
         return WAITS if self._waiting else ""
 
     def rejected(self, relay: str, error: FeedError) -> None:
@@ -116,9 +116,9 @@
     def _configure(self, revision: int, value: bytes | None) -> None:
         """A configuration that was taken away leaves the one in force as it is."""
         if value is None:
-            self.in_force.refused = None
+            self.in_force.rejected = None
             return
-        reason = self.in_force.offer(revision, value)
+        reason = self.in_force.stage(revision, value)
         if reason:
             self.metrics.trouble("configuration not usable", f"revision {revision}: {reason}")
             return
@@ -126,7 +126,7 @@
 
     def _put_in_force(self) -> None:
         self._waiting = not self.generations.room
-        if self._waiting or not self.in_force.turn():
+        if self._waiting or not self.in_force.activate():
             return
         revision, usable = self.in_force.current.revision, self.in_force.current.settings
         if usable.settings != self.generations.newest.settings:
@@ -141,7 +141,7 @@
     def _put_waiting_in_force(self) -> None:
         self._again = None
         self._put_in_force()
-        if not self._waiting and self.in_force.refused is None:
+        if not self._waiting and self.in_force.rejected is None:
             self.client.follower.accepted(self.client.clock())
 
     def _read(self, data: bytes) -> Usable:
--- a/benchmarks/scale/feed_control.py
+++ b/benchmarks/scale/feed_control.py
@@ -8,7 +8,7 @@
 import time
 
 from badgerbend.feed.log import PublicationLog, Retention
-from badgerbend.feed.machine import PUBLISH, FeedMachine
+from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
 from badgerbend.feed.messages import Change
 from badgerbend.feed.publisher import Publisher, PublisherTuning
 from badgerbend.feed.signature import Ed25519Signer, Ed25519Verifier
@@ -22,12 +22,12 @@
     """Publisher and log. cpu_s: processor time of both so far."""
 
     def __init__(self, retention: Retention) -> None:
-        self.machine = FeedMachine(retention)
+        self.machine = FeedStateMachine(retention)
         self.publisher = Publisher(self.machine.log, lambda change: "", SIGNER, PublisherTuning())
         self.cpu_s = 0.0
         self._index = 0
-        self._apply(encode(GrantLease(PUBLISH, "control-1", self.machine.table.lease(PUBLISH).epoch)))
-        self.publisher.lead(0.0, self.machine.table.lease(PUBLISH).epoch)
+        self._apply(encode(GrantLease(PUBLISH_LEASE, "control-1", self.machine.table.lease(PUBLISH_LEASE).epoch)))
+        self.publisher.lease_granted(0.0, self.machine.table.lease(PUBLISH_LEASE).epoch)
 
     @property
     def log(self) -> PublicationLog:
@@ -46,9 +46,9 @@
         began = time.process_time()
         before = self.log.revision
         self.publisher.tick(now)
-        for command in self.publisher.take():
+        for command in self.publisher.take_commands():
             self._apply(command)
-        self.publisher.published(now)
+        self.publisher.log_advanced(now)
         self.cpu_s += time.process_time() - began
         return self.log.revision > before
 
--- a/benchmarks/scale/feed_followers.py
+++ b/benchmarks/scale/feed_followers.py
@@ -6,7 +6,7 @@
 import time
 from dataclasses import dataclass
 
-from badgerbend.feed.content import Content, bucket_of
+from badgerbend.feed.content import Content, bucket_index
 from badgerbend.feed.errors import FeedError
 from badgerbend.feed.follower import Follower, FollowerTuning
 from badgerbend.feed.messages import Change
@@ -58,7 +58,7 @@
             return
         for change in changes:
             if change.value is not None:
-                buckets[bucket_of(change.key)][change.key] = self.value(change.value)
+                buckets[bucket_index(change.key)][change.key] = self.value(change.value)
 
 
 @dataclass(frozen=True, slots=True)
--- a/benchmarks/scale/feed_relays.py
+++ b/benchmarks/scale/feed_relays.py
@@ -30,7 +30,7 @@
 HOST = "127.0.0.1"
 CONFIRM_EVERY_S = 0.25
 # A relay has one upstream in this test, and there are six of them: no herd to spread, so it tries again soon.
-UPSTREAM = FollowerTuning(start_spread=0.0, retry_most=1.0)
+UPSTREAM = FollowerTuning(start_jitter=0.0, backoff_max=1.0)
 
 
 def relay_address(address: Address) -> RelayAddress:
@@ -120,6 +120,6 @@
             0.0 if self.control is None else self.control.cpu_s,
             resident_bytes(),
             peak_bytes(),
-            snapshots=0 if self.server is None else self.server.relay.snapshots_begun,
+            snapshots=0 if self.server is None else self.server.relay.snapshots_started,
             rejected=0 if self.upstream_owner is None else self.upstream_owner.rejections,
         )
--- a/benchmarks/scale/feed_voters.py
+++ b/benchmarks/scale/feed_voters.py
@@ -82,8 +82,8 @@
         assert self.server is not None
         server, revision = self.server, self.server.relay.log.revision
         progress = server.progress(revision)
-        return Standing(server.ballot.voter.leads, server.publishes, revision, progress.in_force)
+        return Standing(server.ballot.voter.leads, server.publishes, revision, progress.applied)
 
     def _measured(self) -> Measured:
-        snapshots = 0 if self.server is None else self.server.relay.snapshots_begun
+        snapshots = 0 if self.server is None else self.server.relay.snapshots_started
         return Measured(time.monotonic(), time.process_time(), 0.0, resident_bytes(), peak_bytes(), snapshots=snapshots)
--- a/tests/feed_liar.py
+++ b/tests/feed_liar.py
@@ -5,7 +5,7 @@
 
 import zlib
 
-from badgerbend.feed.framing import FrameReader, frame
+from badgerbend.feed.framing import FrameReader, encode_frame
 from badgerbend.feed.messages import (
     Change,
     Checkpoint,
@@ -38,13 +38,13 @@
         self._keep(data, message, session)
         match self.lie, message:
             case "alter", Publication() if message.changes:
-                return [frame(Publication(message.checkpoint, self._altered(message.changes)))]
+                return [encode_frame(Publication(message.checkpoint, self._altered(message.changes)))]
             case "alter", SnapshotPiece():
-                return [frame(SnapshotPiece(message.index, self._other_piece()))]
+                return [encode_frame(SnapshotPiece(message.index, self._other_piece()))]
             case "forge", Publication() | SnapshotBegin():
-                return [frame(self._forged(message))]
+                return [encode_frame(self._forged(message))]
             case "forge content", Publication():
-                return [frame(Publication(message.checkpoint, (*message.changes, Change("node/0", b"false"))))]
+                return [encode_frame(Publication(message.checkpoint, (*message.changes, Change("node/0", b"false"))))]
             case "cut", _ if self.rng.random() < 0.3:
                 return [data[: self.rng.randrange(len(data))]]
             case "withhold", Publication() if self.rng.random() < 0.5:
@@ -68,7 +68,7 @@
         if isinstance(message, Publication):
             self.said = [*self.said[-KEPT:], data]
         elif isinstance(message, SnapshotBegin):
-            self.snapshots[session] = (message.pieces, [data])
+            self.snapshots[session] = (message.piece_count, [data])
         elif session in self.snapshots:
             pieces, frames = self.snapshots[session]
             frames.append(data)
@@ -86,10 +86,7 @@
     def _forged(self, message):
         """The liar's own checkpoint: the digests fit what it sends, the signature cannot."""
         old = message.checkpoint
+        digests = (old.content_digest, old.changes_digest)
         if isinstance(message, SnapshotBegin):
-            return SnapshotBegin(
-                Checkpoint(old.epoch, old.revision + 3, old.content, old.changes, old.signature), message.pieces
-            )
-        return Publication(
-            Checkpoint(old.epoch + 1, old.revision, old.content, old.changes, old.signature), message.changes
-        )
+            return SnapshotBegin(Checkpoint(old.epoch, old.revision + 3, *digests, old.signature), message.piece_count)
+        return Publication(Checkpoint(old.epoch + 1, old.revision, *digests, old.signature), message.changes)
--- a/tests/feed_lines.py
+++ b/tests/feed_lines.py
@@ -112,7 +112,7 @@
     digest: str
     followers: int
     blocked: tuple[str, ...]
-    snapshots_begun: int
+    snapshots_started: int
     cut: int
     loading_most: int
     in_flight_most: int
--- a/tests/feed_mutants.py
+++ b/tests/feed_mutants.py
@@ -2,9 +2,8 @@
 
 from dataclasses import dataclass
 
-from badgerbend.feed.follower import Follower, Install
-from badgerbend.feed.follower import Phase as FollowerPhase
-from badgerbend.feed.machine import FeedMachine
+from badgerbend.feed.follower import Follower, FollowerPhase, Install
+from badgerbend.feed.machine import FeedStateMachine
 from badgerbend.feed.messages import Change, Checkpoint, Publication, decode_changes, signed_bytes
 from badgerbend.feed.publisher import Publisher
 from badgerbend.feed.relay import Relay
@@ -35,14 +34,14 @@
         assembly = self._assembly
         if assembly is not None:
             assembly.add(message)
-            if assembly.whole:
+            if assembly.complete:
                 checkpoint, content = assembly.checkpoint, assembly.content
                 digest = content.digest()
                 assembly.checkpoint = Checkpoint(
-                    checkpoint.epoch, checkpoint.revision, digest, checkpoint.changes, checkpoint.signature
+                    checkpoint.epoch, checkpoint.revision, digest, checkpoint.changes_digest, checkpoint.signature
                 )
                 changes = self.log.content.changes_to(content)
-                self.log.reset(content, assembly.checkpoint)
+                self.log.install_snapshot(content, assembly.checkpoint)
                 self._assembly, self.phase = None, FollowerPhase.STREAMING
                 self._install(changes)
 
@@ -79,14 +78,14 @@
 
     def _snapshot_piece(self, message):
         if self._assembly is not None and message.index == self._assembly._next:
-            changes = decode_changes(_unpacked(message.packed))
+            changes = decode_changes(_unpacked(message.compressed))
             self._actions.append(Install(self._assembly.checkpoint.revision, changes))
         super()._snapshot_piece(message)
 
 
 class _UnorderedAssembly(SnapshotAssembly):
     def add(self, piece):
-        self.content.apply(decode_changes(_unpacked(piece.packed)))
+        self.content.apply(decode_changes(_unpacked(piece.compressed)))
         self._next += 1
 
 
@@ -126,7 +125,7 @@
         self.checkpoint = log.checkpoint
 
     def digest(self):
-        return self.checkpoint.content
+        return self.checkpoint.content_digest
 
 
 class ForgetsTheFirstOfTwo(Follower):
@@ -146,7 +145,7 @@
     """A follower that is more than one behind does not get the first that it lacks."""
 
     def _stream(self, now, number, session):
-        if self.log.oldest <= session.position < self.log.revision - 1:
+        if self.log.oldest_revision <= session.position < self.log.revision - 1:
             session.position += 1
         super()._stream(now, number, session)
 
@@ -155,8 +154,8 @@
     """Sends the oldest publication retained to one who is behind it, in place of a snapshot."""
 
     def _stream(self, now, number, session):
-        if session.position < self.log.oldest:
-            session.position, session.digest = self.log.oldest, None
+        if session.position < self.log.oldest_revision:
+            session.position, session.digest = self.log.oldest_revision, None
         super()._stream(now, number, session)
 
 
@@ -189,12 +188,12 @@
 # -- voters
 
 
-class ChecksNoEpoch(FeedMachine):
-    def publishes(self, epoch):
+class ChecksNoEpoch(FeedStateMachine):
+    def is_current_epoch(self, epoch):
         return True
 
 
-class TakesARevisionAgain(FeedMachine):
+class TakesARevisionAgain(FeedStateMachine):
     """Publishes a repeated revision once more, as the next."""
 
     def _publish(self, part, data):
@@ -207,12 +206,12 @@
                 self.log.checkpoint = Checkpoint(
                     checkpoint.epoch,
                     checkpoint.revision + 1,
-                    checkpoint.content,
-                    checkpoint.changes,
+                    checkpoint.content_digest,
+                    checkpoint.changes_digest,
                     checkpoint.signature,
                 )
                 self.log._retain(Publication(self.log.checkpoint, ()))
-                self.on_change()
+                self.on_log_change()
 
 
 class ConfirmsWithoutTheLog(Voter):
@@ -251,9 +250,9 @@
         if flying is not None and flying is not before and self.log.revision % 5 == 4:
             old = flying.checkpoint
             content = type(self.log.content)().digest_after(flying.changes)
-            signature = self.signer.sign(signed_bytes(old.epoch, old.revision, content, old.changes))
+            signature = self.signer.sign(signed_bytes(old.epoch, old.revision, content, old.changes_digest))
             self._flying = Publication(
-                Checkpoint(old.epoch, old.revision, content, old.changes, signature), flying.changes
+                Checkpoint(old.epoch, old.revision, content, old.changes_digest, signature), flying.changes
             )
             self._out.clear()
             self._propose(now, self._flying)
@@ -262,7 +261,7 @@
 class TakesAnyGrowthForItsOwn(Publisher):
     """Drops a batch when the log has reached its revision, whosever publication that is."""
 
-    def published(self, now):
+    def log_advanced(self, now):
         if self._flying is not None and self.log.revision >= self._flying.checkpoint.revision:
             self._flying, self._again_at = None, float("inf")
             self._propose_next(now)
--- a/tests/feed_process.py
+++ b/tests/feed_process.py
@@ -12,7 +12,7 @@
 from badgerbend.feed.follower import Follower
 from badgerbend.feed.framing import FrameReader
 from badgerbend.feed.messages import Publication, SnapshotPiece
-from badgerbend.feed.relay import Phase, Relay, SendTo
+from badgerbend.feed.relay import Relay, SendTo, SessionPhase
 from badgerbend.feed_service.control import ControlServer, ControlSettings, NotPublishingError
 from badgerbend.feed_service.follower import FollowerClient
 from badgerbend.feed_service.relay import RelayServer
@@ -73,13 +73,15 @@
         self.over_pace = self.over_pace_most = 0.0
         self._leaked_at = 0.0
 
-    def take(self):
-        actions = super().take()
+    def take_actions(self):
+        actions = super().take_actions()
         for action in actions:
             if isinstance(action, SendTo):
                 self._measure(action.frame)
         sessions = self.sessions.values()
-        self.loading_most = max(self.loading_most, sum(session.phase is Phase.LOADING for session in sessions))
+        self.loading_most = max(
+            self.loading_most, sum(session.phase is SessionPhase.SENDING_SNAPSHOT for session in sessions)
+        )
         self.in_flight_most = max(self.in_flight_most, max((session.in_flight for session in sessions), default=0))
         return actions
 
@@ -179,7 +181,7 @@
         problems = self.control.publish(self.clock(), *changes)
         assert not problems, problems
         log = self.relay.log
-        tell(Published(log.revision, log.checkpoint.content.hex()))
+        tell(Published(log.revision, log.checkpoint.content_digest.hex()))
         self._republish()
 
     def _republish(self):
@@ -200,9 +202,9 @@
             revision=relay.log.revision,
             digest=relay.log.content.digest().hex(),
             followers=relay.summary().followers,
-            blocked=tuple(s.name for s in relay.sessions.values() if s.in_flight >= relay.tuning.window),
-            snapshots_begun=relay.snapshots_begun,
-            cut=relay.cut,
+            blocked=tuple(s.name for s in relay.sessions.values() if s.in_flight >= relay.tuning.send_window),
+            snapshots_started=relay.snapshots_started,
+            cut=relay.evicted,
             loading_most=relay.loading_most,
             in_flight_most=relay.in_flight_most,
             waiting_most=self.waiting_most,
@@ -223,7 +225,7 @@
         log = self.relay.log
         if log.revision > self.told:
             self.told = log.revision
-            tell(Published(log.revision, log.checkpoint.content.hex()))
+            tell(Published(log.revision, log.checkpoint.content_digest.hex()))
 
 
 class ControlProcess:
@@ -263,7 +265,7 @@
             revision=log.revision,
             digest=log.content.digest().hex(),
             followers=progress.followers,
-            in_force=progress.in_force,
+            in_force=progress.applied,
             age_s=min(server.relay.age_s(monotonic()), UNKNOWN_AGE_S),
         )
 
--- a/tests/feed_stage.py
+++ b/tests/feed_stage.py
@@ -7,13 +7,13 @@
     Follower,
     FollowerTuning,
     Install,
-    Rejected,
+    MessageRejected,
     RelayAddress,
     Send,
 )
 from badgerbend.feed.framing import FrameReader
 from badgerbend.feed.log import Retention
-from badgerbend.feed.machine import PUBLISH, FeedMachine
+from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
 from badgerbend.feed.messages import Change
 from badgerbend.feed.publisher import Publisher, PublisherTuning
 from badgerbend.feed.relay import Close, Relay, RelayTuning, SendTo
@@ -22,7 +22,7 @@
 
 SIGNER = Ed25519Signer(bytes(range(32)))
 VERIFIER = Ed25519Verifier(SIGNER.public_key())
-RETENTION, AT_ONCE, RELAY = Retention(), PublisherTuning(batch=0.0), RelayTuning()
+RETENTION, AT_ONCE, RELAY = Retention(), PublisherTuning(batch_window=0.0), RelayTuning()
 ADDRESS = RelayAddress("relay-1", "north", "127.0.0.1", 1)
 
 
@@ -35,7 +35,7 @@
     """One control machine without agreement: commands are applied as they come."""
 
     def __init__(self, retention=RETENTION, tuning=AT_ONCE, check=lambda change: ""):
-        self.machine = FeedMachine(retention)
+        self.machine = FeedStateMachine(retention)
         self.index = 0
         self.publisher = Publisher(self.machine.log, check, SIGNER, tuning)
 
@@ -47,12 +47,12 @@
 
     def grant(self, now=0.0, holder="control-1"):
         """Gives the lease on publishing to a holder, from whoever has it; its epoch."""
-        lease = self.machine.table.lease(PUBLISH)
+        lease = self.machine.table.lease(PUBLISH_LEASE)
         if lease.holder:
-            self.command(encode(ReleaseLease(PUBLISH, lease.epoch)))
-        self.command(encode(GrantLease(PUBLISH, holder, lease.epoch)))
-        epoch = self.machine.table.lease(PUBLISH).epoch
-        self.publisher.lead(now, epoch)
+            self.command(encode(ReleaseLease(PUBLISH_LEASE, lease.epoch)))
+        self.command(encode(GrantLease(PUBLISH_LEASE, holder, lease.epoch)))
+        epoch = self.machine.table.lease(PUBLISH_LEASE).epoch
+        self.publisher.lease_granted(now, epoch)
         return epoch
 
     def publish(self, now, *changes):
@@ -64,12 +64,12 @@
     def pump(self, now):
         while True:
             self.publisher.tick(now)
-            commands = self.publisher.take()
+            commands = self.publisher.take_commands()
             if not commands:
                 return
             for command in commands:
                 self.command(command)
-            self.publisher.published(now)
+            self.publisher.log_advanced(now)
 
 
 class Stage:
@@ -79,7 +79,7 @@
         self.now = 0.0
         self.control = control
         self.relay = Relay(ADDRESS.name, control.machine.log, relay_tuning)
-        self.relay.confirmed(self.now)
+        self.relay.mark_current(self.now)
         self.followers, self.installed, self.rejected, self.closed = {}, {}, {}, []
         self.sessions, self.readers, self.numbers = {}, {}, 0
         self.hold, self.held = set(), {}
@@ -88,7 +88,7 @@
 
     def follower(self, name, start=True, **tuning):
         made = Follower(
-            name, "north", [ADDRESS], VERIFIER, FollowerTuning(start_spread=0.0, **tuning), len(self.followers)
+            name, "north", [ADDRESS], VERIFIER, FollowerTuning(start_jitter=0.0, **tuning), len(self.followers)
         )
         self.followers[name], self.installed[name], self.rejected[name] = made, [], []
         if start:
@@ -103,10 +103,10 @@
             busy = False
             for name, follower in self.followers.items():
                 follower.tick(self.now)
-                for action in follower.take():
+                for action in follower.take_actions():
                     busy = True
                     self._follower_action(name, follower, action)
-            for action in self.relay.take():
+            for action in self.relay.take_actions():
                 busy = True
                 self._relay_action(action)
 
@@ -114,13 +114,13 @@
         end = self.now + seconds
         while self.now < end:
             self.now = min(self.now + step, end)
-            self.relay.confirmed(self.now)
+            self.relay.mark_current(self.now)
             self.relay.tick(self.now)
             self.settle()
 
     def publish(self, *changes):
         problems = self.control.publish(self.now, *changes)
-        self.relay.published(self.now)
+        self.relay.log_advanced(self.now)
         self.settle()
         return problems
 
@@ -158,7 +158,7 @@
             case Install():
                 self.installed[name].append(action)
                 follower.applied(self.now, action.revision)
-            case Rejected():
+            case MessageRejected():
                 self.rejected[name].append(action.error)
 
     def _relay_action(self, action):
@@ -186,5 +186,5 @@
             for message in self.readers[number].feed(data):
                 follower.received(self.now, attempt, message)
         except FeedError as error:
-            follower.unusable(self.now, attempt, error)
+            follower.protocol_error(self.now, attempt, error)
         self.relay.drained(self.now, number)
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -1,7 +1,8 @@
-"""The feed whole in simulated time: control machines, relays, publishers and followers, and every trouble of a seed.
+"""The complete feed in simulated time: control machines, relays, publishers and followers under the faults of a seed.
 
-The product's own `Voter`, `FeedMachine`, `Holder`, `Publisher`, `Relay` and `Follower` run here; sockets, disks, clocks
-and the signature's arithmetic are stood in for. All chance comes from the seed. `tests.feed_judge` says what must hold.
+The product's own `Voter`, `FeedStateMachine`, `LeaseHolder`, `Publisher`, `Relay` and `Follower` run here; sockets,
+disks, clocks and the arithmetic of signatures are simulated. All randomness comes from the seed. `tests.feed_judge`
+says what must hold.
 """
 
 import heapq
@@ -14,19 +15,19 @@
 from badgerbend.consensus import messages as voting
 from badgerbend.consensus.raft import RaftConfig
 from badgerbend.feed import snapshot
-from badgerbend.feed.control import Abandoned, ControlNode, ControlTuning, Propose, Report
+from badgerbend.feed.control import ChangesAbandoned, ControlNode, ControlTuning, Propose, ReportSummary
 from badgerbend.feed.follower import (
     Connect,
     Disconnect,
     Follower,
     FollowerTuning,
     Install,
-    Rejected,
+    MessageRejected,
     RelayAddress,
     Send,
 )
 from badgerbend.feed.log import Retention
-from badgerbend.feed.machine import PUBLISH, FeedMachine
+from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
 from badgerbend.feed.messages import Change
 from badgerbend.feed.publisher import Publisher, PublisherTuning
 from badgerbend.feed.relay import Close, Relay, RelayTuning, SendTo
@@ -62,7 +63,7 @@
 class Kinds:
     """Classes in the place of the product's, for mutants."""
 
-    machine: type = FeedMachine
+    machine: type = FeedStateMachine
     publisher: type = Publisher
     relay: type = Relay
     follower: type = Follower
@@ -120,33 +121,33 @@
 
 TUNING = RaftConfig(election_s=0.4, beat_s=0.1)
 TERMS = LeaseTiming(lease_s=1.2, rate=0.01, ask_s=0.4, answer_s=0.15, stall_s=0.3)
-PUBLISHER = PublisherTuning(batch=0.05, again=0.5, summary_fresh=2.0, again_most=4.0)
+PUBLISHER = PublisherTuning(batch_window=0.05, retry_interval=0.5, summary_ttl=2.0, max_retry_interval=4.0)
 RELAY = RelayTuning(
-    heartbeat=0.4,
-    window=3000,
-    stalled=3.0,
-    hello_within=2.0,
-    silent=4.0,
-    snapshots_at_once=3,
+    heartbeat_interval=0.4,
+    send_window=3000,
+    stall_timeout=3.0,
+    hello_timeout=2.0,
+    idle_timeout=4.0,
+    max_concurrent_snapshots=3,
     snapshot_bytes_per_second=64 * 1024,
-    snapshot_burst=8 * 1024,
-    image_behind=6,
+    snapshot_burst_bytes=8 * 1024,
+    max_image_lag=6,
 )
 FOLLOWER = FollowerTuning(
-    start_spread=0.3,
-    retry_least=0.1,
-    retry_most=1.5,
+    start_jitter=0.3,
+    backoff_base=0.1,
+    backoff_max=1.5,
     connect_timeout=1.0,
-    silence=2.0,
-    distrust=4.0,
-    behind_most=4.0,
-    stale=2.0,
-    stale_again=6.0,
-    home_after=8.0,
-    status_every=0.3,
-    status_idle=1.5,
+    heartbeat_timeout=2.0,
+    quarantine=4.0,
+    progress_timeout=4.0,
+    staleness_limit=2.0,
+    stale_retry_interval=6.0,
+    failback_interval=8.0,
+    status_min_interval=0.3,
+    status_max_interval=1.5,
 )
-CONTROL = ControlTuning(confirm=0.4, summary=SUMMARY_S)
+CONTROL = ControlTuning(confirm_interval=0.4, summary_interval=SUMMARY_S)
 RETENTION, EDGE_RETENTION = Retention(14, 12_000), Retention(8, 8_000)
 
 
@@ -215,7 +216,7 @@
     def stream_bound_s(self):
         """By how much a heartbeat may be late and still count: a follower leaves a relay that it has not heard for
         `silence`; in that time one more may have been written, and waited in the stream."""
-        return FOLLOWER.silence + RELAY.heartbeat + SLACK_S
+        return FOLLOWER.heartbeat_timeout + RELAY.heartbeat_interval + SLACK_S
 
     # -- hosts
     def _addresses(self, edges):
@@ -255,7 +256,7 @@
         tuning = replace(TUNING, compact=self.chaos.compact)
         kept = self.disks[host.name].kept()
         host.voter = self.kinds.voter(host.name, kept, tuning, TERMS, seed, local, host.machine)
-        host.holder = LeaseHolder(host.name, host.name, {PUBLISH: True}, self.voters, TERMS, seed + 1, local)
+        host.holder = LeaseHolder(host.name, host.name, {PUBLISH_LEASE: True}, self.voters, TERMS, seed + 1, local)
         host.log = host.machine.log
         host.publisher = self.kinds.publisher(host.log, lambda change: "", self.signature, PUBLISHER)
 
@@ -315,7 +316,7 @@
 
     def run(self, seconds):
         end = self.now + seconds
-        with patch.object(snapshot, "PIECE_BYTES", PIECE_BYTES):
+        with patch.object(snapshot, "PIECE_TARGET_BYTES", PIECE_BYTES):
             while self.due and self.due[0][0] <= end:
                 self.now, _, what, args = heapq.heappop(self.due)
                 what(*args)
@@ -367,22 +368,22 @@
             self._datagram(host, to, self._told, saying.encode(told))
         for to, message in host.holder.take():
             self._datagram(host, to, self._from_holder, saying.encode(message))
-        if host.control.grown and host.voter.leads and not self.healed and self.rng.random() < self.chaos.caught:
+        if host.control.log_changed and host.voter.leads and not self.healed and self.rng.random() < self.chaos.caught:
             self._count("crash before fan-out")
             self._crash(host.name, self.rng.random() * 3.0)
             return
         led = host.publisher.epoch
-        if host.control.settle(host.local()):
+        if host.control.synchronize(host.local()):
             self.judge.voter(host.name, host.life, host.machine.log)
         if host.publisher.epoch not in (0, led):
             self._count("lease")
-        for action in host.control.take():
+        for action in host.control.take_actions():
             match action:
                 case Propose(leader, command):
                     self._propose(host, leader, command)
-                case Report(publisher, summary):
+                case ReportSummary(publisher, summary):
                     self._datagram(host, publisher, self._summary, summary)
-                case Abandoned(changes):
+                case ChangesAbandoned(changes):
                     self.judge.rested(host.name, changes)
 
     def _synced(self, host, life, seq, length):
@@ -396,7 +397,7 @@
 
     def _collect_follower(self, host):
         local = host.local()
-        for action in host.follower.take():
+        for action in host.follower.take_actions():
             match action:
                 case Connect(attempt, address):
                     self._connect(host, attempt, self.hosts[address.name])
@@ -413,18 +414,18 @@
                     self.judge.installed(host.name, action, host.log)
                     host.follower.applied(local, action.revision)
                     if host.relay is not None:
-                        host.relay.published(local)
-                case Rejected(_, error):
+                        host.relay.log_advanced(local)
+                case MessageRejected(_, error):
                     self._count(type(error).__name__)
                     stream = self._stream_of(host, host.follower.attempt)
                     self.judge.rejected(host.name, error, stream is None or stream.lied_to)
         if self.rng.random() < UNCHANGED_LOOKS:
             self.judge.unchanged(host.name, host.log)
         if host.relay is not None:
-            host.relay.confirmed(local, local - host.follower.age_s(local))
+            host.relay.mark_current(local, local - host.follower.age_s(local))
 
     def _collect_relay(self, host):
-        for action in host.relay.take():
+        for action in host.relay.take_actions():
             stream = self.streams.get(action.session)
             if stream is None or stream.relay is not host:
                 continue
@@ -528,7 +529,7 @@
         host.voter.propose(host.local(), data)
 
     def _summary(self, host, summary):
-        host.publisher.heard(host.local(), summary)
+        host.publisher.record_summary(host.local(), summary)
 
     # -- changes
     def _submit(self):
@@ -666,7 +667,7 @@
 
     def _watch_stream(self, host, stream):
         if not stream.lied_to:
-            allowed = RELAY.window + stream.largest_frame
+            allowed = RELAY.send_window + stream.largest_frame
             self.judge.in_flight(host.name, stream.number, len(stream.down.waiting), allowed)
 
     def _watch_age(self, host, part):
@@ -680,7 +681,7 @@
             host.name,
             len(kept),
             loading,
-            RELAY.snapshots_at_once,
+            RELAY.max_concurrent_snapshots,
         )
 
     # -- the end
@@ -720,8 +721,8 @@
             return "digests differ"
         progress = publisher.progress(publishers[0].local(), newest)
         followers = sum(host.follower is not None for host in self.hosts.values())
-        if (progress.followers, progress.in_force) != (followers, followers):
-            return f"progress says {progress.in_force} of {progress.followers}, {followers} run"
+        if (progress.followers, progress.applied) != (followers, followers):
+            return f"progress says {progress.applied} of {progress.followers}, {followers} run"
         return ""
 
 
--- a/tests/simstreams.py
+++ b/tests/simstreams.py
@@ -145,7 +145,7 @@
             for message in self._down_frames.feed(chunk):
                 self._received(host, message)
         except FeedError as error:
-            host.follower.unusable(host.local(), self.attempt, error)
+            host.follower.protocol_error(host.local(), self.attempt, error)
         self.world.collect(host)
 
     def _received(self, host, message):
@@ -165,5 +165,5 @@
             for message in self._up_frames.feed(chunk):
                 host.relay.received(host.local(), self.number, message)
         except FeedError as error:
-            host.relay.unusable(host.local(), self.number, error)
+            host.relay.protocol_error(host.local(), self.number, error)
         self.world.collect(host)
--- a/tests/test_capacity_feed.py
+++ b/tests/test_capacity_feed.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from badgerbend.feed.framing import frame
+from badgerbend.feed.framing import encode_frame
 from badgerbend.feed.log import Retention
 from badgerbend.feed.messages import Change
 from badgerbend.feed.relay import Relay, RelayTuning, SendTo
@@ -123,11 +123,15 @@
 def test_a_relay_encodes_a_publication_once_and_sends_all_followers_that_object(monkeypatch):
     stage = fan_out(followers=32, nodes=100)
     encoded = []
-    monkeypatch.setattr("badgerbend.feed.log.frame", lambda message: encoded.append(message) or frame(message))
-    monkeypatch.setattr("badgerbend.feed.relay.frame", lambda message: encoded.append(message) or frame(message))
+    monkeypatch.setattr(
+        "badgerbend.feed.log.encode_frame", lambda message: encoded.append(message) or encode_frame(message)
+    )
+    monkeypatch.setattr(
+        "badgerbend.feed.relay.encode_frame", lambda message: encoded.append(message) or encode_frame(message)
+    )
     stage.control.publish(stage.now, ContentChanges(100, SEED).row(7))
-    stage.relay.published(stage.now)
-    sent = [action.frame for action in stage.relay.take() if isinstance(action, SendTo)]
+    stage.relay.log_advanced(stage.now)
+    sent = [action.frame for action in stage.relay.take_actions() if isinstance(action, SendTo)]
     assert len(sent) == 32
     assert len({id(data) for data in sent}) == 1
     assert len(encoded) == 1
@@ -137,7 +141,7 @@
     stage = fan_out(followers=1, nodes=500)
     log = stage.control.machine.log
     relay = Relay("relay-2", log, RelayTuning())
-    log.reset(log.content, log.checkpoint)  # no past: all need a snapshot
+    log.install_snapshot(log.content, log.checkpoint)  # no past: all need a snapshot
     stage.relay = relay
     for number in range(16):
         stage.follower(f"late{number}", start=False).start(stage.now)
@@ -145,7 +149,7 @@
     stage._relay_action, carry_out = lambda action: (pieces.append(action), carry_out(action)), stage._relay_action
     stage.settle()
     large = [action.frame for action in pieces if isinstance(action, SendTo) and len(action.frame) > 2000]
-    assert relay.snapshots_begun == 16
+    assert relay.snapshots_started == 16
     assert len(large) % 16 == 0 and len({id(data) for data in large}) == len(large) // 16
 
 
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -9,8 +9,8 @@
 from badgerbend.consensus.log import Log, PersistentState
 from badgerbend.consensus.messages import Snapshot
 from badgerbend.consensus.raft import RaftConfig
-from badgerbend.feed.commands import split
-from badgerbend.feed.configuration import ConfigurationInForce, UnusableConfigurationError
+from badgerbend.feed.commands import split_publication
+from badgerbend.feed.configuration import ActiveConfiguration, UnusableConfigurationError
 from badgerbend.feed.content import Content
 from badgerbend.feed.control import ControlNode, ControlTuning, Propose
 from badgerbend.feed.errors import (
@@ -24,9 +24,9 @@
     TamperedChangesError,
 )
 from badgerbend.feed.follower import Connect, Disconnect, Follower, FollowerTuning, RelayAddress
-from badgerbend.feed.framing import HEAD, FrameReader, frame
+from badgerbend.feed.framing import FRAME_HEADER, FrameReader, encode_frame
 from badgerbend.feed.log import PublicationLog, Retention, changes_digest
-from badgerbend.feed.machine import PUBLISH, FeedMachine
+from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
 from badgerbend.feed.messages import (
     Change,
     Checkpoint,
@@ -120,7 +120,7 @@
 
 def test_frames_come_out_whole_however_they_are_cut():
     messages = [Heartbeat(1, n, 3) for n in range(5)]
-    data = b"".join(frame(message) for message in messages)
+    data = b"".join(encode_frame(message) for message in messages)
     reader = FrameReader()
     found = [message for at in range(len(data)) for message in reader.feed(data[at : at + 1])]
     assert found == messages
@@ -128,14 +128,14 @@
 
 @pytest.mark.parametrize("damage", ["checksum", "length", "type"])
 def test_a_damaged_frame_is_refused(damage):
-    data = bytearray(frame(Heartbeat(1, 2, 3)))
+    data = bytearray(encode_frame(Heartbeat(1, 2, 3)))
     if damage == "checksum":
         data[-1] ^= 1
     elif damage == "length":
         data[0] = 255
     else:
         body = b"\x91\x63"
-        data = bytearray(HEAD.pack(len(body), zlib.crc32(body)) + body)
+        data = bytearray(FRAME_HEADER.pack(len(body), zlib.crc32(body)) + body)
     with pytest.raises(MalformedMessageError):
         list(FrameReader().feed(bytes(data)))
 
@@ -169,7 +169,7 @@
     log = PublicationLog(Retention(publications=3))
     for value in range(10):
         log.append(signed(log, 1, change("a", str(value))))
-    assert log.oldest == 7
+    assert log.oldest_revision == 7
     assert [log.next_after(revision).checkpoint.revision for revision in (7, 8, 9)] == [8, 9, 10]
     assert log.next_after(10) is None
     assert log.digest_at(6) is None and log.digest_at(7) is not None
@@ -180,7 +180,7 @@
     log = PublicationLog(Retention(bytes=2000))
     for value in range(10):
         log.append(signed(log, 1, change("a", str(value) * 500)))
-    assert 0 < log.revision - log.oldest <= 3
+    assert 0 < log.revision - log.oldest_revision <= 3
 
 
 # -- the agreed log
@@ -189,15 +189,17 @@
 def test_a_publication_needs_the_lease():
     control = Control()
     publication = signed(control.machine.log, 1, change("a", "1"))
-    assert not any(control.command(part) for part in split(publication))
+    assert not any(control.command(part) for part in split_publication(publication))
     epoch = control.grant()
-    assert [control.command(part) for part in split(signed(control.machine.log, epoch, change("a", "1")))] == [True]
+    assert [
+        control.command(part) for part in split_publication(signed(control.machine.log, epoch, change("a", "1")))
+    ] == [True]
 
 
 def test_a_publisher_with_an_old_epoch_publishes_nothing():
     control = Control()
     old = control.grant()
-    late = split(signed(control.machine.log, old, change("a", "late")))
+    late = split_publication(signed(control.machine.log, old, change("a", "late")))
     new = control.grant(holder="control-2")
     assert new > old
     assert not any(control.command(part) for part in late)
@@ -208,7 +210,7 @@
 def test_a_large_publication_comes_in_parts_and_a_lost_part_leaves_nothing():
     control = Control()
     epoch = control.grant()
-    parts = split(signed(control.machine.log, epoch, change("a", "x" * 5000)))
+    parts = split_publication(signed(control.machine.log, epoch, change("a", "x" * 5000)))
     assert len(parts) > 5
     for part in parts[:2] + parts[3:]:
         assert not control.command(part)
@@ -221,10 +223,10 @@
 def test_the_deposed_publishers_half_does_not_mix_with_the_new_ones():
     control = Control()
     old = control.grant()
-    half = split(signed(control.machine.log, old, change("a", "x" * 3000)))
+    half = split_publication(signed(control.machine.log, old, change("a", "x" * 3000)))
     control.command(half[0])
     new = control.grant(holder="control-2")
-    parts = split(signed(control.machine.log, new, change("a", "y" * 3000)))
+    parts = split_publication(signed(control.machine.log, new, change("a", "y" * 3000)))
     taken = [control.command(part) for part in (parts[0], half[1], *parts[1:], *half[1:])]
     assert sum(taken) == 1 and entries(control.machine.log) == {"a": b"y" * 3000}
 
@@ -233,23 +235,23 @@
     control = Control()
     epoch = control.grant()
     control.publish(0.0, change("a", "1"))
-    parts = split(signed(control.machine.log, epoch, change("b", "x" * 3000)))
+    parts = split_publication(signed(control.machine.log, epoch, change("b", "x" * 3000)))
     for part in parts[:-1]:
         control.command(part)
     called = []
-    copy = FeedMachine(Retention(), lambda: called.append(True))
+    copy = FeedStateMachine(Retention(), lambda: called.append(True))
     copy.load(control.machine.dump())
     assert called and copy.dump() == control.machine.dump()
     copy.apply(99, parts[-1])
     control.command(parts[-1])
     assert copy.dump() == control.machine.dump() and copy.log.revision == 2
-    assert copy.table.lease(PUBLISH).epoch == epoch
+    assert copy.table.lease(PUBLISH_LEASE).epoch == epoch
 
 
 def test_a_repeated_proposal_publishes_once():
     control = Control()
     epoch = control.grant()
-    parts = split(signed(control.machine.log, epoch, change("a", "1")))
+    parts = split_publication(signed(control.machine.log, epoch, change("a", "1")))
     assert [control.command(part) for part in parts * 3] == [True, False, False]
 
 
@@ -262,10 +264,10 @@
     earlier = signed(control.machine.log, epoch, change("a", "proposed before the lease was lost and found again"))
     assert control.publisher.submit(0.0, [change("b", "accepted after")]) == ()
     control.publisher.tick(0.0)
-    control.publisher.take()
-    for command in split(earlier):  # the earlier proposal was late, and is the first to arrive
+    control.publisher.take_commands()
+    for command in split_publication(earlier):  # the earlier proposal was late, and is the first to arrive
         control.command(command)
-    control.publisher.published(0.0)
+    control.publisher.log_advanced(0.0)
     control.pump(0.0)
     assert control.machine.log.revision == 2
     assert entries(control.machine.log) == {"a": earlier.changes[0].value, "b": b"accepted after"}
@@ -287,7 +289,7 @@
 
 
 def test_changes_within_a_batch_go_out_together_and_the_later_one_stands():
-    control = Control(tuning=PublisherTuning(batch=0.05))
+    control = Control(tuning=PublisherTuning(batch_window=0.05))
     control.grant()
     control.publish(0.0, change("a", "1"))
     control.publish(0.04, change("a", "2"), change("b", "1"))
@@ -302,7 +304,7 @@
     control.grant()
     control.publisher.submit(0.0, [change("a", "1")])
     control.publisher.tick(0.0)
-    assert control.publisher.take()  # and lost
+    assert control.publisher.take_commands()  # and lost
     control.pump(0.5)
     assert control.machine.log.revision == 0
     control.pump(1.1)
@@ -310,7 +312,7 @@
 
 
 def test_a_proposal_that_does_not_come_about_is_repeated_less_and_less_often():
-    control = Control(tuning=PublisherTuning(batch=0.0, again=1.0, again_most=8.0))
+    control = Control(tuning=PublisherTuning(batch_window=0.0, retry_interval=1.0, max_retry_interval=8.0))
     control.grant()
     control.publisher.submit(0.0, [change("a", "1")])
     control.publisher.tick(0.0)
@@ -327,9 +329,9 @@
     control.publisher.submit(0.0, [change("a", "1")])
     control.publisher.tick(0.0)
     control.publisher.submit(0.0, [change("b", "2")])
-    assert control.publisher.rest() == (change("a", "1"), change("b", "2"))
+    assert control.publisher.lease_lost() == (change("a", "1"), change("b", "2"))
     control.publisher.tick(5.0)
-    assert len(control.publisher.take()) == 0
+    assert len(control.publisher.take_commands()) == 0
 
 
 def test_more_than_one_publication_of_changes_goes_out_one_after_the_other():
@@ -349,19 +351,19 @@
     made.publish(change("node/7", None))
     assert made.installed["a"][1].changes == (change("node/7", None),)
     assert follower.log.checkpoint == made.relay.log.checkpoint
-    assert made.relay.snapshots_begun == 1
+    assert made.relay.snapshots_started == 1
 
 
 def test_a_follower_resumes_from_its_revision_without_a_snapshot():
     made = full_stage()
     follower = made.follower("a")
-    begun, sent = made.relay.snapshots_begun, made.sent_bytes["a"]
+    begun, sent = made.relay.snapshots_started, made.sent_bytes["a"]
     made.disconnect("a")
     for value in range(300):
         made.publish(change("configuration/a", str(value)))
     made.pass_time(2.0)
     assert follower.log.checkpoint == made.relay.log.checkpoint
-    assert made.relay.snapshots_begun == begun
+    assert made.relay.snapshots_started == begun
     assert [i.revision for i in made.installed["a"]][-300:] == list(
         range(made.relay.log.revision - 299, made.relay.log.revision + 1)
     )
@@ -372,12 +374,12 @@
     made = full_stage(retention=Retention(publications=10))
     follower = made.follower("a")
     made.disconnect("a")
-    begun = made.relay.snapshots_begun
+    begun = made.relay.snapshots_started
     for value in range(50):
         made.publish(change("configuration/a", str(value)))
     made.pass_time(2.0)
     assert follower.log.checkpoint == made.relay.log.checkpoint
-    assert made.relay.snapshots_begun == begun + 1
+    assert made.relay.snapshots_started == begun + 1
     assert made.installed["a"][-1].changes == (change("configuration/a", "49"),)
 
 
@@ -386,13 +388,13 @@
     made.publish(change("a", "1"))
     made.publish(change("a", None))
     follower = made.follower("late")
-    assert follower.log.checkpoint == made.relay.log.checkpoint and made.relay.snapshots_begun == 1
+    assert follower.log.checkpoint == made.relay.log.checkpoint and made.relay.snapshots_started == 1
     made.publish(change("b", "1"))
     assert entries(follower.log) == {"b": b"1"} and made.rejected["late"] == []
 
 
 def test_a_drain_wins_over_a_snapshot_of_earlier_content():
-    made = full_stage(retention=Retention(publications=100), window=60_000)
+    made = full_stage(retention=Retention(publications=100), send_window=60_000)
     made.hold.add("a")
     follower = made.follower("a")
     made.publish(change("node/5", "draining"))
@@ -425,12 +427,15 @@
         if not isinstance(message, Publication):
             return data
         if lie == "changes":
-            return frame(Publication(message.checkpoint, (change("node/1", "gone"),)))
+            return encode_frame(Publication(message.checkpoint, (change("node/1", "gone"),)))
         if lie == "checkpoint":
             forged = signed(PublicationLog(), 1, change("node/1", "gone")).checkpoint
             c = message.checkpoint
-            return frame(
-                Publication(Checkpoint(c.epoch, c.revision, forged.content, c.changes, c.signature), message.changes)
+            return encode_frame(
+                Publication(
+                    Checkpoint(c.epoch, c.revision, forged.content_digest, c.changes_digest, c.signature),
+                    message.changes,
+                )
             )
         return data[:-1] + bytes([data[-1] ^ 1])
 
@@ -446,7 +451,7 @@
 
 def test_half_a_frame_and_silence_is_left_for_another_try():
     made = stage()
-    follower = made.follower("a", behind_most=2.0)
+    follower = made.follower("a", progress_timeout=2.0)
     made.damage = lambda data: data[: len(data) // 2]
     made.publish(change("node/1", "ready"))
     made.damage = lambda data: b""
@@ -467,7 +472,7 @@
     made.pass_time(1.0)
     assert follower.log.checkpoint == made.relay.log.checkpoint
     assert follower.log.content.digest() == made.relay.log.content.digest()
-    assert made.relay.snapshots_begun == 1
+    assert made.relay.snapshots_started == 1
 
 
 def test_a_replica_that_was_damaged_is_replaced_on_resumption_though_nothing_new_is_published():
@@ -478,7 +483,7 @@
     follower.log.content.apply([change("node/1", "flipped")])
     made.pass_time(2.0)
     assert entries(follower.log) == {"node/1": b"ready", "node/2": b"ready"}
-    assert made.rejected["a"] == [] and made.relay.snapshots_begun == 1
+    assert made.rejected["a"] == [] and made.relay.snapshots_started == 1
 
 
 def test_an_image_older_than_a_followers_replica_is_not_sent_to_it():
@@ -490,7 +495,7 @@
     made.disconnect("a")
     follower.log.content.apply([change("node/2", "flipped")])
     made.pass_time(2.0)
-    assert made.rejected["a"] == [] and made.relay.snapshots_begun == 2
+    assert made.rejected["a"] == [] and made.relay.snapshots_started == 2
     assert follower.log.content.digest() == made.relay.log.content.digest()
 
 
@@ -513,19 +518,19 @@
     made = stage()
     made.publish(change("a", "1"))
     relays = [ADDRESS, RelayAddress("relay-2", "north", "127.0.0.1", 2)]
-    follower = Follower("a", "north", relays, VERIFIER, FollowerTuning(start_spread=0.0), 1)
+    follower = Follower("a", "north", relays, VERIFIER, FollowerTuning(start_jitter=0.0), 1)
     follower.start(0.0)
     follower.tick(0.0)
-    (first,) = follower.take()
+    (first,) = follower.take_actions()
     follower.connected(0.0, first.attempt)
     altered = zlib.compress(encode_changes((change("a", "2"),)))
     follower.received(0.0, first.attempt, SnapshotBegin(made.relay.log.checkpoint, 1))
     follower.received(0.0, first.attempt, SnapshotPiece(0, altered))
     assert follower.log.revision == 0
     for second in range(1, 50):
-        follower.take()
+        follower.take_actions()
         follower.tick(float(second))
-        assert all(a.relay != first.relay for a in follower.take() if isinstance(a, Connect))
+        assert all(a.relay != first.relay for a in follower.take_actions() if isinstance(a, Connect))
         follower.closed(float(second), follower.attempt)
 
 
@@ -567,17 +572,17 @@
     follower = made.follower("a")
     made.publish(change("a", "1"))
     made.pass_time(1.0)
-    late = made.now + follower.tuning.silence + 1.0
+    late = made.now + follower.tuning.heartbeat_timeout + 1.0
     age_s = follower.age_s(late)
     checkpoint = follower.log.checkpoint
     follower.received(late, follower.attempt, Heartbeat(checkpoint.epoch, checkpoint.revision, 0))
     assert follower.age_s(late) == age_s
-    assert [type(action) for action in follower.take()] == [Disconnect]
+    assert [type(action) for action in follower.take_actions()] == [Disconnect]
 
 
 def test_a_relay_that_announces_and_does_not_send_is_left():
     made = stage()
-    follower = made.follower("a", behind_most=5.0)
+    follower = made.follower("a", progress_timeout=5.0)
     reader = FrameReader()
 
     def withhold(data):
@@ -607,8 +612,8 @@
 
 
 def test_a_follower_that_takes_nothing_holds_a_window_at_most_and_is_cut():
-    made = stage(window=10_000, stalled=3.0)
-    made.follower("slow", silence=20.0)
+    made = stage(send_window=10_000, stall_timeout=3.0)
+    made.follower("slow", heartbeat_timeout=20.0)
     fast = made.follower("fast")
     made.hold.add("slow")
     for value in range(100):
@@ -630,7 +635,7 @@
     before = made.sent_bytes["a"]
     made.publish(change("node/1", "x" * 1000))
     size = made.sent_bytes["a"] - before
-    made.relay.tuning = RelayTuning(window=2 * size + 1)  # the third frame of this size is the last that fits
+    made.relay.tuning = RelayTuning(send_window=2 * size + 1)  # the third frame of this size is the last that fits
     made.sent_bytes.clear()
     made.hold.add("a")
     for value in range(10):
@@ -639,11 +644,11 @@
     made.release("a")
     made.pass_time(1.0)
     assert made.followers["a"].log.checkpoint == made.relay.log.checkpoint
-    assert made.relay.snapshots_begun == 1
+    assert made.relay.snapshots_started == 1
 
 
 def test_snapshots_that_end_together_behind_the_compaction_begin_anew():
-    made = full_stage(retention=Retention(publications=1), snapshot_burst=100, snapshot_bytes_per_second=100)
+    made = full_stage(retention=Retention(publications=1), snapshot_burst_bytes=100, snapshot_bytes_per_second=100)
     followers = [made.follower(name) for name in ("a", "b")]
     for value in range(3):
         made.publish(change("node/1", str(value)))
@@ -653,7 +658,7 @@
 
 
 def test_a_follower_that_is_slow_gets_all_in_order():
-    made = stage(window=2_000)
+    made = stage(send_window=2_000)
     slow = made.follower("slow")
     made.hold.add("slow")
     for value in range(40):
@@ -664,13 +669,13 @@
 
 
 def test_snapshots_are_packed_once_and_paced_in_number():
-    made = full_stage(retention=Retention(publications=1), snapshots_at_once=3)
+    made = full_stage(retention=Retention(publications=1), max_concurrent_snapshots=3)
     images = set()
     for number in range(10):
         made.hold.add(f"f{number}")
         made.follower(f"f{number}")
     images = {id(s.image) for s in made.relay.sessions.values() if s.image is not None}
-    assert made.relay.snapshots_begun <= 3 + sum(s.image is None for s in made.relay.sessions.values())
+    assert made.relay.snapshots_started <= 3 + sum(s.image is None for s in made.relay.sessions.values())
     assert len(images) <= 1
     for number in range(10):
         made.release(f"f{number}")
@@ -679,13 +684,15 @@
 
 
 def test_snapshots_are_paced_in_bytes():
-    made = full_stage(retention=Retention(publications=1), snapshot_bytes_per_second=20_000, snapshot_burst=10_000)
+    made = full_stage(
+        retention=Retention(publications=1), snapshot_bytes_per_second=20_000, snapshot_burst_bytes=10_000
+    )
     for number in range(8):
         made.follower(f"f{number}")
     first = sum(made.sent_bytes.values())
     made.pass_time(1.0)
     second = sum(made.sent_bytes.values())
-    whole = sum(len(made.relay._image_now().piece(i)) for i in range(made.relay._image_now().pieces))
+    whole = sum(len(made.relay._image_now().piece_frame(i)) for i in range(made.relay._image_now().piece_count))
     assert first <= 10_000 + whole + 2_000
     assert second - first <= 20_000 + whole + 2_000
     made.pass_time(8 * whole / 20_000 + 2.0)
@@ -694,13 +701,15 @@
 
 def test_a_snapshot_that_ends_amid_the_end_of_another_is_not_sent_on():
     """Compaction passes the first snapshot's revision: at its end its follower queues again, and the second ends."""
-    made = full_stage(Retention(publications=2), snapshots_at_once=2, snapshot_burst=1, snapshot_bytes_per_second=1)
+    made = full_stage(
+        Retention(publications=2), max_concurrent_snapshots=2, snapshot_burst_bytes=1, snapshot_bytes_per_second=1
+    )
     made.publish(change("node/1", "ready"))
     first = made.follower("a")
     for i in range(4):
         made.publish(change("node/1", f"draining {i}"))
     second = made.follower("b")
-    assert [made.relay.snapshots_begun, first.log.revision, second.log.revision] == [2, 0, 0]
+    assert [made.relay.snapshots_started, first.log.revision, second.log.revision] == [2, 0, 0]
     made.relay.tuning = RelayTuning()
     made.pass_time(1.0)
     for follower in (first, second):
@@ -708,7 +717,7 @@
 
 
 def test_a_connection_that_does_not_say_who_it_is_ends():
-    made = stage(hello_within=2.0)
+    made = stage(hello_timeout=2.0)
     made.relay.opened(0.0, 99)
     made.sessions[99] = "nobody"
     made.follower("nobody", start=False)
@@ -721,7 +730,7 @@
 
 def voter_of(*names):
     kept = PersistentState(log=Log(voting.Snapshot(0, 0, names, b"")))
-    return Voter("a", kept, RaftConfig(), LeaseTiming(), 1, 0.0, FeedMachine(DEFAULT_RETENTION))
+    return Voter("a", kept, RaftConfig(), LeaseTiming(), 1, 0.0, FeedStateMachine(DEFAULT_RETENTION))
 
 
 def heard(term, leader, previous, commit, *entries):
@@ -769,27 +778,27 @@
     made.publish(change("a", "1"))
     made.pass_time(1.5)
     publisher = made.control.publisher
-    publisher.heard(made.now, made.relay.summary())
+    publisher.record_summary(made.now, made.relay.summary())
     progress = publisher.progress(made.now, 1)
-    assert (progress.followers, progress.in_force, progress.laggards) == (30, 30, ())
+    assert (progress.followers, progress.applied, progress.laggards) == (30, 30, ())
     for number in range(20):
         made.hold.add(f"f{number}")
     made.publish(change("a", "2"))
-    made.followers["f25"].refused(made.now, 2, "line 4: field `port`")
+    made.followers["f25"].rejected(made.now, 2, "line 4: field `port`")
     made.pass_time(1.5)
-    publisher.heard(made.now, made.relay.summary())
+    publisher.record_summary(made.now, made.relay.summary())
     progress = publisher.progress(made.now, 2)
-    assert (progress.followers, progress.in_force, progress.refused) == (30, 10, 1)
-    assert len(progress.laggards) == 16 and {laggard.in_force for laggard in progress.laggards} == {1}
+    assert (progress.followers, progress.applied, progress.rejected) == (30, 10, 1)
+    assert len(progress.laggards) == 16 and {laggard.applied_revision for laggard in progress.laggards} == {1}
     assert publisher.progress(made.now + 60.0, 2).silent_relays == ("relay-1",)
 
 
 def test_a_summary_has_a_bounded_size():
     made = stage()
     for number in range(200):
-        made.follower("f" * 50 + str(number)).refused(0.0, 1, "x" * 500)
+        made.follower("f" * 50 + str(number)).rejected(0.0, 1, "x" * 500)
     made.pass_time(2.0)
-    assert len(frame(made.relay.summary())) < 8_000
+    assert len(encode_frame(made.relay.summary())) < 8_000
 
 
 # -- the configuration in force
@@ -801,15 +810,15 @@
             raise UnusableConfigurationError("line 2: field `wait`")
         return data.decode()
 
-    held = ConfigurationInForce(read, "first")
+    held = ActiveConfiguration(read, "first")
     began_under = held.current
-    assert held.offer(4, b"second") == ""
+    assert held.stage(4, b"second") == ""
     assert held.current.settings == "first"
-    assert held.turn() and not held.turn()
+    assert held.activate() and not held.activate()
     assert (held.current.revision, held.current.settings) == (4, "second")
     assert began_under.settings == "first"
-    assert held.offer(5, b"bad") == "line 2: field `wait`"
-    assert not held.turn() and held.current.revision == 4 and held.refused == (5, "line 2: field `wait`")
+    assert held.stage(5, b"bad") == "line 2: field `wait`"
+    assert not held.activate() and held.current.revision == 4 and held.rejected == (5, "line 2: field `wait`")
 
 
 # -- the choice of relays
@@ -817,37 +826,37 @@
 
 def test_a_follower_prefers_its_region_and_comes_home():
     relays = [RelayAddress(f"r{n}", region, "127.0.0.1", n) for n, region in enumerate(["south", "north", "east"], 1)]
-    follower = Follower("a", "north", relays, VERIFIER, FollowerTuning(start_spread=0.0, home_after=60.0), 1)
+    follower = Follower("a", "north", relays, VERIFIER, FollowerTuning(start_jitter=0.0, failback_interval=60.0), 1)
     follower.start(0.0)
     follower.tick(0.0)
-    (first,) = follower.take()
+    (first,) = follower.take_actions()
     assert isinstance(first, Connect) and first.relay.region == "north"
     follower.closed(0.0, first.attempt)
     follower.tick(1.0)
-    (second,) = follower.take()
+    (second,) = follower.take_actions()
     assert isinstance(second, Connect) and second.relay.region != "north"
     follower.connected(1.0, second.attempt)
-    follower.take()
+    follower.take_actions()
     for second_ in range(1, 61):
         follower.received(1.0 + second_, second.attempt, Heartbeat(0, 0, 0))
         follower.tick(1.0 + second_)
-    actions = [action for action in follower.take() if isinstance(action, Connect | Disconnect)]
+    actions = [action for action in follower.take_actions() if isinstance(action, Connect | Disconnect)]
     assert isinstance(actions[0], Disconnect)
     follower.tick(62.0)
-    actions += [action for action in follower.take() if isinstance(action, Connect)]
+    actions += [action for action in follower.take_actions() if isinstance(action, Connect)]
     assert actions[-1].relay.region == "north"
 
 
 def test_failed_attempts_back_off_with_jitter():
     pauses = []
     for seed in range(40):
-        follower = Follower("a", "north", [ADDRESS], VERIFIER, FollowerTuning(start_spread=0.0), seed)
+        follower = Follower("a", "north", [ADDRESS], VERIFIER, FollowerTuning(start_jitter=0.0), seed)
         follower.start(0.0)
         now = 0.0
         for _ in range(12):
             now = follower.next_at
             follower.tick(now)
-            (connect,) = [a for a in follower.take() if isinstance(a, Connect)]
+            (connect,) = [a for a in follower.take_actions() if isinstance(a, Connect)]
             follower.closed(now, connect.attempt)
             pauses.append(follower.next_at - now)
     last = pauses[11::12]
@@ -857,25 +866,25 @@
 
 def test_a_relay_that_is_cut_off_is_left_for_another_and_kept_where_there_is_none():
     relays = [RelayAddress(f"r{n}", "north", "127.0.0.1", n) for n in (1, 2)]
-    tuning = FollowerTuning(start_spread=0.0, stale=5.0, stale_again=30.0)
+    tuning = FollowerTuning(start_jitter=0.0, staleness_limit=5.0, stale_retry_interval=30.0)
     follower = Follower("a", "north", relays, VERIFIER, tuning, 1)
 
     def connect(now):
         follower.tick(now)
-        (action,) = [action for action in follower.take() if isinstance(action, Connect)]
+        (action,) = [action for action in follower.take_actions() if isinstance(action, Connect)]
         follower.connected(now, action.attempt)
-        follower.take()
+        follower.take_actions()
         return action
 
     def heartbeats(attempt, since, until, **fields):
         for at in range(since, until):
             follower.received(float(at), attempt, Heartbeat(0, 0, 60_000, **fields))
-        return [action for action in follower.take() if isinstance(action, Disconnect)]
+        return [action for action in follower.take_actions() if isinstance(action, Disconnect)]
 
     follower.start(0.0)
     first = connect(0.0)
     assert heartbeats(first.attempt, 1, 6) == []  # it may just have been started
-    assert heartbeats(first.attempt, 6, 9, waiting=True) == []
+    assert heartbeats(first.attempt, 6, 9, snapshot_pending=True) == []
     assert heartbeats(first.attempt, 9, 10) == [Disconnect(first.attempt)]
     second = connect(10.0)
     assert second.relay != first.relay
@@ -884,14 +893,14 @@
 
 
 def test_a_follower_behind_by_more_than_the_content_is_loaded_at_the_pace_of_snapshots():
-    made = stage(window=1_000)
+    made = stage(send_window=1_000)
     made.follower("a")
     made.publish(change("a", "x" * 900))
     made.disconnect("a")
     for value in range(5):
         made.publish(change("a", str(value) * 900))
     made.pass_time(1.0)
-    assert made.relay.snapshots_begun == 1 and len(made.installed["a"]) == 2
+    assert made.relay.snapshots_started == 1 and len(made.installed["a"]) == 2
     assert made.followers["a"].log.checkpoint == made.relay.log.checkpoint
 
 
@@ -904,28 +913,28 @@
         sum(n for at, n in frames.items() if at >= r) for r in range(4, 10)
     ]
     log.content.apply([change("b", "1234"), change("b", "12"), change("c", None)])
-    assert log.content.size == sum(len(key) + len(value) for key, value in log.content.items())
+    assert log.content.size_bytes == sum(len(key) + len(value) for key, value in log.content.items())
 
 
 def test_a_large_publication_is_proposed_in_bursts_and_what_is_agreed_on_is_not_sent_again():
-    machine = FeedMachine(Retention())
+    machine = FeedStateMachine(Retention())
     voter = Voter(
         "v0", PersistentState(Log(Snapshot(0, 0, ("v0", "v1"), b""))), RaftConfig(), LeaseTiming(), 1, 0.0, machine
     )
-    holder = LeaseHolder("v0", "v0", {PUBLISH: True}, ("v0", "v1"), LeaseTiming(), 2, 0.0)
+    holder = LeaseHolder("v0", "v0", {PUBLISH_LEASE: True}, ("v0", "v1"), LeaseTiming(), 2, 0.0)
     holder.leader = "v1"
-    publisher = Publisher(machine.log, lambda change: "", SIGNER, PublisherTuning(batch=0.0, again=1.0))
+    publisher = Publisher(machine.log, lambda change: "", SIGNER, PublisherTuning(batch_window=0.0, retry_interval=1.0))
     relay = Relay("v0", machine.log, RelayTuning())
-    node = ControlNode(voter, holder, machine, publisher, relay, 0.0, ControlTuning(proposals_at_once=3))
-    machine.apply(1, encode(GrantLease(PUBLISH, "v0", 0)))
+    node = ControlNode(voter, holder, machine, publisher, relay, 0.0, ControlTuning(proposal_burst=3))
+    machine.apply(1, encode(GrantLease(PUBLISH_LEASE, "v0", 0)))
     replace_attribute(holder, "may_act", lambda now, duty: 1)
-    node.settle(0.0)
+    node.synchronize(0.0)
     assert publisher.submit(0.0, [change("a", "x" * 6000)]) == ()
 
     def proposed(now):
         node.tick(now)
-        node.settle(now)
-        return [action.command for action in node.take() if isinstance(action, Propose)]
+        node.synchronize(now)
+        return [action.command for action in node.take_actions() if isinstance(action, Propose)]
 
     whole = []
     for place in range(20):
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -297,7 +297,7 @@
             await until(lambda: not s.generations.earlier and newest.idle)
             assert not any(site.seen.out for site in tiers.sites)
             s.publish(with_deadline(2900))  # another class: preference among sites rests on it
-            await until(lambda: s.relay.summary().refused)
+            await until(lambda: s.relay.summary().rejected)
             assert "broker > class: cannot change" in s.relay.summary().laggards[0].reason
 
     run(main)
@@ -329,15 +329,15 @@
             assert old in PUBLISHED
             before = s.generations.newest
             revision = s.publish(replaced(PUBLISHED, old, new))
-            await until(lambda: s.relay.summary().refused)
+            await until(lambda: s.relay.summary().rejected)
             (laggard,) = s.relay.summary().laggards
-            assert (laggard.name, laggard.refused) == ("broker-0", revision)
+            assert (laggard.name, laggard.rejected_revision) == ("broker-0", revision)
             assert laggard.reason.startswith(reason), laggard.reason
             assert s.generations.living == (before,)
             assert (await s.client.query(ASK))[0] == 200
             await s.in_force(with_deadline(2900))
             assert s.generations.newest is not before
-            await until(lambda: s.relay.summary().refused == 0 and s.relay.summary().in_force == 1)
+            await until(lambda: s.relay.summary().rejected == 0 and s.relay.summary().applied == 1)
 
     run(main)
 
@@ -353,12 +353,12 @@
             await s.in_force(with_deadline(2900))
             s.publish(with_deadline(2800))
             s.publish(with_deadline(2700))
-            await until(lambda: s.relay.summary().refused)
+            await until(lambda: s.relay.summary().rejected)
             assert s.relay.summary().laggards[0].reason == WAITS and len(s.generations.living) == 2
             assert s.generations.newest.settings.class_[0].deadline_ms == 2900
             assert (await held)[0] == 200
             await until(lambda: s.generations.newest.settings.class_[0].deadline_ms == 2700)
-            await until(lambda: s.relay.summary().refused == 0)
+            await until(lambda: s.relay.summary().rejected == 0)
 
     run(main)
 
@@ -370,7 +370,7 @@
             await s.in_force(PUBLISHED)
             assert s.generations.newest is before
             s.publish(None)
-            await until(lambda: s.broker.feeding.client.follower.in_force == 2)
+            await until(lambda: s.broker.feeding.client.follower.applied_revision == 2)
             assert s.generations.living == (before,)
 
     run(main)
@@ -419,7 +419,7 @@
 
 def test_a_drain_published_while_a_snapshot_of_earlier_content_is_on_its_way_wins(tmp_path):
     async def main():
-        slow = RelayTuning(snapshot_bytes_per_second=32 * 1024, snapshot_burst=1)
+        slow = RelayTuning(snapshot_bytes_per_second=32 * 1024, snapshot_burst_bytes=1)
         async with FeedStage(tmp_path, listed=True, retention=Retention(publications=1)) as s:
             drained = next(iter(s.world.servers))
             others = [change(f"node/x{i}", s.row(drained, zone=200, cell=i % 12, kind=i)) for i in range(3000)]
@@ -432,12 +432,12 @@
             other = Broker(msgspec.structs.replace(s.settings, feed=feed), graph)
             try:
                 await other.start()
-                await until(lambda: relay.snapshots_begun)
+                await until(lambda: relay.snapshots_started)
                 assert not other.directory.known
                 s.publish_changes(change(f"node/{drained}", s.row(drained, state="draining")))
                 server.published()
                 await until(lambda: other.directory.known)
-                await until(lambda: other.feeding.client.follower.in_force == s.control.machine.log.revision)
+                await until(lambda: other.feeding.client.follower.applied_revision == s.control.machine.log.revision)
                 await until(lambda: states_of(other)[drained] == api.EndpointState.DRAINING)
                 number = other.directory.known[drained].line.node
                 module = other.driver.module
--- a/tests/test_feed_control.py
+++ b/tests/test_feed_control.py
@@ -11,8 +11,14 @@
 from tests.feed_processes import FeedProcess, FeedProcesses
 
 REGIONS = ("north", "south", "west")
-FOLLOWER = FollowerTuning(start_spread=0.0, retry_least=0.02, retry_most=0.2, status_every=0.1, status_idle=0.5)
-RELAY = RelayTuning(heartbeat=0.2)
+FOLLOWER = FollowerTuning(
+    start_jitter=0.0,
+    backoff_base=0.02,
+    backoff_max=0.2,
+    status_min_interval=0.1,
+    status_max_interval=0.5,
+)
+RELAY = RelayTuning(heartbeat_interval=0.2)
 COUNT = 4  # followers of a region
 
 
--- a/tests/test_feed_faults.py
+++ b/tests/test_feed_faults.py
@@ -7,9 +7,8 @@
 import pytest
 
 from badgerbend.feed.content import Content
-from badgerbend.feed.follower import Follower, FollowerTuning, RelayAddress
-from badgerbend.feed.follower import Phase as FollowerPhase
-from badgerbend.feed.framing import FrameReader, frame
+from badgerbend.feed.follower import Follower, FollowerPhase, FollowerTuning, RelayAddress
+from badgerbend.feed.framing import FrameReader, encode_frame
 from badgerbend.feed.log import PublicationLog, Retention, changes_digest
 from badgerbend.feed.messages import Checkpoint, Publication, signed_bytes
 from badgerbend.feed.relay import Relay, RelayTuning, SendTo
@@ -32,10 +31,15 @@
 from tests.test_feed_sockets import Owner
 
 QUICK = FollowerTuning(
-    start_spread=0.0, retry_least=0.02, retry_most=0.1, silence=2.0, status_every=0.1, status_idle=0.2
+    start_jitter=0.0,
+    backoff_base=0.02,
+    backoff_max=0.1,
+    heartbeat_timeout=2.0,
+    status_min_interval=0.1,
+    status_max_interval=0.2,
 )
-RELAY = RelayTuning(heartbeat=0.2)
-SLOW_LOAD = replace(RELAY, snapshot_bytes_per_second=100_000, snapshot_burst=40_000)  # some 0.4 s a piece
+RELAY = RelayTuning(heartbeat_interval=0.2)
+SLOW_LOAD = replace(RELAY, snapshot_bytes_per_second=100_000, snapshot_burst_bytes=40_000)  # some 0.4 s a piece
 SHORT_RETENTION = Retention(publications=8)
 CONTENT = Fill(batches=10, rows=250, value_bytes=1000)  # of the same 250 rows each time: an empty replica has to load
 LONGEST_S = 60.0
@@ -96,7 +100,7 @@
 def test_a_stopped_follower_holds_a_window_at_most_is_cut_and_comes_back_by_a_snapshot():
     async def scene():
         async with FeedProcesses() as all_of:
-            tuning = replace(RELAY, window=100_000, stalled=1.0)
+            tuning = replace(RELAY, send_window=100_000, stall_timeout=1.0)
             core, address = await all_of.relay(RelaySetup(tuning=tuning, retention=SHORT_RETENTION))
             first = await published(core, one("node/1", "ready"))
             stopped = await all_of.followers(FollowersSetup(1, "north", (address,), QUICK))
@@ -113,12 +117,12 @@
             newest = await published(core, Fill(batches=20, rows=1, value_bytes=10), 20)
             report = await core.report_where(lambda report: report.cut > before.cut)
             await core.report_where(lambda report: report.followers == 1)
-            assert report.in_flight_most <= tuning.window + report.largest_frame
-            assert report.waiting_most <= tuning.window + report.largest_frame + WRITE_HIGH
+            assert report.in_flight_most <= tuning.send_window + report.largest_frame
+            assert report.waiting_most <= tuning.send_window + report.largest_frame + WRITE_HIGH
             stopped.go_on()
             await asyncio.gather(all_reach(stopped, 1, newest), all_reach(awake, 1, newest))
             assert stopped.seen(PieceCame)
-            assert (await core.report()).snapshots_begun > before.snapshots_begun
+            assert (await core.report()).snapshots_started > before.snapshots_started
             assert_true(stopped, core)
 
     asyncio.run(scene())
@@ -127,7 +131,7 @@
 def test_a_stopped_follower_of_a_quiet_feed_is_cut_and_comes_back_by_a_snapshot():
     async def scene():
         async with FeedProcesses() as all_of:
-            tuning = replace(RELAY, silent=2.0)
+            tuning = replace(RELAY, idle_timeout=2.0)
             core, address = await all_of.relay(RelaySetup(tuning=tuning, retention=SHORT_RETENTION))
             first = await published(core, one("node/1", "ready"))
             followers = await all_of.followers(FollowersSetup(3, "north", (address,), QUICK))
@@ -138,7 +142,7 @@
             followers.go_on()
             await all_reach(followers, 3, newest)
             report = await core.report()
-            assert report.cut >= 3 and report.snapshots_begun >= 3
+            assert report.cut >= 3 and report.snapshots_started >= 3
             assert {tuple(revisions) for revisions in installs_of(followers).values()} == {(1, 21)}
             assert_true(followers, core)
 
@@ -182,7 +186,7 @@
                 await minority.report_where(lambda report: all(state.age_s < FRESH_S for state in report.followers))
                 after = await asyncio.gather(core.report(), relay.report())
                 snapshots = [
-                    now.snapshots_begun - then.snapshots_begun for now, then in zip(after, before, strict=True)
+                    now.snapshots_started - then.snapshots_started for now, then in zip(after, before, strict=True)
                 ]
                 taken = set(map(tuple, installs_of(minority).values()))
                 if publications_kept > behind:
@@ -220,7 +224,7 @@
             report = await followers.report()
             assert {state.publications for state in report.followers} == {len(expected) - 1}  # the first was loaded
             assert {state.relay for state in report.followers} == {"far"}
-            assert (await far.report()).snapshots_begun == 0
+            assert (await far.report()).snapshots_started == 0
             assert_true(followers, core)
 
     asyncio.run(scene())
@@ -233,22 +237,26 @@
     async def scene():
         async with FeedProcesses() as all_of:
             tuning = replace(
-                RELAY, snapshots_at_once=4, snapshot_bytes_per_second=8_000_000, snapshot_burst=200_000, window=70_000
+                RELAY,
+                max_concurrent_snapshots=4,
+                snapshot_bytes_per_second=8_000_000,
+                snapshot_burst_bytes=200_000,
+                send_window=70_000,
             )
             retention = Retention(publications=publications_kept)
             core, address = await all_of.relay(RelaySetup(tuning=tuning, retention=retention))
             await published(core, Fill(batches=20, rows=150, value_bytes=1000), 20)
             followers = await all_of.followers(
-                FollowersSetup(many, "north", (address,), replace(QUICK, silence=10.0, connect_timeout=10.0))
+                FollowersSetup(many, "north", (address,), replace(QUICK, heartbeat_timeout=10.0, connect_timeout=10.0))
             )
             await followers.next(Installed, many // 10)
             newest = await published(core, Fill(batches=20, rows=2, value_bytes=1000), 20)  # past the image's revision
             await all_reach(followers, many, newest)
             report = await core.report()
-            assert report.loading_most <= tuning.snapshots_at_once
-            assert report.over_pace_most <= tuning.snapshot_burst + report.largest_piece
-            assert report.snapshot_bytes > many * tuning.snapshot_burst / 4  # so the pace had something to bound
-            assert report.snapshots_begun >= many
+            assert report.loading_most <= tuning.max_concurrent_snapshots
+            assert report.over_pace_most <= tuning.snapshot_burst_bytes + report.largest_piece
+            assert report.snapshot_bytes > many * tuning.snapshot_burst_bytes / 4  # so the pace had something to bound
+            assert report.snapshots_started >= many
             states = (await followers.report()).followers
             assert {state.digest for state in states} == {newest.digest}
             assert_true(followers, core)
@@ -261,14 +269,16 @@
 
     async def scene():
         async with FeedProcesses() as all_of:
-            tuning = replace(RELAY, snapshots_at_once=4, snapshot_bytes_per_second=4_000_000, snapshot_burst=100_000)
+            tuning = replace(
+                RELAY, max_concurrent_snapshots=4, snapshot_bytes_per_second=4_000_000, snapshot_burst_bytes=100_000
+            )
             core, address = await all_of.relay(RelaySetup(tuning=tuning))
             newest = await published(core, Fill(batches=2, rows=150, value_bytes=1000), 2)
-            impatient = replace(QUICK, silence=10.0, connect_timeout=10.0, behind_most=0.5)
+            impatient = replace(QUICK, heartbeat_timeout=10.0, connect_timeout=10.0, progress_timeout=0.5)
             followers = await all_of.followers(FollowersSetup(many, "north", (address,), impatient))
             await all_reach(followers, many, newest)
             assert followers.seen(Refused) == []
-            assert (await core.report()).snapshots_begun == many
+            assert (await core.report()).snapshots_started == many
             assert_true(followers, core)
 
     asyncio.run(scene())
@@ -300,9 +310,9 @@
         super().__init__(name, log, tuning)
         self.lie = lambda data: data
 
-    def take(self):
+    def take_actions(self):
         actions = []
-        for action in super().take():
+        for action in super().take_actions():
             actions.append(SendTo(action.session, self.lie(action.frame)) if isinstance(action, SendTo) else action)
         return actions
 
@@ -339,7 +349,7 @@
             for relay, region, port in zip((self.liar, self.honest), ("north", "south"), ports, strict=True)
         ]
         self.owner = CheckingOwner(self.truth)
-        tuning = replace(QUICK, silence=0.6)
+        tuning = replace(QUICK, heartbeat_timeout=0.6)
         self.client = FollowerClient(Follower("f", "north", addresses, VERIFIER, tuning, 0), self.owner)
         return self
 
@@ -367,7 +377,7 @@
     message = decoded(data)
     if not isinstance(message, Publication):
         return data
-    return frame(Publication(message.checkpoint, (change("node/1", "gone"),)))
+    return encode_frame(Publication(message.checkpoint, (change("node/1", "gone"),)))
 
 
 def forged_checkpoint(data):
@@ -380,7 +390,7 @@
     content, digest = log.content.digest_after((change("node/2", "ready"), *changes)), changes_digest(changes)
     epoch, revision = message.checkpoint.epoch, message.checkpoint.revision
     signature = Ed25519Signer(bytes(32)).sign(signed_bytes(epoch, revision, content, digest))
-    return frame(Publication(Checkpoint(epoch, revision, content, digest, signature), changes))
+    return encode_frame(Publication(Checkpoint(epoch, revision, content, digest, signature), changes))
 
 
 def flipped_bit(data):
@@ -408,7 +418,7 @@
             await made.owner.reaches(2)
             assert made.owner.errors == [("liar", error)]
             assert made.client.follower.relay.name == "honest"
-            assert made.owner.revisions == [1, 2] and made.honest.snapshots_begun == 0
+            assert made.owner.revisions == [1, 2] and made.honest.snapshots_started == 0
 
     asyncio.run(scene())
 
@@ -418,7 +428,7 @@
         async with LyingScene() as made:
             made.publish(change("node/1", "ready"))
             image = SnapshotImage(made.control.machine.log.content, made.control.machine.log.checkpoint)
-            replay = image.begin + image.piece(0)
+            replay = image.begin_frame + image.piece_frame(0)
             made.publish(change("node/1", "draining"))
             made.client.start()
             await made.owner.reaches(2)
@@ -443,7 +453,7 @@
             made.publish(change("node/1", "draining"))
             await made.owner.reaches(2)
             assert made.client.follower.relay.name == "honest"
-            assert made.owner.revisions == [1, 2] and made.honest.snapshots_begun == 0
+            assert made.owner.revisions == [1, 2] and made.honest.snapshots_started == 0
 
     asyncio.run(scene())
 
@@ -453,7 +463,9 @@
     async def scene():
         control = Control(Retention(publications=publications_kept))
         control.grant()
-        relay = Relay("relay-1", control.machine.log, replace(RELAY, snapshot_bytes_per_second=1_000, snapshot_burst=1))
+        relay = Relay(
+            "relay-1", control.machine.log, replace(RELAY, snapshot_bytes_per_second=1_000, snapshot_burst_bytes=1)
+        )
         server = RelayServer(relay)
         address = RelayAddress("relay-1", "north", "127.0.0.1", await server.start("127.0.0.1", 0))
         for part in range(3):
@@ -474,8 +486,8 @@
         for client in clients:
             client.start()
         try:
-            await until(lambda: relay.snapshots_begun == len(clients))  # each has its image, the pace holds it back
-            await until(lambda: any(client.follower.phase is FollowerPhase.LOADING for client in clients))
+            await until(lambda: relay.snapshots_started == len(clients))  # each has its image, the pace holds it back
+            await until(lambda: any(client.follower.phase is FollowerPhase.RECEIVING_SNAPSHOT for client in clients))
             control.publish(0.0, change("node/5", "draining"))
             for i in range(4):
                 control.publish(0.0, change("node/6", f"ready {i}"))
--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from badgerbend.feed.follower import Follower, FollowerTuning, Phase, RelayAddress
+from badgerbend.feed.follower import Follower, FollowerPhase, FollowerTuning, RelayAddress
 from badgerbend.feed.log import Retention
 from badgerbend.feed.relay import Relay, RelayTuning
 from badgerbend.feed_service.follower import FollowerClient
@@ -14,7 +14,7 @@
 from tests.replacing import replace_attribute
 
 LONGEST_S = 20.0  # a wait that takes so long has failed
-QUICK = FollowerTuning(start_spread=0.0, retry_least=0.02, retry_most=0.1)
+QUICK = FollowerTuning(start_jitter=0.0, backoff_base=0.02, backoff_max=0.1)
 
 
 class Owner:
@@ -95,7 +95,7 @@
                 assert owner.held == dict(fleet.control.machine.log.content.items())
                 assert client.follower.log.checkpoint == fleet.control.machine.log.checkpoint
             async with asyncio.timeout(LONGEST_S):
-                while fleet.relay.summary().in_force < 20:
+                while fleet.relay.summary().applied < 20:
                     await asyncio.sleep(0.05)
 
     asyncio.run(scene())
@@ -132,13 +132,13 @@
             replace_attribute(owner, "unusable", unusable)
             fleet.publish(change("configuration/a", "bad"))
             async with asyncio.timeout(LONGEST_S):
-                while not fleet.relay.summary().refused:
+                while not fleet.relay.summary().rejected:
                     await asyncio.sleep(0.05)
             (laggard,) = fleet.relay.summary().laggards
-            assert (laggard.refused, laggard.reason) == (1, "line 3: field `port`")
+            assert (laggard.rejected_revision, laggard.reason) == (1, "line 3: field `port`")
             fleet.publish(change("configuration/a", "good"))
             async with asyncio.timeout(LONGEST_S):
-                while fleet.relay.summary().refused:
+                while fleet.relay.summary().rejected:
                     await asyncio.sleep(0.05)
 
     asyncio.run(scene())
@@ -157,6 +157,6 @@
                 while fleet.relay.sessions:
                     await asyncio.sleep(0.01)
             assert [type(error) for error in told] == [ZeroDivisionError]
-            assert client.follower.in_force == 0 and client.follower.phase is Phase.STOPPED
+            assert client.follower.applied_revision == 0 and client.follower.phase is FollowerPhase.STOPPED
 
     asyncio.run(scene())
--- a/tests/test_stored_bytes_feed.py
+++ b/tests/test_stored_bytes_feed.py
@@ -2,11 +2,11 @@
 
 import zlib
 
-from badgerbend.feed.commands import split
+from badgerbend.feed.commands import split_publication
 from badgerbend.feed.content import Content
 from badgerbend.feed.framing import FrameReader
-from badgerbend.feed.log import ORIGIN, PublicationLog, Retention, changes_digest
-from badgerbend.feed.machine import FeedMachine
+from badgerbend.feed.log import EMPTY_CHECKPOINT, PublicationLog, Retention, changes_digest
+from badgerbend.feed.machine import FeedStateMachine
 from badgerbend.feed.messages import Change, Checkpoint, Publication, SnapshotBegin, decode_changes, signed_bytes
 from badgerbend.feed.signature import Ed25519Signer, Ed25519Verifier
 from badgerbend.feed.snapshot import SnapshotAssembly, SnapshotImage
@@ -39,7 +39,7 @@
         digests = (content.digest(), changes_digest(changes))
         signature = SIGNER.sign(signed_bytes(EPOCH, revision, *digests))
         checkpoint = Checkpoint(
-            epoch=EPOCH, revision=revision, content=digests[0], changes=digests[1], signature=signature
+            epoch=EPOCH, revision=revision, content_digest=digests[0], changes_digest=digests[1], signature=signature
         )
         signed.append(Publication(checkpoint=checkpoint, changes=changes))
     return signed
@@ -54,19 +54,19 @@
 
 def filled_machine():
     """A lease, a fact, two publications, and all parts but the first of a third."""
-    machine = FeedMachine(RETENTION)
+    machine = FeedStateMachine(RETENTION)
     commands = [
         encode(GrantLease(duty="publish", holder="c1", over=0)),
         encode(PutFact(key="version", value=b"\x00v2\xff", over=0)),
     ]
-    first, second, third = (split(publication) for publication in publications())
+    first, second, third = (split_publication(publication) for publication in publications())
     for index, command in enumerate([*commands, *first, *second, *third[1:]], 1):
         machine.apply(index, command)
     return machine
 
 
 def retained_frames(log):
-    return b"".join(log.next_after(revision).frame for revision in range(log.oldest, log.revision))
+    return b"".join(log.next_after(revision).frame for revision in range(log.oldest_revision, log.revision))
 
 
 def test_log_is_read_from_its_frames():
@@ -76,7 +76,7 @@
     for publication in read:
         log.append(publication)
     assert dict(log.content.items()) == CONTENT
-    assert (log.epoch, log.revision, log.oldest) == (EPOCH, 3, 0)
+    assert (log.epoch, log.revision, log.oldest_revision) == (EPOCH, 3, 0)
     assert retained_frames(log) == LOG.read_bytes()
 
 
@@ -86,22 +86,22 @@
 
 def test_digests_and_signature():
     checkpoint = publications()[-1].checkpoint
-    assert ORIGIN.content.hex() == "069d88983c23a8d8a8ceb56c2cf2098b"
-    assert checkpoint.content.hex() == "01a90d0a068509c42a0d2fc58a7df063"
-    assert checkpoint.changes.hex() == "5636a222f11edbad648c72eade86767f"
+    assert EMPTY_CHECKPOINT.content_digest.hex() == "069d88983c23a8d8a8ceb56c2cf2098b"
+    assert checkpoint.content_digest.hex() == "01a90d0a068509c42a0d2fc58a7df063"
+    assert checkpoint.changes_digest.hex() == "5636a222f11edbad648c72eade86767f"
     assert Ed25519Verifier(SIGNER.public_key()).verify(checkpoint.signed_bytes(), checkpoint.signature)
 
 
 def test_snapshot_is_read():
     begin, *pieces = FrameReader().feed(SNAPSHOT.read_bytes())
-    assert begin == SnapshotBegin(checkpoint=publications()[-1].checkpoint, pieces=2)
+    assert begin == SnapshotBegin(checkpoint=publications()[-1].checkpoint, piece_count=2)
     assembly = SnapshotAssembly(begin)
     for piece in pieces:
         assembly.add(piece)
-    assert assembly.whole
+    assert assembly.complete
     assert dict(assembly.content.items()) == CONTENT
     log = PublicationLog(RETENTION)
-    log.reset(assembly.content, assembly.checkpoint)
+    log.install_snapshot(assembly.content, assembly.checkpoint)
     assert log.revision == 3
 
 
@@ -109,15 +109,15 @@
     """Packed bytes may differ between versions of zlib; what is in them may not."""
     log = filled_log()
     image = SnapshotImage(log.content, log.checkpoint)
-    written = list(FrameReader().feed(image.begin + image.piece(0) + image.piece(1)))
+    written = list(FrameReader().feed(image.begin_frame + image.piece_frame(0) + image.piece_frame(1)))
     expected = list(FrameReader().feed(SNAPSHOT.read_bytes()))
-    assert SNAPSHOT.read_bytes().startswith(image.begin)
-    assert image.pieces == 2
+    assert SNAPSHOT.read_bytes().startswith(image.begin_frame)
+    assert image.piece_count == 2
     assert written[0] == expected[0]
     assert [piece.index for piece in written[1:]] == [piece.index for piece in expected[1:]] == [0, 1]
     for piece, expected_piece in zip(written[1:], expected[1:], strict=True):
-        unpacked = zlib.decompress(expected_piece.packed)
-        assert zlib.decompress(piece.packed) == unpacked
+        unpacked = zlib.decompress(expected_piece.compressed)
+        assert zlib.decompress(piece.compressed) == unpacked
         assert all(isinstance(change, Change) for change in decode_changes(unpacked))
 
 
@@ -126,7 +126,7 @@
 
 
 def test_machine_state_is_read():
-    machine = FeedMachine(RETENTION)
+    machine = FeedStateMachine(RETENTION)
     machine.load(MACHINE_STATE.read_bytes())
     assert machine.table.leases == {"publish": Lease("c1", EPOCH)}
     assert machine.table.facts == {"version": Fact(b"\x00v2\xff", 2)}
@@ -136,11 +136,11 @@
 
 
 def test_machine_continues_with_the_part_that_was_missing():
-    machine = FeedMachine(RETENTION)
+    machine = FeedStateMachine(RETENTION)
     machine.load(MACHINE_STATE.read_bytes())
-    commands = split(publications()[-1])
-    assert machine.waits_for(commands[0])
-    assert not any(machine.waits_for(command) for command in commands[1:])
+    commands = split_publication(publications()[-1])
+    assert machine.needs_part(commands[0])
+    assert not any(machine.needs_part(command) for command in commands[1:])
     machine.apply(1000, commands[0])
     assert machine.log.revision == 3
     assert dict(machine.log.content.items()) == CONTENT
--- a/tests/test_wire_bytes_feed.py
+++ b/tests/test_wire_bytes_feed.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from badgerbend.feed.commands import PublishPart, decode_part, decode_publication, split
-from badgerbend.feed.framing import FrameReader, frame
+from badgerbend.feed.commands import PublishPart, decode_part, decode_publication, split_publication
+from badgerbend.feed.framing import FrameReader, encode_frame
 from badgerbend.feed.messages import (
     Change,
     Checkpoint,
@@ -30,7 +30,11 @@
 from tests.wire_bytes import assert_same_bytes, fixture_bytes, fixture_keys
 
 CHECKPOINT = Checkpoint(
-    epoch=51, revision=61, content=bytes(range(16)), changes=bytes(range(16, 32)), signature=bytes(range(64, 128))
+    epoch=51,
+    revision=61,
+    content_digest=bytes(range(16)),
+    changes_digest=bytes(range(16, 32)),
+    signature=bytes(range(64, 128)),
 )
 CHANGES = (Change(key="replaced", value=b"\x00value\xff"), Change(key="removed", value=None))
 PUBLICATION = Publication(checkpoint=CHECKPOINT, changes=CHANGES)
@@ -38,19 +42,19 @@
     relay="c1",
     revision=61,
     followers=9,
-    in_force=7,
-    refused=1,
-    oldest=58,
-    laggards=(Laggard(name="f1", in_force=59, refused=60, reason="too old"),),
+    applied=7,
+    rejected=1,
+    oldest_applied=58,
+    laggards=(Laggard(name="f1", applied_revision=59, rejected_revision=60, reason="too old"),),
 )
 
 MESSAGES = {
     "feed/message/publication": PUBLICATION,
-    "feed/message/heartbeat": Heartbeat(epoch=51, revision=61, age_ms=250, waiting=True),
-    "feed/message/snapshot-begin": SnapshotBegin(checkpoint=CHECKPOINT, pieces=3),
-    "feed/message/snapshot-piece": SnapshotPiece(index=2, packed=b"\x00packed\xff"),
+    "feed/message/heartbeat": Heartbeat(epoch=51, revision=61, age_ms=250, snapshot_pending=True),
+    "feed/message/snapshot-begin": SnapshotBegin(checkpoint=CHECKPOINT, piece_count=3),
+    "feed/message/snapshot-piece": SnapshotPiece(index=2, compressed=b"\x00packed\xff"),
     "feed/message/hello": Hello(name="f1", epoch=51, revision=60, digest=bytes(range(32, 48)), wants_snapshot=True),
-    "feed/message/status": Status(in_force=60, refused=61, reason="unknown key", age_ms=125),
+    "feed/message/status": Status(applied_revision=60, rejected_revision=61, reason="unknown key", age_ms=125),
     "feed/message/summary": SUMMARY,
 }
 
@@ -65,7 +69,7 @@
 
 
 def test_short_forms_are_decoded_with_their_defaults():
-    assert decode(bytes.fromhex("9402010203")) == Heartbeat(epoch=1, revision=2, age_ms=3, waiting=False)
+    assert decode(bytes.fromhex("9402010203")) == Heartbeat(epoch=1, revision=2, age_ms=3, snapshot_pending=False)
     hello = Hello(name="f", epoch=1, revision=2, digest=bytes(16), wants_snapshot=False)
     assert decode(bytes.fromhex("9505a1660102c410" + "00" * 16)) == hello
 
@@ -78,19 +82,19 @@
 def test_frame_keeps_its_bytes():
     expected = fixture_bytes("feed/frame/heartbeat")
     heartbeat = MESSAGES["feed/message/heartbeat"]
-    assert frame(heartbeat) == expected
+    assert encode_frame(heartbeat) == expected
     assert list(FrameReader().feed(expected)) == [heartbeat]
 
 
 def test_command_keeps_its_bytes():
     expected = fixture_bytes("feed/command/publish-part")
-    assert split(PUBLICATION) == [expected]
+    assert split_publication(PUBLICATION) == [expected]
     part = PublishPart(
         epoch=51,
         revision=61,
-        whole=bytes.fromhex("d977b87cf7e1749a"),
-        part=0,
-        parts=1,
+        publication_id=bytes.fromhex("d977b87cf7e1749a"),
+        part_index=0,
+        part_count=1,
         data=fixture_bytes("feed/message/publication"),
     )
     assert decode_part(expected) == part
@@ -99,10 +103,14 @@
 
 def test_large_publication_is_split_into_the_same_parts():
     value = bytes(range(256)) * 4
-    commands = split(Publication(checkpoint=CHECKPOINT, changes=(Change(key="large", value=value),)))
+    commands = split_publication(Publication(checkpoint=CHECKPOINT, changes=(Change(key="large", value=value),)))
     assert commands == [fixture_bytes("feed/command/large-part-0"), fixture_bytes("feed/command/large-part-1")]
     parts = [decode_part(command) for command in commands]
-    assert [(part.epoch, part.revision, part.part, part.parts) for part in parts] == [(51, 61, 0, 2), (51, 61, 1, 2)]
+    positions = [(part.epoch, part.revision, part.part_index, part.part_count) for part in parts]
+    assert positions == [
+        (51, 61, 0, 2),
+        (51, 61, 1, 2),
+    ]
     assert decode_publication(parts[0].data + parts[1].data).changes[0].value == value
 
 
