--- a/badgerbend/feed/machine.py
+++ b/badgerbend/feed/machine.py
@@ -31,7 +31,7 @@
 
 
 class FeedStateMachine:
-    """`consensus.raft.Machine`. on_log_change is called when the log of publications has grown or was replaced."""
+    """A `consensus.types.StateMachine`; `on_log_change` is called after each change of the log of publications."""
 
     def __init__(self, retention: Retention, on_log_change: Callable[[], None] = lambda: None) -> None:
         self.table = LeaseTable()
--- a/benchmarks/scale/duties.py
+++ b/benchmarks/scale/duties.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from badgerbend.consensus import messages as voting
-from badgerbend.lease_service.slow_start import SLOW_START_DUTY
+from badgerbend.lease_service.budget_exchange import SLOW_START_DUTY
 from badgerbend.leases.manager import LeaseManager
 from badgerbend.leases.messages import Candidacy, LeaseRequest, PutFact, decode, encode
 from badgerbend.leases.table import LeaseTable
@@ -46,10 +46,10 @@
 def quiet(fleet: DutyFleet) -> list[Figure]:
     """Every broker stands, every duty is held, and nothing changes."""
     leader = fleet.processes[fleet.leader()]
-    often = set().union(*fleet.voter(fleet.leader()).keeper.often.values())
+    often = set().union(*fleet.voter(fleet.leader()).manager.frequent_candidates.values())
     before = {name: process.holder_use.copy() for name, process in fleet.processes.items()}
     leader_before, voter = leader.voter_use.copy(), fleet.voter(fleet.leader())
-    renewals, entries = voter.renewals, voter.raft.applied
+    renewals, entries = voter.renewals, voter.raft.last_applied
     fleet.run(WINDOW_S)
     used = {name: p.holder_use.minus(before[name]) for name, p in fleet.processes.items()}
     led = leader.voter_use.minus(leader_before)
@@ -63,7 +63,7 @@
         ("datagrams sent by the leader", "1/s", led.sent / WINDOW_S, Kind.SIMULATED),
         ("bytes sent and received by the leader", "B/s", _bytes(led) / WINDOW_S, Kind.SIMULATED),
         ("renewals", "1/s", (voter.renewals - renewals) / WINDOW_S, Kind.SIMULATED),
-        ("log entries", "1/s", (voter.raft.applied - entries) / WINDOW_S, Kind.SIMULATED),
+        ("log entries", "1/s", (voter.raft.last_applied - entries) / WINDOW_S, Kind.SIMULATED),
         ("processor time of the leader, messages", "ms/s", led.messages_s / WINDOW_S * 1000.0, Kind.MEASURED),
         ("processor time of the leader, its look at leases", "ms/s", led.ticks_s / WINDOW_S * 1000.0, Kind.MEASURED),
         ("processor time of a broker", "ms/s", 1000.0 * _mean([_cpu_s(u) for u in used.values()]), Kind.MEASURED),
@@ -76,13 +76,13 @@
 def holder_gone(fleet: DutyFleet) -> list[Figure]:
     """The holder of the one duty for all ends politely: a new one is chosen, and all hear of it."""
     holder, size, leader = fleet.holder_of(SLOW_START_DUTY), len(fleet.processes), fleet.leader()
-    entries = fleet.voter(leader).raft.applied
+    entries = fleet.voter(leader).raft.last_applied
     fleet.leave(holder)
     watch = Watch(fleet, taken_over=lambda: fleet.holder_of(SLOW_START_DUTY) not in ("", holder))
     watch.run(AFTER_S)
     rows = (
         ("until another may act", "s", watch.came_s("taken_over"), Kind.SIMULATED),
-        ("log entries", "", fleet.voter(leader).raft.applied - entries, Kind.SIMULATED),
+        ("log entries", "", fleet.voter(leader).raft.last_applied - entries, Kind.SIMULATED),
         ("datagrams sent by the leader, busiest second", "", watch.most_sent(leader), Kind.SIMULATED),
         ("processor time of the leader, busiest second", "ms", watch.most_cpu_s(leader) * 1000.0, Kind.MEASURED),
     )
@@ -209,26 +209,26 @@
     def _renew(self, want: bytes) -> None:
         self.now += STEP_S
         began = time.process_time()
-        self.leader.from_broker(self.now, decode(want))  # type: ignore[arg-type]
+        self.leader.receive_from_broker(self.now, decode(want))  # type: ignore[arg-type]
         self.now = max(self.now, self.leader.raft.next_at)
         self.leader.tick(self.now)
         self.spent_s += time.process_time() - began
         self._settle()
 
     def entry_s(self) -> float:
-        before, over = self.leader.raft.applied, 0
+        before, over = self.leader.raft.last_applied, 0
         self.spent_s = 0.0
         for i in range(REPEATS):
             self.now += STEP_S
             began = time.process_time()
-            index = self.leader.put(self.now, PutFact("version", b"%d" % i, over))
+            index = self.leader.propose_command(self.now, PutFact("version", b"%d" % i, over))
             self.spent_s += time.process_time() - began
             if index is None:
                 raise RuntimeError("the leader took no command")
             over = index
             self._settle()
-        if self.leader.raft.applied - before < REPEATS:
-            raise RuntimeError(f"{self.leader.raft.applied - before} of {REPEATS} entries were applied")
+        if self.leader.raft.last_applied - before < REPEATS:
+            raise RuntimeError(f"{self.leader.raft.last_applied - before} of {REPEATS} entries were applied")
         return self.spent_s / REPEATS
 
     def _settle(self) -> None:
@@ -238,7 +238,7 @@
 
     def _leader_round(self) -> bool:
         began = time.process_time()
-        out = self.leader.take()
+        out = self.leader.drain_output()
         data = [(to, voting.encode(message)) for to, message in out.to_voters]
         for _, told in out.to_brokers:
             encode(told)
@@ -248,17 +248,17 @@
         answers = [answer for to, body in data if to in self.others for answer in self._follower(self.others[to], body)]
         began = time.process_time()
         for body in answers:
-            self.leader.from_voter(self.now, voting.decode(body))
+            self.leader.receive_from_voter(self.now, voting.decode(body))
         self.spent_s += time.process_time() - began
         return bool(out.writes or answers)
 
     def _follower(self, voter: Voter, body: bytes) -> list[bytes]:
-        voter.from_voter(self.now, voting.decode(body))
-        out = voter.take()
+        voter.receive_from_voter(self.now, voting.decode(body))
+        out = voter.drain_output()
         messages = list(out.to_voters)
         if out.writes:
             voter.saved(self.now, out.writes[-1][0])
-            messages += voter.take().to_voters
+            messages += voter.drain_output().to_voters
         return [voting.encode(message) for to, message in messages if to == self.leader.name]
 
 
@@ -277,9 +277,9 @@
         )
     gc.collect()
     tracemalloc.start()
-    keeper = LeaseManager(LeaseTable(), TERMS, 1)
+    manager = LeaseManager(LeaseTable(), TERMS, 1)
     for data in wants:
-        keeper.want(0.0, decode(data))  # type: ignore[arg-type]
+        manager.receive_request(0.0, decode(data))  # type: ignore[arg-type]
     gc.collect()
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -32,7 +32,8 @@
 from badgerbend.feed.publisher import Publisher, PublisherTuning
 from badgerbend.feed.relay import Close, Relay, RelayTuning, SendTo
 from badgerbend.leases import messages as saying
-from badgerbend.leases.holder import LeaseHolder, LeaseTiming
+from badgerbend.leases.holder import LeaseHolder
+from badgerbend.leases.timing import LeaseTiming
 from badgerbend.leases.voter import Voter
 from tests.feed_judge import Judge
 from tests.feed_liar import Liar
@@ -119,8 +120,14 @@
     caught: float = 0.03  # chance that a leader crashes between a publication and its fan-out
 
 
-TUNING = RaftConfig(election_s=0.4, beat_s=0.1)
-TERMS = LeaseTiming(lease_s=1.2, rate=0.01, ask_s=0.4, answer_s=0.15, stall_s=0.3)
+TUNING = RaftConfig(election_timeout_s=0.4, heartbeat_interval_s=0.1)
+TERMS = LeaseTiming(
+    lease_duration_s=1.2,
+    clock_drift_bound=0.01,
+    candidacy_interval_s=0.4,
+    reply_timeout_s=0.15,
+    stall_threshold_s=0.3,
+)
 PUBLISHER = PublisherTuning(batch_window=0.05, retry_interval=0.5, summary_ttl=2.0, max_retry_interval=4.0)
 RELAY = RelayTuning(
     heartbeat_interval=0.4,
@@ -208,10 +215,10 @@
     def voter_bound_s(self):
         """By how much a voter that follows may take its content for too fresh, beside its leader's message's way.
 
-        A leader cut off from the majority speaks on for 2 * election_s, counted from answers of the majority that were
-        late (late_s) or that waited in a leader that stood still (stop_s). The rest is for delays and clocks.
+        A leader cut off from the majority speaks on for 2 * election_timeout_s, counted from answers of the majority
+        that were late (late_s) or that waited in a leader that stood still (stop_s). The rest is for delays and clocks.
         """
-        return 2 * TUNING.election_s + self.chaos.late_s + self.chaos.stop_s + SLACK_S
+        return 2 * TUNING.election_timeout_s + self.chaos.late_s + self.chaos.stop_s + SLACK_S
 
     def stream_bound_s(self):
         """By how much a heartbeat may be late and still count: a follower leaves a relay that it has not heard for
@@ -253,7 +260,7 @@
         local, seed = host.local(), self.rng.getrandbits(32)
         host.machine = self.kinds.machine(RETENTION)
         host.machine.apply = self._seen_by_judge(host.machine.apply)
-        tuning = replace(TUNING, compact=self.chaos.compact)
+        tuning = replace(TUNING, compact_after_entries=self.chaos.compact)
         kept = self.disks[host.name].kept()
         host.voter = self.kinds.voter(host.name, kept, tuning, TERMS, seed, local, host.machine)
         host.holder = LeaseHolder(host.name, host.name, {PUBLISH_LEASE: True}, self.voters, TERMS, seed + 1, local)
@@ -357,7 +364,7 @@
             self._wake(host)
 
     def _collect_voter(self, host):
-        out = host.voter.take()
+        out = host.voter.drain_output()
         disk = self.disks[host.name]
         for seq, record in out.writes:
             disk.records.append(voting.encode(record))
@@ -366,9 +373,14 @@
             self._datagram(host, to, self._from_voter, (self.now, voting.encode(message)))
         for to, told in out.to_brokers:
             self._datagram(host, to, self._told, saying.encode(told))
-        for to, message in host.holder.take():
+        for to, message in host.holder.drain_output():
             self._datagram(host, to, self._from_holder, saying.encode(message))
-        if host.control.log_changed and host.voter.leads and not self.healed and self.rng.random() < self.chaos.caught:
+        if (
+            host.control.log_changed
+            and host.voter.is_leader
+            and not self.healed
+            and self.rng.random() < self.chaos.caught
+        ):
             self._count("crash before fan-out")
             self._crash(host.name, self.rng.random() * 3.0)
             return
@@ -515,15 +527,15 @@
     def _from_voter(self, host, datagram):
         sent_at, data = datagram
         before = host.voter.confirmed_at
-        host.voter.from_voter(host.local(), voting.decode(data))
+        host.voter.receive_from_voter(host.local(), voting.decode(data))
         if host.voter.confirmed_at > before:
-            host.age_bound_s = SLACK_S if host.voter.leads else self.voter_bound_s() + self.now - sent_at
+            host.age_bound_s = SLACK_S if host.voter.is_leader else self.voter_bound_s() + self.now - sent_at
 
     def _from_holder(self, host, data):
-        host.voter.from_broker(host.local(), saying.decode(data))
+        host.voter.receive_from_broker(host.local(), saying.decode(data))
 
     def _told(self, host, data):
-        host.holder.told(host.local(), saying.decode(data))
+        host.holder.receive_reply(host.local(), saying.decode(data))
 
     def _proposed(self, host, data):
         host.voter.propose(host.local(), data)
@@ -565,7 +577,7 @@
             case "crash":
                 self._crash(name, self.rng.choice((0.05, 1.0, 6.0)) * self.rng.random())
             case "crash leader":
-                for leader in [h.name for h in self._controls() if h.voter.leads]:
+                for leader in [h.name for h in self._controls() if h.voter.is_leader]:
                     self._crash(leader, self.rng.random() * 4.0)
             case "crash mid-snapshot":
                 loading = [h for h in self.hosts.values() if h.running and h.relay is not None and h.relay._loading]
@@ -603,7 +615,7 @@
             case "give back" if control.running:
                 control.holder.release(control.local())
             case "cede" if control.running and self.now >= control.stopped_until:
-                control.voter.raft.transfer(control.local())
+                control.voter.raft.transfer_leadership(control.local())
                 self.collect(control)
 
     def _damage(self, host):
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -6,9 +6,10 @@
 from badgerbend.consensus import replication
 from badgerbend.consensus.log import Log, PersistentState
 from badgerbend.consensus.raft import BecameLeader, EntryApplied, Raft, RaftConfig, ReadConfirmed, Role
-from badgerbend.leases.holder import LeaseHolder, LeaseTiming
-from badgerbend.leases.messages import GrantLease, LeaseReply, LeaseState, PutFact, ReleaseLease, encode
+from badgerbend.leases.holder import LeaseHolder
+from badgerbend.leases.messages import GrantLease, LeaseId, LeaseReply, LeaseState, PutFact, ReleaseLease, encode
 from badgerbend.leases.table import Lease, LeaseTable
+from badgerbend.leases.timing import LeaseTiming
 from tests.modelvoters import NAMES, State, search
 from tests.mutants import MUTANTS, CommitsAnEarlierTerm, LosesALease, ReadsWithoutARound, VotesBeforeTheDisk
 from tests.simvoters import Broken, Chaos, World
@@ -56,7 +57,7 @@
         rows = [(n, d) for n, d in state.net if n == to and isinstance(voting.decode(d), kinds)]
         rows = [r for r in rows if source is None or voting.decode(r[1]).source == source]
         assert rows, (to, kinds, [(n, voting.decode(d)) for n, d in state.net])
-        newest = max(rows, key=lambda r: (voting.decode(r[1]).term, getattr(voting.decode(r[1]), "beat", 0)))
+        newest = max(rows, key=lambda r: (voting.decode(r[1]).term, getattr(voting.decode(r[1]), "heartbeat_round", 0)))
         state = state.do(("deliver", newest))
         state = state.do(("sync", to))
 
@@ -77,7 +78,7 @@
         deliver("a", voting.AppendEntriesReply, source="b")
     assert state.rafts["b"].log.last_term == 1 and state.rafts["a"].term == 3
     lead("c", 2)
-    while state.rafts["c"].commit < 2:
+    while state.rafts["c"].commit_index < 2:
         deliver("b", voting.AppendEntries, source="c")
         deliver("c", voting.AppendEntriesReply, source="b")
     return state
@@ -85,7 +86,7 @@
 
 def test_an_entry_of_an_earlier_term_is_not_committed_by_counting(monkeypatch):
     state = figure_8(Raft, monkeypatch)
-    assert state.rafts["a"].commit == 0 and state.rafts["c"].commit == 2
+    assert state.rafts["a"].commit_index == 0 and state.rafts["c"].commit_index == 2
     with pytest.raises(Broken, match="committed another entry 1"):
         figure_8(CommitsAnEarlierTerm, monkeypatch)
 
@@ -117,14 +118,14 @@
         while moved:
             moved = False
             for name, raft in self.rafts.items():
-                writes, messages, events = raft.take()
-                self.events[name] += events
-                if writes:
-                    raft.saved(self.now, writes[-1][0])
-                for to, message in messages:
+                ready = raft.take_ready()
+                self.events[name] += ready.events
+                if ready.records:
+                    raft.persisted(self.now, ready.records[-1].sequence)
+                for to, message in ready.messages:
                     if to in self.rafts and not {name, to} & self.cut:
-                        self.rafts[to].receive(self.now, voting.decode(voting.encode(message)))
-                moved = moved or bool(writes or messages or events)
+                        self.rafts[to].step(self.now, voting.decode(voting.encode(message)))
+                moved = moved or bool(ready.records or ready.messages or ready.events)
 
     def run(self, seconds, step=0.05):
         for _ in range(round(seconds / step)):
@@ -135,7 +136,7 @@
             self.settle()
 
     def leader(self):
-        found = [r for n, r in self.rafts.items() if r.ready and n not in self.cut]
+        found = [r for n, r in self.rafts.items() if r.is_established_leader and n not in self.cut]
         assert len(found) == 1
         return found[0]
 
@@ -166,11 +167,11 @@
     circle = Circle(kind=kind)
     circle.run(5)
     old = circle.leader()
-    assert old.read(circle.now, 1)
+    assert old.read_index(circle.now, 1)
     circle.run(0.3)
     assert ReadConfirmed(1) in circle.events[old.name]
     circle.cut = {old.name}
-    assert old.read(circle.now, 2) and old.propose(circle.now, encode(PutFact("k", b"v", 0)))
+    assert old.read_index(circle.now, 2) and old.propose(circle.now, encode(PutFact("k", b"v", 0)))
     circle.run(6)
     return circle, old
 
@@ -194,10 +195,10 @@
     old = circle.leader()
     to = next(n for n in NAMES if n != old.name)
     before = circle.now
-    assert old.transfer(circle.now, to) and old.propose(circle.now, encode(PutFact("k", b"v", 0))) is None
+    assert old.transfer_leadership(circle.now, to) and old.propose(circle.now, encode(PutFact("k", b"v", 0))) is None
     circle.settle()
     assert circle.leader().name == to and circle.now == before
-    assert not circle.rafts[old.name].transfer(circle.now)
+    assert not circle.rafts[old.name].transfer_leadership(circle.now)
 
 
 def test_a_newcomer_is_fed_by_snapshot_and_votes_and_one_that_left_is_not_missed():
@@ -206,53 +207,53 @@
     for i in range(150):
         circle.put(f"fact-{i}", b"x" * 40)
     leader = circle.leader()
-    assert leader.log.base > 100 and len(leader.log.snapshot.state) > 4 * voting.MAX_MESSAGE_BYTES
+    assert leader.log.snapshot_index > 100 and len(leader.log.snapshot.state) > 4 * voting.MAX_MESSAGE_BYTES
     gone = next(n for n in NAMES if n != leader.name)
-    assert leader.change(circle.now, "d", True) is None
-    assert leader.change(circle.now, gone, False) == "another change is under way"
+    assert leader.change_membership(circle.now, "d", True) is None
+    assert leader.change_membership(circle.now, gone, False) == "another change is under way"
     circle.run(3)
     assert circle.rafts["d"].voters == (*NAMES, "d") and len(circle.tables["d"].facts) == 150
-    assert leader.change(circle.now, gone, False) is None
+    assert leader.change_membership(circle.now, gone, False) is None
     circle.run(1)
     circle.cut = {gone, next(n for n in NAMES if n not in (gone, leader.name))}
     circle.put("after")
     circle.run(0.5)  # a follower learns of a commit with the next heartbeat
     assert "after" in circle.tables["d"].facts  # two of three: the newcomer's vote counts, the old one's does not
-    assert leader.change(circle.now, gone, False) == "nothing to change"
+    assert leader.change_membership(circle.now, gone, False) == "nothing to change"
 
 
 def test_a_leader_that_removes_itself_leads_to_the_end_of_that_and_no_further():
     circle = Circle()
     circle.run(5)
     old = circle.leader()
-    assert old.change(circle.now, old.name, False) is None
+    assert old.change_membership(circle.now, old.name, False) is None
     circle.run(6)
     new = circle.leader()
     assert new is not old and set(new.voters) == set(NAMES) - {old.name}
     for name in list(new.voters):
         if name != new.name:
-            assert new.change(circle.now, name, False) is None
+            assert new.change_membership(circle.now, name, False) is None
             circle.run(1)
-    assert new.change(circle.now, new.name, False) == "the last voter stays"
+    assert new.change_membership(circle.now, new.name, False) == "the last voter stays"
 
 
 def test_a_single_voter_leads_and_commits_by_its_own_disk():
     circle = Circle(("a",))
     circle.run(3)
     circle.put("k")
-    assert circle.tables["a"].facts and circle.leader().read(circle.now, 1)
+    assert circle.tables["a"].facts and circle.leader().read_index(circle.now, 1)
     circle.run(0.3)
     assert ReadConfirmed(1) in circle.events["a"]
 
 
 def test_what_is_no_message_is_refused():
     good = voting.AppendEntries(
-        1, "a", 0, 0, (voting.Entry(1, 1, voting.EntryKind.VOTERS, voting.encode_names(NAMES)),), 0, 0
+        1, "a", 0, 0, (voting.Entry(1, 1, voting.EntryKind.CONFIGURATION, voting.encode_voters(NAMES)),), 0, 0
     )
     assert voting.decode(voting.encode(good)) == good
     spoilt = [
         voting.AppendEntries(1, "a", 5, 0, (voting.Entry(1, 1, voting.EntryKind.NOOP),), 0, 0),
-        voting.AppendEntries(1, "a", 0, 0, (voting.Entry(1, 1, voting.EntryKind.VOTERS, b"?"),), 0, 0),
+        voting.AppendEntries(1, "a", 0, 0, (voting.Entry(1, 1, voting.EntryKind.CONFIGURATION, b"?"),), 0, 0),
         voting.RequestVoteReply(1 << 63, "a", False, True),
         voting.RequestVoteReply(1, "", False, True),
     ]
@@ -287,9 +288,9 @@
 def holder(now=0.0):
     """A broker that has heard who held the duty before, and has asked once."""
     one = LeaseHolder("b0", "127.0.0.1:1", {"probe": True}, ("v0", "v1"), LeaseTiming(), 1, now)
-    one.told(now, told(0, epoch=2, renewed=False, holder="b7"))
+    one.receive_reply(now, told(0, epoch=2, renewed=False, holder="b7"))
     one.tick(now + 1.0)
-    return one, one.take()[0][1].seq
+    return one, one.drain_output()[0][1].seq
 
 
 def told(seq, epoch=5, renewed=True, holder="b0", yields=False):
@@ -298,30 +299,30 @@
 
 def test_a_grant_alone_lets_nobody_act_and_a_renewal_counts_from_its_request():
     one, seq = holder()
-    one.told(1.1, told(0, renewed=False))
+    one.receive_reply(1.1, told(0, renewed=False))
     assert one.may_act(1.1, "probe") is None and one.next_at == 1.1
     one.tick(1.1)
-    (_, want) = one.take()[0]
-    assert want.stands[0].epoch == 5
-    one.told(1.4, told(want.seq))
+    (_, want) = one.drain_output()[0]
+    assert want.candidacies[0].epoch == 5
+    one.receive_reply(1.4, told(want.seq))
     assert one.may_act(1.4, "probe") == 5 and one.may_act(1.8, "probe") == 5
     for at in range(19, 30):
         one.tick(at / 10)
     assert one.may_act(1.1 + 2.0 * 0.99 - 0.001, "probe") == 5
     assert one.may_act(1.1 + 2.0 * 0.99 + 0.001, "probe") is None
-    one.told(3.1, told(12345))  # an answer to no request of this life
+    one.receive_reply(3.1, told(12345))  # an answer to no request of this life
     assert one.may_act(3.1, "probe") is None
 
 
 def test_after_a_stall_only_what_is_asked_after_it_counts():
     one, seq = holder()
-    one.told(1.1, told(seq))
+    one.receive_reply(1.1, told(seq))
     assert one.may_act(1.1, "probe") == 5
     assert one.may_act(1.7, "probe") is None  # 600 ms without a look at the clock
-    one.told(1.75, told(seq))
+    one.receive_reply(1.75, told(seq))
     assert one.may_act(1.75, "probe") is None
     one.tick(1.8)
-    one.told(1.9, told(one.take()[-1][1].seq))
+    one.receive_reply(1.9, told(one.drain_output()[-1][1].seq))
     assert one.may_act(1.9, "probe") == 5
 
 
@@ -329,24 +330,28 @@
     # Its Leave was still on the way: the new life renewed the lease, the leader then ended it, and two could act.
     one = LeaseHolder("b0", "127.0.0.1:1", {"probe": True}, ("v0", "v1"), LeaseTiming(), 1, 0.0)
     one.tick(1.0)
-    seq = one.take()[0][1].seq
-    one.told(1.1, told(seq))
-    assert one.may_act(1.1, "probe") is None and not one.held()
-    assert {m.held for _, m in one.take()} == {(("probe", 5),)}
-    one.told(1.2, told(seq, epoch=8))
+    seq = one.drain_output()[0][1].seq
+    one.receive_reply(1.1, told(seq))
+    assert one.may_act(1.1, "probe") is None and not one.granted_leases()
+    assert {m.returned_leases for _, m in one.drain_output()} == {(LeaseId("probe", 5),)}
+    one.receive_reply(1.2, told(seq, epoch=8))
     assert one.may_act(1.2, "probe") == 8
 
 
 def test_what_was_given_back_is_not_taken_up_again():
     one, seq = holder()
-    one.told(1.1, told(seq))
-    one.told(1.2, told(0, renewed=False, yields=True))
-    leaves = [m for _, m in one.take()]
-    assert one.may_act(1.2, "probe") is None and {m.held for m in leaves} == {(("probe", 5),)} and len(leaves) == 2
-    one.told(1.3, told(seq))
-    assert one.may_act(1.3, "probe") is None and not one.held()
-    one.told(1.3, told(seq, epoch=9))
+    one.receive_reply(1.1, told(seq))
+    one.receive_reply(1.2, told(0, renewed=False, yields=True))
+    leaves = [m for _, m in one.drain_output()]
+    assert (
+        one.may_act(1.2, "probe") is None
+        and {m.returned_leases for m in leaves} == {(LeaseId("probe", 5),)}
+        and len(leaves) == 2
+    )
+    one.receive_reply(1.3, told(seq))
+    assert one.may_act(1.3, "probe") is None and not one.granted_leases()
+    one.receive_reply(1.3, told(seq, epoch=9))
     assert one.may_act(1.3, "probe") == 9
-    one.leave(1.4)
-    one.told(1.45, told(seq, epoch=11))
+    one.shut_down(1.4)
+    one.receive_reply(1.45, told(seq, epoch=11))
     assert one.may_act(1.45, "probe") is None and one.next_at == float("inf")
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -8,25 +8,40 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent / "badgerbend"
-BARE = {"__init__", "api", "logic", "facts", "benchlink"}
+DECISIONS = sorted(path.relative_to(ROOT).as_posix() for path in (ROOT / "decisions").glob("*.py"))
+BARE = ("__init__.py", "api.py", "platform_settings.py", "benchlink.py", *DECISIONS)
 MAY = {  # room: rooms of ours that it may import
     "config": {"api"},
-    "runtime": {"api", "logic"},
+    "decisions": {"api"},
+    "runtime": {"api", "decisions"},
     "net": set(),
     "discovery": {"api", "config", "net"},
     "graphql": {"api", "config", "net", "runtime"},
     "membership": set(),
     "consensus": set(),
     "leases": {"api", "consensus"},
+    "slow_start_budget": {"leases"},
     "wal": {"consensus", "disk"},
-    "lease_service": {"api", "config", "consensus", "discovery", "leases", "wal", "log", "metrics", "net", "runtime"},
+    "lease_service": {
+        "api",
+        "config",
+        "consensus",
+        "discovery",
+        "leases",
+        "slow_start_budget",
+        "wal",
+        "log",
+        "metrics",
+        "net",
+        "runtime",
+    },
     "feed": {"consensus", "leases"},
     "feed_service": {"consensus", "leases", "feed", "net", "lease_service"},
-    "configuration_check": {"config", "feed"},
-    "change_check": {"config", "configuration_check", "discovery", "feed"},
+    "publication_validation": {"config", "discovery", "feed"},
+    "publication_validation/configurations": {"config", "feed"},
     "pools": {"discovery", "net"},
-    "generation": {"api", "config", "discovery", "graphql", "logic", "metrics", "net", "peering", "runtime"},
-    "feeding": {"config", "discovery", "feed", "feed_service", "generation", "graphql", "log", "metrics"},
+    "generations": {"api", "decisions", "config", "discovery", "graphql", "metrics", "net", "peering", "runtime"},
+    "feed_subscription": {"config", "discovery", "feed", "feed_service", "generations", "graphql", "log", "metrics"},
     "knowledge": {"api"},
     "snapshot": {"knowledge"},
     "disk": set(),
@@ -47,11 +62,12 @@
     "sites": {"api", "config"},
     "siting": {"config", "log", "metrics", "net", "sites"},
     "metrics": {"api", "log", "runtime"},
-    "facts": {"api"},
+    "platform_settings": {"api"},
     "frames": {"api", "runtime"},
-    "platform": {"api", "discovery", "facts", "frames", "logic", "net", "runtime"},
+    "platform": {"api", "decisions", "discovery", "platform_settings", "frames", "net", "runtime"},
 }
 PURE = (
+    *DECISIONS,
     "consensus/durability.py",
     "consensus/events.py",
     "consensus/log.py",
@@ -59,16 +75,21 @@
     "consensus/pending.py",
     "consensus/quorum.py",
     "consensus/raft.py",
+    "consensus/ready.py",
     "consensus/replication.py",
     "consensus/snapshots.py",
     "consensus/types.py",
-    "leases/slow_start.py",
+    "slow_start_budget/allocator.py",
+    "slow_start_budget/broker.py",
+    "slow_start_budget/fair_share.py",
+    "slow_start_budget/timing.py",
     "leases/fencing.py",
+    "leases/health_checks.py",
     "leases/holder.py",
     "leases/manager.py",
     "leases/messages.py",
-    "leases/probing.py",
     "leases/table.py",
+    "leases/timing.py",
     "leases/voter.py",
     "lease_service/wire.py",
     "standin/acts.py",
@@ -152,10 +173,10 @@
 
 def test_the_bench_starts_the_adapter_with_the_standard_library_alone():
     for name in BARE:
-        for module in imports(ROOT / f"{name}.py"):
+        for module in imports(ROOT / name):
             top = module.split(".")[0]
             assert top in sys.stdlib_module_names or top == "badgerbend", (name, module)
-        assert rooms(ROOT / f"{name}.py") <= {"api", "logic", "facts"}
+        assert rooms(ROOT / name) <= {"api", "decisions", "platform_settings"}
 
 
 @pytest.mark.parametrize("name", PURE)
@@ -171,10 +192,20 @@
     libraries = {name.split(".")[0] for name in found} - set(sys.stdlib_module_names) - {"badgerbend"}
     assert {n for n in libraries if "cython" not in n} <= {"httptools", "msgspec", "typing_extensions"}
     mine = {name.split(".")[1] for name in found if name.startswith("badgerbend.")}
-    assert mine <= {"api", "logic", "facts", "discovery", "frames", "net", "platform", "runtime"}
+    assert mine <= {"api", "decisions", "platform_settings", "discovery", "frames", "net", "platform", "runtime"}
 
 
 def test_nothing_but_the_command_line_knows_the_stand_ins():
     for file in ROOT.rglob("*.py"):
         if "standin" not in file.parts and file.name != "cli.py":
             assert "standin" not in rooms(file), file
+
+
+def test_the_page_names_every_package_and_none_that_is_gone():
+    page = (ROOT.parent / "docs" / "architecture.md").read_text()
+    table = page.partition("## Packages and arrows")[2].partition("## Glossary")[0]
+    cells = [line.split("|")[1] for line in table.splitlines() if line.startswith("| `")]
+    named = {name.strip(" `/").removesuffix(".py") for cell in cells for name in cell.split(",")}
+    modules = {path.stem for path in ROOT.glob("[a-z]*.py")}
+    packages = {path.parent.name for path in ROOT.glob("*/__init__.py")}
+    assert named == modules | packages
--- a/tests/test_wire_bytes_feed.py
+++ b/tests/test_wire_bytes_feed.py
@@ -25,8 +25,8 @@
 )
 from badgerbend.feed_service import control_wire
 from tests.test_wire_bytes_consensus import MESSAGES as CONSENSUS_MESSAGES
-from tests.test_wire_bytes_duties import ACTS
-from tests.test_wire_bytes_duties import MESSAGES as DUTIES_MESSAGES
+from tests.test_wire_bytes_leases import ACTS
+from tests.test_wire_bytes_leases import MESSAGES as DUTIES_MESSAGES
 from tests.wire_bytes import assert_same_bytes, fixture_bytes, fixture_keys
 
 CHECKPOINT = Checkpoint(
@@ -124,14 +124,14 @@
 
 def test_datagram_with_a_proposal():
     command = fixture_bytes("feed/command/publish-part")
-    assert control_wire.proposal_body(command) == b"p" + command
-    assert control_wire.read(b"p" + command) == control_wire.Proposal(command)
+    assert control_wire.encode_proposal(command) == b"p" + command
+    assert control_wire.decode(b"p" + command) == control_wire.Proposal(command)
 
 
 def test_datagram_with_a_summary():
     expected = b"u" + fixture_bytes("feed/message/summary")
-    assert control_wire.summary_body(SUMMARY) == expected
-    assert control_wire.read(expected) == SUMMARY
+    assert control_wire.encode_summary(SUMMARY) == expected
+    assert control_wire.decode(expected) == SUMMARY
 
 
 @pytest.mark.parametrize(
@@ -143,4 +143,4 @@
     ],
 )
 def test_other_datagrams_are_read_as_between_brokers(letter, key, message):
-    assert control_wire.read(letter + fixture_bytes(key)) == message
+    assert control_wire.decode(letter + fixture_bytes(key)) == message
