--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -10,10 +10,10 @@
 from typing import assert_never
 
 from badgerbend.consensus import messages as voting
-from badgerbend.feed.control import Abandoned, Action, ControlNode, Propose, Report
-from badgerbend.feed.machine import PUBLISH, FeedMachine
+from badgerbend.feed.control import Action, ChangesAbandoned, ControlNode, Propose, ReportSummary
+from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
 from badgerbend.feed.messages import Change, Summary
-from badgerbend.feed.publisher import Check, Problem, Progress, Publisher
+from badgerbend.feed.publisher import ChangeCheck, Publisher, RejectedChange, RolloutProgress
 from badgerbend.feed.relay import Relay
 from badgerbend.feed.signature import Signer
 from badgerbend.feed_service import control_wire
@@ -58,7 +58,7 @@
         self,
         settings: ControlSettings,
         signer: Signer,
-        validate: Check,
+        validate: ChangeCheck,
         log_event: Callable[..., None],
         clock: Clock = monotonic,
     ) -> None:
@@ -70,7 +70,7 @@
         self.own = settings.voters[settings.name]
         now = clock()
         seed = incarnation << 8
-        machine = FeedMachine(settings.retention)
+        machine = FeedStateMachine(settings.retention)
         self.local_voter = self._create_voter(machine, seed + 1)
         self.lease_holder = self._create_lease_holder(now, seed + 2)
         self.relay = Relay(settings.name, machine.log, settings.relay_tuning)
@@ -88,7 +88,7 @@
         self._timer = Timer(clock, self._tick)
         self._closed = False
 
-    def _create_voter(self, machine: FeedMachine, seed: int) -> LocalVoter:
+    def _create_voter(self, machine: FeedStateMachine, seed: int) -> LocalVoter:
         return LocalVoter(
             self.settings.store_path,
             self.settings.raft,
@@ -106,7 +106,7 @@
         return LeaseHolder(
             self.settings.name,
             address_text(self.own),
-            {PUBLISH: True},
+            {PUBLISH_LEASE: True},
             tuple(self.settings.voters),
             self.settings.lease_timing,
             seed,
@@ -138,18 +138,18 @@
         """Whether this machine holds the lease on publishing now."""
         return bool(self.publisher.epoch)
 
-    def submit(self, changes: Iterable[Change]) -> tuple[Problem, ...]:
+    def submit(self, changes: Iterable[Change]) -> tuple[RejectedChange, ...]:
         """Accept all of these changes for publication, or none.
 
         Returns the problems of those that are rejected. Raises NotPublishingError.
         """
         if not self.is_publisher:
-            raise NotPublishingError(self.lease_holder.duties[PUBLISH].holder)
+            raise NotPublishingError(self.lease_holder.duties[PUBLISH_LEASE].holder)
         problems = self.publisher.submit(self.clock(), changes)
         self._settle()
         return problems
 
-    def progress(self, revision: int) -> Progress:
+    def progress(self, revision: int) -> RolloutProgress:
         """How many followers have a revision in force, as far as relays have reported."""
         return self.publisher.progress(self.clock(), revision)
 
@@ -176,7 +176,7 @@
             case Proposal(command):
                 self._propose(command)
             case Summary():
-                self.publisher.heard(self.clock(), message)
+                self.publisher.record_summary(self.clock(), message)
             case (
                 voting.RequestVote()
                 | voting.RequestVoteReply()
@@ -230,8 +230,8 @@
             return
         for _ in range(MAX_ROUNDS):
             busy = self._ask_for_lease()
-            busy |= self.control_node.settle(self.clock())
-            for action in self.control_node.take():
+            busy |= self.control_node.synchronize(self.clock())
+            for action in self.control_node.take_actions():
                 busy = True
                 self._carry_out(action)
             if not busy:
@@ -257,10 +257,10 @@
                     self._propose(command)
                 elif leader in self.settings.voters:
                     self.send(self.settings.voters[leader], control_wire.encode_proposal(command))
-            case Report(publisher, summary):
+            case ReportSummary(publisher, summary):
                 if publisher in self.settings.voters:
                     self.send(self.settings.voters[publisher], control_wire.encode_summary(summary))
-            case Abandoned(changes):
+            case ChangesAbandoned(changes):
                 self.log_event("changes not published", changes=len(changes))
             case _:
                 assert_never(action)
--- a/badgerbend/feed_service/follower.py
+++ b/badgerbend/feed_service/follower.py
@@ -7,7 +7,7 @@
 from typing import Protocol, assert_never
 
 from badgerbend.feed.errors import FeedError
-from badgerbend.feed.follower import Action, Connect, Disconnect, Follower, Install, Rejected, Send
+from badgerbend.feed.follower import Action, Connect, Disconnect, Follower, Install, MessageRejected, Send
 from badgerbend.feed.messages import Change, Message
 from badgerbend.feed_service.stream import MessageStream
 from badgerbend.feed_service.timer import Clock, Timer, monotonic
@@ -87,7 +87,7 @@
 
     def stream_malformed(self, stream: MessageStream, error: FeedError) -> None:
         """Report bytes that are no message to the follower."""
-        self.follower.unusable(self.clock(), stream.number, error)
+        self.follower.protocol_error(self.clock(), stream.number, error)
         self._process_actions()
 
     def stream_writable(self, stream: MessageStream) -> None:
@@ -111,7 +111,7 @@
             return
         self._processing = True
         try:
-            while actions := self.follower.take():
+            while actions := self.follower.take_actions():
                 for action in actions:
                     self._carry_out(action)
         except Exception:
@@ -124,7 +124,7 @@
     def _fail(self) -> None:
         """End after the owner failed within an install: it is unknown what is in force, so nothing is reported."""
         self.follower.stop()
-        self.follower.take()
+        self.follower.take_actions()
         self._disconnect()
         self._timer.cancel()
 
@@ -139,7 +139,7 @@
                 self._disconnect()
             case Install():
                 self._install(action)
-            case Rejected():
+            case MessageRejected():
                 self.owner.rejected(action.relay, action.error)
             case _:
                 assert_never(action)
@@ -169,8 +169,8 @@
     def _install(self, action: Install) -> None:
         reason = self.owner.install(action.revision, action.changes)
         now = self.clock()
-        if not reason and self.follower.refused_revision:
+        if not reason and self.follower.rejected_revision:
             self.follower.accepted(now)
-        elif reason and reason != self.follower.refused_reason:
-            self.follower.refused(now, action.revision, reason)
+        elif reason and reason != self.follower.rejected_reason:
+            self.follower.rejected(now, action.revision, reason)
         self.follower.applied(now, action.revision)
--- a/badgerbend/feed_service/relay.py
+++ b/badgerbend/feed_service/relay.py
@@ -55,17 +55,17 @@
 
     def published(self) -> None:
         """Notify the relay that its log has grown."""
-        self.relay.published(self.clock())
+        self.relay.log_advanced(self.clock())
         self.process_actions()
 
     def confirmed(self, as_of: float) -> None:
         """Notify the relay that its log held everything committed by a time of `clock`."""
-        self.relay.confirmed(self.clock(), as_of)
+        self.relay.mark_current(self.clock(), as_of)
 
     def process_actions(self) -> None:
         """Carry out the relay's actions. To be called after each call of the relay."""
         for _ in range(MAX_ROUNDS):
-            actions = self.relay.take()
+            actions = self.relay.take_actions()
             if not actions and not self._written:
                 break
             for action in actions:
@@ -103,7 +103,7 @@
 
     def stream_malformed(self, stream: MessageStream, error: FeedError) -> None:
         """Report bytes that are no message to the relay."""
-        self.relay.unusable(self.clock(), stream.number, error)
+        self.relay.protocol_error(self.clock(), stream.number, error)
         self.process_actions()
 
     def stream_writable(self, stream: MessageStream) -> None:
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -305,7 +305,7 @@
             await until(lambda: not stage.generations.draining and newest.idle)
             assert not any(site.seen.out for site in tiers.sites)
             stage.publish(with_deadline(2900))  # another class: preference among sites rests on it
-            await until(lambda: stage.relay.summary().refused)
+            await until(lambda: stage.relay.summary().rejected)
             assert "broker > class: cannot change" in stage.relay.summary().laggards[0].reason
 
     run(main)
@@ -337,15 +337,15 @@
             assert old in PUBLISHED
             before = stage.generations.current
             revision = stage.publish(replaced(PUBLISHED, old, new))
-            await until(lambda: stage.relay.summary().refused)
+            await until(lambda: stage.relay.summary().rejected)
             (laggard,) = stage.relay.summary().laggards
-            assert (laggard.name, laggard.refused) == ("broker-0", revision)
+            assert (laggard.name, laggard.rejected_revision) == ("broker-0", revision)
             assert laggard.reason.startswith(reason), laggard.reason
             assert stage.generations.live == (before,)
             assert (await stage.client.query(ASK))[0] == 200
             await stage.put_in_force(with_deadline(2900))
             assert stage.generations.current is not before
-            await until(lambda: stage.relay.summary().refused == 0 and stage.relay.summary().in_force == 1)
+            await until(lambda: stage.relay.summary().rejected == 0 and stage.relay.summary().applied == 1)
 
     run(main)
 
@@ -361,12 +361,12 @@
             await stage.put_in_force(with_deadline(2900))
             stage.publish(with_deadline(2800))
             stage.publish(with_deadline(2700))
-            await until(lambda: stage.relay.summary().refused)
+            await until(lambda: stage.relay.summary().rejected)
             assert stage.relay.summary().laggards[0].reason == WAITING_FOR_CAPACITY and len(stage.generations.live) == 2
             assert stage.generations.current.settings.class_[0].deadline_ms == 2900
             assert (await first)[0] == 200
             await until(lambda: stage.generations.current.settings.class_[0].deadline_ms == 2700)
-            await until(lambda: stage.relay.summary().refused == 0)
+            await until(lambda: stage.relay.summary().rejected == 0)
 
     run(main)
 
@@ -378,7 +378,7 @@
             await stage.put_in_force(PUBLISHED)
             assert stage.generations.current is before
             stage.publish(None)
-            await until(lambda: stage.broker.feed_subscription.client.follower.in_force == 2)
+            await until(lambda: stage.broker.feed_subscription.client.follower.applied_revision == 2)
             assert stage.generations.live == (before,)
 
     run(main)
@@ -427,7 +427,7 @@
 
 def test_a_drain_published_while_a_snapshot_of_earlier_content_is_on_its_way_wins(tmp_path):
     async def main():
-        slow = RelayTuning(snapshot_bytes_per_second=32 * 1024, snapshot_burst=1)
+        slow = RelayTuning(snapshot_bytes_per_second=32 * 1024, snapshot_burst_bytes=1)
         async with FeedStage(tmp_path, listed=True, retention=Retention(publications=1)) as stage:
             drained = next(iter(stage.world.servers))
             others = [change(f"node/x{i}", stage.row(drained, zone=200, cell=i % 12, kind=i)) for i in range(3000)]
@@ -440,13 +440,15 @@
             other = Broker(msgspec.structs.replace(stage.settings, feed=feed), graph)
             try:
                 await other.start()
-                await until(lambda: relay.snapshots_begun)
+                await until(lambda: relay.snapshots_started)
                 assert not other.directory.known
                 stage.publish_changes(change(f"node/{drained}", stage.row(drained, state="draining")))
                 server.published()
                 await until(lambda: other.directory.known)
                 await until(
-                    lambda: other.feed_subscription.client.follower.in_force == stage.control.machine.log.revision
+                    lambda: (
+                        other.feed_subscription.client.follower.applied_revision == stage.control.machine.log.revision
+                    )
                 )
                 await until(lambda: states_of(other)[drained] == api.EndpointState.DRAINING)
                 number = other.directory.known[drained].line.node
