--- a/badgerbend/feed_service/relay.py
+++ b/badgerbend/feed_service/relay.py
@@ -53,12 +53,12 @@
         if self._server is not None:
             await self._server.wait_closed()
 
-    def published(self) -> None:
+    def log_advanced(self) -> None:
         """Notify the relay that its log has grown."""
         self.relay.log_advanced(self.clock())
         self.process_actions()
 
-    def confirmed(self, as_of: float) -> None:
+    def mark_current(self, as_of: float) -> None:
         """Notify the relay that its log held everything committed by a time of `clock`."""
         self.relay.mark_current(self.clock(), as_of)
 
--- a/benchmarks/scale/feed_relays.py
+++ b/benchmarks/scale/feed_relays.py
@@ -45,7 +45,7 @@
         self.rejections = 0
 
     def install(self, revision: int, changes: tuple[Change, ...]) -> str:
-        self.server.published()
+        self.server.log_advanced()
         return ""
 
     def rejected(self, relay: str, error: FeedError) -> None:
@@ -97,7 +97,7 @@
         while True:
             now = time.monotonic()
             age = 0.0 if self.upstream is None else self.upstream.follower.age_s(now)
-            self.server.confirmed(now - age)
+            self.server.mark_current(now - age)
             await asyncio.sleep(CONFIRM_EVERY_S)
 
     async def _publish(self, command: Publish) -> Published:
@@ -108,7 +108,7 @@
         while publisher.next_at != float("inf"):
             await asyncio.sleep(max(publisher.next_at - time.monotonic(), 0.0))
             if control.pump(time.monotonic()):
-                self.server.published()
+                self.server.log_advanced()
         if command.forget:
             control.forget_past()
         return Published(control.log.revision, submitted, control.log.content.digest())
--- a/tests/feed_process.py
+++ b/tests/feed_process.py
@@ -194,7 +194,7 @@
         self._republish()
 
     def _republish(self):
-        self.server.published()
+        self.server.log_advanced()
         self.waiting_most = max(self.waiting_most, self.server.max_unsent_bytes())
 
     async def _confirm(self):
@@ -202,7 +202,7 @@
         while True:
             now = self.clock()
             age = 0.0 if self.client is None else self.client.follower.age_s(now)
-            self.server.confirmed(now - age)
+            self.server.mark_current(now - age)
             await asyncio.sleep(CONFIRM_EVERY_S)
 
     def _report(self):
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -443,7 +443,7 @@
                 await until(lambda: relay.snapshots_started)
                 assert not other.directory.known
                 stage.publish_changes(change(f"node/{drained}", stage.row(drained, state="draining")))
-                server.published()
+                server.log_advanced()
                 await until(lambda: other.directory.known)
                 await until(
                     lambda: (
--- a/tests/test_feed_faults.py
+++ b/tests/test_feed_faults.py
@@ -368,7 +368,7 @@
         log = self.control.machine.log
         self.truth[log.revision] = dict(log.content.items())
         for server in self.servers:
-            server.published()
+            server.log_advanced()
 
 
 def decoded(data):
@@ -497,15 +497,15 @@
             control.publish(0.0, change("node/5", "draining"))
             for i in range(4):
                 control.publish(0.0, change("node/6", f"ready {i}"))
-            server.published()
+            server.log_advanced()
             assert all(client.follower.log.revision == 0 for client in clients)
             relay.tuning = RELAY
-            server.published()  # it looks at its pace anew
+            server.log_advanced()  # it reads its pace again
             for owner in owners:
                 await owner.reaches(control.machine.log.revision)
                 assert owner.content == dict(control.machine.log.content.items())
             control.publish(0.0, change("node/6", "draining"))
-            server.published()
+            server.log_advanced()
             for owner, seen in zip(owners, rows, strict=True):
                 await owner.reaches(control.machine.log.revision)
                 drained = seen.index(b"draining")
--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -92,7 +92,7 @@
 
     def publish(self, *changes):
         problems = self.control.publish(self.server.clock(), *changes)
-        self.server.published()
+        self.server.log_advanced()
         return problems
 
     def follower(self, name, *relays, tuning=QUICK):
