--- a/badgerbend/leases/health_checks.py
+++ b/badgerbend/leases/health_checks.py
@@ -1,94 +1,121 @@
-"""Probing as a duty: one broker asks after the servers that others doubt, and tells those what it found. Pure.
+"""Health checks as a duty: one broker checks the servers that others suspect, and reports to those what it found. Pure.
 
-Without a holder nothing is probed, and each broker goes on by its own outcomes, as it does anyway. What a prober says
-can bar no server: it is taken in the place of own sight only where there is none.
+Without a holder nothing is checked, and each broker goes on by the outcomes of its own requests, as it does anyway. Why
+that is safe: a report can eject no server. It is used only where a broker has observed nothing itself.
 """
 
 from __future__ import annotations
 
+import math
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
 from badgerbend import api
 from badgerbend.leases.messages import MAX_SERVERS, ProbeReport, ProbeResult, SuspicionReport
 
-SLOW_FACTOR = 3.0  # so many times the middle of all servers' times is doubted
-SUSPICION_TTL_S = 5.0  # a doubt that is not said again counts so long
-MAX_SUBSCRIBERS = 4096
+SLOW_FACTOR = 3.0  # a server this many times as slow as the median server is suspected
+SUSPICION_TTL_S = 5.0  # seconds that a suspicion counts if it is not reported again
+MAX_SUBSCRIBERS = 4096  # brokers that are notified of the checks of one server: more than a fleet has
 
 
-def suspected_servers(known: api.Observations, names: dict[int, str]) -> list[str]:
-    """The servers that a broker has found dead or far slower than the others itself, the worst first."""
-    times = sorted(s.time_ms for s in known.nodes)
-    middle = times[len(times) // 2] if times else 0.0
-    bad = [s for s in known.nodes if s.node in names and (s.dead or s.time_ms > SLOW_FACTOR * middle)]
-    return [names[s.node] for s in sorted(bad, key=lambda s: (not s.dead, -s.time_ms, s.node))]
+def suspected_servers(observed: api.Observations, names: dict[int, str]) -> list[str]:
+    """The servers that a broker itself observed to be dead or far slower than the others, the worst first.
+
+    names: of the servers by number; a server without a name is left out.
+    """
+    times_ms = sorted(server.time_ms for server in observed.nodes)
+    median_ms = times_ms[len(times_ms) // 2] if times_ms else 0.0
+    suspects = [
+        server
+        for server in observed.nodes
+        if server.node in names and (server.dead or server.time_ms > SLOW_FACTOR * median_ms)
+    ]
+    suspects.sort(key=lambda server: (not server.dead, -server.time_ms, server.node))
+    return [names[server.node] for server in suspects]
+
+
+def suspicion_report(servers: Sequence[str], name: str, duty: str) -> SuspicionReport:
+    """A broker's report on suspected servers, the worst first: as many of them as one datagram names."""
+    return SuspicionReport(name, duty, tuple(servers[:MAX_SERVERS]))
+
+
+def observations_of(report: ProbeReport, numbers: dict[str, int]) -> api.Observations:
+    """A report as an event for the decisions. numbers: of the servers by name; others are left out."""
+    observed = tuple(
+        api.EndpointObservation(numbers[result.server], result.latency_ms, result.age_ms, not result.succeeded)
+        for result in report.results
+        if result.server in numbers
+    )
+    return api.Observations(observed, ())
 
 
 @dataclass(slots=True)
-class _Suspect:
-    subscribers: dict[str, float] = field(default_factory=dict)  # where to tell, and until when that one wants to know
-    checked_at: float = float("-inf")
-    in_flight: bool = False
+class SuspectedServer:
+    """A server that somebody suspects. Times are seconds of the checker's clock."""
+
+    subscribers: dict[str, float] = field(default_factory=dict)  # addresses to notify, and until when each counts
+    check_started_at: float = -math.inf
+    check_in_flight: bool = False
+
+    def drop_expired_subscribers(self, now: float) -> None:
+        """Forgets the brokers that did not report their suspicion again."""
+        self.subscribers = {address: until for address, until in self.subscribers.items() if until > now}
 
 
 class HealthChecker:
     """The lease holder's side: it checks each suspected server at one interval, however many brokers suspect it.
 
-    interval_s: time between two checks of one server. max_in_flight: checks of all servers that may run at once.
+    name: of this broker. interval_s: seconds between two checks of one server. max_in_flight: checks that may run at
+    once, over all servers. All times are seconds of this broker's clock.
     """
 
     def __init__(self, duty: str, name: str, interval_s: float, max_in_flight: int) -> None:
-        self.duty, self.name, self.interval_s, self.max_in_flight = duty, name, interval_s, max_in_flight
-        self.servers: dict[str, _Suspect] = {}
+        self.duty = duty
+        self.name = name
+        self.interval_s = interval_s
+        self.max_in_flight = max_in_flight
+        self.servers: dict[str, SuspectedServer] = {}
         self.checks_started = 0
 
     def receive_suspicions(self, now: float, report: SuspicionReport, address: str) -> None:
-        """Another broker's word; address: where it is told."""
-        for server in report.servers:
-            one = self.servers.setdefault(server, _Suspect())
-            if len(one.subscribers) < MAX_SUBSCRIBERS or address in one.subscribers:
-                one.subscribers[address] = now + SUSPICION_TTL_S
+        """Takes in a broker's report. address: where that broker is notified of the checks."""
+        for name in report.servers:
+            server = self.servers.setdefault(name, SuspectedServer())
+            if len(server.subscribers) < MAX_SUBSCRIBERS or address in server.subscribers:
+                server.subscribers[address] = now + SUSPICION_TTL_S
 
     def start_due_checks(self, now: float) -> list[str]:
-        """Servers to be asked now; `finish_check` is owed for each."""
-        out, in_flight = list[str](), sum(one.in_flight for one in self.servers.values())
-        for server, one in sorted(self.servers.items(), key=lambda row: row[1].checked_at):
-            one.subscribers = {address: until for address, until in one.subscribers.items() if until > now}
-            if not one.subscribers and not one.in_flight:
-                del self.servers[server]
-            elif self._may_check(now, one) and in_flight + len(out) < self.max_in_flight:
-                one.in_flight, one.checked_at = True, now
-                out.append(server)
-        self.checks_started += len(out)
-        return out
-
-    def _may_check(self, now: float, suspect: _Suspect) -> bool:
-        return not suspect.in_flight and now - suspect.checked_at >= self.interval_s
+        """The servers to check now; the caller owes a call of `finish_check` for each."""
+        due: list[str] = []
+        in_flight = sum(server.check_in_flight for server in self.servers.values())
+        for name, server in sorted(self.servers.items(), key=lambda item: item[1].check_started_at):
+            server.drop_expired_subscribers(now)
+            if server.check_in_flight:
+                continue
+            if not server.subscribers:
+                del self.servers[name]
+            elif now - server.check_started_at >= self.interval_s and in_flight + len(due) < self.max_in_flight:
+                server.check_in_flight = True
+                server.check_started_at = now
+                due.append(name)
+        self.checks_started += len(due)
+        return due
 
     def finish_check(
-        self, now: float, epoch: int, server: str, succeeded: bool, latency_ms: float
+        self, now: float, epoch: int, name: str, succeeded: bool, latency_ms: float
     ) -> list[tuple[str, ProbeReport]]:
-        """What to tell, and whom: those who doubt that server."""
-        one = self.servers.get(server)
-        if one is None or not one.in_flight:
+        """Ends a server's check; gives the reports to send, with the address of each broker that suspects the server.
+
+        epoch: of the lease under which the reports are sent. Nothing is reported of a check that was not in flight.
+        """
+        server = self.servers.get(name)
+        if server is None or not server.check_in_flight:
             return []
-        one.in_flight = False
-        row = ProbeResult(server, succeeded, latency_ms, max(now - one.checked_at, 0.0) * 1000.0)
-        return [(address, ProbeReport(self.name, self.duty, epoch, (row,))) for address in one.subscribers]
+        server.check_in_flight = False
+        age_ms = max(now - server.check_started_at, 0.0) * 1000.0
+        result = ProbeResult(name, succeeded, latency_ms, age_ms)
+        return [(address, ProbeReport(self.name, self.duty, epoch, (result,))) for address in server.subscribers]
 
     def clear(self) -> None:
-        """No longer the holder: all is forgotten, and who doubts will say so to the next."""
+        """Forgets all suspicions, once this broker holds the lease no more: they are reported to the next holder."""
         self.servers = {}
-
-
-def suspicion_report(servers: Sequence[str], name: str, duty: str) -> SuspicionReport:
-    """As many as one datagram names, the worst."""
-    return SuspicionReport(name, duty, tuple(servers[:MAX_SERVERS]))
-
-
-def observations_of(report: ProbeReport, numbers: dict[str, int]) -> api.Observations:
-    """What a finding tells the decisions, for where they have no sight of their own."""
-    rows = [row for row in report.results if row.server in numbers]
-    seen = (api.EndpointObservation(numbers[row.server], row.latency_ms, row.age_ms, not row.succeeded) for row in rows)
-    return api.Observations(tuple(seen), ())
--- a/badgerbend/leases/holder.py
+++ b/badgerbend/leases/holder.py
@@ -1,8 +1,10 @@
-"""A broker's side of duties: standing for them, holding a lease, and knowing when it may no longer act. Pure.
+"""A broker's side of leases: its candidacies, the leases that it holds, and when it may act under them. Pure.
 
-The lease counts from before its request was sent, by the broker's own clock, and is shortened by the stated bound on
-clock rates. Before every act `may_act` is asked. A broker whose loop stood still for longer than `stall_threshold_s`
-doubts all that it holds: it acts again only under a renewal that was asked for after that.
+Why at most one broker acts on a duty at a time: a lease counts from before the request that renewed it was sent, by
+the broker's own clock, and is shortened by the bound on the drift of clocks, while the leading voter counts it from
+when the request arrived and lengthens it by that bound. `LeaseHolder.may_act` must be called right before every act.
+A broker whose event loop did not run for longer than `LeaseTiming.stall_threshold_s` may act only under renewals that
+it requested after that.
 """
 
 from __future__ import annotations
@@ -10,31 +12,27 @@
 import math
 import random
 from collections import OrderedDict
-from dataclasses import dataclass
+from collections.abc import Iterable
 
+from badgerbend.leases.duty_state import DutyState
 from badgerbend.leases.messages import Candidacy, LeaseId, LeaseReply, LeaseRequest, LeaseReturn, LeaseState
 from badgerbend.leases.timing import LeaseTiming
+from badgerbend.leases.voter_selection import VoterSelection
 
-ASKED_MOST = 64  # requests whose time of sending is remembered
-MISSED = 2  # unanswered requests after which another voter is asked
-
-
-@dataclass(slots=True)
-class DutyState:
-    is_local: bool
-    epoch: int = 0  # of the lease it was told it holds; 0: none
-    valid_until: float = -math.inf  # it may act before this
-    is_failing: bool = False
-    returned_epoch: int = 0  # the last epoch it gave back; it takes none up to that again
-    holder: str = ""  # who holds it, as last told, and where that one is reached
-    holder_address: str = ""
-    holder_epoch: int = 0
-    is_known: bool = False  # anything of it, in this life
+MAX_REQUESTS_REMEMBERED = 64  # requests whose time of sending is kept, to count a renewal from
+RENEWALS_PER_LEASE = 4  # requests of a holder while one lease lasts: three of them may be lost
+MAX_RETRY_TIMEOUTS = 4  # the pause before a retry grows with each missed reply, up to so many reply timeouts
+MAX_REDIRECT_DELAY_S = 0.02  # a redirected request follows within this time, and not from all brokers at once
+MIN_JITTER = 0.8  # each pause is shortened at random, down to this share of it, so that brokers do not fall into step
+MIN_RETRY_JITTER = 0.5  # the same, for the pause before another voter is asked
 
 
 class LeaseHolder:
-    """One broker. address: where others reach it. duties: what it is a candidate for, and whether it is at the
-    duty's own site."""
+    """One broker as a candidate for duties, and as the holder of leases. `drain_output` after each call.
+
+    address: where other brokers reach it. duties: what it is a candidate for, and whether it is at the duty's own
+    site. Times are seconds of the broker's own clock, which must not go backwards.
+    """
 
     def __init__(
         self,
@@ -46,162 +44,187 @@
         seed: int,
         now: float,
     ) -> None:
-        self.name, self.address, self.voters, self.timing = name, address, voters, timing
+        self.name = name
+        self.address = address
+        self.timing = timing
         self.rng = random.Random(seed)
         self.duties = {duty: DutyState(is_local) for duty, is_local in duties.items()}
-        self.load = 0.0
-        self.leader = ""  # as last told; empty: any voter is asked
+        self.load = 0.0  # reported with each candidacy: the least loaded candidate is chosen
         self.is_shut_down = False
         self._output: list[tuple[str, LeaseRequest | LeaseReturn]] = []
-        self._seq = self.rng.getrandbits(48)  # an answer to an earlier life of this name fits no request of this one
-        self._sent: OrderedDict[int, float] = OrderedDict()
-        self._unanswered = 0
-        self._asked = self.rng.choice(voters)
-        self._alive_at = now
-        self._next = now + self.rng.random() * timing.reply_timeout_s  # a fleet that starts at once asks in turn
+        self._seq = self.rng.getrandbits(48)  # a reply to an earlier incarnation of this name fits no request of ours
+        self._sent_at: OrderedDict[int, float] = OrderedDict()  # by `seq`
+        self.voter_selection = VoterSelection(voters, self.rng)
+        self._last_run_at = now
+        self._next_at = now + self.rng.random() * timing.reply_timeout_s  # brokers that start together spread out
 
     # -- acting
+
     def may_act(self, now: float, duty: str) -> int | None:
-        """The epoch to act under, now and at once; None: not this broker, or not any longer."""
-        self._notice(now)
-        mine = self.duties.get(duty)
-        return mine.epoch if mine is not None and mine.epoch and now < mine.valid_until else None
+        """The epoch under which the broker may act on a duty right now; None if it may not."""
+        self._check_stall(now)
+        state = self.duties.get(duty)
+        if state is None or not state.may_act(now):
+            return None
+        return state.epoch
 
     def set_failing(self, duty: str, is_failing: bool) -> None:
-        """Whether the acts of a duty come to nothing."""
+        """Reports with the next candidacy whether the broker's acts on a duty have no effect."""
         self.duties[duty].is_failing = is_failing
 
     def granted_leases(self) -> list[LeaseId]:
-        """Duties and epochs it was told it holds, whether it may act on them or not."""
-        return [LeaseId(duty, d.epoch) for duty, d in self.duties.items() if d.epoch]
+        """The leases granted to this broker, whether it may act under them at this moment or not."""
+        return [LeaseId(duty, state.epoch) for duty, state in self.duties.items() if state.epoch]
+
+    @property
+    def leader(self) -> str:
+        """The leading voter as last stated by a voter; empty while it is not known."""
+        return self.voter_selection.leader
+
+    # -- time and replies
 
-    # -- time and answers
     @property
     def next_at(self) -> float:
-        """When `tick` has something to do."""
-        return self._next
+        """When `tick` has to be called next."""
+        return self._next_at
 
     def tick(self, now: float) -> None:
-        self._notice(now)
-        if now < self._next or self.is_shut_down:
-            return
-        if self._unanswered >= MISSED:
-            self._elsewhere()
-        self._ask(now)
-
-    def receive_reply(self, now: float, message: LeaseReply) -> None:
-        """A voter's word."""
-        self._notice(now)
-        sent = self._sent.get(message.seq)
+        """Sends a request if one is due."""
+        self._check_stall(now)
+        if now >= self._next_at and not self.is_shut_down:
+            self._send_request(now)
+
+    def receive_reply(self, now: float, reply: LeaseReply) -> None:
+        """Takes in a voter's reply, or a notification that answers no request."""
+        self._check_stall(now)
         if self.is_shut_down:
             return
-        if sent is not None:
-            self._unanswered = 0
-        if message.is_leader:
-            self.leader = self._asked = message.source
-        elif sent is not None and message.leader in self.voters and message.leader != self._asked:
-            self.leader = self._asked = message.leader
-            self._next = min(self._next, now + self.rng.random() * 0.02)
-        elif sent is not None and not message.leader:
-            self._elsewhere()
-            self._next = min(self._next, now + self.timing.reply_timeout_s * self.rng.uniform(0.5, 1.0))
-        yielded = []
-        for line in message.leases if message.is_leader else ():
-            self._line(now, line, sent)
-            if line.should_yield and line.holder == self.name:
-                yielded.append(line.duty)
-        if yielded:
-            self.release(now, tuple(yielded))
-        if sent is not None and message.is_leader and message.request_delay_s and not self.granted_leases():
-            self._next = max(self._next, now + message.request_delay_s * self.rng.uniform(0.8, 1.0))
-
-    def _line(self, now: float, line: LeaseState, sent: float | None) -> None:
-        mine = self.duties.get(line.duty)
-        if mine is None or line.epoch < mine.holder_epoch:  # an answer that was overtaken
+        sent_at = self._sent_at.get(reply.seq)
+        if sent_at is not None:
+            self.voter_selection.reply_received()
+        if reply.is_leader:
+            self.voter_selection.follow(reply.source)
+            self._apply_reply_of_leader(now, reply, sent_at)
+        elif sent_at is not None:
+            self._redirect(now, reply.leader)
+
+    def _apply_reply_of_leader(self, now: float, reply: LeaseReply, sent_at: float | None) -> None:
+        to_return = set()
+        for state in reply.leases:
+            self._apply_lease_state(now, state, sent_at)
+            if state.should_yield and state.holder == self.name:
+                to_return.add(state.duty)
+        if to_return:
+            self.release(now, to_return)
+        if sent_at is not None and reply.request_delay_s and not self.granted_leases():
+            delay_s = reply.request_delay_s * self.rng.uniform(MIN_JITTER, 1.0)
+            self._next_at = max(self._next_at, now + delay_s)
+
+    def _redirect(self, now: float, leader: str) -> None:
+        """A voter that does not lead has replied, and named the leader if it knows one."""
+        if self.voter_selection.is_redirect(leader):
+            self.voter_selection.follow(leader)
+            self._send_within(now, self.rng.random() * MAX_REDIRECT_DELAY_S)
+        elif not leader:
+            self.voter_selection.choose_another()
+            self._send_within(now, self.timing.reply_timeout_s * self.rng.uniform(MIN_RETRY_JITTER, 1.0))
+
+    def _apply_lease_state(self, now: float, state: LeaseState, sent_at: float | None) -> None:
+        """sent_at: when the request was sent that this answers; None if it answers none."""
+        duty = self.duties.get(state.duty)
+        if duty is None or duty.is_overtaken(state):
             return
-        mine.holder_address = line.address or (mine.holder_address if line.epoch == mine.holder_epoch else "")
-        mine.holder, mine.holder_epoch = line.holder, line.epoch
-        first, mine.is_known = not mine.is_known, True
-        if first and line.holder == self.name:
-            # an earlier life's: its word that gives it back may still be on the way, and would take it from this one
-            mine.returned_epoch = line.epoch
-            self._say_leave(now, (LeaseId(line.duty, line.epoch),), is_departing=False)
-        if line.holder != self.name or line.epoch <= mine.returned_epoch:
-            if mine.epoch <= line.epoch:
-                mine.epoch, mine.valid_until = 0, -math.inf
+        is_first = not duty.is_known
+        duty.record_holder(state)
+        if is_first and state.holder == self.name:
+            # An earlier incarnation's. Its return may still be on the way, and would end the lease under this one.
+            duty.returned_epoch = state.epoch
+            self._send_return(now, (LeaseId(state.duty, state.epoch),), is_departing=False)
+        if state.holder != self.name or state.epoch <= duty.returned_epoch:
+            if duty.epoch <= state.epoch:
+                duty.lose()
             return
-        if mine.epoch != line.epoch:  # granted: renewed first, and acted on then
-            mine.epoch, mine.valid_until = line.epoch, -math.inf
-            self._next = now
-        if line.renewed and sent is not None:
-            mine.valid_until = max(mine.valid_until, sent + self._window())
-
-    def _window(self) -> float:
+        if duty.epoch != state.epoch:
+            duty.accept_grant(state.epoch)
+            self._next_at = now  # to renew it at once: a grant alone lets nobody act
+        if state.renewed and sent_at is not None:
+            duty.extend(sent_at + self._lease_length())
+
+    def _lease_length(self) -> float:
+        """How long a renewal counts, in seconds from when it was requested."""
         return self.timing.holder_lease_s
 
-    # -- giving back
-    def release(self, now: float, duties: tuple[str, ...] | None = None) -> None:
-        """Stops acting on these, or on all, and gives them back at once."""
-        held = [lease for lease in self.granted_leases() if duties is None or lease.duty in duties]
-        self._drop(held)
-        if held:
-            self._say_leave(now, tuple(held), is_departing=False)
+    # -- returning leases
+
+    def release(self, now: float, duties: Iterable[str] | None = None) -> None:
+        """Stops acting on these duties, or on all, and returns their leases at once."""
+        leases = tuple(lease for lease in self.granted_leases() if duties is None or lease.duty in duties)
+        if leases:
+            self._give_up(now, leases, is_departing=False)
 
     def shut_down(self, now: float) -> None:
-        """For the end of the process: gives back what it holds and stands for nothing any more."""
-        held = self.granted_leases()
-        self._drop(held)
-        self._say_leave(now, tuple(held), is_departing=True)
-        self.is_shut_down, self._next = True, math.inf
-
-    # -- inside
-    def _drop(self, held: list[LeaseId]) -> None:
-        for lease in held:
-            duty = self.duties[lease.duty]
-            duty.epoch, duty.valid_until, duty.returned_epoch = 0, -math.inf, lease.epoch
-
-    def _notice(self, now: float) -> None:
-        """Before anything else: has this loop stood still?"""
-        if now - self._alive_at > self.timing.stall_threshold_s:
-            self._stalled(now)
-        self._alive_at = max(self._alive_at, now)
-
-    def _stalled(self, now: float) -> None:
-        """Nothing asked before this renews anything: the times of sending are forgotten."""
+        """Returns all leases, and ends all candidacies for good."""
+        leases = tuple(self.granted_leases())
+        self._give_up(now, leases, is_departing=True)
+        self.is_shut_down = True
+        self._next_at = math.inf
+
+    def drain_output(self) -> list[tuple[str, LeaseRequest | LeaseReturn]]:
+        """The messages to be sent since the last call, each with the voter that it goes to."""
+        output = self._output
+        self._output = []
+        return output
+
+    def _give_up(self, now: float, leases: tuple[LeaseId, ...], is_departing: bool) -> None:
+        for lease in leases:
+            self.duties[lease.duty].give_up(lease.epoch)
+        self._send_return(now, leases, is_departing)
+
+    def _check_stall(self, now: float) -> None:
+        """Must run before anything else: it finds out whether the event loop has stood still."""
+        if now - self._last_run_at > self.timing.stall_threshold_s:
+            self._suspend_leases(now)
+        self._last_run_at = max(self._last_run_at, now)
+
+    def _suspend_leases(self, now: float) -> None:
+        """No reply to a request that was sent before this renews anything: the times of sending are forgotten."""
         for duty in self.duties.values():
-            duty.valid_until = -math.inf
-        self._sent.clear()
-        self._next = now
+            duty.suspend()
+        self._sent_at.clear()
+        self._next_at = now
 
-    def _ask(self, now: float) -> None:
+    def _send_request(self, now: float) -> None:
+        voter = self.voter_selection.next_voter()
         self._seq += 1
-        self._sent[self._seq] = now
-        if len(self._sent) > ASKED_MOST:
-            self._sent.popitem(last=False)
-        stands = tuple(Candidacy(name, d.epoch, d.is_local, d.is_failing) for name, d in self.duties.items())
-        self._output.append(
-            (self._asked, LeaseRequest(self.name, self._seq, self.address, self.load, self.name in self.voters, stands))
+        self._sent_at[self._seq] = now
+        if len(self._sent_at) > MAX_REQUESTS_REMEMBERED:
+            self._sent_at.popitem(last=False)
+        candidacies = tuple(
+            Candidacy(name, duty.epoch, duty.is_local, duty.is_failing) for name, duty in self.duties.items()
         )
-        self._unanswered += 1
-        wait = self.timing.lease_duration_s / 4 if self.granted_leases() else self.timing.candidacy_interval_s
-        if self._unanswered > 1 or not self.leader:
-            wait = min(wait, self.timing.reply_timeout_s * min(self._unanswered, 4))
-        self._next = now + wait * self.rng.uniform(0.8, 1.0)
-
-    def _elsewhere(self) -> None:
-        """Asks another voter from now on."""
-        self.leader, self._unanswered = "", 0
-        others = [v for v in self.voters if v != self._asked] or list(self.voters)
-        self._asked = self.rng.choice(others)
-
-    def _say_leave(self, now: float, held: tuple[LeaseId, ...], is_departing: bool) -> None:
-        """To all voters, since nobody may be left to say it again: one of them leads."""
+        is_voter = self.name in self.voter_selection.voters
+        request = LeaseRequest(self.name, self._seq, self.address, self.load, is_voter, candidacies)
+        self._output.append((voter, request))
+        self.voter_selection.request_sent()
+        self._next_at = now + self._request_interval() * self.rng.uniform(MIN_JITTER, 1.0)
+
+    def _request_interval(self) -> float:
+        """The longest pause until the next request, in seconds, if no reply changes it."""
+        is_holder = bool(self.granted_leases())
+        interval_s = (
+            self.timing.lease_duration_s / RENEWALS_PER_LEASE if is_holder else self.timing.candidacy_interval_s
+        )
+        missed = self.voter_selection.missed_replies
+        if missed > 1 or not self.leader:
+            interval_s = min(interval_s, self.timing.reply_timeout_s * min(missed, MAX_RETRY_TIMEOUTS))
+        return interval_s
+
+    def _send_return(self, now: float, leases: tuple[LeaseId, ...], is_departing: bool) -> None:
+        """Sends it to all voters, since it may never be repeated: one of them leads."""
         self._seq += 1
-        for voter in self.voters:
-            self._output.append((voter, LeaseReturn(self.name, self._seq, held, is_departing)))
-        self._next = min(self._next, now + self.timing.reply_timeout_s)
+        for voter in self.voter_selection.voters:
+            self._output.append((voter, LeaseReturn(self.name, self._seq, leases, is_departing)))
+        self._send_within(now, self.timing.reply_timeout_s)
 
-    def drain_output(self) -> list[tuple[str, LeaseRequest | LeaseReturn]]:
-        """What is to be sent, and to which voter."""
-        out, self._output = self._output, []
-        return out
+    def _send_within(self, now: float, seconds: float) -> None:
+        self._next_at = min(self._next_at, now + seconds)
--- a/badgerbend/leases/manager.py
+++ b/badgerbend/leases/manager.py
@@ -1,18 +1,20 @@
-"""The leading voter's side of duties: who stands for them, when a lease is over, who is next. Pure.
+"""The leading voter's side of leases: it grants, renews, hands over and ends them. Pure.
 
-Renewals do not go through the log, so that hundreds of brokers cost it nothing. That is safe: one is answered only
-after a round of heartbeats that began after it came has confirmed the leader (`Raft.read`); whoever leads later was
-elected later than that, and waits a whole lease from then before it ends any.
+Renewals do not go through the log, so that hundreds of brokers add nothing to it. Why that is safe: the voter replies
+to a request only after a round of heartbeats that began after the request arrived has confirmed that it leads
+(`Raft.read`). Whoever leads later was elected later than that, and waits for a complete lease before it ends any.
+
+What ends a lease is always a command of the log, proposed when the lease has expired by the leader's clock or when its
+holder has returned it; `LeaseTable` decides whether it takes effect.
 """
 
 from __future__ import annotations
 
 import math
-import random
-from dataclasses import dataclass
 
+from badgerbend.leases.candidates import CandidateRegistry
+from badgerbend.leases.lease_clock import LeaseClock
 from badgerbend.leases.messages import (
-    MAX_REQUEST_DELAY_S,
     Candidacy,
     Command,
     GrantLease,
@@ -24,252 +26,179 @@
 from badgerbend.leases.table import LeaseTable
 from badgerbend.leases.timing import LeaseTiming
 
-CANDIDATE_TTL_INTERVALS = 3.0  # a candidate not heard for so many times `candidacy_interval_s` stands no more
-HANDOVER_LEASES = 5.0  # leases: somebody better placed for so long is worth a hand-over, and no sooner after the last
-MAX_BACKOFF_S = 60.0  # a holder that failed is not chosen for a while, twice as long each time up to this
-LOAD_STEP = 10.0  # of what is open at a broker: less is no difference
-UNCONFIRMED_GRANT_TIMEOUTS = 4.0  # answers' times: a grant that was not taken up by then goes to another
-MAX_FREQUENT_CANDIDATES = (
-    16  # candidates for a duty that show themselves often: hundreds cost a leader a tenth of a core
-)
-MAX_REQUEST_INTERVALS = (
-    10.0  # times `candidacy_interval_s`: the others are heard so often at least, and take a place that falls free
-)
-GRANT_RETRY_S = 1.0  # a command that has not come about is proposed again
-
-
-@dataclass(slots=True)
-class _Candidate:
-    address: str
-    is_local: bool
-    is_voter: bool
-    load: float
-    heard_at: float
-    is_failing: bool = False
-    fails: int = 0
-    barred_until: float = -math.inf
-
-    def place(self) -> tuple[bool, bool]:
-        """Less is better: at the duty's site, and no voter. Load is left out: it changes, and would flap."""
-        return (not self.is_local, self.is_voter)
-
-
-@dataclass(slots=True)
-class _Held:
-    """What time says of a lease."""
-
-    epoch: int
-    since: float
-    ends: float
-    closing: bool = False  # its end is on the way into the log: it is renewed no more
-    replaced: bool = False  # its holder failed: renewed no more either, and free once it has run out or is given back
-    failing_since: float = math.inf
-    better_since: float = math.inf
+HANDOVER_LEASES = 5.0  # lease durations that a better candidate must last before a hand-over, and between two of them
+UNCONFIRMED_GRANT_TIMEOUTS = 4.0  # reply timeouts: a grant that was not renewed by then goes to another broker
+GRANT_RETRY_S = 1.0  # seconds after which a grant that was not applied is proposed again
 
 
 class LeaseManager:
-    """One voter's; it does something only while that one leads."""
+    """One voter's. It does something only while that voter leads; times are seconds of that voter's clock."""
 
     def __init__(self, table: LeaseTable, timing: LeaseTiming, seed: int) -> None:
-        self.table, self.timing, self.rng = table, timing, random.Random(seed)
-        self.is_leading, self.leading_since = False, math.inf
-        self.candidates: dict[str, dict[str, _Candidate]] = {}
-        self.lease_clocks: dict[str, _Held] = {}
-        self.pending_grants: dict[str, float] = {}  # a grant that is on the way, and when it is proposed again
-        self.frequent_candidates: dict[str, set[str]] = {}  # by duty: the candidates that show themselves often
+        self.table = table
+        self.timing = timing
+        self.candidates = CandidateRegistry(timing, seed)
+        self.is_leading = False
+        self.leading_since = math.inf
+        self.lease_clocks: dict[str, LeaseClock] = {}  # by duty: of each lease that is held
+        self.pending_grants: dict[str, float] = {}  # by duty: when a proposed grant may be proposed again
+
+    # -- leadership and the log
 
-    # -- leading
     def become_leader(self, now: float) -> None:
-        """Every lease runs a whole length from here: the last leader may have renewed it a moment ago."""
-        self.is_leading, self.leading_since = True, now
-        self.candidates, self.lease_clocks, self.pending_grants, self.frequent_candidates = {}, {}, {}, {}
-        for duty, lease in self.table.leases.items():
-            if lease.holder:
-                self.lease_clocks[duty] = _Held(lease.epoch, now, now + self._waited())
+        """Gives every lease a complete length from now: the last leader may have renewed it a moment ago."""
+        self.is_leading = True
+        self.leading_since = now
+        self.candidates.clear()
+        self.pending_grants = {}
+        self.lease_clocks = {
+            duty: LeaseClock(lease.epoch, now, now + self._lease_length())
+            for duty, lease in self.table.leases.items()
+            if lease.holder
+        }
 
     def step_down(self) -> None:
+        """Another voter leads."""
         self.is_leading = False
 
     def table_changed(self, now: float) -> list[str]:
-        """The table has changed: the duties that have a new holder."""
-        new = []
+        """Follows the table after a command was applied; gives the duties that have a new holder."""
+        granted = []
         for duty, lease in self.table.leases.items():
-            held = self.lease_clocks.get(duty)
+            clock = self.lease_clocks.get(duty)
             if not lease.holder:
                 self.lease_clocks.pop(duty, None)
-            elif held is None or held.epoch != lease.epoch:
-                self.lease_clocks[duty] = _Held(lease.epoch, now, now + self._taken_up())
+            elif clock is None or clock.epoch != lease.epoch:
+                self.lease_clocks[duty] = LeaseClock(lease.epoch, now, now + self._unconfirmed_grant_length())
                 self.pending_grants.pop(duty, None)
-                new.append(duty)
-        return new
+                granted.append(duty)
+        return granted
 
-    def _waited(self) -> float:
+    def proposal_dropped(self, command: Command) -> None:
+        """A command did not get into the log, and may be proposed again."""
+        if isinstance(command, ReleaseLease) and command.duty in self.lease_clocks:
+            self.lease_clocks[command.duty].is_releasing = False
+        elif isinstance(command, GrantLease):
+            self.pending_grants.pop(command.duty, None)
+
+    def _lease_length(self) -> float:
+        """How long a lease counts from when its renewal arrived, in seconds."""
         return self.timing.leader_lease_s
 
-    def _taken_up(self) -> float:
-        """A grant that this leader made and never renewed lets nobody act: it need not run out to be given on."""
+    def _unconfirmed_grant_length(self) -> float:
+        """A grant of this leader that it never renewed lets nobody act, so that it need not last for a lease."""
         return UNCONFIRMED_GRANT_TIMEOUTS * self.timing.reply_timeout_s
 
-    # -- brokers
-    def receive_request(self, now: float, want: LeaseRequest) -> bool:
-        """A broker shows itself; whether there is something to renew, once this voter's lead is confirmed."""
-        renews = False
-        for stand in want.candidacies:
-            standing = self.candidates.setdefault(stand.duty, {})
-            one = standing.get(want.source)
-            if one is None:
-                one = standing[want.source] = _Candidate(want.address, stand.is_local, want.is_voter, want.load, now)
-            one.address, one.is_local, one.is_voter, one.load = want.address, stand.is_local, want.is_voter, want.load
-            one.heard_at, one.is_failing = now, stand.is_failing
-            self._hear_often(now, stand.duty, want.source)
-            renews |= self._holds(want.source, stand)
-        return renews
+    # -- messages of brokers
 
-    def _hear_often(self, now: float, duty: str, name: str) -> None:
-        """A candidate takes a place among those heard often, if one is free or somebody worse placed has it."""
-        standing, often = self.candidates[duty], self.frequent_candidates.setdefault(duty, set())
-        often -= {n for n in often if n not in standing or now - standing[n].heard_at > self._fresh_s}
-        if name not in often and len(often) >= MAX_FREQUENT_CANDIDATES:
-            worst = max(often, key=lambda n: (standing[n].place(), n))
-            if standing[worst].place() > standing[name].place():
-                often.discard(worst)
-        if len(often) < MAX_FREQUENT_CANDIDATES:
-            often.add(name)
+    def receive_request(self, now: float, request: LeaseRequest) -> bool:
+        """Records the candidacies; whether there is a lease to renew, which takes a confirmation that this voter leads.
 
-    def request_delay_s(self, want: LeaseRequest) -> float:
-        """How long a broker that showed itself may stay silent: not at all if it is heard often for any duty."""
-        if any(want.source in self.frequent_candidates.get(s.duty, ()) for s in want.candidacies):
-            return 0.0
-        most = min((len(self.candidates.get(s.duty, ())) for s in want.candidacies), default=0)
-        return min(
-            self.timing.candidacy_interval_s * min(most / MAX_FREQUENT_CANDIDATES, MAX_REQUEST_INTERVALS),
-            MAX_REQUEST_DELAY_S,
-        )
-
-    def infrequent_candidates(self, duty: str) -> list[str]:
-        """Candidates that are not heard often, and so would hear late of a new holder."""
-        return sorted(self.candidates.get(duty, {}).keys() - self.frequent_candidates.get(duty, set()))
-
-    def renew(self, received: float, want: LeaseRequest) -> list[LeaseState]:
-        """The answer to a `want` that came then, now that the lead is confirmed."""
-        lines = []
-        for stand in want.candidacies:
-            held = self.lease_clocks.get(stand.duty)
-            renewed = should_yield = False
-            if held is not None and self._holds(want.source, stand) and not held.closing:
-                renewed = not held.replaced
-                should_yield = (
-                    held.replaced or received - held.better_since > HANDOVER_LEASES * self.timing.lease_duration_s
-                )
-                held.ends = max(held.ends, received + self._waited()) if renewed else held.ends
-            lines.append(self.lease_state(stand.duty, renewed, should_yield))
-        return lines
+        If there is none, `current_leases` is the answer at once; else `renew` is, once the lead is confirmed.
+        """
+        renews = False
+        for candidacy in request.candidacies:
+            self.candidates.record(now, request, candidacy)
+            renews |= self._is_held_by(request.source, candidacy)
+        return renews
 
-    def current_leases(self, want: LeaseRequest) -> list[LeaseState]:
-        """The answer to a `want` that renews nothing."""
-        return [self.lease_state(stand.duty) for stand in want.candidacies]
+    def renew(self, received_at: float, request: LeaseRequest) -> list[LeaseState]:
+        """Renews what a broker holds, now that the lead is confirmed. received_at: when its request arrived."""
+        states = []
+        for candidacy in request.candidacies:
+            clock = self.lease_clocks.get(candidacy.duty)
+            if clock is None or clock.is_releasing or not self._is_held_by(request.source, candidacy):
+                states.append(self.lease_state(candidacy.duty))
+                continue
+            if clock.is_renewable:
+                clock.extend(received_at + self._lease_length())
+            should_yield = clock.is_revoked or self._is_handover_due(received_at, clock)
+            states.append(self.lease_state(candidacy.duty, clock.is_renewable, should_yield))
+        return states
+
+    def current_leases(self, request: LeaseRequest) -> list[LeaseState]:
+        """The answer to a request that renews nothing."""
+        return [self.lease_state(candidacy.duty) for candidacy in request.candidacies]
 
     def lease_state(self, duty: str, renewed: bool = False, should_yield: bool = False) -> LeaseState:
+        """What brokers are notified of about a duty."""
         lease = self.table.lease(duty)
-        one = self.candidates.get(duty, {}).get(lease.holder)
-        return LeaseState(
-            duty, lease.holder, one.address if one is not None else "", lease.epoch, renewed, should_yield
-        )
-
-    def receive_return(self, leave: LeaseReturn) -> list[Command]:
-        """Leases given back end at once; who has gone is chosen no more."""
-        out: list[Command] = []
-        for returned in leave.returned_leases:
-            held, lease = self.lease_clocks.get(returned.duty), self.table.lease(returned.duty)
-            if held is not None and held.epoch == returned.epoch and lease.holder == leave.source and not held.closing:
-                held.closing = True
-                out.append(ReleaseLease(returned.duty, returned.epoch))
-        if leave.is_departing:
-            for standing in self.candidates.values():
-                standing.pop(leave.source, None)
-        return out
-
-    def _holds(self, name: str, stand: Candidacy) -> bool:
-        lease = self.table.lease(stand.duty)
-        return bool(stand.epoch) and lease.holder == name and lease.epoch == stand.epoch
+        candidate = self.candidates.find(duty, lease.holder)
+        address = "" if candidate is None else candidate.address
+        return LeaseState(duty, lease.holder, address, lease.epoch, renewed, should_yield)
+
+    def receive_return(self, message: LeaseReturn) -> list[Command]:
+        """Leases that are returned end at once; a broker that departs is a candidate no more."""
+        commands: list[Command] = []
+        for returned in message.returned_leases:
+            clock = self.lease_clocks.get(returned.duty)
+            if clock is None or clock.is_releasing or clock.epoch != returned.epoch:
+                continue
+            if self.table.lease(returned.duty).holder == message.source:
+                commands.append(self._release(returned.duty, clock))
+        if message.is_departing:
+            self.candidates.remove(message.source)
+        return commands
+
+    def _is_held_by(self, broker: str, candidacy: Candidacy) -> bool:
+        """Whether the broker holds the very lease that its candidacy states."""
+        lease = self.table.lease(candidacy.duty)
+        return candidacy.epoch != 0 and lease.holder == broker and lease.epoch == candidacy.epoch
 
     # -- time
-    def due_commands(self, now: float) -> list[Command]:
-        """What is to be proposed by now."""
-        out: list[Command] = []
-        for duty in sorted({*self.candidates, *self.table.leases}):
-            held = self.lease_clocks.get(duty)
-            if held is not None:
-                if now >= held.ends and not held.closing:
-                    held.closing = True
-                    out.append(ReleaseLease(duty, held.epoch))
-                    self._silent(duty)
-                held.replaced = held.replaced or self._fails(now, duty, held)
-                self._compare(now, duty, held)
-            elif now >= self._settled() and now >= self.pending_grants.get(duty, -math.inf):
-                best = self._best(now, duty)
-                if best is not None:
-                    self.pending_grants[duty] = now + GRANT_RETRY_S
-                    out.append(GrantLease(duty, best, self.table.lease(duty).epoch))
-        return out
-
-    def _silent(self, duty: str) -> None:
-        """Who let a lease run out stands again once it is heard again: it would be given the same one else."""
-        for standing in self.candidates.values():
-            standing.pop(self.table.lease(duty).holder, None)
-
-    def proposal_dropped(self, command: Command) -> None:
-        """A command did not get into the log: it may be proposed again."""
-        if isinstance(command, ReleaseLease) and command.duty in self.lease_clocks:
-            self.lease_clocks[command.duty].closing = False
-        elif isinstance(command, GrantLease):
-            self.pending_grants.pop(command.duty, None)
-
-    def _settled(self) -> float:
-        """A new leader first hears who stands, or the first to be heard would win."""
-        return self.leading_since + self.timing.candidacy_interval_s
 
-    @property
-    def _fresh_s(self) -> float:
-        """Who was heard within this stands."""
-        return CANDIDATE_TTL_INTERVALS * self.timing.candidacy_interval_s
-
-    def _standing(self, now: float, duty: str) -> dict[str, _Candidate]:
-        standing = self.candidates.get(duty, {})
-        for name in [n for n, c in standing.items() if now - c.heard_at > max(self._fresh_s, MAX_BACKOFF_S)]:
-            del standing[name]
-        return {n: c for n, c in standing.items() if now - c.heard_at <= self._fresh_s and now >= c.barred_until}
-
-    def _best(self, now: float, duty: str) -> str | None:
-        """The best placed of those who stand, the least loaded of these, ties at random."""
-        standing = self._standing(now, duty)
-        if not standing:
-            return None
-        sound = {n: c for n, c in standing.items() if not c.is_failing} or standing
-        ranks = {n: (*c.place(), int(c.load / LOAD_STEP)) for n, c in sound.items()}
-        least = min(ranks.values())
-        return self.rng.choice(sorted(n for n, rank in ranks.items() if rank == least))
-
-    def _fails(self, now: float, duty: str, held: _Held) -> bool:
-        """Whether a holder that is up has failed at its duty for a lease's length, and there is another to try."""
-        name = self.table.lease(duty).holder
-        one = self.candidates.get(duty, {}).get(name)
-        if one is None or not one.is_failing:
-            held.failing_since = math.inf
+    def due_commands(self, now: float) -> list[Command]:
+        """The commands that are to be proposed by now."""
+        commands: list[Command] = []
+        for duty in sorted({*self.candidates.by_duty, *self.table.leases}):
+            clock = self.lease_clocks.get(duty)
+            if clock is None:
+                commands += self._grant_if_due(now, duty)
+                continue
+            if clock.is_expired(now):
+                commands.append(self._release(duty, clock))
+                # Its holder is not heard: it becomes a candidate again with its next request, and not before.
+                self.candidates.remove(self.table.lease(duty).holder)
+            self._review_holder(now, duty, clock)
+        return commands
+
+    def _grant_if_due(self, now: float, duty: str) -> list[Command]:
+        """A new leader first waits for candidacies, or the first broker that it hears would be chosen."""
+        waits_for_candidates = now < self.leading_since + self.timing.candidacy_interval_s
+        if waits_for_candidates or now < self.pending_grants.get(duty, -math.inf):
+            return []
+        broker = self.candidates.choose(now, duty)
+        if broker is None:
+            return []
+        self.pending_grants[duty] = now + GRANT_RETRY_S
+        return [GrantLease(duty, broker, self.table.lease(duty).epoch)]
+
+    @staticmethod
+    def _release(duty: str, clock: LeaseClock) -> ReleaseLease:
+        clock.is_releasing = True
+        return ReleaseLease(duty, clock.epoch)
+
+    def _review_holder(self, now: float, duty: str, clock: LeaseClock) -> None:
+        """Compares the holder of a lease with the other candidates."""
+        holder = self.table.lease(duty).holder
+        if not clock.is_revoked:
+            clock.is_revoked = self._has_failed(now, duty, clock, holder)
+        is_better_there = self.candidates.has_better_placed(now, duty, holder)
+        may_hand_over = now - clock.started_at >= HANDOVER_LEASES * self.timing.lease_duration_s
+        clock.observe_better_candidate(now, is_better_there and may_hand_over)
+
+    def _has_failed(self, now: float, duty: str, clock: LeaseClock, holder: str) -> bool:
+        """Whether the holder's acts have had no effect for a lease's duration, and there is another broker to try."""
+        candidate = self.candidates.find(duty, holder)
+        is_failing = candidate is not None and candidate.is_failing
+        failing_s = clock.observe_failing(now, is_failing)
+        if candidate is None or not is_failing:
             return False
-        held.failing_since = min(held.failing_since, now)
-        others = [n for n, c in self._standing(now, duty).items() if n != name and not c.is_failing]
-        if now - held.failing_since < self.timing.lease_duration_s or not others:
+        has_alternative = self.candidates.has_sound_alternative(now, duty, holder)
+        if failing_s < self.timing.lease_duration_s or not has_alternative:
             return False
-        one.fails += 1
-        one.barred_until = now + min(self.timing.lease_duration_s * 2.0**one.fails, MAX_BACKOFF_S)
+        candidate.back_off(now, self.timing.lease_duration_s)
         return True
 
-    def _compare(self, now: float, duty: str, held: _Held) -> None:
-        standing = self._standing(now, duty)
-        holder = standing.get(self.table.lease(duty).holder)
-        better = holder is not None and any(c.place() < holder.place() for c in standing.values() if not c.is_failing)
-        if not better or now - held.since < HANDOVER_LEASES * self.timing.lease_duration_s:
-            held.better_since = math.inf
-        else:
-            held.better_since = min(held.better_since, now)
+    def _is_handover_due(self, now: float, clock: LeaseClock) -> bool:
+        return now - clock.better_candidate_since > HANDOVER_LEASES * self.timing.lease_duration_s
--- a/badgerbend/leases/table.py
+++ b/badgerbend/leases/table.py
@@ -1,6 +1,8 @@
-"""Who holds which duty, and the facts agreed on: the machine that the voters' log drives. Pure, and reads no clock.
+"""The table of leases and facts: the state machine that the voters' log drives. Pure.
 
-It knows nothing of time: a lease stands here until a command ends it. When that may be, the leader says (`manager`).
+It knows nothing of time: a lease lasts until a command ends it. When to propose that command is the leading voter's
+decision, see `badgerbend.leases.manager`. Why it is safe: every voter applies the same commands in the same order, and
+a command states which lease or fact it replaces, so that one which was overtaken changes nothing.
 """
 
 from __future__ import annotations
@@ -15,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """holder: empty where the duty is free; then the epoch is that of the last one who held it."""
+    """The last lease on a duty. holder: empty where the duty is free; the epoch is then that of the last holder."""
 
     holder: str = ""
     epoch: int = 0
@@ -23,11 +25,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Fact:
+    """A value that the fleet agrees on, and the index of the log's entry that put it."""
+
     value: bytes
     index: int
 
 
-class _Dump(msgspec.Struct, array_like=True):
+class _Snapshot(msgspec.Struct, array_like=True):
     leases: list[tuple[str, str, int]]
     facts: list[tuple[str, bytes, int]]
 
@@ -36,47 +40,64 @@
 
 
 class LeaseTable:
-    """`consensus.raft.Machine`. An epoch is the log's index of its grant: it only grows, over all duties."""
+    """Implements `badgerbend.consensus.types.StateMachine`.
+
+    A lease's epoch is the index of the log's entry that granted it: epochs grow over all duties, and never repeat.
+    """
 
     def __init__(self) -> None:
         self.leases: dict[str, Lease] = {}
         self.facts: dict[str, Fact] = {}
 
     def lease(self, duty: str) -> Lease:
+        """The last lease on a duty; one without holder and with epoch 0 if there never was any."""
         return self.leases.get(duty, NO_LEASE)
 
     def apply(self, index: int, data: bytes) -> None:
-        """A command that no longer fits what stands changes nothing: two leaders' words may cross."""
+        """Applies an entry of the log. A command that does not fit the present state changes nothing.
+
+        Nor does one that cannot be read: all voters skip a command of a later version alike.
+        """
         try:
             command = decode_command(data)
-        except MalformedMessageError:  # of a later version, perhaps: skipped by all alike
+        except MalformedMessageError:
             return
         match command:
-            case GrantLease(duty, holder, previous_epoch):
-                lease = self.lease(duty)
-                if not lease.holder and lease.epoch == previous_epoch:
-                    self.leases[duty] = Lease(holder, index)
-            case ReleaseLease(duty, epoch):
-                if self.lease(duty).epoch == epoch and self.lease(duty).holder:
-                    self.leases[duty] = Lease("", epoch)
-            case PutFact(key, value, previous_index):
-                fact = self.facts.get(key)
-                if (fact.index if fact else 0) == previous_index:
-                    if value:
-                        self.facts[key] = Fact(value, index)
-                    else:
-                        self.facts.pop(key, None)
+            case GrantLease():
+                self._grant(index, command)
+            case ReleaseLease():
+                self._release(command)
+            case PutFact():
+                self._put(index, command)
+
+    def _grant(self, index: int, command: GrantLease) -> None:
+        lease = self.lease(command.duty)
+        if not lease.holder and lease.epoch == command.previous_epoch:
+            self.leases[command.duty] = Lease(command.holder, index)
+
+    def _release(self, command: ReleaseLease) -> None:
+        lease = self.lease(command.duty)
+        if lease.holder and lease.epoch == command.epoch:
+            self.leases[command.duty] = Lease("", command.epoch)
+
+    def _put(self, index: int, command: PutFact) -> None:
+        fact = self.facts.get(command.key)
+        present_index = 0 if fact is None else fact.index
+        if present_index != command.previous_index:
+            return
+        if command.value:
+            self.facts[command.key] = Fact(command.value, index)
+        else:
+            self.facts.pop(command.key, None)
 
     def dump(self) -> bytes:
-        return msgspec.msgpack.encode(
-            _Dump(
-                [(duty, lease.holder, lease.epoch) for duty, lease in sorted(self.leases.items())],
-                [(key, fact.value, fact.index) for key, fact in sorted(self.facts.items())],
-            )
-        )
+        """The complete state, for a snapshot of the log."""
+        leases = [(duty, lease.holder, lease.epoch) for duty, lease in sorted(self.leases.items())]
+        facts = [(key, fact.value, fact.index) for key, fact in sorted(self.facts.items())]
+        return msgspec.msgpack.encode(_Snapshot(leases, facts))
 
     def load(self, state: bytes) -> None:
-        """Raises msgspec.MsgspecError for what `dump` never wrote."""
-        found = msgspec.msgpack.decode(state, type=_Dump)
-        self.leases = {duty: Lease(holder, epoch) for duty, holder, epoch in found.leases}
-        self.facts = {key: Fact(value, index) for key, value, index in found.facts}
+        """Replaces the state by one that `dump` gave. Raises msgspec.MsgspecError if it cannot be read."""
+        snapshot = msgspec.msgpack.decode(state, type=_Snapshot)
+        self.leases = {duty: Lease(holder, epoch) for duty, holder, epoch in snapshot.leases}
+        self.facts = {key: Fact(value, index) for key, value, index in snapshot.facts}
--- a/badgerbend/leases/timing.py
+++ b/badgerbend/leases/timing.py
@@ -1,4 +1,8 @@
-"""The lengths of time that holders and leaders of leases agree on."""
+"""The lengths of time that holders and leaders of leases agree on.
+
+Why two lengths are derived from one lease: no clock is right, so the holder counts a shorter lease than the leader
+does. With both within `clock_drift_bound` of real time, the holder's is over before the leader's is.
+"""
 
 from __future__ import annotations
 
--- a/badgerbend/leases/voter.py
+++ b/badgerbend/leases/voter.py
@@ -198,10 +198,10 @@
             lease = self.table.lease(duty)
             self._log_records.append(("granted", {"duty": duty, "holder": lease.holder, "epoch": lease.epoch}))
             told = LeaseReply(self.name, 0, self.name, True, (self.manager.lease_state(duty),))
-            self._replies += [(name, told) for name in (lease.holder, *self.manager.infrequent_candidates(duty))]
+            self._replies += [(name, told) for name in (lease.holder, *self.manager.candidates.infrequent(duty))]
         self._due_at = now  # a duty that fell free is given on at once
 
     def _tell(self, to: LeaseRequest | LeaseReturn, lines: tuple[LeaseState, ...] | list[LeaseState]) -> None:
         leader = self.raft.leader if not self.is_leader else self.name
-        wait_s = self.manager.request_delay_s(to) if self.is_leader and isinstance(to, LeaseRequest) else 0.0
+        wait_s = self.manager.candidates.request_delay_s(to) if self.is_leader and isinstance(to, LeaseRequest) else 0.0
         self._replies.append((to.source, LeaseReply(self.name, to.seq, leader, self.is_leader, tuple(lines), wait_s)))
--- a/benchmarks/scale/duties.py
+++ b/benchmarks/scale/duties.py
@@ -46,7 +46,7 @@
 def quiet(fleet: DutyFleet) -> list[Figure]:
     """Every broker stands, every duty is held, and nothing changes."""
     leader = fleet.processes[fleet.leader()]
-    often = set().union(*fleet.voter(fleet.leader()).manager.frequent_candidates.values())
+    often = set().union(*fleet.voter(fleet.leader()).manager.candidates.frequent.values())
     before = {name: process.holder_use.copy() for name, process in fleet.processes.items()}
     leader_before, voter = leader.voter_use.copy(), fleet.voter(fleet.leader())
     renewals, entries = voter.renewals, voter.raft.applied
--- a/benchmarks/scale/dutyfleet.py
+++ b/benchmarks/scale/dutyfleet.py
@@ -141,7 +141,7 @@
     def _looking(self, name: str) -> LeaseHolder:
         """A broker's side, whose loop has run: the product's looks at its duties 20 times a second."""
         holder = self.processes[name].holder
-        holder._alive_at = self.now
+        holder._last_run_at = self.now
         return holder
 
     def crash(self, name: str) -> None:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -57,36 +57,36 @@
 
 
 class HoldsTheWholeLease(LeaseHolder):
-    def _window(self):
+    def _lease_length(self):
         return self.timing.lease_duration_s
 
 
 class CountsFromTheAnswer(LeaseHolder):
-    def receive_reply(self, now, message):
-        if message.seq in self._sent:
-            self._sent[message.seq] = now
-        super().receive_reply(now, message)
+    def receive_reply(self, now, reply):
+        if reply.seq in self._sent_at:
+            self._sent_at[reply.seq] = now
+        super().receive_reply(now, reply)
 
 
 class NoticesNoStall(LeaseHolder):
     """Acts by the time of its last look at the clock."""
 
-    def _notice(self, now):
+    def _check_stall(self, now):
         pass
 
     def tick(self, now):
         super().tick(now)
-        self._alive_at = now
+        self._last_run_at = now
 
     def may_act(self, now, duty):
-        return super().may_act(self._alive_at, duty)
+        return super().may_act(self._last_run_at, duty)
 
 
 class TakesBackWhatItGave(LeaseHolder):
-    def _line(self, now, line, sent):
-        if line.duty in self.duties:
-            self.duties[line.duty].returned_epoch = 0
-        super()._line(now, line, sent)
+    def _apply_lease_state(self, now, state, sent_at):
+        if state.duty in self.duties:
+            self.duties[state.duty].returned_epoch = 0
+        super()._apply_lease_state(now, state, sent_at)
 
 
 class WaitsForNobody(LeaseManager):
@@ -94,20 +94,20 @@
 
     def become_leader(self, now):
         super().become_leader(now)
-        for held in self.lease_clocks.values():
-            held.ends = now
+        for clock in self.lease_clocks.values():
+            clock.expires_at = now
 
 
 class WaitsNoLonger(LeaseManager):
-    def _waited(self):
+    def _lease_length(self):
         return self.timing.lease_duration_s
 
 
 class RenewsWhatEnds(LeaseManager):
-    def renew(self, received, want):
-        for held in self.lease_clocks.values():
-            held.closing = False
-        return super().renew(received, want)
+    def renew(self, received_at, request):
+        for clock in self.lease_clocks.values():
+            clock.is_releasing = False
+        return super().renew(received_at, request)
 
 
 class LosesALease(LeaseTable):
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -914,7 +914,7 @@
         "v0", PersistentState(Log(Snapshot(0, 0, ("v0", "v1"), b""))), RaftConfig(), LeaseTiming(), 1, 0.0, machine
     )
     holder = LeaseHolder("v0", "v0", {PUBLISH: True}, ("v0", "v1"), LeaseTiming(), 2, 0.0)
-    holder.leader = "v1"
+    holder.voter_selection.follow("v1")
     publisher = Publisher(machine.log, lambda change: "", SIGNER, PublisherTuning(batch=0.0, again=1.0))
     relay = Relay("v0", machine.log, RelayTuning())
     node = ControlNode(voter, holder, machine, publisher, relay, 0.0, ControlTuning(proposals_at_once=3))
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -3,16 +3,11 @@
 import msgspec
 
 from badgerbend import api
+from badgerbend.leases.candidates import MAX_FREQUENT_CANDIDATES, MAX_REQUEST_INTERVALS
 from badgerbend.leases.fencing import FencingGuard
 from badgerbend.leases.health_checks import HealthChecker, observations_of, suspected_servers, suspicion_report
 from badgerbend.leases.holder import LeaseHolder
-from badgerbend.leases.manager import (
-    HANDOVER_LEASES,
-    MAX_FREQUENT_CANDIDATES,
-    MAX_REQUEST_INTERVALS,
-    UNCONFIRMED_GRANT_TIMEOUTS,
-    LeaseManager,
-)
+from badgerbend.leases.manager import HANDOVER_LEASES, UNCONFIRMED_GRANT_TIMEOUTS, LeaseManager
 from badgerbend.leases.messages import (
     Candidacy,
     GrantLease,
@@ -105,7 +100,7 @@
 def test_a_grant_that_is_not_taken_up_is_given_on_and_not_to_the_same():
     led = Led("a", "b")
     led.run(0.75)
-    led.manager.candidates["probe"].pop("b", None)
+    led.manager.candidates.by_duty["probe"].pop("b", None)
     (grant,) = led.run(0.25, silent=("a", "b"))
     assert grant.holder == "a"
     done = led.run(UNCONFIRMED_GRANT_TIMEOUTS * TIMING.reply_timeout_s + 0.5, silent=("a",))
@@ -193,7 +188,7 @@
     for i, name in enumerate(names):
         want = LeaseRequest(name, 1, f"127.0.0.1:{i + 1}", 0.0, False, (Candidacy("probe", 0, near, False),))
         manager.receive_request(now, want)
-        waits[name] = manager.request_delay_s(want)
+        waits[name] = manager.candidates.request_delay_s(want)
     return waits
 
 
@@ -203,7 +198,7 @@
     often = [name for name, wait in waits.items() if not wait]
     assert (
         len(often) == MAX_FREQUENT_CANDIDATES
-        and len(led.manager.infrequent_candidates("probe")) == 200 - MAX_FREQUENT_CANDIDATES
+        and len(led.manager.candidates.infrequent("probe")) == 200 - MAX_FREQUENT_CANDIDATES
     )
     assert (
         max(waits.values()) == TIMING.candidacy_interval_s * MAX_REQUEST_INTERVALS
@@ -222,8 +217,8 @@
     crowd(led.manager, 0.0, [f"far{i}" for i in range(30)], near=False)
     assert crowd(led.manager, 0.1, ["near"]) == {"near": 0.0}
     assert (
-        len(led.manager.frequent_candidates["probe"]) == MAX_FREQUENT_CANDIDATES
-        and "near" in led.manager.frequent_candidates["probe"]
+        len(led.manager.candidates.frequent["probe"]) == MAX_FREQUENT_CANDIDATES
+        and "near" in led.manager.candidates.frequent["probe"]
     )
 
 
@@ -239,7 +234,7 @@
         holder.tick(0.3 + 0.4 * n)
     assert not holder.drain_output()
     while not (said := holder.drain_output()):
-        holder.tick(min(holder.next_at, holder._alive_at + 0.4))
+        holder.tick(min(holder.next_at, holder._last_run_at + 0.4))
     assert len(said) == 1 and holder.next_at < 10.5  # it asked, and nobody has answered yet
     holder.receive_reply(9.6, LeaseReply("v1", 0, "v1", True, (LeaseState("probe", "b1", "", 7, False, False),), 0.0))
     assert holder.next_at == 9.6  # granted: renewed at once, however long it was to wait
