--- a/badgerbend/benchlink.py
+++ b/badgerbend/benchlink.py
@@ -12,7 +12,7 @@
 from typing import BinaryIO
 
 from badgerbend import api
-from badgerbend.logic import Aggregator
+from badgerbend.decisions import Aggregator
 from badgerbend.platform_settings import SettingError, parse_lines, read_settings
 
 BATCH_HEAD, REPLY_HEAD = Struct(">IId"), Struct(">II")
--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -110,7 +110,7 @@
         """Gives the lease back, lets another lead, and ends."""
         self.lease_holder.shut_down(self.clock())
         self._settle()
-        self.local_voter.hand_over()
+        self.local_voter.transfer_leadership()
         self._closed = True
         self._timer.cancel()
         self.local_voter.close()
@@ -150,7 +150,7 @@
     def _heard(self, message: control_wire.ControlMessage, source: Address) -> None:
         match message:
             case LeaseRequest() | LeaseReturn():
-                self.local_voter.from_broker(message, source)
+                self.local_voter.receive_from_broker(message, source)
             case LeaseReply():
                 self.lease_holder.receive_reply(self.clock(), message)
             case Proposal(command):
@@ -166,25 +166,25 @@
                 | voting.InstallSnapshotReply()
                 | voting.TimeoutNow()
             ):
-                self.local_voter.from_voter(message)
+                self.local_voter.receive_from_voter(message)
             case _:
                 self.refused += 1
 
     def _proposed(self, command: bytes) -> None:
-        if self.local_voter.broken is None:
+        if self.local_voter.failure is None:
             self.local_voter.voter.propose(self.clock(), command)
             self.local_voter.flush()
 
     def _to_voter(self, name: str, message: voting.Message) -> None:
         address = self.settings.voters.get(name)
         if address is not None:
-            self.send(address, wire.voter_body(message))
+            self.send(address, wire.encode_consensus_message(message))
 
     def _to_candidate(self, address: Address, message: LeaseReply) -> None:
         if address == self.own:
             self.loop.call_soon(self._told_self, message)
         else:
-            self.send(address, wire.broker_body(message))
+            self.send(address, wire.encode_lease_message(message))
 
     def _told_self(self, message: LeaseReply) -> None:
         if not self._closed:
@@ -222,9 +222,9 @@
         words = self.lease_holder.drain_output()
         for name, message in words:
             if name == self.settings.name:
-                self.local_voter.from_broker(message, self.own)
+                self.local_voter.receive_from_broker(message, self.own)
             else:
-                self.send(self.settings.voters[name], wire.broker_body(message))
+                self.send(self.settings.voters[name], wire.encode_lease_message(message))
         return bool(words)
 
     def _carry_out(self, action: Action) -> None:
--- a/badgerbend/lease_service/status.py
+++ b/badgerbend/lease_service/status.py
@@ -6,9 +6,17 @@
 
 import msgspec
 
+from badgerbend.consensus.types import Role
 from badgerbend.lease_service.local_voter import LocalVoter
 from badgerbend.leases.holder import LeaseHolder
 
+ROLE_WORDS = {
+    Role.FOLLOWER: "follower",
+    Role.PRE_CANDIDATE: "asking",
+    Role.CANDIDATE: "candidate",
+    Role.LEADER: "leader",
+}
+
 
 class DutyStatus(msgspec.Struct, frozen=True):
     """A duty as this broker was last told. for_ms: how long it may still act on it."""
@@ -81,34 +89,34 @@
     ]
 
 
-def vote_status(ballot: LocalVoter, now: float) -> VoteStatus:
-    raft = ballot.voter.raft
+def vote_status(local_voter: LocalVoter, now: float) -> VoteStatus:
+    raft = local_voter.voter.raft
     return VoteStatus(
-        name=ballot.name,
-        role=raft.role.name.lower(),
+        name=local_voter.name,
+        role=ROLE_WORDS[raft.role],
         term=raft.term,
         leader=raft.leader,
         voters=list(raft.voters),
-        commit=raft.commit,
+        commit=raft.commit_index,
         last=raft.log.last_index,
-        broken=ballot.broken,
-        syncs=ballot.writer.syncs,
-        renewals=ballot.voter.renewals,
+        broken=local_voter.failure,
+        syncs=local_voter.writer.sync_count,
+        renewals=local_voter.voter.renewals,
         others={
-            name: FollowerStatus(progress.match, round((now - progress.heard_at) * 1000.0))
+            name: FollowerStatus(progress.match_index, round((now - progress.last_contact_at) * 1000.0))
             for name, progress in raft.progress.items()
         },
-        leases=[LeaseStatus(duty, lease.holder, lease.epoch) for duty, lease in ballot.voter.table.leases.items()],
+        leases=[LeaseStatus(duty, lease.holder, lease.epoch) for duty, lease in local_voter.voter.table.leases.items()],
     )
 
 
-def vote_counts(ballot: LocalVoter) -> dict[str, int]:
+def vote_counts(local_voter: LocalVoter) -> dict[str, int]:
     """By name, for the metrics."""
-    raft = ballot.voter.raft
+    raft = local_voter.voter.raft
     return {
         "term": raft.term,
-        "leads": int(ballot.voter.is_leader),
-        "commit": raft.commit,
-        "syncs": ballot.writer.syncs,
-        "votes no more": int(ballot.broken is not None),
+        "leads": int(local_voter.voter.is_leader),
+        "commit": raft.commit_index,
+        "syncs": local_voter.writer.sync_count,
+        "votes no more": int(local_voter.failure is not None),
     }
--- a/badgerbend/leases/manager.py
+++ b/badgerbend/leases/manager.py
@@ -2,7 +2,7 @@
 
 Renewals do not go through the log, so that hundreds of brokers add nothing to it. Why that is safe: the voter replies
 to a request only after a round of heartbeats that began after the request arrived has confirmed that it leads
-(`Raft.read`). Whoever leads later was elected later than that, and waits for a complete lease before it ends any.
+(`Raft.read_index`). Whoever leads later was elected later than that, and waits for a complete lease before it ends any.
 
 What ends a lease is always a command of the log, proposed when the lease has expired by the leader's clock or when its
 holder has returned it; `LeaseTable` decides whether it takes effect.
--- a/badgerbend/standin/scene.py
+++ b/badgerbend/standin/scene.py
@@ -34,7 +34,7 @@
 from badgerbend.standin.rig import Line, Rig, free_port
 from badgerbend.standin.work import Model
 from badgerbend.standin.world import World
-from badgerbend.wal.store import create
+from badgerbend.wal.store import create_store
 
 RATES = Path(__file__).parent / "rates" / "broker.conf"
 DOUBTER = "doubter"
@@ -117,7 +117,7 @@
 
     def __init__(self, brokers: dict[str, Address], servers: tuple[str, ...], duty: str) -> None:
         super().__init__(Seal((KEY.strip(),), int(time.time() * 1000)))
-        self.brokers, self.act = brokers, wire.peer_body(SuspicionReport(DOUBTER, duty, servers))
+        self.brokers, self.act = brokers, wire.encode_peer_message(SuspicionReport(DOUBTER, duty, servers))
         self.heard = asyncio.Event()
 
     def body(self, body: bytes, source: Address) -> None:
@@ -161,7 +161,7 @@
         voters = tuple(VoterAt(name, self.fronts[name]) for name in self.voters)
         for index, name in enumerate(self.names):
             if name in self.voters:
-                create(self.folder / name, name, self.voters)
+                create_store(self.folder / name, name, self.voters)
             duties = Duties(
                 (str(self.folder / "key"),),
                 voters,
--- a/benchmarks/scale/dutyfleet.py
+++ b/benchmarks/scale/dutyfleet.py
@@ -18,8 +18,8 @@
 from badgerbend.consensus.log import Log, PersistentState
 from badgerbend.consensus.raft import RaftConfig
 from badgerbend.lease_service import wire
+from badgerbend.lease_service.budget_exchange import SLOW_START_DUTY
 from badgerbend.lease_service.probing import PROBING_DUTY
-from badgerbend.lease_service.slow_start import SLOW_START_DUTY
 from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
 from badgerbend.leases.timing import LeaseTiming
@@ -28,7 +28,7 @@
 VOTERS = ("broker-0", "broker-1", "broker-2")
 REGIONS = 3  # each has probing as a duty of its own; dealing is one for all
 TERMS = LeaseTiming()
-TUNING = RaftConfig(election_s=0.5, beat_s=0.1)  # the defaults of the settings
+TUNING = RaftConfig(election_timeout_s=0.5, heartbeat_interval_s=0.1)  # the defaults of the settings
 DELAY_S = (0.001, 0.01)
 DISK_S = (0.001, 0.005)  # until a write is surely kept
 
@@ -183,7 +183,7 @@
     def _send_holder(self, name: str) -> None:
         process = self.processes[name]
         began = time.process_time()
-        bodies = [(to, wire.broker_body(message)) for to, message in process.holder.drain_output()]
+        bodies = [(to, wire.encode_lease_message(message)) for to, message in process.holder.drain_output()]
         process.holder_use.messages_s += time.process_time() - began
         for to, body in bodies:
             self._send(process.holder_use, to, body)
@@ -193,8 +193,8 @@
         process = self.processes[name]
         began = time.process_time()
         out = self.voter(name).drain_output()
-        bodies = [(to, wire.voter_body(message)) for to, message in out.to_voters]
-        bodies += [(to, wire.broker_body(told)) for to, told in out.to_brokers]
+        bodies = [(to, wire.encode_consensus_message(message)) for to, message in out.to_voters]
+        bodies += [(to, wire.encode_lease_message(told)) for to, told in out.to_brokers]
         process.voter_use.messages_s += time.process_time() - began
         for seq, _ in out.writes:
             self._at(self.rng.uniform(*DISK_S), lambda seq=seq: self._saved(name, seq))  # type: ignore[misc]
@@ -221,7 +221,7 @@
         if not process.up:
             return
         began = time.process_time()
-        message = wire.read(body)
+        message = wire.decode(body)
         if isinstance(message, LeaseReply):
             use = process.holder_use
             self._looking(to).receive_reply(self.now, message)
@@ -243,5 +243,5 @@
 def new_store() -> PersistentState:
     """What `badgerbend voters create` leaves on the disk of each voter."""
     kept = PersistentState(log=Log())
-    kept.add(voting.decode_record(voting.encode(voting.Snapshot(0, 0, VOTERS, b""))))
+    kept.replay(voting.decode_record(voting.encode(voting.Snapshot(0, 0, VOTERS, b""))))
     return kept
--- a/tests/test_public_status.py
+++ b/tests/test_public_status.py
@@ -14,7 +14,7 @@
 from badgerbend.peering.exchange import FetchError, fetch_record
 from badgerbend.sites.status import status as sites_status
 from badgerbend.standin.rig import free_port
-from badgerbend.wal.store import create as create_voter_store
+from badgerbend.wal.store import create_store as create_voter_store
 from tests.interfaces import answer_seen, committed, compare, literals, struct_schema
 from tests.sockets import EXAMPLE, Stage, run, until
 
@@ -77,10 +77,10 @@
         return [site.presence for site in self.broker.siting.tiers.sites]
 
     def raft(self):
-        return self.broker.rota.ballot.voter.raft
+        return self.broker.lease_service.local_voter.voter.raft
 
     def rota_status(self):
-        return msgspec.to_builtins(self.broker.rota.status())
+        return msgspec.to_builtins(self.broker.lease_service.status())
 
     def peers_status(self):
         return self.broker.knowledge_exchange.status()
