--- a/badgerbend/leases/messages.py
+++ b/badgerbend/leases/messages.py
@@ -1,4 +1,8 @@
-"""What brokers and voters say about duties, and the commands of the log; typed arrays in MessagePack, bounded."""
+"""Messages about leases, the commands of the voters' log, and messages between brokers for the duties. Pure.
+
+All are arrays in MessagePack, so that field names are not on the wire, but their order is. Every size is bounded when a
+message is decoded, before anything in it is believed.
+"""
 
 from __future__ import annotations
 
@@ -8,22 +12,25 @@
 
 from badgerbend.consensus.messages import MAX_COMMAND_BYTES, Number, Text, TextOrNone, decode_typed
 
-MAX_DUTIES = 16  # that one broker stands for: a message about all of them fits a datagram
+MAX_DUTIES = 16  # of one broker: a message about all of them fits into a datagram
 MAX_REQUEST_DELAY_S = 60.0
-MAX_SERVERS = 16  # that one datagram names
+MAX_SERVERS = 16  # named in one datagram
 MAX_KEY_BYTES = 64
-MAX_VALUE_BYTES = MAX_COMMAND_BYTES - 200
-Load = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
+MAX_VALUE_BYTES = MAX_COMMAND_BYTES - 200  # of a fact: the command around it takes the rest
+Load = Annotated[float, msgspec.Meta(ge=0, le=1e9)]  # parts in flight at a broker
 Key = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_KEY_BYTES)]
-Took = Annotated[float, msgspec.Meta(ge=0, le=1e9)]  # milliseconds
-Pace = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
-Time = Annotated[float, msgspec.Meta(ge=0, le=1e15)]
+Duration = Annotated[float, msgspec.Meta(ge=0, le=1e9)]  # milliseconds
+Rate = Annotated[float, msgspec.Meta(ge=0, le=1e9)]  # parts a millisecond
+Timestamp = Annotated[float, msgspec.Meta(ge=0, le=1e15)]  # milliseconds since 1970
 
 # -- commands of the log
 
 
 class GrantLease(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """The duty is free, and `previous_epoch` was its last: it goes to `holder`, and the entry's index is its epoch."""
+    """Grants a duty that is free to a broker; the index of the log's entry is the epoch of the lease.
+
+    previous_epoch: of the last lease on the duty, 0 if there was none; the command has no effect if it is another.
+    """
 
     duty: Text
     holder: Text
@@ -31,15 +38,18 @@
 
 
 class ReleaseLease(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """The lease of this epoch is over: its time has run out, or its holder gave it back."""
+    """Ends the lease of this epoch, which has expired or was returned by its holder."""
 
     duty: Text
     epoch: Number
 
 
 class PutFact(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """A fact that the fleet agrees on, as which version is in force. previous_index: of the entry that it
-    replaces, 0 where there must be none. An empty value takes it back."""
+    """Puts a fact that the fleet agrees on, such as the version in force. An empty value removes it.
+
+    previous_index: of the entry that put the fact which this replaces, 0 if there must be none; the command has no
+    effect if it is another.
+    """
 
     key: Key
     value: Annotated[bytes, msgspec.Meta(max_length=MAX_VALUE_BYTES)]
@@ -52,8 +62,11 @@
 
 
 class Candidacy(msgspec.Struct, array_like=True, frozen=True):
-    """A broker's word on one duty. epoch: of the lease it holds, 0 for none. is_local: whether it is at the duty's own
-    site. is_failing: it is up, but its acts come to nothing."""
+    """A broker's candidacy for one duty, or the renewal of its lease on it.
+
+    epoch: of the lease that it holds, 0 if it holds none. is_local: whether the broker is at the duty's own site.
+    is_failing: the broker runs, but its acts on the duty have no effect.
+    """
 
     duty: Text
     epoch: Number
@@ -62,8 +75,10 @@
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A broker stands for these duties, and renews what it holds of them. seq: of its own, sent back in the answer.
-    address: where other brokers reach it."""
+    """A broker states its candidacies, and asks for a renewal of the leases that it holds.
+
+    seq: the broker's own number, sent back in the reply. address: where other brokers reach it.
+    """
 
     source: Text
     seq: Number
@@ -81,7 +96,7 @@
 
 
 class LeaseReturn(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """A broker has stopped acting and gives leases back. is_departing: it stands for nothing any more."""
+    """A broker returns leases under which it acts no more. is_departing: it is a candidate for nothing any more."""
 
     source: Text
     seq: Number
@@ -126,7 +141,7 @@
 
 
 class SuspicionReport(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Servers, by name, that a broker doubts: a word to whoever probes them."""
+    """Servers, by name, that a broker suspects; sent to the broker that checks the health of servers."""
 
     source: Text
     duty: Text
@@ -134,16 +149,16 @@
 
 
 class ProbeResult(msgspec.Struct, array_like=True, frozen=True):
-    """What a probe found: whether the server served it, how long that took, how long ago it was sent, in ms."""
+    """The result of one health check. age_ms: how long ago the check was started."""
 
     server: Text
     succeeded: bool
-    latency_ms: Took
-    age_ms: Took
+    latency_ms: Duration
+    age_ms: Duration
 
 
 class ProbeReport(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """An act of probing: what its holder found, under its epoch."""
+    """An act of the broker that checks the health of servers: its results, under the epoch of its lease."""
 
     source: Text
     duty: Text
@@ -152,42 +167,45 @@
 
 
 class BudgetDemand(msgspec.Struct, array_like=True, frozen=True):
-    """What a broker would send to a cold server or a returning site, and what its own share is, in parts a ms. started:
-    as the list states it, so that a word on an earlier start of the same server speaks of nothing now. heard: the ask
-    whose answer the broker keeps to, 0 for none."""
+    """What a broker would send to a server that is warming up, or to a recovering site, and what its own share is.
+
+    started_ms: when the server started, as the endpoint list states it, so that a message about an earlier start of
+    the same server means nothing now; 0 for a site. acknowledged_request: the number of the request whose grant the
+    broker goes by, 0 if it has none.
+    """
 
-    thing: Text
-    started: Time
-    own: Pace
-    wanted: Pace
-    heard: Number
+    resource: Text
+    started_ms: Timestamp
+    own_rate: Rate
+    demand_rate: Rate
+    acknowledged_request: Number
 
 
 class BudgetRequest(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """A broker's word to the dealer of cold allowance. seq: of its own, sent back with the slices."""
+    """A broker's demands, sent to the allocator. seq: the broker's own number, sent back in the reply."""
 
     source: Text
     duty: Text
     seq: Number
-    needs: Annotated[tuple[BudgetDemand, ...], msgspec.Meta(max_length=MAX_SERVERS)]
+    demands: Annotated[tuple[BudgetDemand, ...], msgspec.Meta(max_length=MAX_SERVERS)]
 
 
 class BudgetGrant(msgspec.Struct, array_like=True, frozen=True):
-    """What a broker may send to a thing, in the place of its own share, in parts a ms."""
+    """What a broker may send to a resource, in place of its own share."""
 
-    thing: Text
-    started: Time
-    pace: Pace
+    resource: Text
+    started_ms: Timestamp
+    rate: Rate
 
 
 class BudgetReply(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """An act of dealing, the answer to an `Ask`: its slices last from when that was sent."""
+    """An act of the allocator, in reply to a `BudgetRequest`: its grants count from when that was sent."""
 
     source: Text
     duty: Text
     epoch: Number
     seq: Number
-    slices: Annotated[tuple[BudgetGrant, ...], msgspec.Meta(max_length=MAX_SERVERS)]
+    grants: Annotated[tuple[BudgetGrant, ...], msgspec.Meta(max_length=MAX_SERVERS)]
 
 
 PeerMessage = SuspicionReport | ProbeReport | BudgetRequest | BudgetReply
@@ -195,23 +213,24 @@
 _encoder = msgspec.msgpack.Encoder()
 _command_decoder = msgspec.msgpack.Decoder(Command)
 _message_decoder = msgspec.msgpack.Decoder(Message)
-_act_decoder = msgspec.msgpack.Decoder(PeerMessage)
+_peer_message_decoder = msgspec.msgpack.Decoder(PeerMessage)
 
 
-def encode(what: Message | Command | PeerMessage) -> bytes:
-    return _encoder.encode(what)
+def encode(message: Message | Command | PeerMessage) -> bytes:
+    """The bytes of a message or command."""
+    return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Raises Malformed."""
+    """Reads a message between brokers and voters. Raises MalformedMessageError."""
     return decode_typed(_message_decoder, data)
 
 
 def decode_peer_message(data: bytes) -> PeerMessage:
-    """Raises Malformed."""
-    return decode_typed(_act_decoder, data)
+    """Reads a message between brokers. Raises MalformedMessageError."""
+    return decode_typed(_peer_message_decoder, data)
 
 
 def decode_command(data: bytes) -> Command:
-    """Raises Malformed."""
+    """Reads a command of the log. Raises MalformedMessageError."""
     return decode_typed(_command_decoder, data)
--- a/badgerbend/slow_start_budget/allocator.py
+++ b/badgerbend/slow_start_budget/allocator.py
@@ -37,13 +37,15 @@
 
     def update(self, now_ms: float, request_number: int, demand: BudgetDemand) -> None:
         """Takes what a new request reports; grants before the acknowledged one are no longer in force."""
-        self.own_rate = demand.own
-        self.demand_rate = demand.wanted
-        self.acknowledged_request = demand.heard
+        self.own_rate = demand.own_rate
+        self.demand_rate = demand.demand_rate
+        self.acknowledged_request = demand.acknowledged_request
         self.last_request = request_number
         self.last_request_ms = now_ms
-        if demand.heard in self.grants:
-            self.grants = {number: grant for number, grant in self.grants.items() if number >= demand.heard}
+        if demand.acknowledged_request in self.grants:
+            self.grants = {
+                number: grant for number, grant in self.grants.items() if number >= demand.acknowledged_request
+            }
 
 
 class BudgetAllocator:
@@ -72,9 +74,9 @@
         """The reply to a broker's request, to be sent at once; None while grants of a predecessor may be in force."""
         self._sweep(now_ms)
         grants = list[BudgetGrant]()
-        for demand in request.needs:
-            key = ResourceKey(demand.thing, demand.started)
-            initial = BrokerAllocation(demand.own, demand.wanted)
+        for demand in request.demands:
+            key = ResourceKey(demand.resource, demand.started_ms)
+            initial = BrokerAllocation(demand.own_rate, demand.demand_rate)
             allocation = self.allocations.setdefault(key, {}).setdefault(request.source, initial)
             if request.seq <= allocation.last_request:
                 continue  # a duplicate or overtaken: a second grant for it might be in force beside the first
--- a/badgerbend/slow_start_budget/broker.py
+++ b/badgerbend/slow_start_budget/broker.py
@@ -106,7 +106,7 @@
         Resources without demand are reported too: their rate is what others may be granted.
         """
         demands = self._server_demands(now_ms) + self._site_demands(now_ms)
-        demands.sort(key=lambda demand: (-abs(demand.wanted - demand.own), demand.thing))
+        demands.sort(key=lambda demand: (-abs(demand.demand_rate - demand.own_rate), demand.resource))
         requests = list[BudgetRequest]()
         for first in range(0, min(len(demands), MAX_REQUESTS * MAX_SERVERS), MAX_SERVERS):
             self._last_request += 1
@@ -126,11 +126,11 @@
         if now_ms >= granted_until_ms:
             return
         resources = {(r.name, r.started_ms): r for r in (*self.servers.values(), *self.sites.values())}
-        for grant in reply.slices:
-            resource = resources.get((grant.thing, grant.started))
+        for grant in reply.grants:
+            resource = resources.get((grant.resource, grant.started_ms))
             if resource is None or granted_until_ms < resource.granted_until_ms:
                 continue
-            resource.granted_rate = grant.pace
+            resource.granted_rate = grant.rate
             resource.granted_until_ms = granted_until_ms
             resource.granted_request = reply.seq
             resource.capped_until_ms = now_ms + self.timing.broker_cap_ms
--- a/badgerbend/standin/acts.py
+++ b/badgerbend/standin/acts.py
@@ -122,17 +122,17 @@
         message, t = message_of(line["data"]), float(line["t"])
         if isinstance(message, BudgetRequest):  # stated when it was sent, whether it arrived or not
             asked.setdefault((str(line["from"]), message.seq), t)
-            for need in message.needs:
-                shares[need.thing, need.started][str(line["from"])].append((t, need.own))
+            for need in message.demands:
+                shares[need.resource, need.started_ms][str(line["from"])].append((t, need.own_rate))
         elif isinstance(message, BudgetReply) and line["k"] == "passed" and message.epoch >= newest[str(line["to"])]:
             to, since = str(line["to"]), asked.get((str(line["to"]), message.seq))
             newest[to] = message.epoch
             if since is None or t >= since + slice_ms:
                 continue
-            for row in message.slices:
-                key = (row.thing, row.started)
+            for row in message.grants:
+                key = (row.resource, row.started_ms)
                 if since >= slices[key].get(to, (0.0, 0.0, 0.0))[1]:
-                    slices[key][to] = row.pace, since, t
+                    slices[key][to] = row.rate, since, t
                 finding.checked += 1
                 may = most = 0.0
                 for broker, stated in shares[key].items():
@@ -141,7 +141,9 @@
                     kept = pace if t < start + slice_ms or (pace < own and t < came + KEPT * slice_ms) else own
                     may, most = may + kept, most + own
                 if may > most * (1.0 + ROUNDING):
-                    finding.cases.append(f"{row.thing}: {may:.4f} a ms may go there at {t:.0f} ms, shares {most:.4f}")
+                    finding.cases.append(
+                        f"{row.resource}: {may:.4f} a ms may go there at {t:.0f} ms, shares {most:.4f}"
+                    )
     return finding
 
 
--- a/tests/test_allowance.py
+++ b/tests/test_allowance.py
@@ -56,8 +56,8 @@
     """Deals anew for a word that came a second time, or was overtaken."""
 
     def handle_request(self, now_ms, epoch, request):
-        for demand in request.needs:
-            if allocation := self.allocations.get((demand.thing, demand.started), {}).get(request.source):
+        for demand in request.demands:
+            if allocation := self.allocations.get((demand.resource, demand.started_ms), {}).get(request.source):
                 allocation.last_request = 0
         return super().handle_request(now_ms, epoch, request)
 
@@ -190,8 +190,8 @@
             s.server_rate(100.0, 1, 0.5, 0.25, part, 2)
             s.server_rate(100.0, 2, 0.5, 0.25, part, 2)
     (ask,) = s.create_requests(1000.0)
-    assert {n.thing: n.wanted for n in ask.needs} == pytest.approx({"one": 0.004, "two": 0.004})
-    assert all(n.own == 0.5 and n.heard == 0 for n in ask.needs)
+    assert {n.resource: n.demand_rate for n in ask.demands} == pytest.approx({"one": 0.004, "two": 0.004})
+    assert all(n.own_rate == 0.5 and n.acknowledged_request == 0 for n in ask.demands)
 
 
 def test_many_cold_servers_take_several_words_the_most_uneven_first():
@@ -199,8 +199,8 @@
     s.update_cold_servers(0.0, {i: (f"s{i:03}", 1.0) for i in range(400)})
     s.server_rate(10.0, 300, 1.0, 1.0, 1, 1)
     asks = s.create_requests(100.0)
-    assert len(asks) == 8 and all(len(a.needs) == MAX_SERVERS for a in asks)
-    assert asks[0].needs[0].thing == "s300" and len({a.seq for a in asks}) == 8
+    assert len(asks) == 8 and all(len(a.demands) == MAX_SERVERS for a in asks)
+    assert asks[0].demands[0].resource == "s300" and len({a.seq for a in asks}) == 8
 
 
 def test_a_returning_site_is_dealt_as_a_server_is():
--- a/tests/test_dealing.py
+++ b/tests/test_dealing.py
@@ -19,7 +19,7 @@
 def deals(stage, since):
     """What was dealt, by whom and to whom."""
     found = [(r, message_of(r["data"])) for r in stage.lines[since:] if r["k"] == "passed"]
-    return [(str(r["from"]), str(r["to"]), m) for r, m in found if isinstance(m, BudgetReply) and m.slices]
+    return [(str(r["from"]), str(r["to"]), m) for r, m in found if isinstance(m, BudgetReply) and m.grants]
 
 
 def owns(stage, name):
@@ -28,7 +28,7 @@
     for row in stage.lines:
         message = message_of(row["data"]) if row["from"] == name else None
         if isinstance(message, BudgetRequest):
-            out |= {n.thing: n.own for n in message.needs}
+            out |= {n.resource: n.own_rate for n in message.demands}
     return out
 
 
@@ -73,7 +73,7 @@
             return [
                 d
                 for d in deals(stage, since)
-                if d[1] == busy and any(s.pace > 1.2 * mine.get(s.thing, 1e9) > 0 for s in d[2].slices)
+                if d[1] == busy and any(s.rate > 1.2 * mine.get(s.resource, 1e9) > 0 for s in d[2].grants)
             ]
 
         async def until_more(but=""):
--- a/tests/test_wire_bytes_leases.py
+++ b/tests/test_wire_bytes_leases.py
@@ -91,14 +91,18 @@
         source="b2",
         duty="deal",
         seq=44,
-        needs=(BudgetDemand(thing="s3", started=1700000000000.0, own=0.125, wanted=0.75, heard=40),),
+        demands=(
+            BudgetDemand(
+                resource="s3", started_ms=1700000000000.0, own_rate=0.125, demand_rate=0.75, acknowledged_request=40
+            ),
+        ),
     ),
     "duties/act/allowance-response": BudgetReply(
         source="b1",
         duty="deal",
         epoch=21,
         seq=44,
-        slices=(BudgetGrant(thing="s3", started=1700000000000.0, pace=0.5),),
+        grants=(BudgetGrant(resource="s3", started_ms=1700000000000.0, rate=0.5),),
     ),
 }
 
