--- a/badgerbend/lease_service/local_voter.py
+++ b/badgerbend/lease_service/local_voter.py
@@ -73,14 +73,14 @@
 
     def flush(self) -> None:
         out = self.voter.drain_output()
-        if out.writes:
-            self.writer.write(out.writes)
+        if out.records:
+            self.writer.write(out.records)
         for to, message in out.to_voters:
             self.send_voter(to, message)
         for name, told in out.to_brokers:
             if name in self.broker_addresses:
                 self.send_broker(self.broker_addresses[name], told)
-        for what, values in out.log_records:
+        for what, values in out.log_lines:
             self.note(what, **values)
 
     def transfer_leadership(self) -> bool:
@@ -94,7 +94,7 @@
 
     def _saved(self, seq: int) -> None:
         if self.failure is None:
-            self.voter.saved(self.clock(), seq)
+            self.voter.persisted(self.clock(), seq)
             self.flush()
             self.changed()
 
--- a/badgerbend/leases/health_checks.py
+++ b/badgerbend/leases/health_checks.py
@@ -9,6 +9,7 @@
 import math
 from collections.abc import Sequence
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from badgerbend import api
 from badgerbend.leases.messages import MAX_SERVERS, ProbeReport, ProbeResult, SuspicionReport
@@ -62,6 +63,13 @@
         self.subscribers = {address: until for address, until in self.subscribers.items() if until > now}
 
 
+class OutboundReport(NamedTuple):
+    """A report, and the address of the broker that it is for."""
+
+    address: str
+    report: ProbeReport
+
+
 class HealthChecker:
     """The lease holder's side: it checks each suspected server at one interval, however many brokers suspect it.
 
@@ -103,8 +111,8 @@
 
     def finish_check(
         self, now: float, epoch: int, name: str, succeeded: bool, latency_ms: float
-    ) -> list[tuple[str, ProbeReport]]:
-        """Ends a server's check; gives the reports to send, with the address of each broker that suspects the server.
+    ) -> list[OutboundReport]:
+        """Ends a server's check; gives the reports to send, one to each broker that suspects the server.
 
         epoch: of the lease under which the reports are sent. Nothing is reported of a check that was not in flight.
         """
@@ -113,8 +121,8 @@
             return []
         server.check_in_flight = False
         age_ms = max(now - server.check_started_at, 0.0) * 1000.0
-        result = ProbeResult(name, succeeded, latency_ms, age_ms)
-        return [(address, ProbeReport(self.name, self.duty, epoch, (result,))) for address in server.subscribers]
+        report = ProbeReport(self.name, self.duty, epoch, (ProbeResult(name, succeeded, latency_ms, age_ms),))
+        return [OutboundReport(address, report) for address in server.subscribers]
 
     def clear(self) -> None:
         """Forgets all suspicions, once this broker holds the lease no more: they are reported to the next holder."""
--- a/badgerbend/leases/holder.py
+++ b/badgerbend/leases/holder.py
@@ -13,6 +13,7 @@
 import random
 from collections import OrderedDict
 from collections.abc import Iterable
+from typing import NamedTuple
 
 from badgerbend.leases.duty_state import DutyState
 from badgerbend.leases.messages import Candidacy, LeaseId, LeaseReply, LeaseRequest, LeaseReturn, LeaseState
@@ -27,6 +28,13 @@
 MIN_RETRY_JITTER = 0.5  # the same, for the pause before another voter is asked
 
 
+class OutboundRequest(NamedTuple):
+    """A message to a voter, and the name of that voter."""
+
+    to: str
+    message: LeaseRequest | LeaseReturn
+
+
 class LeaseHolder:
     """One broker as a candidate for duties, and as the holder of leases. `drain_output` after each call.
 
@@ -51,15 +59,13 @@
         self.duties = {duty: DutyState(is_local) for duty, is_local in duties.items()}
         self.load = 0.0  # reported with each candidacy: the least loaded candidate is chosen
         self.is_shut_down = False
-        self._output: list[tuple[str, LeaseRequest | LeaseReturn]] = []
+        self._output: list[OutboundRequest] = []
         self._seq = self.rng.getrandbits(48)  # a reply to an earlier incarnation of this name fits no request of ours
         self._sent_at: OrderedDict[int, float] = OrderedDict()  # by `seq`
         self.voter_selection = VoterSelection(voters, self.rng)
         self._last_run_at = now
         self._next_at = now + self.rng.random() * timing.reply_timeout_s  # brokers that start together spread out
 
-    # -- acting
-
     def may_act(self, now: float, duty: str) -> int | None:
         """The epoch under which the broker may act on a duty right now; None if it may not."""
         self._check_stall(now)
@@ -81,8 +87,6 @@
         """The leading voter as last stated by a voter; empty while it is not known."""
         return self.voter_selection.leader
 
-    # -- time and replies
-
     @property
     def next_at(self) -> float:
         """When `tick` has to be called next."""
@@ -169,7 +173,7 @@
         self.is_shut_down = True
         self._next_at = math.inf
 
-    def drain_output(self) -> list[tuple[str, LeaseRequest | LeaseReturn]]:
+    def drain_output(self) -> list[OutboundRequest]:
         """The messages to be sent since the last call, each with the voter that it goes to."""
         output = self._output
         self._output = []
@@ -204,7 +208,7 @@
         )
         is_voter = self.name in self.voter_selection.voters
         request = LeaseRequest(self.name, self._seq, self.address, self.load, is_voter, candidacies)
-        self._output.append((voter, request))
+        self._output.append(OutboundRequest(voter, request))
         self.voter_selection.request_sent()
         self._next_at = now + self._request_interval() * self.rng.uniform(MIN_JITTER, 1.0)
 
@@ -222,8 +226,9 @@
     def _send_return(self, now: float, leases: tuple[LeaseId, ...], is_departing: bool) -> None:
         """Sends it to all voters, since it may never be repeated: one of them leads."""
         self._seq += 1
+        message = LeaseReturn(self.name, self._seq, leases, is_departing)
         for voter in self.voter_selection.voters:
-            self._output.append((voter, LeaseReturn(self.name, self._seq, leases, is_departing)))
+            self._output.append(OutboundRequest(voter, message))
         self._send_within(now, self.timing.reply_timeout_s)
 
     def _send_within(self, now: float, seconds: float) -> None:
--- a/badgerbend/leases/manager.py
+++ b/badgerbend/leases/manager.py
@@ -99,7 +99,7 @@
         renews = False
         for candidacy in request.candidacies:
             self.candidates.record(now, request, candidacy)
-            renews |= self._is_held_by(request.source, candidacy)
+            renews |= self._is_holder(request.source, candidacy)
         return renews
 
     def renew(self, received_at: float, request: LeaseRequest) -> list[LeaseState]:
@@ -107,7 +107,7 @@
         states = []
         for candidacy in request.candidacies:
             clock = self.lease_clocks.get(candidacy.duty)
-            if clock is None or clock.is_releasing or not self._is_held_by(request.source, candidacy):
+            if clock is None or clock.is_releasing or not self._is_holder(request.source, candidacy):
                 states.append(self.lease_state(candidacy.duty))
                 continue
             if clock.is_renewable:
@@ -140,7 +140,7 @@
             self.candidates.remove(message.source)
         return commands
 
-    def _is_held_by(self, broker: str, candidacy: Candidacy) -> bool:
+    def _is_holder(self, broker: str, candidacy: Candidacy) -> bool:
         """Whether the broker holds the very lease that its candidacy states."""
         lease = self.table.lease(candidacy.duty)
         return candidacy.epoch != 0 and lease.holder == broker and lease.epoch == candidacy.epoch
--- a/badgerbend/leases/voter.py
+++ b/badgerbend/leases/voter.py
@@ -1,55 +1,61 @@
-"""One voter whole: agreement, the table of leases, and its manager while this one leads. Pure.
+"""One voter: consensus on the log, the table of leases that the log drives, and its manager while it leads. Pure.
 
-Time, messages of voters and brokers, and word of what reached the disk go in; what is to be written and sent comes out.
+Time, messages of voters and brokers, and notifications of what was persisted go in; what is to be persisted and sent
+comes out. Why renewals are safe without the log, see `badgerbend.leases.manager`.
 """
 
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass, field
-from typing import Protocol
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import Protocol, assert_never
 
-from badgerbend.consensus import messages as voting
+from badgerbend.consensus.events import BecameFollower, BecameLeader, EntryApplied, Event, ReadConfirmed
 from badgerbend.consensus.log import PersistentState
-from badgerbend.consensus.raft import (
-    BecameFollower,
-    BecameLeader,
-    EntryApplied,
-    Raft,
-    RaftConfig,
-    ReadConfirmed,
-    Role,
-    StateMachine,
-)
-from badgerbend.consensus.ready import OutboundMessage, SequencedRecord
+from badgerbend.consensus.messages import AppendEntries
+from badgerbend.consensus.messages import Message as ConsensusMessage
+from badgerbend.consensus.raft import Raft
+from badgerbend.consensus.types import RaftConfig, Role, StateMachine
 from badgerbend.leases.manager import LeaseManager
 from badgerbend.leases.messages import Command, LeaseReply, LeaseRequest, LeaseReturn, LeaseState, encode
 from badgerbend.leases.table import LeaseTable
 from badgerbend.leases.timing import LeaseTiming
+from badgerbend.leases.voter_output import LogLine, OutboundReply, VoterOutput
 
-DUE_S = 0.05  # how often a leader looks at leases: small beside any of them
-MAX_PENDING_RENEWALS = 4096  # renewals that wait for their round
+LEASE_CHECK_INTERVAL_S = 0.05  # how often a leader looks for leases that expire: often, beside any lease's duration
+MAX_PENDING_RENEWALS = 4096  # requests that wait for a round of heartbeats; more are dropped, and sent again
 
 
-@dataclass(slots=True)
-class VoterOutput:
-    """What a voter wants done, in this order. writes: numbered, to be told to `saved` once on disk."""
+class LeaseStateMachine(StateMachine, Protocol):
+    """A state machine of the log that contains the table of leases beside state of its own."""
 
-    writes: list[SequencedRecord] = field(default_factory=list)
-    to_voters: list[OutboundMessage] = field(default_factory=list)
-    to_brokers: list[tuple[str, LeaseReply]] = field(default_factory=list)
-    log_records: list[tuple[str, dict[str, object]]] = field(default_factory=list)  # for the log
+    @property
+    def table(self) -> LeaseTable:
+        """The table, to which the machine applies the commands about leases."""
 
 
-class LeaseStateMachine(StateMachine, Protocol):
-    """A machine of the agreed log that holds the table of leases beside state of its own."""
+@dataclass(frozen=True, slots=True)
+class PendingRenewal:
+    """A request that is answered once a round of heartbeats has confirmed that this voter leads."""
 
-    @property
-    def table(self) -> LeaseTable: ...
+    received_at: float
+    request: LeaseRequest
+
+
+@dataclass(frozen=True, slots=True)
+class PendingConfirmation:
+    """A call of `Voter.confirm` that a round of heartbeats has not answered yet. token: of `Raft.read_index`."""
+
+    token: int
+    requested_at: float
 
 
 class Voter:
-    """`kept`: what its disk holds. machine: what the log drives, a bare table of leases unless said otherwise."""
+    """One voter. `drain_output` after each call; times are seconds of a clock that does not go backwards.
+
+    persistent_state: what its disk holds. state_machine: what the log drives; a bare table of leases unless given.
+    """
 
     raft_class: type[Raft] = Raft
     manager_class: type[LeaseManager] = LeaseManager
@@ -57,151 +63,191 @@
     def __init__(
         self,
         name: str,
-        kept: PersistentState,
-        tuning: RaftConfig,
+        persistent_state: PersistentState,
+        raft_config: RaftConfig,
         timing: LeaseTiming,
         seed: int,
         now: float,
-        machine: LeaseStateMachine | None = None,
+        state_machine: LeaseStateMachine | None = None,
     ) -> None:
-        self.name, self.timing = name, timing
-        self.table = LeaseTable() if machine is None else machine.table
-        self.raft = self.raft_class(name, kept, self.table if machine is None else machine, tuning, seed, now)
+        self.name = name
+        self.table = LeaseTable() if state_machine is None else state_machine.table
+        machine = self.table if state_machine is None else state_machine
+        self.raft = self.raft_class(name, persistent_state, machine, raft_config, seed, now)
         self.manager = self.manager_class(self.table, timing, seed + 1)
-        self._replies: list[tuple[str, LeaseReply]] = []
-        self._log_records: list[tuple[str, dict[str, object]]] = []
-        self.pending: dict[int, tuple[float, LeaseRequest]] = {}
-        self.renewals = 0
+        self.renewals = 0  # requests that were answered by a renewal since this voter started
         self.confirmed_at = -math.inf
-        """The latest time at which the machine surely held all that was agreed on.
-
-        A leader's own is exact: the time of a `confirm` that a round of heartbeats answered. A voter that follows
-        counts the time at which it heard its leader, if it has applied all that the leader had committed and an entry
-        of the leader's own term is among that. A leader cut off from the majority speaks on until check-quorum ends
-        its lead, so that this time is too late by at most 2 * election_timeout_s, and beside that by as long as the
-        majority's last answers and the leader's message were under way or waited in a process that stood still: the
-        voter cannot see those.
+        """The latest time at which the state machine is known to have held all that was agreed on.
+
+        A leader's own is exact: the time of a call of `confirm` that a round of heartbeats answered. A follower takes
+        the time at which it heard its leader, if it has applied all that the leader had committed, and an entry of the
+        leader's own term is among that. A leader that is cut off from the majority goes on sending until check-quorum
+        makes it step down, so that a follower's time may be too late: by at most 2 * election_timeout_s, and by as
+        long as the majority's last replies and the leader's message were on their way, or waited in a process that
+        stood still. The voter cannot observe the latter.
         """
-        self._confirming: tuple[int, float] | None = None  # the token of `confirm`, and when it was called
-        self._token = 0
-        self._due_at = now
+        self._replies: list[OutboundReply] = []
+        self._log_lines: list[LogLine] = []
+        self._pending_renewals: dict[int, PendingRenewal] = {}  # by token of `Raft.read_index`
+        self._pending_confirmation: PendingConfirmation | None = None
+        self._last_token = 0
+        self._next_lease_check_at = now
+
+    # -- what goes in
 
-    # -- what happens
-    def receive_from_voter(self, now: float, message: voting.Message) -> None:
+    def receive_from_voter(self, now: float, message: ConsensusMessage) -> None:
+        """Takes in a message of another voter."""
         self.raft.step(now, message)
-        if isinstance(message, voting.AppendEntries):
-            self._heard_leader(now, message)
-        self._after(now)
+        if isinstance(message, AppendEntries):
+            self._confirm_by_leader(now, message)
+        self._handle_events(now)
 
     def receive_from_broker(self, now: float, message: LeaseRequest | LeaseReturn) -> None:
+        """Takes in a message of a broker; a voter that does not lead replies who does."""
         if not self.is_leader:
-            self._tell(message, ())
-        elif isinstance(message, LeaseReturn):
-            self._propose(now, self.manager.receive_return(message))
-            self._tell(message, ())
-        elif not self.manager.receive_request(now, message):
-            self._tell(message, self.manager.current_leases(message))
-        elif len(self.pending) < MAX_PENDING_RENEWALS:
-            self._token += 1
-            if self.raft.read_index(now, self._token):
-                self.pending[self._token] = (now, message)
-        self._after(now)
-
-    def saved(self, now: float, seq: int) -> None:
-        """All writes up to this one are on disk, for good."""
-        self.raft.persisted(now, seq)
-        self._after(now)
+            self._reply(message)
+        else:
+            match message:
+                case LeaseReturn():
+                    self._propose_all(now, self.manager.receive_return(message))
+                    self._reply(message)
+                case LeaseRequest():
+                    self._receive_request(now, message)
+                case _:
+                    assert_never(message)
+        self._handle_events(now)
+
+    def persisted(self, now: float, sequence: int) -> None:
+        """Takes note that all records up to this number are on disk, and will survive a crash."""
+        self.raft.persisted(now, sequence)
+        self._handle_events(now)
 
     def tick(self, now: float) -> None:
+        """Does what is due by now."""
         self.raft.tick(now)
-        if self.is_leader and now >= self._due_at:
-            self._due_at = now + DUE_S
-            self._propose(now, self.manager.due_commands(now))
-        self._after(now)
-
-    @property
-    def next_at(self) -> float:
-        return min(self.raft.next_at, self._due_at) if self.is_leader else self.raft.next_at
-
-    @property
-    def is_leader(self) -> bool:
-        return self.manager.is_leading and self.raft.is_established_leader
+        if self.is_leader and now >= self._next_lease_check_at:
+            self._next_lease_check_at = now + LEASE_CHECK_INTERVAL_S
+            self._propose_all(now, self.manager.due_commands(now))
+        self._handle_events(now)
 
     def propose_command(self, now: float, command: Command) -> int | None:
-        """Proposes a command of the owner's; its index, or None where this voter does not lead."""
+        """Proposes a command; gives the index of its entry, or None if this voter does not lead."""
         return self.propose(now, encode(command))
 
     def propose(self, now: float, data: bytes) -> int | None:
-        """Proposes a command of the owner's machine; its index, or None where this voter does not lead."""
+        """Proposes an encoded command; gives the index of its entry, or None if this voter does not lead."""
         index = self.raft.propose(now, data)
-        self._after(now)
+        self._handle_events(now)
         return index
 
     def confirm(self, now: float) -> None:
-        """Asks for a round of heartbeats that moves `confirmed_at`; nothing happens where this voter does not lead."""
-        if self._confirming is None and self.is_leader and self.raft.read_index(now, self._token + 1):
-            self._token += 1
-            self._confirming = (self._token, now)
+        """Asks for a round of heartbeats that moves `confirmed_at`; does nothing if this voter does not lead."""
+        if self._pending_confirmation is not None or not self.is_leader:
+            return
+        token = self._last_token + 1
+        if self.raft.read_index(now, token):
+            self._last_token = token
+            self._pending_confirmation = PendingConfirmation(token, now)
+
+    # -- what comes out
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether this voter leads, and its table holds all that was agreed on before its election."""
+        return self.manager.is_leading and self.raft.is_established_leader
+
+    @property
+    def next_at(self) -> float:
+        """When `tick` has to be called next."""
+        return min(self.raft.next_at, self._next_lease_check_at) if self.is_leader else self.raft.next_at
 
     def drain_output(self) -> VoterOutput:
+        """What is to be persisted, sent and logged since the last call."""
         ready = self.raft.take_ready()
-        out = VoterOutput(ready.records, ready.messages, self._replies, self._log_records)
-        self._replies, self._log_records = [], []
-        return out
+        output = VoterOutput(ready.records, ready.messages, self._replies, self._log_lines)
+        self._replies = []
+        self._log_lines = []
+        return output
 
     # -- inside
-    def _propose(self, now: float, commands: list[Command]) -> None:
+
+    def _receive_request(self, now: float, request: LeaseRequest) -> None:
+        renews = self.manager.receive_request(now, request)
+        if not renews:
+            self._reply(request, self.manager.current_leases(request))
+        elif len(self._pending_renewals) < MAX_PENDING_RENEWALS:
+            self._last_token += 1
+            if self.raft.read_index(now, self._last_token):
+                self._pending_renewals[self._last_token] = PendingRenewal(now, request)
+
+    def _propose_all(self, now: float, commands: Sequence[Command]) -> None:
         for command in commands:
             if self.raft.propose(now, encode(command)) is None:
                 self.manager.proposal_dropped(command)
 
-    def _after(self, now: float) -> None:
-        """Events of the log, in their order, as often as one brings more."""
+    def _reply(self, message: LeaseRequest | LeaseReturn, states: Sequence[LeaseState] = ()) -> None:
+        is_leader = self.is_leader
+        leader = self.name if is_leader else self.raft.leader
+        delay_s = 0.0
+        if is_leader and isinstance(message, LeaseRequest):
+            delay_s = self.manager.candidates.request_delay_s(message)
+        reply = LeaseReply(self.name, message.seq, leader, is_leader, tuple(states), delay_s)
+        self._replies.append(OutboundReply(message.source, reply))
+
+    def _handle_events(self, now: float) -> None:
+        """Handles the events of the log in their order, and those that this leads to."""
         while events := self.raft.take_events():
             for event in events:
-                match event:
-                    case BecameLeader(term):
-                        self.manager.become_leader(now)
-                        self._due_at = now
-                        self._log_records.append(("leads", {"term": term}))
-                    case BecameFollower(term, leader):
-                        self.manager.step_down()
-                        self.pending, self._confirming = {}, None
-                        self._log_records.append(("follows", {"term": term, "leader": leader}))
-                    case ReadConfirmed(token):
-                        self._confirmed(token)
-                    case EntryApplied():
-                        self._applied(now)
-
-    def _heard_leader(self, now: float, message: voting.AppendEntries) -> None:
-        """A leader knows what was agreed on once it has committed an entry of its own term; not before."""
+                self._handle_event(now, event)
+
+    def _handle_event(self, now: float, event: Event) -> None:
+        match event:
+            case BecameLeader(term):
+                self.manager.become_leader(now)
+                self._next_lease_check_at = now
+                self._log_lines.append(LogLine("leads", {"term": term}))
+            case BecameFollower(term, leader):
+                self.manager.step_down()
+                self._pending_renewals = {}
+                self._pending_confirmation = None
+                self._log_lines.append(LogLine("follows", {"term": term, "leader": leader}))
+            case ReadConfirmed(token):
+                self._read_confirmed(token)
+            case EntryApplied():
+                self._entry_applied(now)
+            case _:
+                assert_never(event)
+
+    def _confirm_by_leader(self, now: float, message: AppendEntries) -> None:
+        """A leader knows all that was agreed on once it has committed an entry of its own term, and not before."""
         raft = self.raft
-        follows = raft.role is Role.FOLLOWER and (raft.term, raft.leader) == (message.term, message.source)
-        leader_knows = raft.log.term_at(message.commit_index) == message.term
-        if follows and leader_knows and raft.last_applied >= message.commit_index:
+        is_from_leader = raft.role is Role.FOLLOWER and (raft.term, raft.leader) == (message.term, message.source)
+        leader_knows_all = raft.log.term_at(message.commit_index) == message.term
+        if is_from_leader and leader_knows_all and raft.last_applied >= message.commit_index:
             self.confirmed_at = max(self.confirmed_at, now)
 
-    def _confirmed(self, token: int) -> None:
-        if self._confirming is not None and token == self._confirming[0]:
-            self.confirmed_at = max(self.confirmed_at, self._confirming[1])
-            self._confirming = None
+    def _read_confirmed(self, token: int) -> None:
+        confirmation = self._pending_confirmation
+        if confirmation is not None and confirmation.token == token:
+            self.confirmed_at = max(self.confirmed_at, confirmation.requested_at)
+            self._pending_confirmation = None
             return
-        received, want = self.pending.pop(token, (0.0, None))
-        if want is not None:
+        renewal = self._pending_renewals.pop(token, None)
+        if renewal is not None:
             self.renewals += 1
-            self._tell(want, tuple(self.manager.renew(received, want)))
+            self._reply(renewal.request, self.manager.renew(renewal.received_at, renewal.request))
 
-    def _applied(self, now: float) -> None:
+    def _entry_applied(self, now: float) -> None:
         if not self.manager.is_leading:
             return
         for duty in self.manager.table_changed(now):
-            lease = self.table.lease(duty)
-            self._log_records.append(("granted", {"duty": duty, "holder": lease.holder, "epoch": lease.epoch}))
-            told = LeaseReply(self.name, 0, self.name, True, (self.manager.lease_state(duty),))
-            self._replies += [(name, told) for name in (lease.holder, *self.manager.candidates.infrequent(duty))]
-        self._due_at = now  # a duty that fell free is given on at once
-
-    def _tell(self, to: LeaseRequest | LeaseReturn, lines: tuple[LeaseState, ...] | list[LeaseState]) -> None:
-        leader = self.raft.leader if not self.is_leader else self.name
-        wait_s = self.manager.candidates.request_delay_s(to) if self.is_leader and isinstance(to, LeaseRequest) else 0.0
-        self._replies.append((to.source, LeaseReply(self.name, to.seq, leader, self.is_leader, tuple(lines), wait_s)))
+            self._announce_grant(duty)
+        self._next_lease_check_at = now  # a duty that has become free is granted at once
+
+    def _announce_grant(self, duty: str) -> None:
+        """Notifies the new holder, and the candidates that would otherwise learn of it late."""
+        lease = self.table.lease(duty)
+        self._log_lines.append(LogLine("granted", {"duty": duty, "holder": lease.holder, "epoch": lease.epoch}))
+        notification = LeaseReply(self.name, 0, self.name, True, (self.manager.lease_state(duty),))
+        for broker in (lease.holder, *self.manager.candidates.infrequent(duty)):
+            self._replies.append(OutboundReply(broker, notification))
--- a/benchmarks/scale/duties.py
+++ b/benchmarks/scale/duties.py
@@ -242,22 +242,22 @@
         data = [(to, voting.encode(message)) for to, message in out.to_voters]
         for _, told in out.to_brokers:
             encode(told)
-        if out.writes:
-            self.leader.saved(self.now, out.writes[-1][0])
+        if out.records:
+            self.leader.persisted(self.now, out.records[-1][0])
         self.spent_s += time.process_time() - began
         answers = [answer for to, body in data if to in self.others for answer in self._follower(self.others[to], body)]
         began = time.process_time()
         for body in answers:
             self.leader.receive_from_voter(self.now, voting.decode(body))
         self.spent_s += time.process_time() - began
-        return bool(out.writes or answers)
+        return bool(out.records or answers)
 
     def _follower(self, voter: Voter, body: bytes) -> list[bytes]:
         voter.receive_from_voter(self.now, voting.decode(body))
         out = voter.drain_output()
         messages = list(out.to_voters)
-        if out.writes:
-            voter.saved(self.now, out.writes[-1][0])
+        if out.records:
+            voter.persisted(self.now, out.records[-1][0])
             messages += voter.drain_output().to_voters
         return [voting.encode(message) for to, message in messages if to == self.leader.name]
 
--- a/benchmarks/scale/dutyfleet.py
+++ b/benchmarks/scale/dutyfleet.py
@@ -196,7 +196,7 @@
         bodies = [(to, wire.encode_consensus_message(message)) for to, message in out.to_voters]
         bodies += [(to, wire.encode_lease_message(told)) for to, told in out.to_brokers]
         process.voter_use.messages_s += time.process_time() - began
-        for seq, _ in out.writes:
+        for seq, _ in out.records:
             self._at(self.rng.uniform(*DISK_S), lambda seq=seq: self._saved(name, seq))  # type: ignore[misc]
         for to, body in bodies:
             self._send(process.voter_use, to, body)
@@ -212,7 +212,7 @@
         if not process.up:
             return
         began = time.process_time()
-        self.voter(name).saved(self.now, seq)
+        self.voter(name).persisted(self.now, seq)
         process.voter_use.messages_s += time.process_time() - began
         self._send_voter(name)
 
--- a/tests/feed_mutants.py
+++ b/tests/feed_mutants.py
@@ -218,14 +218,14 @@
 class ConfirmsWithoutTheLog(Voter):
     """Counts any word of its leader, also while it lacks what the leader had committed."""
 
-    def _heard_leader(self, now, message):
+    def _confirm_by_leader(self, now, message):
         self.confirmed_at = max(self.confirmed_at, now)
 
 
 class ConfirmsByANewLeader(Voter):
     """Counts the word of a leader that has committed nothing of its own term."""
 
-    def _heard_leader(self, now, message):
+    def _confirm_by_leader(self, now, message):
         if self.raft.leader == message.source and self.raft.last_applied >= message.commit_index:
             self.confirmed_at = max(self.confirmed_at, now)
 
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -365,7 +365,7 @@
     def _collect_voter(self, host):
         out = host.voter.drain_output()
         disk = self.disks[host.name]
-        for seq, record in out.writes:
+        for seq, record in out.records:
             disk.records.append(voting.encode(record))
             self.at(self.rng.uniform(*self.chaos.sync), self._synced, host, host.life, seq, len(disk.records))
         for to, message in out.to_voters:
@@ -398,7 +398,7 @@
         disk = self.disks[host.name]
         disk.sure = max(disk.sure, length)
         if self.when_running(host, self._synced, host, life, seq, length):
-            host.voter.saved(host.local(), seq)
+            host.voter.persisted(host.local(), seq)
             self.collect(host)
 
     def _collect_follower(self, host):
--- a/tests/simvoters.py
+++ b/tests/simvoters.py
@@ -170,7 +170,7 @@
             self._check_voter(process)
             out = process.one.drain_output()
             disk = self.disks[process.name]
-            for seq, record in out.writes:
+            for seq, record in out.records:
                 disk.records.append(voting.encode(record))
                 took = self.rng.uniform(*self.chaos.sync) + (
                     self.rng.random() if self.rng.random() < self.chaos.slow_sync else 0.0
@@ -194,7 +194,7 @@
         if self.now < process.stalled_until:
             self._at(process.stalled_until - self.now, self._synced, name, life, seq, length)
             return
-        process.one.saved(process.clock.local(self.now), seq)
+        process.one.persisted(process.clock.local(self.now), seq)
         self._collect(process)
 
     # -- the network
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -94,6 +94,7 @@
     "leases/table.py",
     "leases/timing.py",
     "leases/voter.py",
+    "leases/voter_output.py",
     "leases/voter_selection.py",
     "lease_service/wire.py",
     "standin/acts.py",
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -752,8 +752,8 @@
     while not voter.is_leader:
         now = voter.next_at
         voter.tick(now)
-        for number, _ in voter.drain_output().writes:
-            voter.saved(now, number)
+        for number, _ in voter.drain_output().records:
+            voter.persisted(now, number)
     assert voter.confirmed_at == -math.inf
     voter.confirm(now + 1.0)
     voter.tick(now + 2.0)
