--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -28,261 +28,305 @@
 from badgerbend.standin.network import Network
 
 TIMING = LeaseTiming(lease_duration_s=2.0, clock_drift_bound=0.01, candidacy_interval_s=1.0, reply_timeout_s=0.25)
+DUTY = "probe"
+STEP_S = 0.25  # between two requests of each broker
 
 
-class Led:
-    """A keeper whose proposals are applied at once, as by a log that answers in no time."""
+class LeadingManager:
+    """A manager that leads, and whose proposals are applied at once, before brokers that renew what they hold."""
 
     def __init__(self, *brokers):
-        self.table, self.now, self.index = LeaseTable(), 0.0, 0
+        self.table = LeaseTable()
+        self.now = 0.0
+        self.last_index = 0
         self.manager = LeaseManager(self.table, TIMING, 1)
-        self.manager.become_leader(0.0)
-        self.brokers = {b: LeaseRequest(b, 1, f"127.0.0.1:{i + 1}", 0.0, False, ()) for i, b in enumerate(brokers)}
-        self.near, self.failing, self.lines = dict.fromkeys(brokers, True), set(), {}
+        self.manager.become_leader(self.now)
+        self.requests = {
+            name: LeaseRequest(name, 1, f"127.0.0.1:{number}", 0.0, False, ())
+            for number, name in enumerate(brokers, start=1)
+        }
+        self.is_local = dict.fromkeys(brokers, True)
+        self.failing = set()
+        self.states = {}  # by broker: the last reply to it
 
     def apply(self, commands):
         for command in commands:
-            self.index += 1
-            self.table.apply(self.index, encode(command))
+            self.last_index += 1
+            self.table.apply(self.last_index, encode(command))
             self.manager.table_changed(self.now)
         return commands
 
     def run(self, seconds, silent=()):
-        """Time passes; all but the silent show themselves, and renew what they hold."""
-        done = []
-        for _ in range(round(seconds / 0.25)):
-            self.now += 0.25
-            for name, want in self.brokers.items():
-                if name in silent:
-                    continue
-                lease = self.table.lease("probe")
-                stand = Candidacy("probe", lease.epoch * (lease.holder == name), self.near[name], name in self.failing)
-                want = msgspec.structs.replace(want, candidacies=(stand,))
-                self.lines[name] = (
-                    self.manager.renew(self.now, want)
-                    if self.manager.receive_request(self.now, want)
-                    else self.manager.current_leases(want)
-                )[0]
-            done += self.apply(self.manager.due_commands(self.now))
-        return done
+        """Let time pass, with requests of all brokers but the silent; give the commands that were applied."""
+        commands = []
+        for _ in range(round(seconds / STEP_S)):
+            self.now += STEP_S
+            for name in self.requests:
+                if name not in silent:
+                    self._request(name)
+            commands += self.apply(self.manager.due_commands(self.now))
+        return commands
+
+    def _request(self, name):
+        epoch = self.lease.epoch if self.holder == name else 0
+        candidacy = Candidacy(DUTY, epoch, self.is_local[name], name in self.failing)
+        request = msgspec.structs.replace(self.requests[name], candidacies=(candidacy,))
+        if self.manager.receive_request(self.now, request):
+            (self.states[name],) = self.manager.renew(self.now, request)
+        else:
+            (self.states[name],) = self.manager.current_leases(request)
+
+    @property
+    def lease(self):
+        return self.table.lease(DUTY)
 
     @property
     def holder(self):
-        return self.table.lease("probe").holder
+        return self.lease.holder
 
 
-def test_a_new_leader_hears_who_stands_before_it_gives_anything():
-    led = Led("far", "near")
-    led.near["far"] = False
-    assert not led.run(0.75) and led.run(0.5) == [GrantLease("probe", "near", 0)]
-    assert led.lines["near"].address == "127.0.0.1:2"
+# -- placement
 
 
-def test_the_least_loaded_of_those_at_the_site_that_do_not_vote_is_chosen():
-    led = Led("voter", "busy", "idle", "far")
-    led.near["far"] = False
-    led.brokers["voter"] = msgspec.structs.replace(led.brokers["voter"], is_voter=True)
-    led.brokers["busy"] = msgspec.structs.replace(led.brokers["busy"], load=900.0)
-    led.run(2)
-    assert led.holder == "idle"
+def test_a_new_leader_waits_for_candidates_before_it_grants_anything():
+    leading = LeadingManager("far", "near")
+    leading.is_local["far"] = False
+    assert not leading.run(0.75)
+    assert leading.run(0.5) == [GrantLease(DUTY, "near", 0)]
+    assert leading.states["near"].address == "127.0.0.1:2"
 
 
-def test_a_lease_that_runs_out_goes_to_another_and_its_epoch_grows():
-    led = Led("a", "b")
-    led.run(3)
-    old, epoch = led.holder, led.table.lease("probe").epoch
-    began = led.now
-    done = led.run(6, silent=(old,))
-    assert done[0] == ReleaseLease("probe", epoch) and done[1].holder != old and led.table.lease("probe").epoch > epoch
-    assert not led.run(5) and led.now - began > 2.0
+def test_the_least_loaded_local_candidate_that_is_no_voter_is_chosen():
+    leading = LeadingManager("voter", "busy", "idle", "far")
+    leading.is_local["far"] = False
+    leading.requests["voter"] = msgspec.structs.replace(leading.requests["voter"], is_voter=True)
+    leading.requests["busy"] = msgspec.structs.replace(leading.requests["busy"], load=900.0)
+    leading.run(2)
+    assert leading.holder == "idle"
 
 
-def test_a_grant_that_is_not_taken_up_is_given_on_and_not_to_the_same():
-    led = Led("a", "b")
-    led.run(0.75)
-    led.manager.candidates.by_duty["probe"].pop("b", None)
-    (grant,) = led.run(0.25, silent=("a", "b"))
+def test_an_expired_lease_goes_to_another_broker_and_the_epoch_grows():
+    leading = LeadingManager("a", "b")
+    leading.run(3)
+    old = leading.lease
+    silent_since = leading.now
+    commands = leading.run(6, silent=(old.holder,))
+    assert commands[0] == ReleaseLease(DUTY, old.epoch)
+    assert commands[1].holder != old.holder
+    assert leading.lease.epoch > old.epoch
+    assert not leading.run(5)
+    assert leading.now - silent_since > 2.0
+
+
+def test_a_grant_that_is_never_renewed_goes_to_another_broker():
+    leading = LeadingManager("a", "b")
+    leading.run(0.75)
+    leading.manager.candidates.by_duty[DUTY].pop("b", None)
+    (grant,) = leading.run(0.25, silent=("a", "b"))
     assert grant.holder == "a"
-    done = led.run(UNCONFIRMED_GRANT_TIMEOUTS * TIMING.reply_timeout_s + 0.5, silent=("a",))
-    assert [type(c) for c in done] == [ReleaseLease, GrantLease] and led.holder == "b"
-
-
-def test_what_is_given_back_is_free_at_once_and_who_leaves_is_chosen_no_more():
-    led = Led("a", "b")
-    led.run(3)
-    old, epoch = led.holder, led.table.lease("probe").epoch
-    returned = (LeaseId("probe", epoch),)
-    assert led.apply(led.manager.receive_return(LeaseReturn(old, 5, returned, True))) == [ReleaseLease("probe", epoch)]
-    assert not led.manager.receive_return(LeaseReturn(old, 6, returned, True))
-    (grant,) = led.apply(led.manager.due_commands(led.now))
-    assert grant.holder != old
-
-
-def test_a_better_place_is_worth_a_hand_over_only_when_it_lasts_and_load_never():
-    led = Led("a", "b")
-    led.near["b"] = False
-    led.run(3)
-    assert led.holder == "a"
-    led.brokers["a"] = msgspec.structs.replace(led.brokers["a"], load=1e6)
-    led.run(4 * HANDOVER_LEASES * TIMING.lease_duration_s)
-    assert led.holder == "a" and not led.lines["a"].should_yield
-    led.near = {"a": False, "b": True}
-    led.run(HANDOVER_LEASES * TIMING.lease_duration_s - 1)
-    assert not led.lines["a"].should_yield
-    led.run(3)
-    assert led.lines["a"].should_yield and led.lines["a"].renewed
-
-
-def test_a_holder_that_fails_is_asked_to_give_back_and_waited_for_if_it_does_not():
-    led = Led("a", "b")
-    led.run(3)
-    old, epoch = led.holder, led.table.lease("probe").epoch
-    led.failing = {old}
-    assert not led.run(TIMING.lease_duration_s)
-    led.run(0.5)
-    last = led.now
-    assert led.lines[old].should_yield and not led.lines[old].renewed and led.holder == old
-    done = led.run(3)
-    assert done[0] == ReleaseLease("probe", epoch) and led.holder != old and led.now - last > 1.0
-    other = led.holder
-    led.failing = {old, other}
-    led.run(10)
-    assert led.holder == other  # nobody better to try
-
-
-def test_a_leader_renews_nothing_that_ends_and_nothing_of_another_epoch():
-    led = Led("a")
-    led.run(3)
-    epoch = led.table.lease("probe").epoch
-    want = msgspec.structs.replace(led.brokers["a"], candidacies=(Candidacy("probe", epoch - 1, True, False),))
-    assert not led.manager.receive_request(led.now, want)
-    want = msgspec.structs.replace(want, candidacies=(Candidacy("probe", epoch, True, False),))
-    assert led.manager.receive_request(led.now, want) and led.manager.renew(led.now, want)[0].renewed
-    (free,) = led.manager.due_commands(led.now + 3.0)
-    assert free == ReleaseLease("probe", epoch) and not led.manager.renew(led.now, want)[0].renewed
-    led.manager.proposal_dropped(free)  # it did not get into the log
-    assert led.manager.renew(led.now, want)[0].renewed
-
-
-def test_the_lowest_name_of_a_membership_is_two_holders_where_it_is_cut():
-    """Why SWIM's view alone is not taken: the other way in docs/leases.md."""
-    net = Network(3, SwimConfig())
-    names = [f"b{i}" for i in range(8)]
+    commands = leading.run(UNCONFIRMED_GRANT_TIMEOUTS * TIMING.reply_timeout_s + 0.5, silent=("a",))
+    assert [type(command) for command in commands] == [ReleaseLease, GrantLease]
+    assert leading.holder == "b"
+
+
+def test_a_returned_lease_is_free_at_once_and_a_departing_broker_is_no_candidate():
+    leading = LeadingManager("a", "b")
+    leading.run(3)
+    old = leading.lease
+    returned = (LeaseId(DUTY, old.epoch),)
+    commands = leading.manager.receive_return(LeaseReturn(old.holder, 5, returned, True))
+    assert leading.apply(commands) == [ReleaseLease(DUTY, old.epoch)]
+    assert not leading.manager.receive_return(LeaseReturn(old.holder, 6, returned, True))
+    (grant,) = leading.apply(leading.manager.due_commands(leading.now))
+    assert grant.holder != old.holder
+
+
+def test_only_a_lasting_better_placement_leads_to_a_hand_over_and_load_never_does():
+    leading = LeadingManager("a", "b")
+    leading.is_local["b"] = False
+    leading.run(3)
+    assert leading.holder == "a"
+    leading.requests["a"] = msgspec.structs.replace(leading.requests["a"], load=1e6)
+    leading.run(4 * HANDOVER_LEASES * TIMING.lease_duration_s)
+    assert leading.holder == "a"
+    assert not leading.states["a"].should_yield
+    leading.is_local = {"a": False, "b": True}
+    leading.run(HANDOVER_LEASES * TIMING.lease_duration_s - 1)
+    assert not leading.states["a"].should_yield
+    leading.run(3)
+    assert leading.states["a"].should_yield
+    assert leading.states["a"].renewed
+
+
+def test_a_failing_holder_is_asked_to_return_its_lease_which_else_has_to_expire():
+    leading = LeadingManager("a", "b")
+    leading.run(3)
+    old = leading.lease
+    leading.failing = {old.holder}
+    assert not leading.run(TIMING.lease_duration_s)
+    leading.run(0.5)
+    asked_at = leading.now
+    assert leading.states[old.holder].should_yield
+    assert not leading.states[old.holder].renewed
+    assert leading.holder == old.holder
+    commands = leading.run(3)
+    assert commands[0] == ReleaseLease(DUTY, old.epoch)
+    assert leading.holder != old.holder
+    assert leading.now - asked_at > 1.0
+    other = leading.holder
+    leading.failing = {old.holder, other}
+    leading.run(10)
+    assert leading.holder == other  # there is no sound candidate to try
+
+
+def test_a_lease_that_is_being_released_and_one_of_another_epoch_are_not_renewed():
+    leading = LeadingManager("a")
+    leading.run(3)
+    epoch = leading.lease.epoch
+    request = msgspec.structs.replace(leading.requests["a"], candidacies=(Candidacy(DUTY, epoch - 1, True, False),))
+    assert not leading.manager.receive_request(leading.now, request)
+    request = msgspec.structs.replace(request, candidacies=(Candidacy(DUTY, epoch, True, False),))
+    assert leading.manager.receive_request(leading.now, request)
+    assert leading.manager.renew(leading.now, request)[0].renewed
+    (release,) = leading.manager.due_commands(leading.now + 3.0)
+    assert release == ReleaseLease(DUTY, epoch)
+    assert not leading.manager.renew(leading.now, request)[0].renewed
+    leading.manager.proposal_dropped(release)  # it did not get into the log
+    assert leading.manager.renew(leading.now, request)[0].renewed
+
+
+def test_the_lowest_name_of_a_membership_is_two_holders_under_a_partition():
+    """Why SWIM's view alone is not used: the alternative in docs/leases.md."""
+    network = Network(3, SwimConfig())
+    names = [f"b{number}" for number in range(8)]
     for name in names:
-        net.start(name, tuple(names[:2]))
-    assert net.run(120, net.agreed)
-    net.sides = {name: i % 2 for i, name in enumerate(names)}
+        network.start(name, tuple(names[:2]))
+    assert network.run(120, network.agreed)
+    network.sides = {name: number % 2 for number, name in enumerate(names)}
 
     def lowest(name):
-        return min([name, *(m.name for m in net.members[name].live_members())])
+        return min([name, *(member.name for member in network.members[name].live_members())])
 
-    assert net.run(240, lambda: {lowest("b0"), lowest("b1")} == {"b0", "b1"})
+    assert network.run(240, lambda: {lowest("b0"), lowest("b1")} == {"b0", "b1"})
 
 
 # -- hundreds of candidates
 
 
-def crowd(manager, now, names, near=True):
-    """They show themselves; by name, how long each may stay silent."""
-    waits = {}
-    for i, name in enumerate(names):
-        want = LeaseRequest(name, 1, f"127.0.0.1:{i + 1}", 0.0, False, (Candidacy("probe", 0, near, False),))
-        manager.receive_request(now, want)
-        waits[name] = manager.candidates.request_delay_s(want)
-    return waits
-
-
-def test_of_hundreds_of_candidates_a_few_show_themselves_often_and_others_take_their_place():
-    led = Led()
-    waits = crowd(led.manager, 0.0, [f"b{i}" for i in range(200)])
-    often = [name for name, wait in waits.items() if not wait]
-    assert (
-        len(often) == MAX_FREQUENT_CANDIDATES
-        and len(led.manager.candidates.infrequent("probe")) == 200 - MAX_FREQUENT_CANDIDATES
-    )
-    assert (
-        max(waits.values()) == TIMING.candidacy_interval_s * MAX_REQUEST_INTERVALS
-    )  # 200 of them would come in every 12.5 s
-    assert crowd(led.manager, 1.0, often) == dict.fromkeys(often, 0.0)  # the same ones again
-    later = crowd(
-        led.manager, 1.0 + 3.1 * TIMING.candidacy_interval_s, ["b150", "b151", "b152"]
-    )  # those are silent: a site was lost
+def receive_candidacies(manager, now, names, is_local=True):
+    """Receive one request of each; give by name how long it may wait before the next."""
+    delays = {}
+    for number, name in enumerate(names, start=1):
+        candidacies = (Candidacy(DUTY, 0, is_local, False),)
+        request = LeaseRequest(name, 1, f"127.0.0.1:{number}", 0.0, False, candidacies)
+        manager.receive_request(now, request)
+        delays[name] = manager.candidates.request_delay_s(request)
+    return delays
+
+
+def test_of_hundreds_of_candidates_a_few_are_frequent_and_others_take_their_place():
+    leading = LeadingManager()
+    manager = leading.manager
+    delays = receive_candidacies(manager, 0.0, [f"b{number}" for number in range(200)])
+    frequent = [name for name, delay in delays.items() if not delay]
+    assert len(frequent) == MAX_FREQUENT_CANDIDATES
+    assert len(manager.candidates.infrequent(DUTY)) == 200 - MAX_FREQUENT_CANDIDATES
+    # without this bound each of the 200 would wait for 12.5 s
+    assert max(delays.values()) == TIMING.candidacy_interval_s * MAX_REQUEST_INTERVALS
+    assert receive_candidacies(manager, 1.0, frequent) == dict.fromkeys(frequent, 0.0)  # they stay the frequent ones
+    lost_at = 1.0 + 3.1 * TIMING.candidacy_interval_s  # by then all of them are silent: a site was lost
+    later = receive_candidacies(manager, lost_at, ["b150", "b151", "b152"])
     assert list(later.values()) == [0.0] * 3
-    (grant,) = led.manager.due_commands(led.now + 4.2)
-    assert isinstance(grant, GrantLease) and grant.holder in later  # who is heard is given it, and nobody of the lost
+    (grant,) = manager.due_commands(leading.now + 4.2)
+    assert isinstance(grant, GrantLease)
+    assert grant.holder in later  # none of the lost
 
 
 def test_better_placed_candidates_take_the_place_of_worse_ones():
-    led = Led()
-    crowd(led.manager, 0.0, [f"far{i}" for i in range(30)], near=False)
-    assert crowd(led.manager, 0.1, ["near"]) == {"near": 0.0}
-    assert (
-        len(led.manager.candidates.frequent["probe"]) == MAX_FREQUENT_CANDIDATES
-        and "near" in led.manager.candidates.frequent["probe"]
-    )
+    manager = LeadingManager().manager
+    receive_candidacies(manager, 0.0, [f"far{number}" for number in range(30)], is_local=False)
+    assert receive_candidacies(manager, 0.1, ["near"]) == {"near": 0.0}
+    assert len(manager.candidates.frequent[DUTY]) == MAX_FREQUENT_CANDIDATES
+    assert "near" in manager.candidates.frequent[DUTY]
 
 
-def test_a_broker_waits_as_it_was_told_but_not_when_no_answer_came():
-    holder = LeaseHolder("b1", "127.0.0.1:1", {"probe": True}, ("v1",), TIMING, 1, 0.0)
+def test_a_broker_waits_as_the_leader_says_but_not_if_there_is_no_reply():
+    holder = LeaseHolder("b1", "127.0.0.1:1", {DUTY: True}, ("v1",), TIMING, 1, 0.0)
     holder.tick(holder.next_at)
-    ((_, want),) = holder.drain_output()
-    holder.receive_reply(
-        0.3, LeaseReply("v1", want.seq, "v1", True, (LeaseState("probe", "b9", "", 4, False, False),), 9.0)
-    )
+    ((_, request),) = holder.drain_output()
+    of_another = LeaseState(DUTY, "b9", "", 4, False, False)
+    holder.receive_reply(0.3, LeaseReply("v1", request.seq, "v1", True, (of_another,), 9.0))
     assert 0.3 + 0.8 * 9.0 <= holder.next_at <= 0.3 + 9.0
-    for n in range(1, 19):  # its loop does not stand still
-        holder.tick(0.3 + 0.4 * n)
+    for number in range(1, 19):  # its event loop does not stand still
+        holder.tick(0.3 + 0.4 * number)
     assert not holder.drain_output()
-    while not (said := holder.drain_output()):
+    while not (output := holder.drain_output()):
         holder.tick(min(holder.next_at, holder._last_run_at + 0.4))
-    assert len(said) == 1 and holder.next_at < 10.5  # it asked, and nobody has answered yet
-    holder.receive_reply(9.6, LeaseReply("v1", 0, "v1", True, (LeaseState("probe", "b1", "", 7, False, False),), 0.0))
-    assert holder.next_at == 9.6  # granted: renewed at once, however long it was to wait
+    assert len(output) == 1
+    assert holder.next_at < 10.5  # a request without a reply so far
+    granted = LeaseState(DUTY, "b1", "", 7, False, False)
+    holder.receive_reply(9.6, LeaseReply("v1", 0, "v1", True, (granted,), 0.0))
+    assert holder.next_at == 9.6  # renewed at once, however long it was to wait
 
 
-# -- receivers, and probing
+# -- fencing
 
 
-def test_a_fence_refuses_what_is_older_and_knows_duties_apart():
-    fence = FencingGuard()
-    assert fence.admits("probe", 5) and fence.admits("probe", 5) and fence.admits("deal", 1)
-    assert not fence.admits("probe", 4) and fence.admits("probe", 9) and not fence.admits("probe", 5)
-    assert fence.rejected == 2
+def test_a_guard_rejects_older_epochs_of_each_duty():
+    guard = FencingGuard()
+    assert guard.admits(DUTY, 5)
+    assert guard.admits(DUTY, 5)
+    assert guard.admits("deal", 1)
+    assert not guard.admits(DUTY, 4)
+    assert guard.admits(DUTY, 9)
+    assert not guard.admits(DUTY, 5)
+    assert guard.rejected == 2
 
 
-def seen(node, time_ms, dead=False):
+# -- health checks
+
+
+def observation(node, time_ms, dead=False):
     return api.EndpointObservation(node, time_ms, 10.0, dead)
 
 
-def test_doubted_are_the_dead_and_the_far_slower_the_worst_first():
-    known = api.Observations(
-        (seen(1, 20.0), seen(2, 25.0), seen(3, 400.0), seen(4, 30.0, dead=True), seen(9, 900.0)), ()
+def test_dead_and_far_slower_servers_are_suspected_the_worst_first():
+    observations = (
+        observation(1, 20.0),
+        observation(2, 25.0),
+        observation(3, 400.0),
+        observation(4, 30.0, dead=True),
+        observation(9, 900.0),
     )
-    assert suspected_servers(known, {1: "s1", 2: "s2", 3: "s3", 4: "s4"}) == ["s4", "s3"]
+    names = {1: "s1", 2: "s2", 3: "s3", 4: "s4"}
+    assert suspected_servers(api.Observations(observations, ()), names) == ["s4", "s3"]
     assert suspected_servers(api.Observations((), ()), {}) == []
-    assert len(suspicion_report([f"s{i}" for i in range(100)], "b0", "probe").servers) == 16
-
-
-def test_a_server_is_asked_as_often_whoever_many_doubt_it_and_all_of_them_are_told():
-    prober = HealthChecker("probe", "b0", interval_s=0.5, max_in_flight=2)
-    for i in range(50):
-        prober.receive_suspicions(0.0, SuspicionReport(f"b{i}", "probe", ("s1", "s2", "s3")), f"127.0.0.1:{i + 1}")
-    assert prober.start_due_checks(0.0) == ["s1", "s2"] and prober.start_due_checks(0.1) == []
-    told = prober.finish_check(0.2, 7, "s1", True, 12.0)
-    assert len(told) == 50 and told[0] == (
-        "127.0.0.1:1",
-        ProbeReport("b0", "probe", 7, (ProbeResult("s1", True, 12.0, 200.0),)),
-    )
-    assert prober.finish_check(0.2, 7, "s1", True, 12.0) == []  # a second word on the same probe
-    assert prober.start_due_checks(0.3) == ["s3"] and prober.start_due_checks(0.6) == []  # two at once
-    prober.finish_check(0.6, 7, "s2", False, 1000.0)
-    assert prober.start_due_checks(0.7) == ["s1"]
+    assert len(suspicion_report([f"s{number}" for number in range(100)], "b0", DUTY).servers) == 16
+
+
+def test_a_server_is_checked_at_one_interval_however_many_suspect_it_and_all_are_notified():
+    checker = HealthChecker(DUTY, "b0", interval_s=0.5, max_in_flight=2)
+    for number in range(50):
+        report = SuspicionReport(f"b{number}", DUTY, ("s1", "s2", "s3"))
+        checker.receive_suspicions(0.0, report, f"127.0.0.1:{number + 1}")
+    assert checker.start_due_checks(0.0) == ["s1", "s2"]
+    assert checker.start_due_checks(0.1) == []
+    reports = checker.finish_check(0.2, 7, "s1", True, 12.0)
+    assert len(reports) == 50
+    assert reports[0] == ("127.0.0.1:1", ProbeReport("b0", DUTY, 7, (ProbeResult("s1", True, 12.0, 200.0),)))
+    assert checker.finish_check(0.2, 7, "s1", True, 12.0) == []  # the check has ended already
+    assert checker.start_due_checks(0.3) == ["s3"]
+    assert checker.start_due_checks(0.6) == []  # two are in flight
+    checker.finish_check(0.6, 7, "s2", False, 1000.0)
+    assert checker.start_due_checks(0.7) == ["s1"]
     for server in ("s1", "s3"):
-        prober.finish_check(1.0, 7, server, True, 1.0)
-    assert prober.start_due_checks(20.0) == [] and not prober.servers  # nobody doubts any more
-    assert prober.checks_started == 4
+        checker.finish_check(1.0, 7, server, True, 1.0)
+    assert checker.start_due_checks(20.0) == []
+    assert not checker.servers  # nobody suspects them any more
+    assert checker.checks_started == 4
 
 
-def test_a_finding_takes_the_place_of_no_own_sight():
-    found = ProbeReport("b0", "probe", 7, (ProbeResult("s1", False, 1000.0, 50.0), ProbeResult("gone", True, 1.0, 1.0)))
-    assert observations_of(found, {"s1": 4}) == api.Observations((api.EndpointObservation(4, 1000.0, 50.0, True),), ())
+def test_a_report_becomes_observations_of_the_servers_that_are_known():
+    results = (ProbeResult("s1", False, 1000.0, 50.0), ProbeResult("removed", True, 1.0, 1.0))
+    expected = api.Observations((api.EndpointObservation(4, 1000.0, 50.0, True),), ())
+    assert observations_of(ProbeReport("b0", DUTY, 7, results), {"s1": 4}) == expected
