--- a/badgerbend/membership/__init__.py
+++ b/badgerbend/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who the other brokers are: SWIM with what Lifeguard taught, as a pure state machine; seals and sockets beside it."""
+"""Group membership of brokers: SWIM with the extensions of Lifeguard, as a pure state machine."""
--- a/badgerbend/membership/messages.py
+++ b/badgerbend/membership/messages.py
@@ -1,4 +1,7 @@
-"""Datagrams of the membership protocol: small typed arrays in MessagePack, bounded before they are believed."""
+"""Messages of the membership protocol, and their encoding as datagrams.
+
+Each message is a MessagePack array that begins with its tag. Sizes and ranges are checked when it is decoded.
+"""
 
 from __future__ import annotations
 
@@ -12,46 +15,80 @@
 SEAL_BYTES = 64  # reserved for the seal
 MAX_ARRAY_HEADER_BYTES = 3  # of a MessagePack array with up to 65535 items
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
+OptionalText = Annotated[str, msgspec.Meta(max_length=64)]
 Number = Annotated[int, msgspec.Meta(ge=0, lt=1 << 62)]
 Port = Annotated[int, msgspec.Meta(ge=1, le=65535)]
 
 
+class MalformedMessageError(Exception):
+    """A datagram that cannot be decoded: not a message of this protocol, or a value out of range.
+
+    reason: what is wrong with it; size_bytes: its length.
+    """
+
+    def __init__(self, reason: str, size_bytes: int) -> None:
+        super().__init__(f"datagram of {size_bytes} bytes: {reason}")
+        self.reason = reason
+        self.size_bytes = size_bytes
+
+
 class MemberState(IntEnum):
-    """What is held of a member. At one incarnation the greater state wins."""
+    """The state of a member. Within one incarnation the greater state overrides the smaller one."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
     LEFT = 3
 
+    @property
+    def label(self) -> str:
+        """The word for this state in status pages, metric labels and logs, which is part of their interface."""
+        return _STATE_LABELS[self]
+
+
+_STATE_LABELS = {
+    MemberState.ALIVE: "alive",
+    MemberState.SUSPECT: "suspect",
+    MemberState.DEAD: "dead",
+    MemberState.LEFT: "left",
+}
+
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """One piece of news. `by`: who says so, for suspicions, which weigh by how many say so."""
+    """The state of one member, as it is gossiped.
+
+    reporter: the member that states it; a suspicion is confirmed by updates of different reporters. metadata: set by
+    the member itself, here the address where its knowledge can be fetched.
+    """
 
     name: Text
     host: Text
     port: Port
     state: MemberState
     incarnation: Number
-    reporter: Annotated[str, msgspec.Meta(max_length=64)] = ""
-    metadata: Annotated[str, msgspec.Meta(max_length=64)] = ""  # the member's own, as where to ask it for more
+    reporter: OptionalText = ""
+    metadata: OptionalText = ""
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag=1):
+    """Asks a member for an `Ack`. target: its name; empty where the name is unknown, as of a seed."""
+
     seq: Number
-    target: Annotated[str, msgspec.Meta(max_length=64)]  # empty: whoever is there, as a seed is asked
+    target: OptionalText
     sender: MemberUpdate
     updates: tuple[MemberUpdate, ...] = ()
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag=2):
+    """Answers a `Ping` or an `IndirectPing`. sender: the member that was pinged."""
+
     seq: Number
     sender: MemberUpdate
     updates: tuple[MemberUpdate, ...] = ()
 
 
 class IndirectPing(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Asks another to ping for us; it answers with an Ack, or a Nack where it hears nothing in time."""
+    """Asks another member to ping the target; answered by an `Ack`, or by a `Nack` if the target does not answer."""
 
     seq: Number
     target: Text
@@ -62,13 +99,15 @@
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag=4):
+    """Answers an `IndirectPing` whose target has not answered in time."""
+
     seq: Number
     sender: MemberUpdate
     updates: tuple[MemberUpdate, ...] = ()
 
 
 class Sync(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """A part of all that its sender holds. `reply`: the same is asked for in return."""
+    """A part of the sender's full state. reply_requested: the receiver is asked to send its own in return."""
 
     reply_requested: bool
     sender: MemberUpdate
@@ -80,22 +119,19 @@
 _DECODER = msgspec.msgpack.Decoder(Message)
 
 
-class MalformedMessageError(Exception):
-    """A datagram that is none of ours, or out of bounds."""
-
-
 def encode(message: Message) -> bytes:
+    """Encode a message as the body of a datagram."""
     return _ENCODER.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Raises Malformed."""
+    """Decode the body of a datagram. Raises MalformedMessageError."""
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise MalformedMessageError(f"{len(data)} bytes")
+        raise MalformedMessageError(f"more than {MAX_DATAGRAM_BYTES} bytes", len(data))
     try:
         return _DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as err:
-        raise MalformedMessageError(str(err)) from err
+        raise MalformedMessageError(str(err), len(data)) from err
 
 
 def with_updates(message: Message, updates: Sequence[MemberUpdate]) -> Message:
--- a/badgerbend/snapshot/store.py
+++ b/badgerbend/snapshot/store.py
@@ -27,6 +27,8 @@
 
 
 class SnapshotBody(msgspec.Struct):
+    """The checked part of the file. written_s: wall-clock time, in seconds of the Unix epoch; record: as encoded."""
+
     written_s: float
     record: bytes
 
--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -163,7 +163,7 @@
     for member in network.members.values():
         acquaint(member, network)
         # beyond the frequent exchanges of a member's first periods, and each at its own place between two later ones
-        member._periods = CONFIG.sync_every_periods + rng.randrange(CONFIG.sync_every_periods)
+        member.periods = CONFIG.sync_every_periods + rng.randrange(CONFIG.sync_every_periods)
     gc.collect()
     gc.freeze()  # a million rows that stay: the collector need not look at them again and again
     return network
@@ -257,7 +257,7 @@
         teller.members[name] = Member(
             name, (f"10.123.{i // 256}.{i % 256}", PORT), MemberState.ALIVE, STARTED_MS, METADATA, 0.0
         )
-    teller._send_full_state(("learner", 1), reply=False)
+    teller.send_full_state(("learner", 1), reply_requested=False)
     payloads = [datagram.payload for datagram in teller.take_output().datagrams]
     gc.collect()
     tracemalloc.start()
