--- a/badgerbend/snapshot/store.py
+++ b/badgerbend/snapshot/store.py
@@ -27,7 +27,7 @@
 
 
 class SnapshotBody(msgspec.Struct):
-    """The checked part of the file. written_s: wall-clock time, in seconds of the Unix epoch; record: as encoded."""
+    """The content of a snapshot file: when it was written, in seconds of the wall clock, and the encoded record."""
 
     written_s: float
     record: bytes
