--- a/badgerbend/cli.py
+++ b/badgerbend/cli.py
@@ -141,9 +141,9 @@
     """Prints the servers that two snapshots see differently; status 1 if there are any."""
     from badgerbend.knowledge import report
 
-    table, count = report.compare_records(_snapshot(first), _snapshot(second))
-    Console().print(table)
-    raise typer.Exit(1 if count else 0)
+    comparison = report.compare_records(_snapshot(first), _snapshot(second))
+    Console().print(comparison.table)
+    raise typer.Exit(1 if comparison.differences else 0)
 
 
 def _snapshot(file: Path) -> KnowledgeRecord:
--- a/badgerbend/disk.py
+++ b/badgerbend/disk.py
@@ -1,7 +1,4 @@
-"""Files that survive a crash at any point: written beside, synced, renamed over the old one, their folder synced.
-
-Blocks on the disk.
-"""
+"""Writing files so that they survive a crash at any point. Blocks on the disk."""
 
 from __future__ import annotations
 
@@ -10,15 +7,18 @@
 
 
 def write_atomically(path: Path, data: bytes) -> None:
-    """Replaces the file, whole or not at all. Raises OSError, with the old file in place."""
-    beside = path.with_name(path.name + ".new")
-    handle = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+    """Replace a file's content completely or not at all. Raises OSError, with the old file in place.
+
+    A temporary file beside it is written, synced and renamed over the old one; then the folder is synced.
+    """
+    temporary = path.with_name(path.name + ".new")
+    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     try:
-        write_all(handle, data)
-        os.fsync(handle)
+        write_all(descriptor, data)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
-    os.replace(beside, path)
+        os.close(descriptor)
+    os.replace(temporary, path)
     folder = os.open(path.parent, os.O_RDONLY)
     try:
         os.fsync(folder)
@@ -26,8 +26,9 @@
         os.close(folder)
 
 
-def write_all(handle: int, data: bytes) -> None:
-    """All of the bytes, however many the system takes at a time. Raises OSError."""
-    view = memoryview(data)
-    while view:
-        view = view[os.write(handle, view) :]
+def write_all(descriptor: int, data: bytes) -> None:
+    """Write all of the bytes, however many the system accepts at a time. Raises OSError."""
+    remaining = memoryview(data)
+    while remaining:
+        written = os.write(descriptor, remaining)
+        remaining = remaining[written:]
--- a/badgerbend/knowledge/__init__.py
+++ b/badgerbend/knowledge/__init__.py
@@ -1,1 +1,1 @@
-"""What a broker has seen, as a record that others can read; and what of theirs to believe."""
+"""What a broker has observed of servers, as a record for its peers, and how far the records of peers are trusted."""
--- a/badgerbend/knowledge/record.py
+++ b/badgerbend/knowledge/record.py
@@ -1,12 +1,13 @@
-"""The record of what one broker has seen: versioned, bounded, typed. Ages only, no clock is compared.
+"""The record of what one broker has observed: versioned, bounded, typed.
 
-It holds what the broker saw itself, never what it was told, so that no news of news can pass as fresh. Servers go by
-their names on the list, since numbers are each broker's own.
+It contains what the broker observed itself, never what it learned from peers, so that old observations cannot pass as
+fresh by being passed on. It states ages instead of times: clocks of different machines are not compared. Servers go by
+their names on the endpoint list, since their numbers differ between brokers.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from typing import Annotated
 
 import msgspec
@@ -14,30 +15,70 @@
 from badgerbend import api
 
 VERSION = 1
-MAX_SERVERS, MAX_ANSWERS, MAX_RECORD_BYTES = 2000, 400, 1_000_000
+MAX_SERVERS = 2000
+MAX_ANSWERS = 400
+MAX_REDUNDANCY_CHOICES = 200
+MAX_RECORD_BYTES = 1_000_000
+MAX_MS = 1e9
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
-Ms = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
+Milliseconds = Annotated[float, msgspec.Meta(ge=0, le=MAX_MS)]
+
+
+class RecordError(Exception):
+    """Bytes that are not a record this broker can read."""
+
+
+class RecordTooLargeError(RecordError):
+    """A record is longer than `MAX_RECORD_BYTES`."""
+
+    def __init__(self, size_bytes: int) -> None:
+        super().__init__(f"a record of {size_bytes} bytes; at most {MAX_RECORD_BYTES} are read")
+        self.size_bytes = size_bytes
+
+
+class MalformedRecordError(RecordError):
+    """A record is not encoded as one, or has a value out of range. reason: which one."""
+
+    def __init__(self, reason: str) -> None:
+        super().__init__(f"not a record: {reason}")
+        self.reason = reason
+
+
+class RecordVersionError(RecordError):
+    """A record is of another version."""
+
+    def __init__(self, version: int) -> None:
+        super().__init__(f"a record of version {version}; this broker reads {VERSION}")
+        self.version = version
 
 
 class ServerObservation(msgspec.Struct, array_like=True, frozen=True):
-    """time_ms: a usual part's; age_ms: since that was seen; dead: it refused or broke connections since."""
+    """What was observed of one server.
+
+    time_ms: latency of a usual part; age_ms: time since that was observed; dead: it has refused or broken connections
+    since.
+    """
 
     name: Name
-    time_ms: Ms
-    age_ms: Ms
+    time_ms: Milliseconds
+    age_ms: Milliseconds
     dead: bool = False
 
 
 class AnswerLatency(msgspec.Struct, array_like=True, frozen=True):
-    """A part's latency; censored: it was called off, lost, or is longer than that."""
+    """The latency of one part. censored: it was cancelled or lost, so its latency would have been longer."""
 
-    age_ms: Ms
-    latency_ms: Ms
+    age_ms: Milliseconds
+    latency_ms: Milliseconds
     censored: bool
 
 
 class KnowledgeRecord(msgspec.Struct, frozen=True):
-    """All of it. zone, broker: whose; open_parts: its own load."""
+    """All that one broker tells of itself. Field names are part of the encoding.
+
+    broker, zone: which broker it is; open_parts: its own load; servers: the most recently observed first; answers: the
+    oldest first; chosen: redundancy chosen, as rows of parts needed, parts in all, and attempts sent.
+    """
 
     version: int
     broker: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
@@ -45,11 +86,7 @@
     open_parts: Annotated[int, msgspec.Meta(ge=0, le=100_000_000)]
     servers: Annotated[tuple[ServerObservation, ...], msgspec.Meta(max_length=MAX_SERVERS)]
     answers: Annotated[tuple[AnswerLatency, ...], msgspec.Meta(max_length=MAX_ANSWERS)]
-    chosen: Annotated[tuple[tuple[int, int, int], ...], msgspec.Meta(max_length=200)] = ()  # m, k, r
-
-
-class RecordError(Exception):
-    """Bytes that are no record of this version, or out of bounds."""
+    chosen: Annotated[tuple[tuple[int, int, int], ...], msgspec.Meta(max_length=MAX_REDUNDANCY_CHOICES)] = ()
 
 
 _DECODER = msgspec.msgpack.Decoder(KnowledgeRecord)
@@ -57,47 +94,64 @@
 
 
 def encode(record: KnowledgeRecord) -> bytes:
+    """Encode a record in MessagePack."""
     return _ENCODER.encode(record)
 
 
 def decode(data: bytes) -> KnowledgeRecord:
-    """Raises BadRecord."""
+    """Decode a record. Raises RecordError."""
     if len(data) > MAX_RECORD_BYTES:
-        raise RecordError(f"{len(data)} bytes")
+        raise RecordTooLargeError(len(data))
     try:
         record = _DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as err:
-        raise RecordError(str(err)) from err
+        raise MalformedRecordError(str(err)) from err
     if record.version != VERSION:
-        raise RecordError(f"version {record.version}; this broker reads {VERSION}")
+        raise RecordVersionError(record.version)
     return record
 
 
 def make_record(
-    known: api.Observations,
+    observations: api.Observations,
     names: Mapping[int, str],
     broker: int,
     zone: int,
     open_parts: int,
     chosen: Mapping[tuple[int, int], int],
 ) -> KnowledgeRecord:
-    """A record of what the module has seen; the freshest servers where there are too many."""
-    seen = sorted(known.nodes, key=lambda s: s.age_ms)[:MAX_SERVERS]
+    """Make a record of a broker's own observations; of too many servers the most recently observed.
+
+    names: of servers, by their numbers in the observations; chosen: redundancy by parts needed and parts in all.
+    """
+    latest = sorted(observations.nodes, key=lambda observation: observation.age_ms)[:MAX_SERVERS]
     servers = tuple(
-        ServerObservation(names[s.node], min(s.time_ms, 1e9), min(s.age_ms, 1e9), s.dead)
-        for s in seen
-        if s.node in names
+        ServerObservation(
+            names[observation.node],
+            min(observation.time_ms, MAX_MS),
+            min(observation.age_ms, MAX_MS),
+            observation.dead,
+        )
+        for observation in latest
+        if observation.node in names
+    )
+    answers = tuple(
+        AnswerLatency(min(age_ms, MAX_MS), min(latency_ms, MAX_MS), censored)
+        for age_ms, latency_ms, censored in observations.answers[-MAX_ANSWERS:]
     )
-    answers = tuple(AnswerLatency(min(a, 1e9), min(ms, 1e9), gone) for a, ms, gone in known.answers[-MAX_ANSWERS:])
-    rows = tuple((m, k, r) for (m, k), r in list(chosen.items())[:200])
+    choices = list(chosen.items())[:MAX_REDUNDANCY_CHOICES]
+    rows = tuple((needed, parts, attempts) for (needed, parts), attempts in choices)
     return KnowledgeRecord(VERSION, broker, zone, open_parts, servers, answers, rows)
 
 
 def aged(record: KnowledgeRecord, by_ms: float) -> KnowledgeRecord:
-    """The same seen so much longer ago: on its way, or on a disk."""
-    grow: Callable[[float], float] = lambda age: min(age + max(by_ms, 0.0), 1e9)  # noqa: E731
-    return msgspec.structs.replace(
-        record,
-        servers=tuple(ServerObservation(s.name, s.time_ms, grow(s.age_ms), s.dead) for s in record.servers),
-        answers=tuple(AnswerLatency(grow(a.age_ms), a.latency_ms, a.censored) for a in record.answers),
+    """Return the record with all ages increased, by the time it was on its way or in a file; never decreased."""
+    increase_ms = max(by_ms, 0.0)
+    servers = tuple(
+        ServerObservation(server.name, server.time_ms, min(server.age_ms + increase_ms, MAX_MS), server.dead)
+        for server in record.servers
+    )
+    answers = tuple(
+        AnswerLatency(min(answer.age_ms + increase_ms, MAX_MS), answer.latency_ms, answer.censored)
+        for answer in record.answers
     )
+    return msgspec.structs.replace(record, servers=servers, answers=answers)
--- a/badgerbend/knowledge/report.py
+++ b/badgerbend/knowledge/report.py
@@ -1,43 +1,74 @@
-"""Records as tables for a person."""
+"""Records as tables for a terminal."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from rich.table import Table
 
-from badgerbend.knowledge.record import KnowledgeRecord
+from badgerbend.knowledge.record import KnowledgeRecord, ServerObservation
+
+MIN_DIFFERENCE_RATIO = 1.5  # two views of a server are shown if their times differ by more than this factor
+MIN_TIME_MS = 1e-9  # shorter times count as this, so that a ratio exists
+
 
-DIFFER = 1.5  # times: so far apart are two views of a server shown
+@dataclass(frozen=True, slots=True)
+class RecordComparison:
+    """A table of the servers that two records state differently, and their number."""
+
+    table: Table
+    differences: int
 
 
 def record_table(record: KnowledgeRecord) -> Table:
-    """Servers slowest first, answers in their quartiles."""
-    times = sorted(a.latency_ms for a in record.answers if not a.censored)
-    middle = [times[len(times) * q // 4] for q in (1, 2, 3)] if times else []
-    quartiles = ", ".join(f"{t:.1f}" for t in middle) or "none"
+    """Make a table of a record: servers, the slowest first, and quartiles of latency in the title."""
     table = Table(
         title=f"broker {record.broker}, zone {record.zone}: {len(record.servers)} servers, "
-        f"{len(record.answers)} answers (ms at quartiles: {quartiles})"
+        f"{len(record.answers)} answers (ms at quartiles: {_quartiles(record)})"
     )
     for heading in ("server", "usual part, ms", "seen, s ago", "dead"):
         table.add_column(heading)
-    for s in sorted(record.servers, key=lambda s: -s.time_ms):
-        table.add_row(s.name, f"{s.time_ms:.1f}", f"{s.age_ms / 1000:.1f}", "yes" if s.dead else "")
-    for m, k, r in record.chosen:
-        table.caption = f"{table.caption or 'r chosen:'} {r} for {m} of {k};"
+    for server in sorted(record.servers, key=lambda server: -server.time_ms):
+        dead = "yes" if server.dead else ""
+        table.add_row(server.name, f"{server.time_ms:.1f}", f"{server.age_ms / 1000:.1f}", dead)
+    for needed, parts, attempts in record.chosen:
+        table.caption = f"{table.caption or 'r chosen:'} {attempts} for {needed} of {parts};"
     return table
 
 
-def compare_records(first: KnowledgeRecord, second: KnowledgeRecord) -> tuple[Table, int]:
-    """Servers that the two see differently, and how many."""
+def compare_records(first: KnowledgeRecord, second: KnowledgeRecord) -> RecordComparison:
+    """Compare what two records state of each server."""
     table = Table(title=f"broker {first.broker} against broker {second.broker}")
     for heading in ("server", "first, ms", "second, ms"):
         table.add_column(heading)
-    left, right = {s.name: s for s in first.servers}, {s.name: s for s in second.servers}
-    count = 0
-    for name in sorted(left.keys() | right.keys()):
-        a, b = left.get(name), right.get(name)
-        if a and b and a.dead == b.dead and max(a.time_ms, b.time_ms) <= DIFFER * max(min(a.time_ms, b.time_ms), 1e-9):
+    first_servers = {server.name: server for server in first.servers}
+    second_servers = {server.name: server for server in second.servers}
+    differences = 0
+    for name in sorted(first_servers.keys() | second_servers.keys()):
+        one = first_servers.get(name)
+        other = second_servers.get(name)
+        if one is not None and other is not None and not _differ(one, other):
             continue
-        count += 1
-        table.add_row(name, *("not seen" if x is None else f"{x.time_ms:.1f}{' dead' * x.dead}" for x in (a, b)))
-    return table, count
+        differences += 1
+        table.add_row(name, _cell(one), _cell(other))
+    return RecordComparison(table, differences)
+
+
+def _quartiles(record: KnowledgeRecord) -> str:
+    latencies_ms = sorted(answer.latency_ms for answer in record.answers if not answer.censored)
+    if not latencies_ms:
+        return "none"
+    return ", ".join(f"{latencies_ms[len(latencies_ms) * quarter // 4]:.1f}" for quarter in (1, 2, 3))
+
+
+def _differ(one: ServerObservation, other: ServerObservation) -> bool:
+    """Whether the two state different things of the same server."""
+    shorter_ms = max(min(one.time_ms, other.time_ms), MIN_TIME_MS)
+    longer_ms = max(one.time_ms, other.time_ms)
+    return one.dead != other.dead or longer_ms > MIN_DIFFERENCE_RATIO * shorter_ms
+
+
+def _cell(server: ServerObservation | None) -> str:
+    if server is None:
+        return "not seen"
+    return f"{server.time_ms:.1f} dead" if server.dead else f"{server.time_ms:.1f}"
--- a/badgerbend/knowledge/trust.py
+++ b/badgerbend/knowledge/trust.py
@@ -1,152 +1,179 @@
-"""What of others' records to believe: decided here, free of I/O, and told to the module as a prior.
+"""Combines the records of several peers into one prior for the decisions, so that no single peer can mislead them.
 
-The module takes a server's time only where it has seen nothing itself, and lets it fade by its age; so all that news
-can do is to make a server look slow, or as good as unknown, until the first own answer. What is left to decide:
+The decisions use a server's time only if they have observed nothing of it themselves, and let it fade by its age; so
+all that a record can do is to make a server look slow, or as good as unknown, until its first own answer. Beyond that:
 
-- *One among several.* Of each server the middle of what peers say is taken, the lower of two. One liar in three can
-  only choose between what the two others say; one of two can only make a server look as good as unknown.
-- *One alone.* Of a sole witness only the slowest third of its servers are taken, the others count as usual.
-- *Old news.* Beyond `stale_ms` nothing is taken; below, the age stays with the item.
-- *Told wrong.* What a peer said of a server is held against this broker's own first answers from there. A peer that
-  was wrong on more than half of enough servers loses its say for `distrust_ms`.
-- *Absurd figures* end at the record's bounds; here times above `slowest` times the peer's own middle are cut to that.
+- *Several peers.* Of each server the median of what they state is used, the lower of two. One liar in three can only
+  choose between what the two others state; one of two can only make a server look as good as unknown.
+- *A sole peer.* Only the slowest third of its servers are believed to be slow; the others count as usual.
+- *Old observations.* Beyond `max_age_ms` they are not used; below, they keep their age.
+- *Wrong statements.* They are compared with this broker's own first answers (`reputation`). A peer that was wrong on
+  most of enough servers is ignored for `distrust_ms`.
+- *Absurd values* end at the record's bounds; times beyond `max_slowdown` are cut.
 
-Times are milliseconds on the caller's clock.
+Free of I/O. Times are milliseconds on the caller's clock.
 """
 
 from __future__ import annotations
 
-import math
 from collections.abc import Mapping, Sequence
-from dataclasses import dataclass, field
 from statistics import median
+from typing import NamedTuple
 
 from badgerbend import api
-from badgerbend.knowledge.record import KnowledgeRecord
+from badgerbend.knowledge.policy import TrustPolicy
+from badgerbend.knowledge.record import MAX_ANSWERS, AnswerLatency, KnowledgeRecord, ServerObservation
+from badgerbend.knowledge.reputation import Reputation
 
-DEAD_RATIO = 5.0  # a dead server counts as so much slower than usual: the module's most is four calls more
 
+class Statement(NamedTuple):
+    """What one peer states of one server. slowdown: a multiple of the peer's own usual latency."""
 
-@dataclass(frozen=True, slots=True)
-class TrustPolicy:
-    """stale_ms: the module's times have halved six times by then."""
+    slowdown: float
+    age_ms: float
 
-    stale_ms: float = 60_000.0
-    alone_share: float = 0.34  # of servers that a sole witness may call slow
-    slowest: float = 10.0
-    wrong_by: float = 3.0  # times more, or less, than an own answer: told wrong
-    checks: int = 5  # so many servers compared before a peer can lose its say
-    distrust_ms: float = 600_000.0
-    answers_differ: float = 3.0  # a peer whose middle answer differs so much from all peers' is left out
 
+class PeerRecord(NamedTuple):
+    """A record, and its peer's own usual latency; 0 if it states none."""
 
-@dataclass(slots=True)
-class _Claims:
-    """What a peer said of servers that this broker has not met since, as a ratio to the peer's own usual."""
+    record: KnowledgeRecord
+    usual_ms: float
 
-    ratios: dict[int, float] = field(default_factory=dict)
-    right: int = 0
-    wrong: int = 0
-    distrusted_until: float = -math.inf
+
+class AnswerSample(NamedTuple):
+    """Answers of several peers, the oldest first, and the median of the peers' usual latencies; 0 if there are none."""
+
+    answers: tuple[AnswerLatency, ...]
+    usual_ms: float
 
 
 class PeerTrust:
-    """Weighs records of peers. One for each broker; it remembers who was wrong."""
+    """One broker's view of its peers' records. It remembers which peers were wrong."""
 
-    def __init__(self, policy: TrustPolicy = TrustPolicy()) -> None:  # noqa: B008 - frozen
-        self.policy = policy
-        self.peers: dict[str, _Claims] = {}
+    def __init__(self, policy: TrustPolicy | None = None) -> None:
+        self.policy = policy or TrustPolicy()
+        self._reputation = Reputation(self.policy)
 
     def is_trusted(self, peer: str, now_ms: float) -> bool:
-        claims = self.peers.get(peer)
-        return claims is None or now_ms >= claims.distrusted_until
+        """Whether records of this peer are used now."""
+        return self._reputation.is_trusted(peer, now_ms)
+
+    def check_answer(self, node: int, latency_ms: float, usual_ms: float, now_ms: float) -> list[str]:
+        """Compare an own answer with what peers stated of its server; return the peers that lose their trust by it.
+
+        usual_ms: this broker's own usual latency; while it is not known, nothing is compared.
+        """
+        if usual_ms <= 0:
+            return []
+        return self._reputation.check(node, latency_ms / usual_ms, now_ms)
 
     def combine(
-        self, records: Mapping[str, KnowledgeRecord], numbers: Mapping[str, int], now_ms: float, own: bool = False
+        self,
+        records: Mapping[str, KnowledgeRecord],
+        node_by_name: Mapping[str, int],
+        now_ms: float,
+        *,
+        is_own: bool = False,
     ) -> api.Observations:
-        """A prior from peers' records, by peer's name; `numbers` are this broker's for servers by name.
+        """Combine records, by peer, into a prior.
 
-        own: the record is this broker's own, from before a restart: a sole witness, but no stranger.
+        node_by_name: this broker's numbers of servers. is_own: the sole record is this broker's own, of before a
+        restart; all of it is believed.
         """
-        heard = {peer: r for peer, r in records.items() if self.is_trusted(peer, now_ms)}
-        said: dict[int, list[tuple[float, float]]] = {}  # ratio, age
-        middles = {peer: _usual(record) for peer, record in heard.items()}
-        for peer, record in heard.items():
-            usual = middles[peer]
-            if not usual:
+        trusted = {
+            peer: PeerRecord(record, usual_latency_ms(record))
+            for peer, record in records.items()
+            if self.is_trusted(peer, now_ms)
+        }
+        by_node: dict[int, list[Statement]] = {}
+        for peer, peer_record in trusted.items():
+            if not peer_record.usual_ms:
                 continue
-            lines = {}
-            for s in record.servers:
-                node = numbers.get(s.name)
-                if node is not None and s.age_ms < self.policy.stale_ms:
-                    ratio = DEAD_RATIO if s.dead else min(s.time_ms / usual, self.policy.slowest)
-                    lines[node] = (ratio, s.age_ms)
-            if len(heard) == 1 and not own:
-                lines = self._few(lines)
-            claims = self.peers.setdefault(peer, _Claims())
-            for node, line in lines.items():
-                said.setdefault(node, []).append(line)
-                claims.ratios.setdefault(node, line[0])
-        answers, usual = self._answers([(r, middles[peer]) for peer, r in heard.items()])
-        nodes = []
-        for node, lines_of in said.items():
-            if usual and (len(lines_of) * 2 > len(heard) or len(heard) <= 2):  # a server that one liar invents is none
-                ratio = _lower_middle([r for r, _ in lines_of])
-                age = _lower_middle([-a for _, a in lines_of])  # of ages the greater of two
-                nodes.append(api.EndpointObservation(node, max(ratio, 1.0) * usual, -age, False))
-        return api.Observations(tuple(nodes), answers)
-
-    def _few(self, lines: dict[int, tuple[float, float]]) -> dict[int, tuple[float, float]]:
-        """Only the slowest share of what a sole witness says; the others count as usual."""
-        most = max(1, int(self.policy.alone_share * len(lines)))
-        slowest = set(sorted(lines, key=lambda node: -lines[node][0])[:most])
-        return {node: line if node in slowest else (1.0, line[1]) for node, line in lines.items()}
-
-    def _answers(
-        self, records: Sequence[tuple[KnowledgeRecord, float]]
-    ) -> tuple[tuple[tuple[float, float, bool], ...], float]:
-        """Peers' answers as one sample, the same share from each whose middle agrees; and its middle."""
-        usable = [(r, m) for r, m in records if any(not a.censored for a in r.answers)]
+            statements = self._statements(peer_record, node_by_name)
+            if len(trusted) == 1 and not is_own:
+                statements = self._limited(statements)
+            self._reputation.remember(peer, {node: statement.slowdown for node, statement in statements.items()})
+            for node, statement in statements.items():
+                by_node.setdefault(node, []).append(statement)
+        sample = self._combine_answers(list(trusted.values()))
+        nodes = combine_statements(by_node, len(trusted), sample.usual_ms)
+        answers = tuple((answer.age_ms, answer.latency_ms, answer.censored) for answer in sample.answers)
+        return api.Observations(nodes, answers)
+
+    def _statements(self, peer_record: PeerRecord, node_by_name: Mapping[str, int]) -> dict[int, Statement]:
+        """What a peer states of servers on this broker's list, by their numbers, as far as it is fresh enough."""
+        statements = {}
+        for server in peer_record.record.servers:
+            node = node_by_name.get(server.name)
+            if node is not None and server.age_ms < self.policy.max_age_ms:
+                statements[node] = Statement(self._slowdown(server, peer_record.usual_ms), server.age_ms)
+        return statements
+
+    def _slowdown(self, server: ServerObservation, usual_ms: float) -> float:
+        if server.dead:
+            return self.policy.dead_slowdown
+        return min(server.time_ms / usual_ms, self.policy.max_slowdown)
+
+    def _limited(self, statements: dict[int, Statement]) -> dict[int, Statement]:
+        """Keep the slowest share of what a sole peer states; its other servers count as usual."""
+        limit = max(1, int(self.policy.sole_witness_share * len(statements)))
+        slowest = set(sorted(statements, key=lambda node: -statements[node].slowdown)[:limit])
+        return {
+            node: statement if node in slowest else Statement(1.0, statement.age_ms)
+            for node, statement in statements.items()
+        }
+
+    def _combine_answers(self, peer_records: Sequence[PeerRecord]) -> AnswerSample:
+        """Combine the peers' answers into one sample: equally many of each peer whose usual latency agrees."""
+        usable = [
+            peer_record
+            for peer_record in peer_records
+            if any(not answer.censored for answer in peer_record.record.answers)
+        ]
         if not usable:
-            return (), 0.0
-        centre = _lower_middle([m for _, m in usable])
-        far = self.policy.answers_differ
-        kept = [r for r, m in usable if centre / far <= m <= centre * far] or [usable[0][0]]
-        share = max(1, 400 // len(kept))
-        rows = [(a.age_ms, a.latency_ms, a.censored) for r in kept for a in r.answers[-share:]]
-        rows.sort(key=lambda row: -row[0])
-        return tuple(rows), centre
-
-    def check_answer(self, node: int, took_ms: float, usual_ms: float, now_ms: float) -> list[str]:
-        """Holds an own answer from a server against what peers said of it; the peers that lose their say now."""
-        lost: list[str] = []
-        if usual_ms <= 0:
-            return lost
-        own = max(took_ms / usual_ms, 0.1)
-        for peer, claims in self.peers.items():
-            ratio = claims.ratios.pop(node, None)
-            if ratio is None:
-                continue
-            off = max(own, ratio) / max(min(own, ratio), 0.1)
-            if off > self.policy.wrong_by:
-                claims.wrong += 1
-            else:
-                claims.right += 1
-            if claims.wrong + claims.right >= self.policy.checks and claims.wrong > claims.right:
-                claims.distrusted_until = now_ms + self.policy.distrust_ms
-                claims.right = claims.wrong = 0
-                claims.ratios.clear()
-                lost.append(peer)
-        return lost
-
-
-def _usual(record: KnowledgeRecord) -> float:
-    """A peer's own usual time of a part: the middle of its answers, else of its servers' times."""
-    times = [a.latency_ms for a in record.answers if not a.censored] or [
-        s.time_ms for s in record.servers if not s.dead
-    ]
-    return median(times) if times else 0.0
-
-
-def _lower_middle(values: list[float]) -> float:
+            return AnswerSample((), 0.0)
+        usual_ms = lower_median([peer_record.usual_ms for peer_record in usable])
+        divergence = self.policy.max_latency_divergence
+        agreeing = [
+            peer_record.record
+            for peer_record in usable
+            if usual_ms / divergence <= peer_record.usual_ms <= usual_ms * divergence
+        ] or [usable[0].record]
+        per_peer = max(1, MAX_ANSWERS // len(agreeing))
+        answers = [answer for record in agreeing for answer in record.answers[-per_peer:]]
+        answers.sort(key=lambda answer: -answer.age_ms)
+        return AnswerSample(tuple(answers), usual_ms)
+
+
+def combine_statements(
+    by_node: Mapping[int, Sequence[Statement]], peer_count: int, usual_ms: float
+) -> tuple[api.EndpointObservation, ...]:
+    """Combine what peers state of each server; nothing if the usual latency is 0, which means unknown."""
+    if not usual_ms:
+        return ()
+    nodes = []
+    for node, statements in by_node.items():
+        if peer_count > 2 and len(statements) * 2 <= peer_count:
+            continue  # most peers state nothing of it: a liar may have invented it
+        slowdown = lower_median([statement.slowdown for statement in statements])
+        age_ms = upper_median([statement.age_ms for statement in statements])
+        nodes.append(api.EndpointObservation(node, max(slowdown, 1.0) * usual_ms, age_ms, False))
+    return tuple(nodes)
+
+
+def usual_latency_ms(record: KnowledgeRecord) -> float:
+    """A peer's own usual latency: the median of its answers, else of its servers' times; 0 if there is neither."""
+    latencies_ms = [answer.latency_ms for answer in record.answers if not answer.censored]
+    if not latencies_ms:
+        latencies_ms = [server.time_ms for server in record.servers if not server.dead]
+    return median(latencies_ms) if latencies_ms else 0.0
+
+
+def lower_median(values: Sequence[float]) -> float:
+    """The median; of two middle values the lower one."""
     return sorted(values)[(len(values) - 1) // 2]
+
+
+def upper_median(values: Sequence[float]) -> float:
+    """The median; of two middle values the greater one."""
+    return sorted(values)[len(values) // 2]
--- a/badgerbend/peering/service.py
+++ b/badgerbend/peering/service.py
@@ -212,7 +212,7 @@
         if not records or self._closed:
             return
         numbers = {name: node for node, name in self.directory.names.items()}
-        prior = self.trust.combine(records, numbers, self._now(), own)
+        prior = self.trust.combine(records, numbers, self._now(), is_own=own)
         self.servers_learned += len(prior.nodes)
         self.log.info("learned", peers=sorted(records), servers=len(prior.nodes), answers=len(prior.answers))
         self.driver.learn(prior)
--- a/badgerbend/snapshot/__init__.py
+++ b/badgerbend/snapshot/__init__.py
@@ -1,1 +1,1 @@
-"""A broker's record on disk, whole or not at all."""
+"""A broker's own record in a file, for its next start."""
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -13,6 +13,7 @@
 
 from badgerbend import api
 from badgerbend.disk import write_atomically
+from badgerbend.knowledge.policy import TrustPolicy
 from badgerbend.knowledge.record import (
     MAX_RECORD_BYTES,
     AnswerLatency,
@@ -24,7 +25,7 @@
     encode,
     make_record,
 )
-from badgerbend.knowledge.trust import PeerTrust, TrustPolicy
+from badgerbend.knowledge.trust import PeerTrust
 from badgerbend.snapshot.store import SnapshotError, decode_snapshot, encode_snapshot, read_snapshot
 
 NAMES = {f"s{i}": i for i in range(10)}
@@ -170,7 +171,7 @@
     assert slow(PeerTrust().combine({"a": record(TRUE)}, NAMES, 0.0)) == {8, 9}
     half = TRUE | {f"s{i}": 160.0 for i in range(5)}
     assert len(slow(PeerTrust().combine({"a": record(half)}, NAMES, 0.0))) == 3  # of ten, though it says seven
-    assert len(slow(PeerTrust().combine({"own": record(half)}, NAMES, 0.0, own=True))) == 7
+    assert len(slow(PeerTrust().combine({"own": record(half)}, NAMES, 0.0, is_own=True))) == 7
 
 
 @settings(max_examples=200, deadline=None)
