--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -219,8 +219,7 @@
             self._gauges()
             exchange.respond(200, self.metrics.text(), TEXT)
         elif path == b"/peers":
-            status = self.knowledge_exchange.status() if self.knowledge_exchange is not None else {"members": []}
-            exchange.respond(200, msgspec.json.encode(status), b"application/json")
+            exchange.respond(200, self._peers_status(), b"application/json")
         elif path.startswith(b"/duties"):
             handle_duties(self.rota, exchange, path)
         elif path.startswith(b"/sites") and self.siting is not None:
@@ -231,6 +230,12 @@
         else:
             exchange.respond(404, b"not found; GraphQL is at /graphql\n", b"text/plain")
 
+    def _peers_status(self) -> bytes:
+        """The status page of peers, as JSON."""
+        if self.knowledge_exchange is None:
+            return msgspec.json.encode({"members": []})
+        return msgspec.json.encode(self.knowledge_exchange.status())
+
     def _taken(self) -> None:
         """A list is in force: what hangs on the whole of it."""
         states = [known.line.state for known in self.directory.known.values()]
@@ -259,7 +264,7 @@
         if self.knowledge_exchange is not None:
             m.pulls.set(self.knowledge_exchange.pulls)
             m.learned.set(self.knowledge_exchange.servers_learned)
-            states = [x["state"] for x in self.knowledge_exchange.status()["members"]]
+            states = [member.state for member in self.knowledge_exchange.status().members]
             for state in ("alive", "suspect", "dead", "left"):
                 m.peers.labels(state).set(states.count(state))
             socket = self.knowledge_exchange.socket
--- a/badgerbend/generations/generation.py
+++ b/badgerbend/generations/generation.py
@@ -18,7 +18,7 @@
 from badgerbend.graphql.schema import Subgraph
 from badgerbend.metrics import Metrics
 from badgerbend.net.client import Pool
-from badgerbend.peering.service import AnswerObserver
+from badgerbend.peering.observer import AnswerObserver
 from badgerbend.runtime.loop import LoopSchedule
 from badgerbend.runtime.ports import Attempt, ServerList
 
--- a/badgerbend/peering/__init__.py
+++ b/badgerbend/peering/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets around membership and knowledge: datagrams, records read over HTTP, and when to learn."""
+"""Peers of a broker: membership over UDP, records of knowledge over HTTP, and the broker's own snapshot file."""
--- a/badgerbend/peering/exchange.py
+++ b/badgerbend/peering/exchange.py
@@ -1,5 +1,7 @@
-"""Records read from peers over HTTP. Both sides show that they hold a key: the client signs a fresh nonce, the server
-signs that nonce with its record, so that neither can be played back.
+"""Records of knowledge over HTTP, authenticated on both sides.
+
+The client signs a fresh nonce, and the server signs that nonce together with its record: each shows that it has a key,
+and neither message can be replayed.
 """
 
 from __future__ import annotations
@@ -13,61 +15,91 @@
 from badgerbend.net.seal import sign, verify
 from badgerbend.net.server import Exchange, HttpServer, ServerLimits
 
-NONCE, MAC = b"badgerbend-nonce", b"badgerbend-mac"
+NONCE = b"badgerbend-nonce"  # header: fresh for each request
+MAC = b"badgerbend-mac"  # header: the signature of the request, or of the answer
 PATH = b"/knowledge"
-SERVER = ServerLimits(max_connections=1024, max_body_bytes=1024, read_timeout_s=2.0, idle_timeout_s=5.0)
-CLIENT = PoolLimits(connect_timeout_s=0.5, idle_s=1.0, max_answer_bytes=MAX_RECORD_BYTES)
+NONCE_BYTES = 16
+NONCE_DIGITS = 2 * NONCE_BYTES  # hexadecimal
+REQUEST_PREFIX = b"ask"  # what is signed begins with one of these, so that a signature serves one purpose
+ANSWER_PREFIX = b"tell"
+REQUEST = b"GET %s HTTP/1.1\r\nhost: x\r\n%s: %s\r\n%s: %s\r\nconnection: close\r\n\r\n"
+SERVER_LIMITS = ServerLimits(max_connections=1024, max_body_bytes=1024, read_timeout_s=2.0, idle_timeout_s=5.0)
+CLIENT_LIMITS = PoolLimits(connect_timeout_s=0.5, idle_s=1.0, max_answer_bytes=MAX_RECORD_BYTES)
 
 
 class FetchError(Exception):
-    """A record could not be fetched from a peer; the text says why."""
+    """A record could not be fetched from a peer. reason: the connection, the status, the signature or the record."""
+
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
 
 
 class KnowledgeServer:
-    """Serves this broker's record to those who hold a key."""
+    """Serves this broker's record to clients that have one of the keys.
+
+    served, rejected: requests answered with a record, and with 403.
+    """
 
     def __init__(self, keys: tuple[bytes, ...], record: Callable[[], KnowledgeRecord]) -> None:
-        self.keys, self.record = keys, record
-        self.http = HttpServer(self._handle, SERVER)
-        self.served = self.rejected = 0
+        self.keys = keys
+        self.record = record
+        self.http = HttpServer(self._handle, SERVER_LIMITS)
+        self.served = 0
+        self.rejected = 0
 
     def _handle(self, exchange: Exchange) -> None:
-        nonce, mac = exchange.headers.get(NONCE, b""), _unhex(exchange.headers.get(MAC, b""))
-        key = next((k for k in self.keys if len(nonce) == 32 and verify(k, b"ask" + nonce, mac)), None)
+        nonce = exchange.headers.get(NONCE, b"")
+        key = self._key_of(nonce, _bytes_of_hex(exchange.headers.get(MAC, b"")))
         if exchange.target != PATH or key is None:
             self.rejected += 1
             exchange.respond(403, b"", b"")
             return
         body = encode(self.record())
         self.served += 1
-        signed = sign(key, b"tell" + nonce + body).hex().encode()
-        exchange.respond(200, body, b"application/msgpack", ((MAC, signed),))
+        mac = sign(key, ANSWER_PREFIX + nonce + body).hex().encode()
+        exchange.respond(200, body, b"application/msgpack", ((MAC, mac),))
 
+    def _key_of(self, nonce: bytes, mac: bytes) -> bytes | None:
+        """The key by which a request is signed; None if it is none of ours."""
+        if len(nonce) != NONCE_DIGITS:
+            return None
+        return next((key for key in self.keys if verify(key, REQUEST_PREFIX + nonce, mac)), None)
 
-def fetch_record(key: bytes, host: str, port: int, on_record: Callable[[KnowledgeRecord | FetchError], None]) -> Call:
-    """Reads a peer's record; the callback gets it, or what went wrong. Its ages include the way here."""
-    nonce = os.urandom(16).hex().encode()
-    pool = Pool(host, port, CLIENT)
+
+def fetch_record(key: bytes, host: str, port: int, on_result: Callable[[KnowledgeRecord | FetchError], None]) -> Call:
+    """Fetch a peer's record. The callback gets it, its ages increased by the time on the way, or what went wrong."""
+    nonce = os.urandom(NONCE_BYTES).hex().encode()
+    pool = Pool(host, port, CLIENT_LIMITS)
     began = time.monotonic()
 
-    def replied(reply: Reply) -> None:
+    def on_reply(reply: Reply) -> None:
         pool.close()
-        if reply.end is not End.ANSWER or reply.status != 200:
-            on_record(FetchError(f"{reply.end.name.lower()} {reply.status}"))
-        elif not verify(key, b"tell" + nonce + reply.body, _unhex(reply.headers.get(MAC, b""))):
-            on_record(FetchError("not signed by our key"))
-        else:
-            try:
-                on_record(aged(decode(reply.body), (time.monotonic() - began) * 1000.0))
-            except RecordError as err:
-                on_record(FetchError(str(err)))
-
-    head = b"GET %s HTTP/1.1\r\nhost: x\r\n%s: %s\r\n%s: %s\r\nconnection: close\r\n\r\n"
-    mac = sign(key, b"ask" + nonce).hex().encode()
-    return pool.request(head % (PATH, NONCE, nonce, MAC, mac), replied)
-
-
-def _unhex(text: bytes) -> bytes:
+        try:
+            record = _record_of(reply, key, nonce)
+        except FetchError as error:
+            on_result(error)
+            return
+        on_result(aged(record, (time.monotonic() - began) * 1000.0))
+
+    mac = sign(key, REQUEST_PREFIX + nonce).hex().encode()
+    return pool.request(REQUEST % (PATH, NONCE, nonce, MAC, mac), on_reply)
+
+
+def _record_of(reply: Reply, key: bytes, nonce: bytes) -> KnowledgeRecord:
+    """Check and decode an answer. Raises FetchError."""
+    if reply.end is not End.ANSWER or reply.status != 200:
+        raise FetchError(f"{reply.end.name.lower()} {reply.status}")
+    if not verify(key, ANSWER_PREFIX + nonce + reply.body, _bytes_of_hex(reply.headers.get(MAC, b""))):
+        raise FetchError("not signed by our key")
+    try:
+        return decode(reply.body)
+    except RecordError as err:
+        raise FetchError(str(err)) from err
+
+
+def _bytes_of_hex(text: bytes) -> bytes:
+    """The bytes that hexadecimal digits stand for; none if the text is malformed."""
     try:
         return bytes.fromhex(text.decode("ascii"))
     except ValueError:
--- a/badgerbend/peering/service.py
+++ b/badgerbend/peering/service.py
@@ -1,261 +1,198 @@
-"""KnowledgeExchange: who to ask, when, and what comes of it; and the broker's own snapshot, taken as one more peer.
+"""The exchange of knowledge: what a broker has observed is served to peers, and what they have observed is learned.
 
-Whom to believe is `knowledge.trust`'s to say, what a server is worth the module's.
+How far peers are trusted is decided by `knowledge.trust`; what a server is worth, by the decisions.
 """
 
 from __future__ import annotations
 
-import asyncio
 import random
 import time
-from collections.abc import Callable
-from pathlib import Path
-from typing import Any
+from collections.abc import Callable, Mapping, Sequence
 
-from badgerbend import api
 from badgerbend.config.fleet import Peers
-from badgerbend.config.settings import Settings, Snapshot
+from badgerbend.config.settings import Settings
 from badgerbend.discovery.directory import Directory
-from badgerbend.disk import write_atomically
 from badgerbend.knowledge.record import KnowledgeRecord, make_record
 from badgerbend.knowledge.trust import PeerTrust
 from badgerbend.log import get
+from badgerbend.membership.members import Address, Member
 from badgerbend.membership.messages import MemberState
 from badgerbend.membership.swim import MemberChanged, Swim, SwimConfig
-from badgerbend.net.client import Call
 from badgerbend.net.seal import Seal, read_key
-from badgerbend.peering.exchange import FetchError, KnowledgeServer, fetch_record
+from badgerbend.net.udp import address_text
+from badgerbend.peering.exchange import KnowledgeServer
+from badgerbend.peering.own_snapshot import OwnSnapshot
+from badgerbend.peering.pull import KnowledgePeer, PullSchedule, knowledge_peers
+from badgerbend.peering.status import MemberStatus, PeersStatus
 from badgerbend.peering.udp import MembershipSocket
 from badgerbend.runtime.driver import Driver
-from badgerbend.runtime.ports import Attempt, Observer
-from badgerbend.snapshot.store import SnapshotError, encode_snapshot, read_snapshot
 
-WAIT_S = 1.0  # for peers' answers; who is slower is left out
-SELF = "own snapshot"
-
-
-class AnswerObserver:
-    """An observer that passes all on, and holds own answers against what peers said."""
-
-    def __init__(self, inner: Observer) -> None:
-        self.inner = inner
-        self.knowledge_exchange: KnowledgeExchange | None = None
-        self.query_ended, self.stepped, self.trouble = inner.query_ended, inner.stepped, inner.trouble
-
-    def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, took_ms: float) -> None:
-        self.inner.attempt_ended(attempt, outcome, took_ms)
-        if self.knowledge_exchange is not None and outcome == api.Outcome.OK:
-            self.knowledge_exchange.check_answer(attempt.node, took_ms)
+OWN_SNAPSHOT = "own snapshot"  # the name under which this broker's earlier record is combined
+PROBE_TIMEOUT_SHARE = 0.3  # of the probe interval
+CLOSE_GRACE_S = 0.2  # for answers under way
 
 
 class KnowledgeExchange:
-    """One broker's, for as long as it runs. `start` raises OSError or BadKey where peers cannot be reached for."""
+    """One broker's part in the exchange, for as long as it runs, over all of its configurations.
+
+    driver: of the newest configuration. report_fault: called with a kind of fault and its detail.
+    """
 
     def __init__(
-        self, settings: Settings, driver: Driver, directory: Directory, trouble: Callable[[str, str], None]
+        self, settings: Settings, driver: Driver, directory: Directory, report_fault: Callable[[str, str], None]
     ) -> None:
-        self.settings, self.driver, self.directory, self.trouble = settings, driver, directory, trouble
-        self.loop = asyncio.get_running_loop()
+        self.settings = settings
+        self.driver = driver
+        self.directory = directory
+        self.report_fault = report_fault
         self.trust = PeerTrust()
-        self.rng = random.Random(settings.seed * 7919 + settings.identity.index)
         self.log = get(part="learning")
         self.socket: MembershipSocket | None = None
         self.server: KnowledgeServer | None = None
-        self.keys: tuple[bytes, ...] = ()
-        self.pulls = 0
-        self.servers_learned = 0
         self.membership_port = 0
         self.knowledge_port = 0
-        self._own: KnowledgeRecord | None = None
-        self._calls: list[Call] = []
-        self._timers: list[asyncio.TimerHandle] = []
-        self._until = 0.0
-        self._asked_once = False
-        self._writing: asyncio.Future[None] | None = None
+        self.servers_learned = 0
+        self._rng = random.Random(settings.seed * 7919 + settings.identity.index)
+        self._pull_schedule: PullSchedule | None = None
+        self._snapshot: OwnSnapshot | None = None
+        self._restored: KnowledgeRecord | None = None  # until servers have numbers
         self._closed = False
 
+    # -- start and end
+
     async def start(self) -> None:
+        """Read the snapshot and open the sockets, as far as they are set. Raises OSError or KeyFileError."""
         if self.settings.snapshot is not None:
-            self._restore(self.settings.snapshot)
-            self._timers.append(self.loop.call_later(self.settings.snapshot.every_ms / 1000.0, self._keep))
+            self._snapshot = OwnSnapshot(self.settings.snapshot, self.own_record)
+            self._restored = self._snapshot.restore()
+            self._snapshot.start()
         if self.settings.peers is not None:
             await self._open(self.settings.peers)
 
     async def _open(self, peers: Peers) -> None:
-        self.keys = tuple(read_key(path) for path in peers.key)
-        life = int(time.time() * 1000)
-        self.server = KnowledgeServer(self.keys, self.own_record)
-        knowledge = await self.server.http.start(peers.host, peers.knowledge_port)
-        self.socket = MembershipSocket(Seal(self.keys, life), self._changed)
-        port = await self.socket.open(peers.host, peers.port)
-        self.membership_port = port
-        self.knowledge_port = knowledge
-        identity = self.settings.identity
-        swim = Swim(
-            f"broker-{identity.index}",
-            (peers.host, port),
-            life,
-            f"{peers.host}:{knowledge}",
-            SwimConfig(probe_interval_s=peers.period_ms / 1000.0, probe_timeout_s=peers.period_ms * 0.0003),
-            self.rng.getrandbits(32),
+        keys = tuple(read_key(path) for path in peers.key)
+        started_ms = int(time.time() * 1000)
+        self.server = KnowledgeServer(keys, self.own_record)
+        self.knowledge_port = await self.server.http.start(peers.host, peers.knowledge_port)
+        self.socket = MembershipSocket(Seal(keys, started_ms), self._member_changed)
+        self.membership_port = await self.socket.open(peers.host, peers.port)
+        swim = self._swim(peers, started_ms)
+        self._pull_schedule = PullSchedule(peers, keys[0], self._rng, self._peers_to_ask, self._learn)
+        self.socket.start(swim, tuple(_address(seed) for seed in peers.seed))
+        self._pull_schedule.start()
+
+    def _swim(self, peers: Peers, incarnation: int) -> Swim:
+        """The local member, whose metadata is the address of the knowledge server."""
+        interval_s = peers.period_ms / 1000.0
+        return Swim(
+            f"broker-{self.settings.identity.index}",
+            (peers.host, self.membership_port),
+            incarnation,
+            address_text((peers.host, self.knowledge_port)),
+            SwimConfig(probe_interval_s=interval_s, probe_timeout_s=PROBE_TIMEOUT_SHARE * interval_s),
+            self._rng.getrandbits(32),
         )
-        seeds = tuple((s.rpartition(":")[0], int(s.rpartition(":")[2])) for s in peers.seed)
-        self._until = self.loop.time() + peers.until_ms / 1000.0
-        self.socket.start(swim, seeds)
-        self._timers.append(self.loop.call_later(peers.every_ms / 1000.0, self._again, peers))
 
     async def close(self) -> None:
-        """Leaves the others, and writes a last snapshot."""
+        """Leave the group, end all requests, and write a last snapshot."""
         self._closed = True
-        for timer in self._timers:
-            timer.cancel()
-        for call in self._calls:
-            call.abort()
+        if self._snapshot is not None:
+            self._snapshot.stop()
+        if self._pull_schedule is not None:
+            self._pull_schedule.close()
         if self.socket is not None:
             self.socket.close()
         if self.server is not None:
-            await self.server.http.close(0.2)
-        if self.settings.snapshot is not None:
-            if self._writing is not None:
-                await asyncio.wait([self._writing])
-            self._write(Path(self.settings.snapshot.file), encode_snapshot(self.own_record(), time.time()))
+            await self.server.http.close(CLOSE_GRACE_S)
+        if self._snapshot is not None:
+            await self._snapshot.write_last()
+
+    # -- what this broker knows
 
     def own_record(self) -> KnowledgeRecord:
-        """What this broker has seen itself."""
-        identity, module = self.settings.identity, self.driver.module
+        """What this broker has observed itself."""
+        identity = self.settings.identity
         return make_record(
             self.driver.known(),
             self.directory.names,
             identity.index,
             identity.zone,
             self.driver.open_parts,
-            module.chosen,
+            self.driver.module.chosen,
         )
 
-    def check_answer(self, node: int, took_ms: float) -> None:
+    def check_answer(self, node: int, latency_ms: float) -> None:
+        """Compare an own answer with what peers stated of its server."""
         module = self.driver.module
-        for peer in self.trust.check_answer(node, took_ms, module.usual, module.now):
-            self.trouble("peer not believed", peer)
-
-    def endpoint_list_loaded(self) -> None:
-        """The first list is there: servers have numbers by now."""
-        if self._own is not None:
-            self._take({SELF: self._own}, own=True)
-            self._own = None
-        self._first_pull()
-
-    # -- peers
-    def _changed(self, event: MemberChanged) -> None:
-        self.log.info("member", name=event.name, state=event.state.name.lower(), incarnation=event.incarnation)
-        if event.state == MemberState.ALIVE:
-            self._first_pull()
+        for peer in self.trust.check_answer(node, latency_ms, module.usual, module.now):
+            self.report_fault("peer not believed", peer)
 
-    def _first_pull(self) -> None:
-        """As soon as there are both a list and a peer; a moment later, when more have been met."""
-        if not self._asked_once and self.settings.peers is not None and self.directory.known and self._servers_to_ask():
-            self._asked_once = True
-            self._timers.append(self.loop.call_later(0.1, self.pull))
+    # -- what it learns
 
-    def _again(self, peers: Peers) -> None:
-        if self.loop.time() < self._until:
-            self.pull()
-            self._timers.append(self.loop.call_later(peers.every_ms / 1000.0, self._again, peers))
+    @property
+    def pulls(self) -> int:
+        """Rounds of requests to peers so far."""
+        return self._pull_schedule.pulls if self._pull_schedule is not None else 0
 
-    def _servers_to_ask(self) -> list[tuple[str, str, int]]:
-        swim = self.socket.swim if self.socket is not None else None
-        out = []
-        for member in swim.live_members() if swim is not None else ():
-            host, _, port = member.metadata.rpartition(":")
-            if member.state == MemberState.ALIVE and port.isdigit() and self.trust.is_trusted(member.name, self._now()):
-                out.append((member.name, host, int(port)))
-        return out
-
-    def _now(self) -> float:
-        return self.driver.schedule.now_ms()
-
-    def pull(self) -> None:
-        """Asks some peers at once and takes what has come when all have answered, or the wait is over."""
-        peers = self.settings.peers
-        if peers is None or self._closed:
-            return
-        servers = self._servers_to_ask()
-        chosen = self.rng.sample(servers, min(len(servers), peers.ask))
-        if not chosen:
-            return
-        self.pulls += 1
-        records: dict[str, KnowledgeRecord] = {}
-        open_ = {name for name, _, _ in chosen}
-
-        def got(name: str, found: KnowledgeRecord | FetchError) -> None:
-            if name not in open_:
-                return
-            open_.discard(name)
-            if isinstance(found, FetchError):
-                self.log.info("peer did not tell", peer=name, why=str(found))
-            else:
-                records[name] = found
-            if not open_:
-                self._take(records)
+    def endpoint_list_loaded(self) -> None:
+        """The endpoint list is there, so servers have numbers: the snapshot can be used, and peers can be asked."""
+        if self._restored is not None:
+            self._learn({OWN_SNAPSHOT: self._restored}, is_own=True)
+            self._restored = None
+        self._request_first_pull()
+
+    def _member_changed(self, event: MemberChanged) -> None:
+        self.log.info("member", name=event.name, state=event.state.label, incarnation=event.incarnation)
+        if event.state == MemberState.ALIVE:
+            self._request_first_pull()
 
-        def enough() -> None:
-            if open_:
-                open_.clear()
-                self._take(records)
+    def _request_first_pull(self) -> None:
+        """Ask peers as soon as there are both an endpoint list and a peer."""
+        if self._pull_schedule is not None and self.directory.known:
+            self._pull_schedule.request_first()
 
-        self._calls = [c for c in self._calls if not c.done]
-        for name, host, port in chosen:
-            self._calls.append(fetch_record(self.keys[0], host, port, lambda found, name=name: got(name, found)))  # type: ignore[misc]
-        self._timers = [t for t in self._timers if not t.cancelled() and t.when() > self.loop.time()]
-        self._timers.append(self.loop.call_later(WAIT_S, enough))
+    def _peers_to_ask(self) -> Sequence[KnowledgePeer]:
+        now_ms = self.driver.schedule.now_ms()
+        return [peer for peer in knowledge_peers(self._members()) if self.trust.is_trusted(peer.name, now_ms)]
 
-    def _take(self, records: dict[str, KnowledgeRecord], own: bool = False) -> None:
+    def _learn(self, records: Mapping[str, KnowledgeRecord], *, is_own: bool = False) -> None:
+        """Hand records, by peer, to the decisions."""
         if not records or self._closed:
             return
-        numbers = {name: node for node, name in self.directory.names.items()}
-        prior = self.trust.combine(records, numbers, self._now(), is_own=own)
+        node_by_name = {name: node for node, name in self.directory.names.items()}
+        prior = self.trust.combine(records, node_by_name, self.driver.schedule.now_ms(), is_own=is_own)
         self.servers_learned += len(prior.nodes)
         self.log.info("learned", peers=sorted(records), servers=len(prior.nodes), answers=len(prior.answers))
         self.driver.learn(prior)
 
-    # -- the snapshot
-    def _restore(self, snapshot: Snapshot) -> None:
-        try:
-            self._own = read_snapshot(Path(snapshot.file), time.time())
-        except FileNotFoundError:
-            self.log.info("no snapshot yet", file=snapshot.file)
-        except SnapshotError as err:
-            self.log.warning("snapshot not used", file=snapshot.file, why=str(err))
+    # -- status
 
-    def _keep(self) -> None:
-        snapshot = self.settings.snapshot
-        if snapshot is None or self._closed:
-            return
-        if self._writing is None or self._writing.done():  # a slow disk delays the next one, and nothing else
-            data = encode_snapshot(self.own_record(), time.time())
-            self._writing = self.loop.run_in_executor(None, self._write, Path(snapshot.file), data)
-        self._timers.append(self.loop.call_later(snapshot.every_ms / 1000.0, self._keep))
-
-    def _write(self, path: Path, data: bytes) -> None:
-        try:
-            write_atomically(path, data)
-        except OSError as err:
-            self.log.warning("snapshot not written", file=str(path), why=str(err))
+    def status(self) -> PeersStatus:
+        """The members of the group, and what was learned from them."""
+        swim = self.socket.swim if self.socket is not None else None
+        return PeersStatus(
+            pulls=self.pulls,
+            servers_learned=self.servers_learned,
+            health_score=swim.health_score if swim is not None else 0,
+            members=tuple(self._member_status(member) for member in self._members()),
+        )
 
-    def status(self) -> dict[str, Any]:
-        """For a person: members, and what was learned."""
+    def _members(self) -> list[Member]:
+        """All other members, dead and departed ones included; none while the socket is closed."""
         swim = self.socket.swim if self.socket is not None else None
-        return {
-            "pulls": self.pulls,
-            "learned": self.servers_learned,
-            "health": swim.health_score if swim is not None else 0,
-            "members": [
-                {
-                    "name": m.name,
-                    "address": f"{m.address[0]}:{m.address[1]}",
-                    "state": m.state.name.lower(),
-                    "incarnation": m.incarnation,
-                    "believed": self.trust.is_trusted(m.name, self._now()),
-                }
-                for m in (swim.members.values() if swim is not None else ())
-            ],
-        }
+        return list(swim.members.values()) if swim is not None else []
+
+    def _member_status(self, member: Member) -> MemberStatus:
+        return MemberStatus(
+            name=member.name,
+            address=address_text(member.address),
+            state=member.state.label,
+            incarnation=member.incarnation,
+            trusted=self.trust.is_trusted(member.name, self.driver.schedule.now_ms()),
+        )
+
+
+def _address(text: str) -> Address:
+    """The address in a text of the form HOST:PORT, which the settings have checked."""
+    host, _, port = text.rpartition(":")
+    return (host, int(port))
--- a/badgerbend/peering/udp.py
+++ b/badgerbend/peering/udp.py
@@ -1,4 +1,4 @@
-"""Membership on a UDP socket: the state machine's clock and timers."""
+"""Membership on a UDP socket: reads the clock for the state machine, and wakes it when it has something to do."""
 
 from __future__ import annotations
 
@@ -10,9 +10,11 @@
 from badgerbend.net.seal import Seal
 from badgerbend.net.udp import SealedSocket
 
+MIN_WAKEUP_S = 0.001
+
 
 class MembershipSocket(SealedSocket):
-    """Drives one `Swim`. Events go to `on_change`."""
+    """Drives one `Swim`, which is None before `start` and after `close`. Its events go to `on_change`."""
 
     def __init__(self, seal: Seal, on_change: Callable[[MemberChanged], None]) -> None:
         super().__init__(seal)
@@ -21,42 +23,45 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, swim: Swim, seeds: tuple[Address, ...]) -> None:
+        """Join the group by its seeds. The socket must be open."""
         self.swim = swim
         swim.join(time.monotonic(), seeds)
-        self._after()
+        self._process_output(swim)
 
     def close(self) -> None:
-        """Tells some others, and ends."""
+        """Leave the group, and close the socket."""
         if self._timer is not None:
             self._timer.cancel()
         if self.swim is not None:
             self.swim.leave(time.monotonic())
-            self._flush()
+            self._flush(self.swim)
             self.swim = None
         self.shut()
 
     def body(self, body: bytes, source: Address) -> None:
+        """Handle the body of a datagram whose seal is good."""
         if self.swim is not None:
             self.swim.receive(time.monotonic(), body, source)
-            self._after()
+            self._process_output(self.swim)
 
-    def _after(self) -> None:
-        self._flush()
+    def _process_output(self, swim: Swim) -> None:
+        """Send and report what the state machine has put out, and set the timer anew."""
+        self._flush(swim)
         if self.swim is None:
-            return
+            return  # closed by who was notified of an event
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self.loop.call_later(max(self.swim.next_wakeup_at - time.monotonic(), 0.001), self._tick)
+        delay_s = max(swim.next_wakeup_at - time.monotonic(), MIN_WAKEUP_S)
+        self._timer = self.loop.call_later(delay_s, self._tick)
 
     def _tick(self) -> None:
         self._timer = None
         if self.swim is not None:
             self.swim.tick(time.monotonic())
-            self._after()
+            self._process_output(self.swim)
 
-    def _flush(self) -> None:
-        assert self.swim is not None
-        output = self.swim.take_output()
+    def _flush(self, swim: Swim) -> None:
+        output = swim.take_output()
         for datagram in output.datagrams:
             self.send(datagram.destination, datagram.payload)
         for event in output.events:
--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -17,7 +17,7 @@
 from badgerbend.membership.swim import Swim, SwimConfig
 from badgerbend.net.seal import SENDERS, Seal
 from badgerbend.net.server import BACKLOG
-from badgerbend.peering.exchange import SERVER
+from badgerbend.peering.exchange import SERVER_LIMITS
 from scale import records
 from scale.figures import Figure, Kind
 from scale.fleetsize import DAY_S, ZONES, restarts_expected
@@ -59,7 +59,7 @@
     Limit("net.server BACKLOG: all brokers connect at once", BACKLOG, lambda brokers, nodes: brokers),
     Limit(
         "peering.exchange SERVER.max_connections: a zone's brokers ask one peer at once",
-        SERVER.max_connections,
+        SERVER_LIMITS.max_connections,
         lambda brokers, nodes: brokers / ZONES,
     ),
 )
--- a/tests/test_public_status.py
+++ b/tests/test_public_status.py
@@ -83,7 +83,7 @@
         return msgspec.to_builtins(self.broker.rota.status())
 
     def peers_status(self):
-        return self.broker.knowledge_exchange.status()
+        return msgspec.to_builtins(self.broker.knowledge_exchange.status())
 
     def sites_status(self):
         return sites_status(self.broker.siting.tiers, self.broker.siting.now_ms())
