--- a/badgerbend/feed_service/control_wire.py
+++ b/badgerbend/feed_service/control_wire.py
@@ -20,7 +20,7 @@
     command: bytes
 
 
-ControlMessage = wire.Said | Proposal | Summary
+ControlMessage = wire.Message | Proposal | Summary
 
 
 def encode_proposal(command: bytes) -> bytes:
@@ -38,7 +38,7 @@
             return Proposal(body[1:])
         case b"u":
             return _summary(body[1:])
-    return wire.read(body)
+    return wire.decode(body)
 
 
 def _summary(data: bytes) -> Summary:
--- a/badgerbend/lease_service/status.py
+++ b/badgerbend/lease_service/status.py
@@ -82,41 +82,41 @@
             duty=name,
             holder=duty.holder,
             epoch=duty.holder_epoch,
-            may_act=now < duty.until and duty.epoch > 0,
-            for_ms=round(max(duty.until - now, 0.0) * 1000.0) if duty.epoch else 0,
+            may_act=now < duty.valid_until and duty.epoch > 0,
+            for_ms=round(max(duty.valid_until - now, 0.0) * 1000.0) if duty.epoch else 0,
         )
         for name, duty in holder.duties.items()
     ]
 
 
-def vote_status(ballot: LocalVoter, now: float) -> VoteStatus:
-    raft = ballot.voter.raft
+def vote_status(local_voter: LocalVoter, now: float) -> VoteStatus:
+    raft = local_voter.voter.raft
     return VoteStatus(
-        name=ballot.name,
+        name=local_voter.name,
         role=ROLE_WORDS[raft.role],
         term=raft.term,
         leader=raft.leader,
         voters=list(raft.voters),
         commit=raft.commit_index,
         last=raft.log.last_index,
-        broken=ballot.broken,
-        syncs=ballot.writer.sync_count,
-        renewals=ballot.voter.renewals,
+        broken=local_voter.failure,
+        syncs=local_voter.writer.sync_count,
+        renewals=local_voter.voter.renewals,
         others={
             name: FollowerStatus(progress.match_index, round((now - progress.last_contact_at) * 1000.0))
             for name, progress in raft.progress.items()
         },
-        leases=[LeaseStatus(duty, lease.holder, lease.epoch) for duty, lease in ballot.voter.table.leases.items()],
+        leases=[LeaseStatus(duty, lease.holder, lease.epoch) for duty, lease in local_voter.voter.table.leases.items()],
     )
 
 
-def vote_counts(ballot: LocalVoter) -> dict[str, int]:
+def vote_counts(local_voter: LocalVoter) -> dict[str, int]:
     """By name, for the metrics."""
-    raft = ballot.voter.raft
+    raft = local_voter.voter.raft
     return {
         "term": raft.term,
-        "leads": int(ballot.voter.leads),
+        "leads": int(local_voter.voter.is_leader),
         "commit": raft.commit_index,
-        "syncs": ballot.writer.sync_count,
-        "votes no more": int(ballot.broken is not None),
+        "syncs": local_voter.writer.sync_count,
+        "votes no more": int(local_voter.failure is not None),
     }
--- a/badgerbend/standin/acts.py
+++ b/badgerbend/standin/acts.py
@@ -49,10 +49,10 @@
         return sorted(((b - a, a) for a, b in zip(edges, edges[1:], strict=False)), reverse=True)
 
 
-def message_of(data: bytes) -> wire.Said | None:
+def message_of(data: bytes) -> wire.Message | None:
     """What a sealed datagram says; None for what is no message of duties."""
     try:
-        return wire.read(data[HEAD.size : -MAC_BYTES])
+        return wire.decode(data[HEAD.size : -MAC_BYTES])
     except wire.MalformedMessageError:
         return None
 
@@ -68,7 +68,7 @@
     for line in sorted(lines, key=lambda row: float(row["t"])):
         message, t, sender = message_of(line["data"]), float(line["t"]), str(line["from"])
         if isinstance(message, LeaseReply):
-            for told in message.lines if message.leads else ():
+            for told in message.leases if message.is_leader else ():
                 if told.holder:
                     grants.checked += 1
                     first = granted.setdefault((told.duty, told.epoch), told.holder)
@@ -110,7 +110,7 @@
     """What brokers were dealt of cold allowance, and what they stated as their shares, from what arrived.
 
     A slice is taken to last from when its ask passed, as its broker counts it; who was dealt less keeps to it for
-    three lengths, as `docs/duties.md` says. Shares change with traffic, so the sum is held against the most that each
+    three lengths, as `docs/leases.md` says. Shares change with traffic, so the sum is held against the most that each
     stated within that time.
     """
     finding = Finding("no more is dealt than the shares")
--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 
 from badgerbend.knowledge.record import MAX_RECORD_BYTES, MAX_SERVERS, RecordError, decode, encode
-from badgerbend.lease_service.local_voter import BROKERS
-from badgerbend.leases.probing import ASKERS_MOST
-from badgerbend.leases.voter import MOST_PENDING
+from badgerbend.lease_service.local_voter import MAX_BROKER_ADDRESSES
+from badgerbend.leases.health_checks import MAX_SUBSCRIBERS
+from badgerbend.leases.voter import MAX_PENDING_RENEWALS
 from badgerbend.membership.messages import MemberState, MemberUpdate, Sync
 from badgerbend.membership.messages import encode as encode_datagram
 from badgerbend.membership.swim import Swim, SwimConfig
@@ -41,15 +41,15 @@
         SwimConfig().max_members,
         lambda brokers, nodes: brokers + restarts_expected(brokers, HOUR_S),
     ),
-    Limit("rota.voting BROKERS", BROKERS, lambda brokers, nodes: brokers),
+    Limit("rota.voting BROKERS", MAX_BROKER_ADDRESSES, lambda brokers, nodes: brokers),
     Limit("net.seal SENDERS: brokers", SENDERS, lambda brokers, nodes: brokers),
     Limit(
         "net.seal SENDERS: brokers, and a day's replacements at new addresses",
         SENDERS,
         lambda brokers, nodes: brokers + restarts_expected(brokers, DAY_S),
     ),
-    Limit("duties.probing ASKERS_MOST", ASKERS_MOST, lambda brokers, nodes: brokers),
-    Limit("duties.voter MOST_PENDING: a renewal by each broker", MOST_PENDING, lambda brokers, nodes: brokers),
+    Limit("duties.probing ASKERS_MOST", MAX_SUBSCRIBERS, lambda brokers, nodes: brokers),
+    Limit("duties.voter MOST_PENDING: a renewal by each broker", MAX_PENDING_RENEWALS, lambda brokers, nodes: brokers),
     Limit("knowledge.record MOST_SERVERS", MAX_SERVERS, lambda brokers, nodes: nodes),
     Limit(
         "knowledge.record MOST_BYTES: a record of all nodes",
