--- a/badgerbend/leases/messages.py
+++ b/badgerbend/leases/messages.py
@@ -73,7 +73,7 @@
     candidacies: Annotated[tuple[Candidacy, ...], msgspec.Meta(max_length=MAX_DUTIES)]
 
 
-class LeaseId(msgspec.Struct, array_like=True, frozen=True):
+class LeaseId(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """One lease: no two leases on a duty have the same epoch."""
 
     duty: Text
