--- a/badgerbend/knowledge/record.py
+++ b/badgerbend/knowledge/record.py
@@ -74,7 +74,7 @@
 
 
 class KnowledgeRecord(msgspec.Struct, frozen=True):
-    """All that one broker tells of itself. Field names are part of the encoding.
+    """What one broker has observed. Field names are part of the encoding.
 
     broker, zone: which broker it is; open_parts: its own load; servers: the most recently observed first; answers: the
     oldest first; chosen: redundancy chosen, as rows of parts needed, parts in all, and attempts sent.
--- a/badgerbend/knowledge/reputation.py
+++ b/badgerbend/knowledge/reputation.py
@@ -8,7 +8,7 @@
 
 from badgerbend.knowledge.policy import TrustPolicy
 
-MIN_SLOWDOWN = 0.1  # smaller ones count as this, so that very short times are not told apart
+MIN_SLOWDOWN = 0.1  # smaller ones count as this: differences between very short times do not matter
 
 
 @dataclass(slots=True)
--- a/badgerbend/membership/failure_detector.py
+++ b/badgerbend/membership/failure_detector.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """A probe of a member by the local one. helpers: members asked to ping; nacks: those that heard nothing."""
+    """A probe of a member by the local one. helpers: members asked to ping; nacks: those that got no answer."""
 
     target: str
     helpers: int = 0
@@ -90,7 +90,7 @@
             self._gossip.suspect(now, target)
 
     def handle_nack(self, nack: Nack) -> None:
-        """Count a helper that has heard nothing of the target."""
+        """Count a helper that got no answer from the target."""
         probe = self._probes.get(nack.seq)
         if probe is not None:
             probe.nacks += 1
--- a/badgerbend/membership/swim.py
+++ b/badgerbend/membership/swim.py
@@ -5,8 +5,8 @@
 unless it refutes the suspicion in time (`suspicion`). Updates are gossiped on these messages (`gossip`, `broadcasts`).
 
 From Lifeguard (Dadgar, Phillips, Currey, 2018): a member that misses answers stretches its own time-outs (`health`);
-a suspicion times out sooner if several members report it; a suspected member is told so by whoever sends to it, so that
-it can refute at once; a helper that hears nothing of the target says so by a nack.
+a suspicion times out sooner if several members report it; messages to a suspected member carry the suspicion, so that
+it can refute it at once; a helper that gets no answer from the target sends a nack.
 
 Beyond both, the full state is exchanged now and then, and dead members are pinged, so that the halves of a partition
 find each other again (`anti_entropy`).
@@ -103,7 +103,7 @@
 
     @property
     def metadata(self) -> str:
-        """What the local member tells others of itself."""
+        """What the local member states of itself, for other members to use."""
         return self.local.metadata
 
     @property
@@ -158,7 +158,7 @@
             self.rejected_datagrams += 1
             return
         if message.sender.name == self.name and message.sender.incarnation != self.incarnation:
-            return  # of an earlier run, or of another process with this name: gossip brings word of it
+            return  # an earlier run, or another process with this name: refuted when it is gossiped
         self._gossip.apply(now, message.sender)
         for update in message.updates:
             self._gossip.apply(now, update)
--- a/badgerbend/membership/timers.py
+++ b/badgerbend/membership/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the membership protocol: typed, kept in a queue, and fired by the caller's clock."""
+"""Timers of the membership protocol: typed, in a queue, fired by the caller's clock."""
 
 from __future__ import annotations
 
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -102,7 +102,8 @@
     st.floats(0, 59_000),
 )
 def test_one_liar_in_three_gets_a_result_between_what_the_others_state(lie, usual, age):
-    first, second = TRUE | {"s1": 28.0}, TRUE | {"s8": 100.0}
+    first = TRUE | {"s1": 28.0}
+    second = TRUE | {"s8": 100.0}
     records = {"a": record(first), "b": record(second), "liar": record(lie, usual, age)}
     trust = PeerTrust()
     for s in trust.combine(records, NAMES, 0.0).nodes:
@@ -124,7 +125,8 @@
     for node in range(10):
         trust.check_answer(node, 20.0 if node < 8 else 160.0, 20.0, 100.0)
     assert trust.is_trusted("a", 100.0) and trust.is_trusted("b", 100.0)
-    trust, lie = PeerTrust(), {n: 200.0 if t == 20.0 else 20.0 for n, t in TRUE.items()}
+    trust = PeerTrust()
+    lie = {n: 200.0 if t == 20.0 else 20.0 for n, t in TRUE.items()}
     trust.combine({"b": record(TRUE), "liar": record(lie)}, NAMES, 0.0)
     lost = [p for node in range(10) for p in trust.check_answer(node, TRUE[f"s{node}"], 20.0, 100.0)]
     assert lost == ["liar"] and trust.is_trusted("b", 100.0)
--- a/tests/test_learned_prior.py
+++ b/tests/test_learned_prior.py
@@ -16,7 +16,9 @@
     node = bench.agg.nodes[10]
     assert bench.agg.late == 60.0 and node.told and node.time == 300.0
     assert bench.agg.observations() == api.Observations((), ())  # what was learned from peers is never passed on
-    node.time, node.time_at, node.told = 25.0, bench.now - 5000.0, False
+    node.time = 25.0
+    node.time_at = bench.now - 5000.0
+    node.told = False
     learn(bench, (10, 300.0, 0.0))
     assert node.time == 25.0  # a fresh prior against an own answer of five seconds ago
 
@@ -46,7 +48,8 @@
         sent = [a for a in bench.log[before:] if isinstance(a, api.Send)]
         return sum(1 for a in sent if a.node == 10), len(sent)
 
-    (cold, all_cold), (told, all_told) = sends(False), sends(True)
+    (cold, all_cold) = sends(False)
+    (told, all_told) = sends(True)
     assert told < cold and all_told == all_cold
     assert ANY != ALL
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -75,7 +75,9 @@
 
 def test_thirty_percent_loss_kills_nobody_for_long():
     net, names = cluster(10)
-    net.loss, net.duplicates, net.delay = 0.3, 0.2, (0.001, 0.2)
+    net.loss = 0.3
+    net.duplicates = 0.2
+    net.delay = (0.001, 0.2)
     net.run(120)
     net.loss = 0.0
     assert net.run(60, net.agreed)
@@ -113,7 +115,8 @@
     """Suspicions of healthy members, and deaths, that one with a bad connection causes in a minute."""
     net, _ = cluster(10, tuning=replace(QUICK, max_health_score=most))
     assert net.run(20, net.agreed)
-    deaf, rng = net.members["m0"], random.Random(4)
+    deaf = net.members["m0"]
+    rng = random.Random(4)
     receive = deaf.receive
     replace_attribute(
         deaf, "receive", lambda now, data, source: receive(now, data, source) if rng.random() < 0.15 else None
@@ -196,7 +199,8 @@
 
     @rule(loss=st.sampled_from([0.0, 0.1, 0.3]), slow=st.sampled_from([0.01, 0.3, 1.0]))
     def weather(self, loss, slow):
-        self.net.loss, self.net.delay = loss, (0.001, slow)
+        self.net.loss = loss
+        self.net.delay = (0.001, slow)
 
     @precondition(lambda self: len(self.net.members) > 1)
     @rule(pick=st.integers(0, 99), polite=st.booleans())
@@ -224,7 +228,8 @@
         if not hasattr(self, "net"):
             return
         net = self.net
-        net.loss, net.delay = 0.0, (0.001, 0.01)
+        net.loss = 0.0
+        net.delay = (0.001, 0.01)
         for name in self.names:
             net.sides[name] = 0
         if not set(self.names[:3]) & set(
@@ -269,7 +274,8 @@
     """Depth-bounded search over which datagrams of a run of three are lost: afterwards all agree, always."""
     for lost in itertools.product([False, True], repeat=9):
         net, _ = cluster(3, 5)
-        collect, seen = net._collect, itertools.count()
+        collect = net._collect
+        seen = itertools.count()
 
         def some(name, net=net, seen=seen, lost=lost, collect=collect):
             before = len(net._flying)
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -45,7 +45,10 @@
     """A stage's world with more brokers before it, one the seed of the others."""
 
     def __init__(self, stage, key):
-        self.stage, self.key, self.seed, self.all = stage, str(key), f"127.0.0.1:{free_port()}", []
+        self.stage = stage
+        self.key = str(key)
+        self.seed = f"127.0.0.1:{free_port()}"
+        self.all = []
 
     async def add(self, index, **changes):
         port = int(self.seed.rpartition(":")[2]) if not self.all else 0
@@ -53,14 +56,15 @@
         peers = msgspec.structs.replace(peers, **changes)
         base = self.stage.settings
         identity = msgspec.structs.replace(base.identity, index=index, count=10)
-        one = Broker(msgspec.structs.replace(base, peers=peers, identity=identity), self.stage.broker.front.subgraph)
-        self.all.append(one)
-        await one.start()
-        return one
+        settings = msgspec.structs.replace(base, peers=peers, identity=identity)
+        broker = Broker(settings, self.stage.broker.front.subgraph)
+        self.all.append(broker)
+        await broker.start()
+        return broker
 
     async def close(self):
-        for one in self.all:
-            await one.stop()
+        for broker in self.all:
+            await broker.stop()
 
 
 def alive(broker):
@@ -133,7 +137,8 @@
     async def main():
         async with Stage() as s:
             group = Brokers(s, keys / "key")
-            a, b = await group.add(0), await group.add(1)
+            a = await group.add(0)
+            b = await group.add(1)
             await until(lambda: alive(a) and alive(b))
             await b.stop()
             group.all.remove(b)
--- a/tests/test_seal.py
+++ b/tests/test_seal.py
@@ -10,7 +10,9 @@
 
 
 def test_a_seal_is_opened_once_and_by_either_key_while_one_replaces_the_other():
-    old, both, new = Seal(KEYS[:1], 10), Seal((KEYS[1], KEYS[0]), 10), Seal(KEYS[1:], 10)
+    old = Seal(KEYS[:1], 10)
+    both = Seal((KEYS[1], KEYS[0]), 10)
+    new = Seal(KEYS[1:], 10)
     data = old.close(b"hello", b"a:1")
     assert both.open(data, b"a:1") == b"hello"
     with pytest.raises(UnsealError, match="seen before"):
@@ -22,7 +24,8 @@
 
 @given(st.binary(max_size=50), st.data())
 def test_a_changed_byte_or_another_sender_is_rejected(body, data):
-    ours, theirs = Seal(KEYS[:1], 10), Seal(KEYS[:1], 20)
+    ours = Seal(KEYS[:1], 10)
+    theirs = Seal(KEYS[:1], 20)
     sealed = bytearray(ours.close(body, b"a:1"))
     with pytest.raises(UnsealError):
         theirs.open(bytes(sealed), b"other:1")
@@ -36,7 +39,8 @@
 
 @given(st.permutations(range(30)))
 def test_datagrams_may_overtake_each_other_but_come_once(order):
-    ours, theirs = Seal(KEYS[:1], 10), Seal(KEYS[:1], 10)
+    ours = Seal(KEYS[:1], 10)
+    theirs = Seal(KEYS[:1], 10)
     sealed = [ours.close(bytes([i]), b"a") for i in range(30)]
     assert [theirs.open(sealed[i], b"a")[0] for i in order] == list(order)
     for one in sealed:
@@ -45,7 +49,9 @@
 
 
 def test_datagrams_of_an_earlier_run_are_rejected_and_a_later_run_begins_anew():
-    first, second, theirs = Seal(KEYS[:1], 10), Seal(KEYS[:1], 11), Seal(KEYS[:1], 1)
+    first = Seal(KEYS[:1], 10)
+    second = Seal(KEYS[:1], 11)
+    theirs = Seal(KEYS[:1], 1)
     early = [first.close(b"x", b"a") for _ in range(3)]
     theirs.open(early[0], b"a")
     theirs.open(second.close(b"y", b"a"), b"a")
@@ -54,7 +60,8 @@
 
 
 def test_counters_far_behind_are_rejected():
-    ours, theirs = Seal(KEYS[:1], 10), Seal(KEYS[:1], 10)
+    ours = Seal(KEYS[:1], 10)
+    theirs = Seal(KEYS[:1], 10)
     first = ours.close(b"x", b"a")
     for _ in range(2000):
         last = ours.close(b"x", b"a")
@@ -65,7 +72,8 @@
 
 def test_an_active_sender_keeps_its_counters_whoever_comes_after_it(monkeypatch):
     monkeypatch.setattr("badgerbend.net.seal.SENDERS", 3)
-    ours, theirs = Seal(KEYS[:1], 10), Seal(KEYS[:1], 10)
+    ours = Seal(KEYS[:1], 10)
+    theirs = Seal(KEYS[:1], 10)
     first = theirs.close(b"ping", b"steady")
     ours.open(first, b"steady")
     for newcomer in (b"a", b"b", b"c", b"d"):
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -61,7 +61,8 @@
 @pytest.mark.parametrize("seed", range(60))
 def test_a_crash_at_any_call_leaves_the_old_snapshot_or_the_new(tmp_path, seed, monkeypatch):
     """Every call to the system may be the last; a write may have put only some of its bytes on the disk."""
-    rng, path = random.Random(seed), tmp_path / "seen"
+    rng = random.Random(seed)
+    path = tmp_path / "seen"
     write_atomically(path, encode_snapshot(GOOD, 1000.0))
     new = msgspec.structs.replace(GOOD, open_parts=9)
     left = rng.randrange(9)
