--- a/badgerbend/membership/swim.py
+++ b/badgerbend/membership/swim.py
@@ -146,7 +146,7 @@
         self.local.left = True
         live = self._members.live()
         for member in self._rng.sample(live, min(len(live), LEAVE_FANOUT * self.config.indirect_checks)):
-            self._sender.send(member.address, Sync(False, self.local.update()))
+            self._sender.send(member.address, Sync(reply_requested=False, sender=self.local.update()))
 
     def receive(self, now: float, data: bytes, source: Address) -> None:
         """Handle a datagram whose seal has been checked and removed."""
