--- a/badgerbend/membership/members.py
+++ b/badgerbend/membership/members.py
@@ -63,7 +63,10 @@
 
 
 class MembershipTable:
-    """All other members by name, in the order in which they were met."""
+    """All other members by name, in the order in which they were met.
+
+    Its methods scan all members in each period, so they compare states directly and call nothing for each member.
+    """
 
     def __init__(self, config: SwimConfig) -> None:
         self.by_name: dict[str, Member] = {}
@@ -91,7 +94,7 @@
 
     def live(self) -> list[Member]:
         """Return the members that are neither dead nor departed."""
-        return [member for member in self.by_name.values() if member.is_live]
+        return [member for member in self.by_name.values() if member.state <= MemberState.SUSPECT]
 
     def in_state(self, state: MemberState) -> list[Member]:
         """Return the members in this state."""
@@ -102,7 +105,7 @@
         expired = [
             member.name
             for member in self.by_name.values()
-            if not member.is_live and now - member.state_changed_at > self._dead_retention_s
+            if member.state >= MemberState.DEAD and now - member.state_changed_at > self._dead_retention_s
         ]
         for name in expired:
             del self.by_name[name]
