--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -761,8 +761,8 @@
     while not voter.is_leader:
         now = voter.next_at
         voter.tick(now)
-        for number, _ in voter.drain_output().writes:
-            voter.saved(now, number)
+        for number, _ in voter.drain_output().records:
+            voter.persisted(now, number)
     assert voter.confirmed_at == -math.inf
     voter.confirm(now + 1.0)
     voter.tick(now + 2.0)
@@ -923,7 +923,7 @@
         "v0", PersistentState(Log(Snapshot(0, 0, ("v0", "v1"), b""))), RaftConfig(), LeaseTiming(), 1, 0.0, machine
     )
     holder = LeaseHolder("v0", "v0", {PUBLISH_LEASE: True}, ("v0", "v1"), LeaseTiming(), 2, 0.0)
-    holder.leader = "v1"
+    holder.voter_selection.follow("v1")
     publisher = Publisher(machine.log, lambda change: "", SIGNER, PublisherTuning(batch_window=0.0, retry_interval=1.0))
     relay = Relay("v0", machine.log, RelayTuning())
     node = ControlNode(voter, holder, machine, publisher, relay, 0.0, ControlTuning(proposal_burst=3))
