--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -99,7 +99,7 @@
 
     def publish_changes(self, *changes):
         assert self.control.publish(self.relay_server.clock(), *changes) == ()
-        self.relay_server.published()
+        self.relay_server.log_advanced()
         return self.control.machine.log.revision
 
     async def put_in_force(self, text):
@@ -409,7 +409,7 @@
                 assert (await stage.client.query(f"{{ fullQuote(blocks: [{block}], amount: 5) {{ id }} }}"))[0] == 200
             assert not {record["server"] for record in stage.seen("arrive")} & {drained, removed}
             assert not stage.seen("told")  # Consul's stand-in was never asked
-            stage.relay_server.confirmed(stage.relay_server.clock())
+            stage.relay_server.mark_current(stage.relay_server.clock())
             await until(lambda: stage.broker.feed_subscription.age_s < 60.0)  # with the relay's next heartbeat
             stage.broker._gauges()
             assert stage.broker.metrics.list_age._value.get() < 60.0
