--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -24,6 +24,7 @@
 from badgerbend.lease_service.budget_exchange import create_broker_budget
 from badgerbend.lease_service.http import handle_duties
 from badgerbend.lease_service.service import LeaseService
+from badgerbend.lease_service.service_metrics import update_metrics
 from badgerbend.log import get
 from badgerbend.logic import Aggregator
 from badgerbend.metrics import Metrics
@@ -267,7 +268,7 @@
                 for which, n in (("sent", socket.sent), ("received", socket.received), ("refused", socket.refused)):
                     m.datagrams.labels(which).set(n)
         if self.lease_service is not None:
-            self.lease_service.update_metrics(m)
+            update_metrics(self.lease_service, m)
         if self.feed_subscription is not None and isinstance(self.watch, KeyedList):
             m.list_age.set(self.feed_subscription.age_s)
         elif self.watch.heard_at is not None:
--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -20,8 +20,8 @@
 from badgerbend.feed_service.control_wire import Proposal
 from badgerbend.feed_service.relay import RelayServer
 from badgerbend.feed_service.timer import Clock, Timer, monotonic
-from badgerbend.lease_service import wire
 from badgerbend.lease_service.local_voter import LocalVoter
+from badgerbend.lease_service.messenger import LeaseMessenger
 from badgerbend.leases.holder import LeaseHolder, LeaseTiming
 from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
 from badgerbend.net.seal import Seal
@@ -68,14 +68,14 @@
         self.own = settings.voters[settings.name]
         now, seed = clock(), life << 8
         machine = FeedMachine(settings.retention)
+        self.messenger = LeaseMessenger(self, settings.name, settings.voters, self._receive_own_reply)
         self.local_voter = LocalVoter(
             settings.store_path,
             settings.raft,
             settings.lease_timing,
             seed + 1,
             clock,
-            self._to_voter,
-            self._to_candidate,
+            self.messenger,
             note,
             self._settle,
             machine,
@@ -111,6 +111,7 @@
         self._settle()
         self.local_voter.transfer_leadership()
         self._closed = True
+        self.messenger.close()
         self._timer.cancel()
         self.local_voter.close()
         await self.relay_server.stop()
@@ -149,11 +150,11 @@
     def _heard(self, message: control_wire.ControlMessage, source: Address) -> None:
         match message:
             case LeaseRequest() | LeaseReturn():
-                self.local_voter.receive_from_broker(message, source)
+                self.local_voter.handle_lease_message(message, source)
             case LeaseReply():
                 self.lease_holder.told(self.clock(), message)
             case Proposal(command):
-                self._proposed(command)
+                self.local_voter.propose(command)
             case Summary():
                 self.publisher.heard(self.clock(), message)
             case (
@@ -165,30 +166,13 @@
                 | voting.InstallSnapshotReply()
                 | voting.TimeoutNow()
             ):
-                self.local_voter.receive_from_voter(message)
+                self.local_voter.handle_consensus_message(message)
             case _:
                 self.refused += 1
 
-    def _proposed(self, command: bytes) -> None:
-        if self.local_voter.failure is None:
-            self.local_voter.voter.propose(self.clock(), command)
-            self.local_voter.flush()
-
-    def _to_voter(self, name: str, message: voting.Message) -> None:
-        address = self.settings.voters.get(name)
-        if address is not None:
-            self.send(address, wire.encode_consensus_message(message))
-
-    def _to_candidate(self, address: Address, message: LeaseReply) -> None:
-        if address == self.own:
-            self.loop.call_soon(self._told_self, message)
-        else:
-            self.send(address, wire.encode_lease_message(message))
-
-    def _told_self(self, message: LeaseReply) -> None:
-        if not self._closed:
-            self.lease_holder.told(self.clock(), message)
-            self._settle()
+    def _receive_own_reply(self, reply: LeaseReply) -> None:
+        self.lease_holder.told(self.clock(), reply)
+        self._settle()
 
     # -- time
     def _tick(self) -> None:
@@ -205,7 +189,7 @@
         if self._closed:
             return
         for _ in range(MAX_ROUNDS):
-            busy = self._ask_for_lease()
+            busy = self.messenger.send_pending_requests(self.lease_holder, self.local_voter)
             busy |= self.control_node.settle(self.clock())
             for action in self.control_node.take():
                 busy = True
@@ -216,21 +200,11 @@
         self.relay_server.process_actions()
         self._timer.schedule(min(self.lease_holder.next_at, self.local_voter.next_at, self.control_node.next_at))
 
-    def _ask_for_lease(self) -> bool:
-        """The holder's words to the voters, this machine's own among them."""
-        words = self.lease_holder.take()
-        for name, message in words:
-            if name == self.settings.name:
-                self.local_voter.receive_from_broker(message, self.own)
-            else:
-                self.send(self.settings.voters[name], wire.encode_lease_message(message))
-        return bool(words)
-
     def _carry_out(self, action: Action) -> None:
         match action:
             case Propose(leader, command):
                 if leader == self.settings.name:
-                    self._proposed(command)
+                    self.local_voter.propose(command)
                 elif leader in self.settings.voters:
                     self.send(self.settings.voters[leader], control_wire.encode_proposal(command))
             case Report(publisher, summary):
--- a/badgerbend/lease_service/budget_exchange.py
+++ b/badgerbend/lease_service/budget_exchange.py
@@ -7,7 +7,6 @@
 
 import time
 from collections.abc import Callable
-from typing import Any
 
 from badgerbend import api
 from badgerbend.config.settings import Settings
@@ -97,23 +96,3 @@
         """Takes the grants of a reply that passed the fence."""
         self.unanswered_requests = 0
         self.broker_budget.apply_reply(self.now_ms(), reply)
-
-    def status(self) -> dict[str, Any]:
-        """For the status page: what is warming up, the rates that hold here, and what this broker grants to others."""
-        now_ms = self.now_ms()
-        budget = self.broker_budget
-        resources = {resource.name: resource for resource in (*budget.servers.values(), *budget.sites.values())}
-        return {
-            "cold": [
-                {
-                    "thing": name,
-                    "own_per_s": resource.own_rate * 1000.0,
-                    "dealt_per_s": resource.granted_rate * 1000.0 if now_ms < resource.granted_until_ms else None,
-                }
-                for name, resource in sorted(resources.items())
-            ],
-            "slices": budget.grants_applied,
-            "dealt": self.allocator.grants_issued,
-            "books": len(self.allocator.allocations),
-            "unheard": self.unanswered_requests,
-        }
--- a/badgerbend/lease_service/http.py
+++ b/badgerbend/lease_service/http.py
@@ -1,26 +1,42 @@
-"""Duties over HTTP: `GET /duties` shows what is held; `POST /duties/COMMAND` acts, for those who send the key."""
+"""Leases over HTTP: `GET /duties` shows the status; `POST /duties/COMMAND` acts, for those who send the key."""
 
 from __future__ import annotations
 
 import msgspec
 
+from badgerbend.lease_service.commands import execute, parse_command
 from badgerbend.lease_service.service import LeaseService
+from badgerbend.lease_service.status import service_status
+from badgerbend.net.seal import bears
 from badgerbend.net.server import Exchange
 
-JSON, TEXT = b"application/json", b"text/plain"
+JSON = b"application/json"
+TEXT = b"text/plain"
+STATUS_PATH = b"/duties"
+COMMAND_PREFIX = b"/duties/"
 
 
-def handle_duties(lease_service: LeaseService | None, exchange: Exchange, path: bytes) -> None:
+def handle_duties(service: LeaseService | None, exchange: Exchange, path: bytes) -> None:
     """Answers a request for a path that begins with /duties."""
-    if lease_service is None:
+    if service is None:
         exchange.respond(404, b"no duties are set\n", TEXT)
-    elif path == b"/duties":
-        exchange.respond(200, msgspec.json.encode(lease_service.status()), JSON)
+    elif path == STATUS_PATH:
+        exchange.respond(200, msgspec.json.encode(service_status(service)), JSON)
     elif exchange.method != b"POST":
         exchange.respond(405, b"POST it\n", TEXT, ((b"allow", b"POST"),))
-    elif not lease_service.allows(exchange.headers.get(b"authorization", b"")):
+    elif not bears(exchange.headers.get(b"authorization", b""), service.keys):
         exchange.respond(403, b"the duties' key is wanted, as a bearer token\n", TEXT)
     else:
-        status, word = lease_service.command(path.removeprefix(b"/duties/").decode("latin-1"))
-        body = msgspec.json.encode({"said": word}) if status == 200 else word.encode() + b"\n"
-        exchange.respond(status, body, JSON if status == 200 else TEXT)
+        _handle_command(service, exchange, path.removeprefix(COMMAND_PREFIX).decode("latin-1"))
+
+
+def _handle_command(service: LeaseService, exchange: Exchange, path: str) -> None:
+    command = parse_command(path)
+    if command is None:
+        exchange.respond(404, b"no such command\n", TEXT)
+        return
+    result = execute(service, command)
+    if result.accepted:
+        exchange.respond(200, msgspec.json.encode({"said": result.message}), JSON)
+    else:
+        exchange.respond(409, result.message.encode() + b"\n", TEXT)
--- a/badgerbend/lease_service/local_voter.py
+++ b/badgerbend/lease_service/local_voter.py
@@ -1,4 +1,4 @@
-"""A broker's vote: the pure `Voter` between its disk and the socket."""
+"""The voter of this process: the pure `Voter` between its store on disk and the socket."""
 
 from __future__ import annotations
 
@@ -7,98 +7,139 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from badgerbend.consensus import messages as voting
+from badgerbend.consensus import messages as consensus_messages
 from badgerbend.consensus.types import RaftConfig
+from badgerbend.lease_service.messenger import LeaseMessenger
 from badgerbend.leases.holder import LeaseTiming
-from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
+from badgerbend.leases.messages import LeaseRequest, LeaseReturn
 from badgerbend.leases.voter import LeaseStateMachine, Voter
 from badgerbend.net.udp import Address
 from badgerbend.wal.store import Store
 from badgerbend.wal.writer import Writer
 
-MAX_BROKER_ADDRESSES = 4096  # whose addresses are remembered
+MAX_BROKER_ADDRESSES = 4096  # brokers whose addresses are remembered, those heard last
+TRANSFER_CHECK_INTERVAL_S = 0.01
+
+LogEvent = Callable[..., None]  # an event and its fields, as structlog's `info`
 
 
 class LocalVoter:
-    """Raises BadStore or OSError where its store cannot be used. send_voter, send_broker: the socket's.
+    """Runs one voter. Raises StoreError or OSError where its store cannot be used.
 
-    machine: what the agreed log drives, a bare table of leases unless said otherwise.
+    on_saved: called when records reached the disk, after what follows from that was sent. state_machine: what the
+    replicated log drives; a table of leases alone unless given.
     """
 
     def __init__(
         self,
-        folder: Path,
-        tuning: RaftConfig,
-        terms: LeaseTiming,
+        store_path: Path,
+        raft_config: RaftConfig,
+        timing: LeaseTiming,
         seed: int,
         clock: Callable[[], float],
-        send_voter: Callable[[str, voting.Message], None],
-        send_broker: Callable[[Address, LeaseReply], None],
-        note: Callable[..., None],
-        changed: Callable[[], None],
-        machine: LeaseStateMachine | None = None,
+        messenger: LeaseMessenger,
+        log_event: LogEvent,
+        on_saved: Callable[[], None],
+        state_machine: LeaseStateMachine | None = None,
     ) -> None:
-        self.clock, self.note, self.changed = clock, note, changed
-        self.send_voter, self.send_broker = send_voter, send_broker
-        store = Store(folder)
+        self.clock = clock
+        self.messenger = messenger
+        self.log_event = log_event
+        self.on_saved = on_saved
+        store = Store(store_path)
         self.name = store.owner.name
-        self.voter = Voter(self.name, store.kept, tuning, terms, seed, clock(), machine)
-        self.writer = Writer(store, asyncio.get_running_loop(), self._saved, self._failed)
-        self.failure: str | None = None
+        self.voter = Voter(self.name, store.kept, raft_config, timing, seed, clock(), state_machine)
+        self.writer = Writer(store, asyncio.get_running_loop(), self._handle_saved, self._handle_write_failure)
+        self.failure: str | None = None  # why the store failed, if it did
         self.broker_addresses: OrderedDict[str, Address] = OrderedDict()
 
-    def receive_from_voter(self, message: voting.Message) -> None:
+    @property
+    def next_at(self) -> float:
+        """When `tick` has something to do, by the clock in seconds."""
+        return self.voter.next_at if self.failure is None else float("inf")
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether this voter leads the others and may grant leases."""
+        return self.voter.leads
+
+    def handle_consensus_message(self, message: consensus_messages.Message) -> None:
+        """Takes another voter's message."""
         if self.failure is None:
             self.voter.from_voter(self.clock(), message)
             self.flush()
 
-    def receive_from_broker(self, message: LeaseRequest | LeaseReturn, source: Address) -> None:
+    def handle_lease_message(self, message: LeaseRequest | LeaseReturn, source: Address) -> None:
+        """Takes a candidate's message. source: where the reply goes."""
         if self.failure is not None:
             return
-        self.broker_addresses[message.source] = source
-        self.broker_addresses.move_to_end(message.source)
-        if len(self.broker_addresses) > MAX_BROKER_ADDRESSES:
-            self.broker_addresses.popitem(last=False)
+        self._remember_address(message.source, source)
         self.voter.from_broker(self.clock(), message)
         self.flush()
 
     def tick(self) -> None:
+        """Does what is due by now."""
         if self.failure is None:
             self.voter.tick(self.clock())
             self.flush()
 
-    @property
-    def next_at(self) -> float:
-        return self.voter.next_at if self.failure is None else float("inf")
+    def propose(self, command: bytes) -> None:
+        """Proposes a command of the owner's state machine; nothing comes of it where this voter does not lead."""
+        if self.failure is None:
+            self.voter.propose(self.clock(), command)
+            self.flush()
 
-    def flush(self) -> None:
-        out = self.voter.take()
-        if out.writes:
-            self.writer.write(out.writes)
-        for to, message in out.to_voters:
-            self.send_voter(to, message)
-        for name, told in out.to_brokers:
-            if name in self.broker_addresses:
-                self.send_broker(self.broker_addresses[name], told)
-        for what, values in out.notes:
-            self.note(what, **values)
+    def change_membership(self, name: str, *, add: bool) -> str | None:
+        """Adds or removes a voter; why that cannot be done, None where it is under way."""
+        rejection = self.voter.raft.change(self.clock(), name, add)
+        self.flush()
+        return rejection
 
     def transfer_leadership(self) -> bool:
-        """Before the end of the process: another leads, if this one does. False where there is nothing to hand over."""
-        began = self.failure is None and self.voter.raft.transfer(self.clock())
+        """Lets another voter lead before this process ends; False where there is nothing to transfer."""
+        started = self.failure is None and self.voter.raft.transfer(self.clock())
         self.flush()
-        return began
+        return started
+
+    async def transfer_leadership_within(self, timeout_s: float) -> None:
+        """Transfers leadership and waits until another voter has taken it, at most for `timeout_s` seconds."""
+        if not self.transfer_leadership():
+            return
+        loop = asyncio.get_running_loop()
+        deadline = loop.time() + timeout_s
+        while self.is_leader and loop.time() < deadline:
+            await asyncio.sleep(TRANSFER_CHECK_INTERVAL_S)
+
+    def flush(self) -> None:
+        """Writes, sends and logs what the voter has put out."""
+        output = self.voter.take()
+        if output.writes:
+            self.writer.write(output.writes)
+        for name, message in output.to_voters:
+            self.messenger.send_to_voter(name, message)
+        for broker, reply in output.to_brokers:
+            if broker in self.broker_addresses:
+                self.messenger.send_reply(self.broker_addresses[broker], reply)
+        for event, fields in output.notes:
+            self.log_event(event, **fields)
 
     def close(self) -> None:
+        """Ends the store's writer."""
         self.writer.close()
 
-    def _saved(self, seq: int) -> None:
+    def _remember_address(self, broker: str, address: Address) -> None:
+        self.broker_addresses[broker] = address
+        self.broker_addresses.move_to_end(broker)
+        if len(self.broker_addresses) > MAX_BROKER_ADDRESSES:
+            self.broker_addresses.popitem(last=False)
+
+    def _handle_saved(self, last_write: int) -> None:
         if self.failure is None:
-            self.voter.saved(self.clock(), seq)
+            self.voter.saved(self.clock(), last_write)
             self.flush()
-            self.changed()
+            self.on_saved()
 
-    def _failed(self, why: str) -> None:
-        """What the disk holds is not known: this broker votes no more until it is started anew. It goes on serving."""
-        self.failure = why
-        self.note("votes no more", why=why)
+    def _handle_write_failure(self, reason: str) -> None:
+        """What the disk holds is not known: this voter takes no part until the process is restarted."""
+        self.failure = reason
+        self.log_event("voter stopped", why=reason)
--- a/badgerbend/lease_service/probing.py
+++ b/badgerbend/lease_service/probing.py
@@ -1,16 +1,16 @@
-"""One broker's part in probing: it says whom it doubts, probes while it holds the duty, and takes in what is found."""
+"""The probing duty on the socket: a broker reports suspected servers, and probes them while it holds the lease."""
 
 from __future__ import annotations
 
-import asyncio
 from collections.abc import Callable
 from functools import partial
-from typing import Protocol
 
 from badgerbend.config.fleet import Duties
 from badgerbend.discovery.directory import Directory
 from badgerbend.discovery.members import parse_address
 from badgerbend.lease_service import wire
+from badgerbend.lease_service.duty_socket import DutySocket
+from badgerbend.lease_service.timers import RepeatingTimer
 from badgerbend.leases.fencing import FencingGuard
 from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import ProbeReport, SuspicionReport
@@ -19,11 +19,13 @@
 from badgerbend.net.udp import Address, address_text
 from badgerbend.runtime.driver import Driver
 
-PROBING_DUTY = "probe"  # the duty's name; where there are sites, each has one of its own
-DOUBT_S = 1.0  # doubts are said so often, for as long as they last
-PROBE_S = 1.0  # a probe that is not answered by then has failed
-LOOK_S = 0.05  # how often a prober looks at what is due
-FAILED_FOR_S = 2.0  # a prober none of whose probes was answered for so long says that it fails
+PROBING_DUTY = "probe"  # on the wire; where there are sites, each has a duty of its own
+REPORT_INTERVAL_S = 1.0  # suspected servers are reported so often, for as long as they are suspected
+MIN_JITTER = 0.8  # of the interval between reports
+MAX_JITTER = 1.2
+PROBE_TIMEOUT_S = 1.0
+PROBE_CHECK_INTERVAL_S = 0.05  # how often a prober looks which probes are due
+FAILING_AFTER_S = 2.0  # a prober none of whose probes was answered for so long reports that it fails
 NEVER = -1.0  # before any time of the clock
 _BODY = b'{"query":"{ __typename }"}'
 _HEAD = (
@@ -32,23 +34,8 @@
 )
 
 
-class DutySocket(Protocol):
-    """What a duty needs of the broker's socket for duties."""
-
-    loop: asyncio.AbstractEventLoop
-    own: Address
-
-    def may_act(self, duty: str) -> int | None:
-        """The epoch under which this broker may act on a duty now, if it may."""
-
-    def send_to_holder(self, duty: str, body: bytes) -> None:
-        """Sends to whoever holds a duty, as this broker was last told."""
-
-    def send(self, address: Address, body: bytes, still: Callable[[], bool] | None = None) -> None: ...
-
-
 class ProbingDuty:
-    """duty: its name at this broker's site. pool_of: connections to a server, by its number."""
+    """duty: its name at this broker's site. pool_of: connections to a server, by its number. clock: in seconds."""
 
     def __init__(
         self,
@@ -62,114 +49,143 @@
         pool_of: Callable[[int], Pool | None],
         clock: Callable[[], float],
     ) -> None:
-        self.socket, self.duty, self.broker, self.fence = socket, duty, broker, fence
-        self.driver, self.directory, self.pool_of, self.clock = driver, directory, pool_of, clock
+        self.socket = socket
+        self.duty = duty
+        self.broker = broker
+        self.fence = fence
+        self.driver = driver
+        self.directory = directory
+        self.pool_of = pool_of
+        self.clock = clock
         self.prober = Prober(duty, broker, duties.probe_every_ms / 1000.0, duties.probes)
-        self.findings = 0  # rows that others' probes told this broker
-        self.acts = 0
-        self._answered_at = self._probed_since = NEVER
+        self.results_received = 0
+        self.reports_sent = 0
+        self._answered_at = NEVER
+        self._probing_since = NEVER
         self._closed = False
-        self._doubts: asyncio.TimerHandle | None = None
-        self._looks: asyncio.TimerHandle | None = None
+        self._timers: list[RepeatingTimer] = []
+        self._probes: set[_Probe] = set()
 
     def start(self, holder: LeaseHolder) -> None:
-        self._doubts = self.socket.loop.call_later(DOUBT_S * holder.rng.random(), self._say_doubts, holder)
-        self._looks = self.socket.loop.call_later(LOOK_S, self._look, holder)
+        """Reports and probes from now on. holder: whose random numbers the intervals are drawn from."""
+        reports = RepeatingTimer(
+            self.socket.loop,
+            partial(self._report_suspicions, holder),
+            lambda: REPORT_INTERVAL_S * holder.rng.uniform(MIN_JITTER, MAX_JITTER),
+        )
+        probes = RepeatingTimer(self.socket.loop, partial(self._probe_due, holder), lambda: PROBE_CHECK_INTERVAL_S)
+        self._timers = [reports, probes]
+        reports.start(REPORT_INTERVAL_S * holder.rng.random())
+        probes.start(PROBE_CHECK_INTERVAL_S)
 
     def close(self) -> None:
+        """Reports and probes no more; probes under way are cancelled."""
         self._closed = True
-        for timer in (self._doubts, self._looks):
-            if timer is not None:
-                timer.cancel()
+        for timer in self._timers:
+            timer.cancel()
+        for probe in list(self._probes):
+            probe.cancel()
 
     def may_act(self) -> int | None:
-        """The epoch under which this broker may probe now, if it may."""
+        """The epoch under which this broker may probe now, None if it may not."""
         return self.socket.may_act(self.duty)
 
-    # -- doubts
-    def _say_doubts(self, holder: LeaseHolder) -> None:
-        wait_s = DOUBT_S * holder.rng.uniform(0.8, 1.2)
-        self._doubts = self.socket.loop.call_later(wait_s, self._say_doubts, holder)
-        doubts = doubted(self.driver.known(), self.directory.names)
-        if not doubts:
+    # -- suspicions
+
+    def handle_suspicion(self, report: SuspicionReport, source: Address) -> None:
+        """Takes in which servers a broker suspects, while this one probes."""
+        if report.duty == self.duty and self.may_act() is not None:
+            self.prober.doubt(self.clock(), report, address_text(source))
+
+    def _report_suspicions(self, holder: LeaseHolder) -> None:
+        suspected = doubted(self.driver.known(), self.directory.names)
+        if not suspected:
             return
-        doubt = said(doubts, self.broker, self.duty)
+        report = said(suspected, self.broker, self.duty)
         if self.may_act() is not None:
-            self.heard_doubt(doubt, self.socket.own)
+            self.handle_suspicion(report, self.socket.own)
         elif holder.duties[self.duty].holder != self.broker:
-            self.socket.send_to_holder(self.duty, wire.encode_peer_message(doubt))
-
-    def heard_doubt(self, doubt: SuspicionReport, source: Address) -> None:
-        if doubt.duty == self.duty and self.may_act() is not None:
-            self.prober.doubt(self.clock(), doubt, address_text(source))
+            self.socket.send_to_holder(self.duty, wire.encode_peer_message(report))
 
     # -- probes
-    def _look(self, holder: LeaseHolder) -> None:
-        self._looks = self.socket.loop.call_later(LOOK_S, self._look, holder)
+
+    def _probe_due(self, holder: LeaseHolder) -> None:
         if self.may_act() is None:
             self.prober.stop()
-            self._probed_since = NEVER
+            self._probing_since = NEVER
             return
         for server in self.prober.due(self.clock()):
             known = self.directory.known.get(server)
             pool = self.pool_of(known.number) if known is not None else None
             if pool is None:
-                self.found(server, False, 0.0)  # it is on no list any more
-                continue
-            _Probe(self, server, pool)
-        self._judge_self(holder)
+                self._finish(server, served=False, took_ms=0.0)  # it is not listed any more
+            else:
+                self._probes.add(_Probe(self, server, pool))
+        self._report_own_failure(holder)
 
-    def _judge_self(self, holder: LeaseHolder) -> None:
-        """A prober that gets no answer from any server, though others doubt but some, says that it fails."""
+    def _report_own_failure(self, holder: LeaseHolder) -> None:
+        """A prober that gets no answer from any server, though others suspect only some, reports that it fails."""
         now = self.clock()
         if not self.prober.servers:
-            self._probed_since = NEVER
-        elif self._probed_since < 0:
-            self._probed_since = now
-        answered_at = max(self._probed_since, self._answered_at)
-        failing = self._probed_since >= 0 and now - answered_at > FAILED_FOR_S
+            self._probing_since = NEVER
+        elif self._probing_since < 0:
+            self._probing_since = now
+        answered_at = max(self._probing_since, self._answered_at)
+        failing = self._probing_since >= 0 and now - answered_at > FAILING_AFTER_S
         holder.failing(self.duty, failing)
 
-    def found(self, server: str, served: bool, took_ms: float) -> None:
-        """A probe's end. It is an act: told under the epoch in force now, or not at all."""
+    def finish_probe(self, probe: _Probe, served: bool) -> None:
+        """A probe was answered or timed out."""
+        self._probes.discard(probe)
+        self._finish(probe.server, served, (self.clock() - probe.started_at) * 1000.0)
+
+    def _finish(self, server: str, served: bool, took_ms: float) -> None:
+        """Reports a result under the epoch that is in force now, or not at all."""
         if served:
             self._answered_at = self.clock()
         epoch = self.may_act()
         if epoch is None or self._closed:
             return
-        for at, found in self.prober.found(self.clock(), epoch, server, served, took_ms):
-            self.acts += 1
-            if at == address_text(self.socket.own):
-                self.heard_found(found)
+        for address, report in self.prober.found(self.clock(), epoch, server, served, took_ms):
+            self.reports_sent += 1
+            if address == address_text(self.socket.own):
+                self.handle_report(report)
             else:
-                self.socket.send(parse_address(at), wire.encode_peer_message(found), lambda: self.may_act() == epoch)
+                body = wire.encode_peer_message(report)
+                self.socket.send(parse_address(address), body, lambda: self.may_act() == epoch)
 
-    def heard_found(self, found: ProbeReport) -> None:
-        """Under an older epoch than was seen it takes no effect, whoever says it."""
-        if found.duty != self.duty or not self.fence.admits(found.duty, found.epoch):
+    def handle_report(self, report: ProbeReport) -> None:
+        """Takes in results of probes, unless a newer epoch was seen."""
+        if report.duty != self.duty or not self.fence.admits(report.duty, report.epoch):
             return
-        self.findings += len(found.rows)
+        self.results_received += len(report.rows)
         known = self.directory.known
-        numbers = {row.server: known[row.server].number for row in found.rows if row.server in known}
-        self.driver.learn(learned(found, numbers))
+        numbers = {row.server: known[row.server].number for row in report.rows if row.server in known}
+        self.driver.learn(learned(report, numbers))
 
 
 class _Probe:
-    """One question to one server, and its one end."""
+    """One request to one server, which ends once: by its reply, its timeout, or when it is cancelled."""
 
-    def __init__(self, probing: ProbingDuty, server: str, pool: Pool) -> None:
-        self.probing, self.server, self.began = probing, server, probing.clock()
+    def __init__(self, duty: ProbingDuty, server: str, pool: Pool) -> None:
+        self.duty = duty
+        self.server = server
+        self.started_at = duty.clock()
         head = _HEAD % (pool.host.encode(), pool.port, len(_BODY))
-        self.call = pool.request(head + _BODY, self.replied)
-        self.limit = probing.socket.loop.call_later(PROBE_S, partial(self.end, False))
-        self.done = False
-
-    def replied(self, reply: Reply) -> None:
-        self.end(reply.end is End.ANSWER and reply.status == 200)
-
-    def end(self, served: bool) -> None:
-        if not self.done:
-            self.done = True
-            self.limit.cancel()
-            self.call.abort()
-            self.probing.found(self.server, served, (self.probing.clock() - self.began) * 1000.0)
+        self._call = pool.request(head + _BODY, self._handle_reply)
+        self._timeout = duty.socket.loop.call_later(PROBE_TIMEOUT_S, self._finish, False)
+        self._finished = False
+
+    def cancel(self) -> None:
+        """Ends it without a result."""
+        self._finished = True
+        self._timeout.cancel()
+        self._call.abort()
+
+    def _handle_reply(self, reply: Reply) -> None:
+        self._finish(reply.end is End.ANSWER and reply.status == 200)
+
+    def _finish(self, served: bool) -> None:
+        if not self._finished:
+            self.cancel()
+            self.duty.finish_probe(self, served)
--- a/badgerbend/lease_service/status.py
+++ b/badgerbend/lease_service/status.py
@@ -1,4 +1,4 @@
-"""What a person is told of a broker's duties and of its vote, as JSON by `/duties` and as counts by `/metrics`."""
+"""The status page of a broker's leases and of its vote, as `/duties` shows it in JSON."""
 
 from __future__ import annotations
 
@@ -6,109 +6,173 @@
 
 import msgspec
 
+from badgerbend.consensus.raft import Role
+from badgerbend.lease_service.budget_exchange import BudgetExchange
 from badgerbend.lease_service.local_voter import LocalVoter
-from badgerbend.leases.holder import LeaseHolder
+from badgerbend.lease_service.service import LeaseService
+
+ROLE_NAMES = {  # on the status page
+    Role.FOLLOWER: "follower",
+    Role.ASKING: "asking",
+    Role.CANDIDATE: "candidate",
+    Role.LEADER: "leader",
+}
 
 
 class DutyStatus(msgspec.Struct, frozen=True):
-    """A duty as this broker was last told. for_ms: how long it may still act on it."""
+    """A duty's lease as this broker was last notified. remaining_ms: how long the broker may still act on it."""
 
     duty: str
     holder: str
     epoch: int
     may_act: bool
-    for_ms: int
+    remaining_ms: int = msgspec.field(name="for_ms")
 
 
 class FollowerStatus(msgspec.Struct, frozen=True):
-    """What a leader knows of another voter. match: the last entry known to be on its disk."""
+    """What a leader knows of another voter. match_index: the last log entry known to be on its disk."""
 
-    match: int
+    match_index: int = msgspec.field(name="match")
     silent_ms: int
 
 
 class LeaseStatus(msgspec.Struct, frozen=True):
+    """A lease in the replicated table. holder: empty where nobody holds it."""
+
     duty: str
     holder: str
     epoch: int
 
 
-class VoteStatus(msgspec.Struct, frozen=True):
-    """A voter's state. broken: why it votes no more, if so. others: by name, while it leads."""
+class VoterStatus(msgspec.Struct, frozen=True):
+    """This broker's voter. failure: why it stopped, if it did. followers: by name, while it leads."""
 
     name: str
     role: str
     term: int
     leader: str
     voters: list[str]
-    commit: int
-    last: int
-    broken: str | None
+    commit_index: int = msgspec.field(name="commit")
+    last_index: int = msgspec.field(name="last")
+    failure: str | None = msgspec.field(name="broken")
     syncs: int
     renewals: int
-    others: dict[str, FollowerStatus]
+    followers: dict[str, FollowerStatus] = msgspec.field(name="others")
     leases: list[LeaseStatus]
 
 
+class ResourceStatus(msgspec.Struct, frozen=True):
+    """A server that is warming up, or a site that recovers. Rates are parts a second; granted: None without a grant."""
+
+    name: str = msgspec.field(name="thing")
+    own_rate: float = msgspec.field(name="own_per_s")
+    granted_rate: float | None = msgspec.field(name="dealt_per_s")
+
+
+class BudgetStatus(msgspec.Struct, frozen=True):
+    """The slow-start budget: what holds here, and what this broker's allocator did."""
+
+    resources: list[ResourceStatus] = msgspec.field(name="cold")
+    grants_applied: int = msgspec.field(name="slices")
+    grants_issued: int = msgspec.field(name="dealt")
+    allocated_resources: int = msgspec.field(name="books")
+    unanswered_requests: int = msgspec.field(name="unheard")
+
+
 class LeaseServiceStatus(msgspec.Struct, frozen=True):
-    """vote: None where this broker has no store. dealing: None where nothing is dealt."""
+    """voter: None where this broker has no store. budget: None where the slow-start budget is not shared."""
 
     name: str
     leader: str
     duties: list[DutyStatus]
-    vote: VoteStatus | None
+    voter: VoterStatus | None = msgspec.field(name="vote")
     probes: int
-    findings: int
-    acts: int
-    dealing: dict[str, Any] | None
-    refused_acts: int
+    probe_results: int = msgspec.field(name="findings")
+    duty_messages: int = msgspec.field(name="acts")
+    budget: dict[str, Any] | None = msgspec.field(name="dealing")
+    fenced_messages: int = msgspec.field(name="refused_acts")
     sent: int
     received: int
-    refused: int
+    rejected: int = msgspec.field(name="refused")
     bytes: int
 
 
-def duty_statuses(holder: LeaseHolder, now: float) -> list[DutyStatus]:
+def service_status(service: LeaseService) -> LeaseServiceStatus:
+    """The status of a lease service now."""
+    slow_start = service.slow_start
+    budget_replies = slow_start.replies_sent if slow_start is not None else 0
+    return LeaseServiceStatus(
+        name=service.name,
+        leader=service.holder.leader if service.holder is not None else "",
+        duties=lease_statuses(service),
+        voter=_voter_status(service.local_voter) if service.local_voter is not None else None,
+        probes=service.probing.prober.probes,
+        probe_results=service.probing.results_received,
+        duty_messages=service.probing.reports_sent + budget_replies,
+        budget=msgspec.to_builtins(_budget_status(slow_start.exchange)) if slow_start is not None else None,
+        fenced_messages=service.fence.refused,
+        sent=service.sent,
+        received=service.received,
+        rejected=service.refused,
+        bytes=service.bytes,
+    )
+
+
+def lease_statuses(service: LeaseService) -> list[DutyStatus]:
+    """Each duty that this broker is a candidate for, and who holds its lease."""
+    if service.holder is None:
+        return []
+    now = service.clock()
     return [
         DutyStatus(
             duty=name,
             holder=duty.holder,
             epoch=duty.holder_epoch,
             may_act=now < duty.until and duty.epoch > 0,
-            for_ms=round(max(duty.until - now, 0.0) * 1000.0) if duty.epoch else 0,
+            remaining_ms=round(max(duty.until - now, 0.0) * 1000.0) if duty.epoch else 0,
         )
-        for name, duty in holder.duties.items()
+        for name, duty in service.holder.duties.items()
     ]
 
 
-def vote_status(local_voter: LocalVoter, now: float) -> VoteStatus:
-    raft = local_voter.voter.raft
-    return VoteStatus(
+def _voter_status(local_voter: LocalVoter) -> VoterStatus:
+    now = local_voter.clock()
+    voter = local_voter.voter
+    raft = voter.raft
+    return VoterStatus(
         name=local_voter.name,
-        role=raft.role.name.lower(),
+        role=ROLE_NAMES[raft.role],
         term=raft.term,
         leader=raft.leader,
         voters=list(raft.voters),
-        commit=raft.commit,
-        last=raft.log.last_index,
-        broken=local_voter.failure,
+        commit_index=raft.commit,
+        last_index=raft.log.last_index,
+        failure=local_voter.failure,
         syncs=local_voter.writer.syncs,
-        renewals=local_voter.voter.renewals,
-        others={
+        renewals=voter.renewals,
+        followers={
             name: FollowerStatus(progress.match, round((now - progress.heard_at) * 1000.0))
             for name, progress in raft.progress.items()
         },
-        leases=[LeaseStatus(duty, lease.holder, lease.epoch) for duty, lease in local_voter.voter.table.leases.items()],
+        leases=[LeaseStatus(duty, lease.holder, lease.epoch) for duty, lease in voter.table.leases.items()],
     )
 
 
-def vote_counts(local_voter: LocalVoter) -> dict[str, int]:
-    """By name, for the metrics."""
-    raft = local_voter.voter.raft
-    return {
-        "term": raft.term,
-        "leads": int(local_voter.voter.leads),
-        "commit": raft.commit,
-        "syncs": local_voter.writer.syncs,
-        "votes no more": int(local_voter.failure is not None),
-    }
+def _budget_status(exchange: BudgetExchange) -> BudgetStatus:
+    now_ms = exchange.now_ms()
+    budget = exchange.broker_budget
+    resources = {resource.name: resource for resource in (*budget.servers.values(), *budget.sites.values())}
+    return BudgetStatus(
+        resources=[
+            ResourceStatus(
+                name,
+                resource.own_rate * 1000.0,
+                resource.granted_rate * 1000.0 if now_ms < resource.granted_until_ms else None,
+            )
+            for name, resource in sorted(resources.items())
+        ],
+        grants_applied=budget.grants_applied,
+        grants_issued=exchange.allocator.grants_issued,
+        allocated_resources=len(exchange.allocator.allocations),
+        unanswered_requests=exchange.unanswered_requests,
+    )
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -14,7 +14,7 @@
 from badgerbend.consensus.messages import MalformedMessageError
 from badgerbend.discovery.members import parse_address
 from badgerbend.lease_service import wire
-from badgerbend.lease_service.service import lease_timing
+from badgerbend.lease_service.setup import lease_timing
 from badgerbend.leases.fencing import FencingGuard
 from badgerbend.leases.holder import LeaseHolder, LeaseTiming
 from badgerbend.leases.manager import ENOUGH, SELDOM, STEADY, TAKEN_UP, LeaseManager
--- a/tests/test_public_status.py
+++ b/tests/test_public_status.py
@@ -9,7 +9,7 @@
 from badgerbend.broker import Broker, read_subgraph
 from badgerbend.config.fleet import Duties, Peers, Site, Sites, VoterAt
 from badgerbend.config.settings import Identity, Tenant
-from badgerbend.lease_service.status import LeaseServiceStatus
+from badgerbend.lease_service.status import LeaseServiceStatus, service_status
 from badgerbend.net.client import End
 from badgerbend.peering.exchange import ask as ask_peer
 from badgerbend.sites.status import status as sites_status
@@ -80,7 +80,7 @@
         return self.broker.lease_service.local_voter.voter.raft
 
     def rota_status(self):
-        return msgspec.to_builtins(self.broker.lease_service.status())
+        return msgspec.to_builtins(service_status(self.broker.lease_service))
 
     def peers_status(self):
         return self.broker.learning.status()
