--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -13,6 +13,7 @@
 
 from badgerbend import api
 from badgerbend.config.settings import Settings
+from badgerbend.decisions import Aggregator
 from badgerbend.discovery.consul import ConsulTarget
 from badgerbend.discovery.keyed import KeyedList, keyed_directory
 from badgerbend.discovery.lines import consul_directory
@@ -26,11 +27,10 @@
 from badgerbend.lease_service.service import LeaseService
 from badgerbend.lease_service.service_metrics import update_metrics
 from badgerbend.log import get
-from badgerbend.logic import Aggregator
 from badgerbend.metrics import Metrics
 from badgerbend.net.client import PoolLimits
 from badgerbend.net.server import Exchange, HttpServer, ServerLimits
-from badgerbend.peering.service import Learning
+from badgerbend.peering.service import KnowledgeExchange
 from badgerbend.pools import ServerPools
 from badgerbend.runtime.driver import Driver
 from badgerbend.runtime.loop import now_ms
@@ -97,9 +97,9 @@
             loop, self.directory, self.watch, self.pools.of, self.metrics, self.decisions, preference, broker_budget
         )
         self.generations = GenerationManager(settings, graph, shared)
-        self.learning: Learning | None = None
+        self.knowledge_exchange: KnowledgeExchange | None = None
         if settings.peers is not None or settings.snapshot is not None:
-            self.learning = Learning(settings, self.driver, self.directory, self.metrics.trouble)
+            self.knowledge_exchange = KnowledgeExchange(settings, self.driver, self.directory, self.metrics.trouble)
         self.lease_service: LeaseService | None = None
         if settings.duties is not None:
             self.lease_service = LeaseService(
@@ -165,8 +165,8 @@
 
     def _follow_generation(self, generation: Generation) -> None:
         """Who learns and who shares duties does so for the newest configuration."""
-        generation.answers.learning = self.learning
-        for part in (self.learning, self.lease_service):
+        generation.answers.knowledge_exchange = self.knowledge_exchange
+        for part in (self.knowledge_exchange, self.lease_service):
             if part is not None:
                 part.driver = generation.driver
 
@@ -178,8 +178,8 @@
         """Listens and begins to follow the list; returns the port. Raises OSError where it cannot listen, BadKey,
         BadStore."""
         self.port = await self.server.start(self.settings.listen.host, self.settings.listen.port)
-        if self.learning is not None:
-            await self.learning.start()
+        if self.knowledge_exchange is not None:
+            await self.knowledge_exchange.start()
         if self.lease_service is not None:
             await self.lease_service.start()
         self.watch.start()
@@ -204,8 +204,8 @@
         self.watch.close()
         if self.siting is not None:
             self.siting.close()
-        if self.learning is not None:
-            await self.learning.close()
+        if self.knowledge_exchange is not None:
+            await self.knowledge_exchange.close()
         self.pools.close()
         if self._sweeper is not None:
             self._sweeper.cancel()
@@ -220,7 +220,7 @@
             self._gauges()
             exchange.respond(200, self.metrics.text(), TEXT)
         elif path == b"/peers":
-            status = self.learning.status() if self.learning is not None else {"members": []}
+            status = self.knowledge_exchange.status() if self.knowledge_exchange is not None else {"members": []}
             exchange.respond(200, msgspec.json.encode(status), b"application/json")
         elif path.startswith(b"/duties"):
             handle_duties(self.lease_service, exchange, path)
@@ -242,8 +242,8 @@
                 self.metrics.servers.labels(state).set(n)
             self.log.info("list", **counts)
         self.pools.list_taken()
-        if self.learning is not None:
-            self.learning.list_read()
+        if self.knowledge_exchange is not None:
+            self.knowledge_exchange.endpoint_list_loaded()
 
     def _sweep(self) -> None:
         self.pools.sweep(self.loop.time())
@@ -257,13 +257,13 @@
         m.called_off.set(self.generations.cancelled_calls)
         if self.siting is not None:
             self.siting.gauges()
-        if self.learning is not None:
-            m.pulls.set(self.learning.pulls)
-            m.learned.set(self.learning.learned)
-            states = [x["state"] for x in self.learning.status()["members"]]
+        if self.knowledge_exchange is not None:
+            m.pulls.set(self.knowledge_exchange.pulls)
+            m.learned.set(self.knowledge_exchange.servers_learned)
+            states = [x["state"] for x in self.knowledge_exchange.status()["members"]]
             for state in ("alive", "suspect", "dead", "left"):
                 m.peers.labels(state).set(states.count(state))
-            socket = self.learning.socket
+            socket = self.knowledge_exchange.socket
             if socket is not None:
                 for which, n in (("sent", socket.sent), ("received", socket.received), ("refused", socket.refused)):
                     m.datagrams.labels(which).set(n)
--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -22,8 +22,9 @@
 from badgerbend.feed_service.timer import Clock, Timer, monotonic
 from badgerbend.lease_service.local_voter import LocalVoter
 from badgerbend.lease_service.messenger import LeaseMessenger
-from badgerbend.leases.holder import LeaseHolder, LeaseTiming
+from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
+from badgerbend.leases.timing import LeaseTiming
 from badgerbend.net.seal import Seal
 from badgerbend.net.udp import Address, SealedSocket, address_text
 
@@ -107,7 +108,7 @@
 
     async def close(self) -> None:
         """Gives the lease back, lets another lead, and ends."""
-        self.lease_holder.leave(self.clock())
+        self.lease_holder.shut_down(self.clock())
         self._settle()
         self.local_voter.transfer_leadership()
         self._closed = True
@@ -152,7 +153,7 @@
             case LeaseRequest() | LeaseReturn():
                 self.local_voter.handle_lease_message(message, source)
             case LeaseReply():
-                self.lease_holder.told(self.clock(), message)
+                self.lease_holder.receive_reply(self.clock(), message)
             case Proposal(command):
                 self.local_voter.propose(command)
             case Summary():
@@ -171,7 +172,7 @@
                 self.refused += 1
 
     def _receive_own_reply(self, reply: LeaseReply) -> None:
-        self.lease_holder.told(self.clock(), reply)
+        self.lease_holder.receive_reply(self.clock(), reply)
         self._settle()
 
     # -- time
--- a/badgerbend/lease_service/duty_socket.py
+++ b/badgerbend/lease_service/duty_socket.py
@@ -44,10 +44,10 @@
         if self.holder is None:
             return
         lease = self.holder.duties[duty]
-        if not (lease.holder and lease.at):
+        if not (lease.holder and lease.holder_address):
             return
         try:
-            address = parse_address(lease.at)
+            address = parse_address(lease.holder_address)
         except ValueError:
             self._socket.refused += 1
             return
--- a/badgerbend/lease_service/local_voter.py
+++ b/badgerbend/lease_service/local_voter.py
@@ -10,12 +10,12 @@
 from badgerbend.consensus import messages as consensus_messages
 from badgerbend.consensus.types import RaftConfig
 from badgerbend.lease_service.messenger import LeaseMessenger
-from badgerbend.leases.holder import LeaseTiming
 from badgerbend.leases.messages import LeaseRequest, LeaseReturn
+from badgerbend.leases.timing import LeaseTiming
 from badgerbend.leases.voter import LeaseStateMachine, Voter
 from badgerbend.net.udp import Address
+from badgerbend.wal.group_commit import GroupCommitWriter
 from badgerbend.wal.store import Store
-from badgerbend.wal.writer import Writer
 
 MAX_BROKER_ADDRESSES = 4096  # brokers whose addresses are remembered, those heard last
 TRANSFER_CHECK_INTERVAL_S = 0.01
@@ -47,9 +47,11 @@
         self.log_event = log_event
         self.on_saved = on_saved
         store = Store(store_path)
-        self.name = store.owner.name
-        self.voter = Voter(self.name, store.kept, raft_config, timing, seed, clock(), state_machine)
-        self.writer = Writer(store, asyncio.get_running_loop(), self._handle_saved, self._handle_write_failure)
+        self.name = store.identity.name
+        self.voter = Voter(self.name, store.persistent_state, raft_config, timing, seed, clock(), state_machine)
+        self.writer = GroupCommitWriter(
+            store, asyncio.get_running_loop(), self._handle_saved, self._handle_write_failure
+        )
         self.failure: str | None = None  # why the store failed, if it did
         self.broker_addresses: OrderedDict[str, Address] = OrderedDict()
 
@@ -61,12 +63,12 @@
     @property
     def is_leader(self) -> bool:
         """Whether this voter leads the others and may grant leases."""
-        return self.voter.leads
+        return self.voter.is_leader
 
     def handle_consensus_message(self, message: consensus_messages.Message) -> None:
         """Takes another voter's message."""
         if self.failure is None:
-            self.voter.from_voter(self.clock(), message)
+            self.voter.receive_from_voter(self.clock(), message)
             self.flush()
 
     def handle_lease_message(self, message: LeaseRequest | LeaseReturn, source: Address) -> None:
@@ -74,7 +76,7 @@
         if self.failure is not None:
             return
         self._remember_address(message.source, source)
-        self.voter.from_broker(self.clock(), message)
+        self.voter.receive_from_broker(self.clock(), message)
         self.flush()
 
     def tick(self) -> None:
@@ -91,13 +93,13 @@
 
     def change_membership(self, name: str, *, add: bool) -> str | None:
         """Adds or removes a voter; why that cannot be done, None where it is under way."""
-        rejection = self.voter.raft.change(self.clock(), name, add)
+        rejection = self.voter.raft.change_membership(self.clock(), name, add)
         self.flush()
         return rejection
 
     def transfer_leadership(self) -> bool:
         """Lets another voter lead before this process ends; False where there is nothing to transfer."""
-        started = self.failure is None and self.voter.raft.transfer(self.clock())
+        started = self.failure is None and self.voter.raft.transfer_leadership(self.clock())
         self.flush()
         return started
 
@@ -112,7 +114,7 @@
 
     def flush(self) -> None:
         """Writes, sends and logs what the voter has put out."""
-        output = self.voter.take()
+        output = self.voter.drain_output()
         if output.writes:
             self.writer.write(output.writes)
         for name, message in output.to_voters:
@@ -120,7 +122,7 @@
         for broker, reply in output.to_brokers:
             if broker in self.broker_addresses:
                 self.messenger.send_reply(self.broker_addresses[broker], reply)
-        for event, fields in output.notes:
+        for event, fields in output.log_records:
             self.log_event(event, **fields)
 
     def close(self) -> None:
--- a/badgerbend/lease_service/messenger.py
+++ b/badgerbend/lease_service/messenger.py
@@ -58,7 +58,7 @@
 
     def send_pending_requests(self, holder: LeaseHolder, own_voter: LeaseRequestHandler | None) -> bool:
         """Sends what the lease holder has for voters; whether there was anything."""
-        pending = holder.take()
+        pending = holder.drain_output()
         for voter, message in pending:
             if voter == self.name and own_voter is not None:
                 own_voter.handle_lease_message(message, self.socket.own)
--- a/badgerbend/lease_service/probing.py
+++ b/badgerbend/lease_service/probing.py
@@ -12,9 +12,9 @@
 from badgerbend.lease_service.duty_socket import DutySocket
 from badgerbend.lease_service.timers import RepeatingTimer
 from badgerbend.leases.fencing import FencingGuard
+from badgerbend.leases.health_checks import HealthChecker, observations_of, suspected_servers, suspicion_report
 from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import ProbeReport, SuspicionReport
-from badgerbend.leases.probing import Prober, doubted, learned, said
 from badgerbend.net.client import End, Pool, Reply
 from badgerbend.net.udp import Address, address_text
 from badgerbend.runtime.driver import Driver
@@ -57,7 +57,7 @@
         self.directory = directory
         self.pool_of = pool_of
         self.clock = clock
-        self.prober = Prober(duty, broker, duties.probe_every_ms / 1000.0, duties.probes)
+        self.health_checker = HealthChecker(duty, broker, duties.probe_every_ms / 1000.0, duties.probes)
         self.results_received = 0
         self.reports_sent = 0
         self._answered_at = NEVER
@@ -95,13 +95,13 @@
     def handle_suspicion(self, report: SuspicionReport, source: Address) -> None:
         """Takes in which servers a broker suspects, while this one probes."""
         if report.duty == self.duty and self.may_act() is not None:
-            self.prober.doubt(self.clock(), report, address_text(source))
+            self.health_checker.receive_suspicions(self.clock(), report, address_text(source))
 
     def _report_suspicions(self, holder: LeaseHolder) -> None:
-        suspected = doubted(self.driver.known(), self.directory.names)
+        suspected = suspected_servers(self.driver.known(), self.directory.names)
         if not suspected:
             return
-        report = said(suspected, self.broker, self.duty)
+        report = suspicion_report(suspected, self.broker, self.duty)
         if self.may_act() is not None:
             self.handle_suspicion(report, self.socket.own)
         elif holder.duties[self.duty].holder != self.broker:
@@ -111,10 +111,10 @@
 
     def _probe_due(self, holder: LeaseHolder) -> None:
         if self.may_act() is None:
-            self.prober.stop()
+            self.health_checker.clear()
             self._probing_since = NEVER
             return
-        for server in self.prober.due(self.clock()):
+        for server in self.health_checker.start_due_checks(self.clock()):
             known = self.directory.known.get(server)
             pool = self.pool_of(known.number) if known is not None else None
             if pool is None:
@@ -126,13 +126,13 @@
     def _report_own_failure(self, holder: LeaseHolder) -> None:
         """A prober that gets no answer from any server, though others suspect only some, reports that it fails."""
         now = self.clock()
-        if not self.prober.servers:
+        if not self.health_checker.servers:
             self._probing_since = NEVER
         elif self._probing_since < 0:
             self._probing_since = now
         answered_at = max(self._probing_since, self._answered_at)
         failing = self._probing_since >= 0 and now - answered_at > FAILING_AFTER_S
-        holder.failing(self.duty, failing)
+        holder.set_failing(self.duty, failing)
 
     def finish_probe(self, probe: _Probe, served: bool) -> None:
         """A probe was answered or timed out."""
@@ -146,7 +146,7 @@
         epoch = self.may_act()
         if epoch is None or self._closed:
             return
-        for address, report in self.prober.found(self.clock(), epoch, server, served, took_ms):
+        for address, report in self.health_checker.finish_check(self.clock(), epoch, server, served, took_ms):
             self.reports_sent += 1
             if address == address_text(self.socket.own):
                 self.handle_report(report)
@@ -158,10 +158,10 @@
         """Takes in results of probes, unless a newer epoch was seen."""
         if report.duty != self.duty or not self.fence.admits(report.duty, report.epoch):
             return
-        self.results_received += len(report.rows)
+        self.results_received += len(report.results)
         known = self.directory.known
-        numbers = {row.server: known[row.server].number for row in report.rows if row.server in known}
-        self.driver.learn(learned(report, numbers))
+        numbers = {row.server: known[row.server].number for row in report.results if row.server in known}
+        self.driver.learn(observations_of(report, numbers))
 
 
 class _Probe:
--- a/badgerbend/lease_service/service.py
+++ b/badgerbend/lease_service/service.py
@@ -49,7 +49,7 @@
 from badgerbend.net.udp import Address, SealedSocket, address_text
 from badgerbend.runtime.driver import Driver
 from badgerbend.slow_start_budget.broker import BrokerBudget
-from badgerbend.wal.store import StoreError
+from badgerbend.wal.errors import StoreOwnerError
 
 TRANSFER_TIMEOUT_S = 0.3  # how long the end of the process waits for another voter to lead
 MIN_WAKE_UP_DELAY_S = 0.001
@@ -129,7 +129,7 @@
         if self._wake_up is not None:
             self._wake_up.cancel()
         if self.holder is not None:
-            self.holder.leave(self.clock())
+            self.holder.shut_down(self.clock())
             self.messenger.send_pending_requests(self.holder, self.local_voter)
         if self.local_voter is not None:
             await self.local_voter.transfer_leadership_within(TRANSFER_TIMEOUT_S)
@@ -149,7 +149,7 @@
         )
         if local_voter.name != self.name:
             local_voter.close()
-            raise StoreError(f"{store_path}: the store of {local_voter.name}, and this is {self.name}")
+            raise StoreOwnerError(store_path, local_voter.name, self.name)
         return local_voter
 
     def _create_holder(self) -> LeaseHolder:
@@ -215,11 +215,11 @@
     def _handle_lease_reply(self, reply: LeaseReply) -> None:
         if self.holder is None:
             return
-        before = self.holder.held()
-        self.holder.told(self.clock(), reply)
-        for duty, epoch in self.holder.held():
-            if (duty, epoch) not in before:
-                self.log.info("lease acquired", duty=duty, epoch=epoch)
+        before = self.holder.granted_leases()
+        self.holder.receive_reply(self.clock(), reply)
+        for lease in self.holder.granted_leases():
+            if lease not in before:
+                self.log.info("lease acquired", duty=lease.duty, epoch=lease.epoch)
 
     def _handle_own_reply(self, reply: LeaseReply) -> None:
         self._handle_lease_reply(reply)
@@ -252,7 +252,7 @@
 
     def release_leases(self) -> bool:
         """Gives back all leases at once; False where this broker holds none."""
-        if self.holder is None or not self.holder.held():
+        if self.holder is None or not self.holder.granted_leases():
             return False
         self.holder.release(self.clock())
         self.send_and_schedule()
--- a/badgerbend/lease_service/service_metrics.py
+++ b/badgerbend/lease_service/service_metrics.py
@@ -19,9 +19,9 @@
 
 def _service_counts(service: LeaseService) -> dict[str, int]:
     return {
-        "probes": service.probing.prober.probes,
+        "probes": service.probing.health_checker.checks_started,
         "findings": service.probing.results_received,
-        "acts refused": service.fence.refused,
+        "acts refused": service.fence.rejected,
         "datagrams sent": service.sent,
         "datagrams refused": service.refused,
     }
@@ -45,7 +45,7 @@
     return {
         "term": raft.term,
         "leads": int(local_voter.is_leader),
-        "commit": raft.commit,
-        "syncs": local_voter.writer.syncs,
+        "commit": raft.commit_index,
+        "syncs": local_voter.writer.sync_count,
         "votes no more": int(local_voter.failure is not None),
     }
--- a/badgerbend/lease_service/setup.py
+++ b/badgerbend/lease_service/setup.py
@@ -6,7 +6,7 @@
 from badgerbend.config.settings import Settings
 from badgerbend.consensus.types import RaftConfig
 from badgerbend.lease_service.probing import PROBING_DUTY
-from badgerbend.leases.holder import LeaseTiming
+from badgerbend.leases.timing import LeaseTiming
 
 VOTER_SEED = 1  # streams of random numbers
 HOLDER_SEED = 2
--- a/badgerbend/lease_service/status.py
+++ b/badgerbend/lease_service/status.py
@@ -6,14 +6,21 @@
 
 import msgspec
 
-from badgerbend.consensus.raft import Role
+from badgerbend.consensus.types import Role
 from badgerbend.lease_service.budget_exchange import BudgetExchange
 from badgerbend.lease_service.local_voter import LocalVoter
 from badgerbend.lease_service.service import LeaseService
 
 ROLE_NAMES = {  # on the status page
     Role.FOLLOWER: "follower",
-    Role.ASKING: "asking",
+    Role.PRE_CANDIDATE: "asking",
+    Role.CANDIDATE: "candidate",
+    Role.LEADER: "leader",
+}
+
+ROLE_WORDS = {
+    Role.FOLLOWER: "follower",
+    Role.PRE_CANDIDATE: "asking",
     Role.CANDIDATE: "candidate",
     Role.LEADER: "leader",
 }
@@ -106,11 +113,11 @@
         leader=service.holder.leader if service.holder is not None else "",
         duties=lease_statuses(service),
         voter=_voter_status(service.local_voter) if service.local_voter is not None else None,
-        probes=service.probing.prober.probes,
+        probes=service.probing.health_checker.checks_started,
         probe_results=service.probing.results_received,
         duty_messages=service.probing.reports_sent + budget_replies,
         budget=msgspec.to_builtins(_budget_status(slow_start.exchange)) if slow_start is not None else None,
-        fenced_messages=service.fence.refused,
+        fenced_messages=service.fence.rejected,
         sent=service.sent,
         received=service.received,
         rejected=service.refused,
@@ -128,8 +135,8 @@
             duty=name,
             holder=duty.holder,
             epoch=duty.holder_epoch,
-            may_act=now < duty.until and duty.epoch > 0,
-            remaining_ms=round(max(duty.until - now, 0.0) * 1000.0) if duty.epoch else 0,
+            may_act=now < duty.valid_until and duty.epoch > 0,
+            remaining_ms=round(max(duty.valid_until - now, 0.0) * 1000.0) if duty.epoch else 0,
         )
         for name, duty in service.holder.duties.items()
     ]
@@ -145,13 +152,13 @@
         term=raft.term,
         leader=raft.leader,
         voters=list(raft.voters),
-        commit_index=raft.commit,
+        commit_index=raft.commit_index,
         last_index=raft.log.last_index,
         failure=local_voter.failure,
-        syncs=local_voter.writer.syncs,
+        syncs=local_voter.writer.sync_count,
         renewals=voter.renewals,
         followers={
-            name: FollowerStatus(progress.match, round((now - progress.heard_at) * 1000.0))
+            name: FollowerStatus(progress.match_index, round((now - progress.last_contact_at) * 1000.0))
             for name, progress in raft.progress.items()
         },
         leases=[LeaseStatus(duty, lease.holder, lease.epoch) for duty, lease in voter.table.leases.items()],
--- a/benchmarks/scale/feed_voters.py
+++ b/benchmarks/scale/feed_voters.py
@@ -8,7 +8,7 @@
 
 from badgerbend.feed.messages import Change
 from badgerbend.feed_service.control import ControlServer, ControlSettings
-from badgerbend.wal.store import create
+from badgerbend.wal.store import create_store
 from scale.feed_control import SIGNER
 from scale.feed_messages import (
     Command,
@@ -54,7 +54,7 @@
 
     async def _start(self, command: StartVoter) -> Listening:
         store = Path(command.store)
-        create(store, command.name, [voter.name for voter in command.voters])
+        create_store(store, command.name, [voter.name for voter in command.voters])
         voters = {voter.name: (HOST, voter.port) for voter in command.voters}
         settings = ControlSettings(command.name, store, voters, (HOST, 0), KEYS)
         self.server = ControlServer(settings, SIGNER, lambda change: "", note)
@@ -82,7 +82,7 @@
         assert self.server is not None
         server, revision = self.server, self.server.relay.log.revision
         progress = server.progress(revision)
-        return Standing(server.local_voter.voter.leads, server.is_publisher, revision, progress.in_force)
+        return Standing(server.local_voter.voter.is_leader, server.is_publisher, revision, progress.in_force)
 
     def _measured(self) -> Measured:
         snapshots = 0 if self.server is None else self.server.relay.snapshots_begun
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -8,10 +8,12 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent / "badgerbend"
-BARE = {"__init__", "api", "logic", "platform_settings", "benchlink"}
+DECISIONS = sorted(path.relative_to(ROOT).as_posix() for path in (ROOT / "decisions").glob("*.py"))
+BARE = ("__init__.py", "api.py", "platform_settings.py", "benchlink.py", *DECISIONS)
 MAY = {  # room: rooms of ours that it may import
     "config": {"api"},
-    "runtime": {"api", "logic"},
+    "decisions": {"api"},
+    "runtime": {"api", "decisions"},
     "net": set(),
     "discovery": {"api", "config", "net"},
     "graphql": {"api", "config", "net", "runtime"},
@@ -38,7 +40,7 @@
     "publication_validation": {"config", "discovery", "feed"},
     "publication_validation/configurations": {"config", "feed"},
     "pools": {"discovery", "net"},
-    "generations": {"api", "config", "discovery", "graphql", "logic", "metrics", "net", "peering", "runtime"},
+    "generations": {"api", "decisions", "config", "discovery", "graphql", "metrics", "net", "peering", "runtime"},
     "feed_subscription": {"config", "discovery", "feed", "feed_service", "generations", "graphql", "log", "metrics"},
     "knowledge": {"api"},
     "snapshot": {"knowledge"},
@@ -62,9 +64,10 @@
     "metrics": {"api", "log", "runtime"},
     "platform_settings": {"api"},
     "frames": {"api", "runtime"},
-    "platform": {"api", "discovery", "platform_settings", "frames", "logic", "net", "runtime"},
+    "platform": {"api", "decisions", "discovery", "platform_settings", "frames", "net", "runtime"},
 }
 PURE = (
+    *DECISIONS,
     "consensus/durability.py",
     "consensus/events.py",
     "consensus/log.py",
@@ -72,6 +75,7 @@
     "consensus/pending.py",
     "consensus/quorum.py",
     "consensus/raft.py",
+    "consensus/ready.py",
     "consensus/replication.py",
     "consensus/snapshots.py",
     "consensus/types.py",
@@ -80,11 +84,12 @@
     "slow_start_budget/fair_share.py",
     "slow_start_budget/timing.py",
     "leases/fencing.py",
+    "leases/health_checks.py",
     "leases/holder.py",
     "leases/manager.py",
     "leases/messages.py",
-    "leases/probing.py",
     "leases/table.py",
+    "leases/timing.py",
     "leases/voter.py",
     "lease_service/wire.py",
     "standin/acts.py",
@@ -168,10 +173,10 @@
 
 def test_the_bench_starts_the_adapter_with_the_standard_library_alone():
     for name in BARE:
-        for module in imports(ROOT / f"{name}.py"):
+        for module in imports(ROOT / name):
             top = module.split(".")[0]
             assert top in sys.stdlib_module_names or top == "badgerbend", (name, module)
-        assert rooms(ROOT / f"{name}.py") <= {"api", "logic", "platform_settings"}
+        assert rooms(ROOT / name) <= {"api", "decisions", "platform_settings"}
 
 
 @pytest.mark.parametrize("name", PURE)
@@ -187,7 +192,7 @@
     libraries = {name.split(".")[0] for name in found} - set(sys.stdlib_module_names) - {"badgerbend"}
     assert {n for n in libraries if "cython" not in n} <= {"httptools", "msgspec", "typing_extensions"}
     mine = {name.split(".")[1] for name in found if name.startswith("badgerbend.")}
-    assert mine <= {"api", "logic", "platform_settings", "discovery", "frames", "net", "platform", "runtime"}
+    assert mine <= {"api", "decisions", "platform_settings", "discovery", "frames", "net", "platform", "runtime"}
 
 
 def test_nothing_but_the_command_line_knows_the_stand_ins():
