--- a/badgerbend/cli_leases.py
+++ b/badgerbend/cli_leases.py
@@ -1,4 +1,4 @@
-"""`badgerbend duties` and `badgerbend voters`: what a person asks of a fleet's duties, and tells it."""
+"""The commands `badgerbend duties` and `badgerbend voters`: status of leases and voters, and operators' changes."""
 
 from __future__ import annotations
 
@@ -24,6 +24,8 @@
 Host = Annotated[str, typer.Option(help="The broker's host.")]
 DutiesKey = Annotated[Path, typer.Option(help="The file with the duties' key.")]
 
+REPORT_WIDTH = 140  # columns where the output is no terminal
+
 
 @duties.command("list")
 def duties_list(port: Port = 8080, host: Host = "127.0.0.1") -> None:
@@ -32,8 +34,9 @@
     table = Table(title=f"{status['name']} at {port}; leader {status['leader'] or 'not known'}")
     for heading in ("duty", "holder", "epoch", "here for ms"):
         table.add_column(heading)
-    for d in status["duties"]:
-        table.add_row(d["duty"], d["holder"] or "nobody", str(d["epoch"]), str(d["for_ms"]) if d["may_act"] else "-")
+    for duty in status["duties"]:
+        remaining_ms = str(duty["for_ms"]) if duty["may_act"] else "-"
+        table.add_row(duty["duty"], duty["holder"] or "nobody", str(duty["epoch"]), remaining_ms)
     Console().print(table)
 
 
@@ -71,15 +74,14 @@
 def voters_check(folder: Path) -> None:
     """Reads a voter's store and changes nothing; status 2 where it would be refused."""
     try:
-        owner = read_identity(folder)
-        number, kept, length = read_store(folder)
+        identity = read_identity(folder)
+        segment, state, size = read_store(folder)
     except (StoreError, OSError) as err:
         stop(str(err), BAD_SETTINGS)
-    log_, names = kept.log, ", ".join(kept.log.configuration().voters) or "not known yet"
-    print(f"{folder}: {owner.name}, term {kept.term}, voted for {kept.voted_for or 'nobody'}")
-    print(
-        f"log.{number}: {length} bytes, snapshot at {log_.snapshot_index}, last entry {log_.last_index}, voters {names}"
-    )
+    log = state.log
+    names = ", ".join(log.configuration().voters) or "not known yet"
+    print(f"{folder}: {identity.name}, term {state.term}, voted for {state.voted_for or 'nobody'}")
+    print(f"log.{segment}: {size} bytes, snapshot at {log.snapshot_index}, last entry {log.last_index}, voters {names}")
 
 
 @voters.command("status")
@@ -88,21 +90,25 @@
     table = Table(title="voters")
     for heading in ("broker", "role", "term", "leader", "commit", "last", "voters", "others: match, silent for ms"):
         table.add_column(heading)
-    leads = 0
-    for one in port:
-        status = _status(one, host)
-        vote = status["vote"]
-        if vote is None:
-            table.add_row(status["name"], "does not vote", *["-"] * 6)
-            continue
-        leads += vote["role"] == "leader"
-        others = "; ".join(f"{n}: {o['match']}, {o['silent_ms']}" for n, o in vote["others"].items())
-        role = f"{vote['role']}, votes no more: {vote['broken']}" if vote["broken"] else vote["role"]
-        row = (vote["term"], vote["leader"], vote["commit"], vote["last"])
-        table.add_row(status["name"], role, *map(str, row), " ".join(vote["voters"]), others)
+    statuses = [_status(broker_port, host) for broker_port in port]
+    for status in statuses:
+        table.add_row(*_voter_row(status))
     console = Console()
-    (console if console.is_terminal else Console(width=140)).print(table)
-    raise typer.Exit(0 if leads else 1)
+    if not console.is_terminal:
+        console = Console(width=REPORT_WIDTH)
+    console.print(table)
+    has_leader = any(status["vote"] is not None and status["vote"]["role"] == "leader" for status in statuses)
+    raise typer.Exit(0 if has_leader else 1)
+
+
+def _voter_row(status: Any) -> list[str]:
+    voter = status["vote"]
+    if voter is None:
+        return [status["name"], "does not vote", *["-"] * 6]
+    role = f"{voter['role']}, votes no more: {voter['broken']}" if voter["broken"] else voter["role"]
+    followers = [f"{name}: {state['match']}, {state['silent_ms']}" for name, state in voter["others"].items()]
+    counts = [str(voter[key]) for key in ("term", "leader", "commit", "last")]
+    return [status["name"], role, *counts, " ".join(voter["voters"]), "; ".join(followers)]
 
 
 @voters.command("add")
--- a/badgerbend/lease_service/probing.py
+++ b/badgerbend/lease_service/health_check_duty.py
@@ -1,4 +1,4 @@
-"""The probing duty on the socket: a broker reports suspected servers, and probes them while it holds the lease."""
+"""The health-check duty on the socket: a broker reports suspected servers, and checks them while it holds the lease."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from badgerbend.net.udp import Address, address_text
 from badgerbend.runtime.driver import Driver
 
-PROBING_DUTY = "probe"  # on the wire; where there are sites, each has a duty of its own
+HEALTH_CHECK_DUTY = "probe"  # on the wire; where there are sites, every one has a duty of its own
 REPORT_INTERVAL_S = 1.0  # suspected servers are reported so often, for as long as they are suspected
 MIN_JITTER = 0.8  # of the interval between reports
 MAX_JITTER = 1.2
-PROBE_TIMEOUT_S = 1.0
-PROBE_CHECK_INTERVAL_S = 0.05  # how often a prober looks which probes are due
-FAILING_AFTER_S = 2.0  # a prober none of whose probes was answered for so long reports that it fails
+CHECK_TIMEOUT_S = 1.0
+DUE_CHECKS_INTERVAL_S = 0.05  # how often the holder looks which checks are due
+FAILING_AFTER_S = 2.0  # a holder none of whose checks was answered for so long reports that it fails
 NEVER = -1.0  # before any time of the clock
 _BODY = b'{"query":"{ __typename }"}'
 _HEAD = (
@@ -34,7 +34,7 @@
 )
 
 
-class ProbingDuty:
+class HealthCheckDuty:
     """duty: its name at this broker's site. pool_of: connections to a server, by its number. clock: in seconds."""
 
     def __init__(
@@ -57,45 +57,47 @@
         self.directory = directory
         self.pool_of = pool_of
         self.clock = clock
-        self.health_checker = HealthChecker(duty, broker, duties.probe_every_ms / 1000.0, duties.probes)
+        self.checker = HealthChecker(duty, broker, duties.probe_every_ms / 1000.0, duties.probes)
         self.results_received = 0
         self.reports_sent = 0
         self._answered_at = NEVER
-        self._probing_since = NEVER
+        self._checking_since = NEVER
         self._closed = False
         self._timers: list[RepeatingTimer] = []
-        self._probes: set[_Probe] = set()
+        self._checks_in_flight: set[_HealthCheck] = set()
 
     def start(self, holder: LeaseHolder) -> None:
-        """Reports and probes from now on. holder: whose random numbers the intervals are drawn from."""
+        """Reports and checks from now on. holder: whose random numbers the intervals are drawn from."""
         reports = RepeatingTimer(
             self.socket.loop,
             partial(self._report_suspicions, holder),
             lambda: REPORT_INTERVAL_S * holder.rng.uniform(MIN_JITTER, MAX_JITTER),
         )
-        probes = RepeatingTimer(self.socket.loop, partial(self._probe_due, holder), lambda: PROBE_CHECK_INTERVAL_S)
-        self._timers = [reports, probes]
+        checks = RepeatingTimer(
+            self.socket.loop, partial(self._start_due_checks, holder), lambda: DUE_CHECKS_INTERVAL_S
+        )
+        self._timers = [reports, checks]
         reports.start(REPORT_INTERVAL_S * holder.rng.random())
-        probes.start(PROBE_CHECK_INTERVAL_S)
+        checks.start(DUE_CHECKS_INTERVAL_S)
 
     def close(self) -> None:
-        """Reports and probes no more; probes under way are cancelled."""
+        """Reports and checks no more; checks in flight are cancelled."""
         self._closed = True
         for timer in self._timers:
             timer.cancel()
-        for probe in list(self._probes):
-            probe.cancel()
+        for check in list(self._checks_in_flight):
+            check.cancel()
 
     def may_act(self) -> int | None:
-        """The epoch under which this broker may probe now, None if it may not."""
+        """The epoch under which this broker may check servers now, None if it may not."""
         return self.socket.may_act(self.duty)
 
     # -- suspicions
 
     def handle_suspicion(self, report: SuspicionReport, source: Address) -> None:
-        """Takes in which servers a broker suspects, while this one probes."""
+        """Takes in which servers a broker suspects, while this one checks servers."""
         if report.duty == self.duty and self.may_act() is not None:
-            self.health_checker.receive_suspicions(self.clock(), report, address_text(source))
+            self.checker.receive_suspicions(self.clock(), report, address_text(source))
 
     def _report_suspicions(self, holder: LeaseHolder) -> None:
         suspected = suspected_servers(self.driver.known(), self.directory.names)
@@ -107,37 +109,37 @@
         elif holder.duties[self.duty].holder != self.broker:
             self.socket.send_to_holder(self.duty, wire.encode_peer_message(report))
 
-    # -- probes
+    # -- checks
 
-    def _probe_due(self, holder: LeaseHolder) -> None:
+    def _start_due_checks(self, holder: LeaseHolder) -> None:
         if self.may_act() is None:
-            self.health_checker.clear()
-            self._probing_since = NEVER
+            self.checker.clear()
+            self._checking_since = NEVER
             return
-        for server in self.health_checker.start_due_checks(self.clock()):
+        for server in self.checker.start_due_checks(self.clock()):
             known = self.directory.known.get(server)
             pool = self.pool_of(known.number) if known is not None else None
             if pool is None:
                 self._finish(server, served=False, took_ms=0.0)  # it is not listed any more
             else:
-                self._probes.add(_Probe(self, server, pool))
+                self._checks_in_flight.add(_HealthCheck(self, server, pool))
         self._report_own_failure(holder)
 
     def _report_own_failure(self, holder: LeaseHolder) -> None:
-        """A prober that gets no answer from any server, though others suspect only some, reports that it fails."""
+        """A holder that gets no answer from any server, though others suspect only some, reports that it fails."""
         now = self.clock()
-        if not self.health_checker.servers:
-            self._probing_since = NEVER
-        elif self._probing_since < 0:
-            self._probing_since = now
-        answered_at = max(self._probing_since, self._answered_at)
-        failing = self._probing_since >= 0 and now - answered_at > FAILING_AFTER_S
+        if not self.checker.servers:
+            self._checking_since = NEVER
+        elif self._checking_since < 0:
+            self._checking_since = now
+        answered_at = max(self._checking_since, self._answered_at)
+        failing = self._checking_since >= 0 and now - answered_at > FAILING_AFTER_S
         holder.set_failing(self.duty, failing)
 
-    def finish_probe(self, probe: _Probe, served: bool) -> None:
-        """A probe was answered or timed out."""
-        self._probes.discard(probe)
-        self._finish(probe.server, served, (self.clock() - probe.started_at) * 1000.0)
+    def handle_check_end(self, check: _HealthCheck, served: bool) -> None:
+        """A check was answered or timed out."""
+        self._checks_in_flight.discard(check)
+        self._finish(check.server, served, (self.clock() - check.started_at) * 1000.0)
 
     def _finish(self, server: str, served: bool, took_ms: float) -> None:
         """Reports a result under the epoch that is in force now, or not at all."""
@@ -146,7 +148,7 @@
         epoch = self.may_act()
         if epoch is None or self._closed:
             return
-        for address, report in self.health_checker.finish_check(self.clock(), epoch, server, served, took_ms):
+        for address, report in self.checker.finish_check(self.clock(), epoch, server, served, took_ms):
             self.reports_sent += 1
             if address == address_text(self.socket.own):
                 self.handle_report(report)
@@ -155,7 +157,7 @@
                 self.socket.send(parse_address(address), body, lambda: self.may_act() == epoch)
 
     def handle_report(self, report: ProbeReport) -> None:
-        """Takes in results of probes, unless a newer epoch was seen."""
+        """Takes in results of checks, unless a newer epoch was seen."""
         if report.duty != self.duty or not self.fence.admits(report.duty, report.epoch):
             return
         self.results_received += len(report.results)
@@ -164,16 +166,16 @@
         self.driver.learn(observations_of(report, numbers))
 
 
-class _Probe:
+class _HealthCheck:
     """One request to one server, which ends once: by its reply, its timeout, or when it is cancelled."""
 
-    def __init__(self, duty: ProbingDuty, server: str, pool: Pool) -> None:
+    def __init__(self, duty: HealthCheckDuty, server: str, pool: Pool) -> None:
         self.duty = duty
         self.server = server
         self.started_at = duty.clock()
         head = _HEAD % (pool.host.encode(), pool.port, len(_BODY))
         self._call = pool.request(head + _BODY, self._handle_reply)
-        self._timeout = duty.socket.loop.call_later(PROBE_TIMEOUT_S, self._finish, False)
+        self._timeout = duty.socket.loop.call_later(CHECK_TIMEOUT_S, self._finish, False)
         self._finished = False
 
     def cancel(self) -> None:
@@ -188,4 +190,4 @@
     def _finish(self, served: bool) -> None:
         if not self._finished:
             self.cancel()
-            self.duty.finish_probe(self, served)
+            self.duty.handle_check_end(self, served)
--- a/badgerbend/lease_service/service.py
+++ b/badgerbend/lease_service/service.py
@@ -18,16 +18,17 @@
 from badgerbend.discovery.directory import Directory
 from badgerbend.discovery.members import parse_address
 from badgerbend.lease_service import wire
-from badgerbend.lease_service.budget_exchange import SLOW_START_DUTY, BudgetExchange, broker_name
+from badgerbend.lease_service.budget_exchange import BudgetExchange, broker_name
 from badgerbend.lease_service.duty_socket import DutySocket
+from badgerbend.lease_service.health_check_duty import HealthCheckDuty
 from badgerbend.lease_service.local_voter import LocalVoter
 from badgerbend.lease_service.messenger import LeaseMessenger
-from badgerbend.lease_service.probing import ProbingDuty
 from badgerbend.lease_service.setup import (
     HOLDER_SEED,
     VOTER_SEED,
+    candidacies,
+    health_check_duty_name,
     lease_timing,
-    probing_duty_name,
     raft_config,
     random_seed,
 )
@@ -89,9 +90,9 @@
         self.local_voter: LocalVoter | None = None
         self.holder: LeaseHolder | None = None
         self.fence = FencingGuard()
-        duty = probing_duty_name(settings)
+        duty = health_check_duty_name(settings)
         self.duty_socket = DutySocket(self, clock)
-        self.probing = ProbingDuty(
+        self.health_checks = HealthCheckDuty(
             self.duty_socket, duties, duty, self.name, self.fence, driver, directory, pool_of, clock
         )
         self.slow_start: SlowStartDuty | None = None
@@ -113,7 +114,7 @@
         self.holder = self._create_holder()
         self.duty_socket.holder = self.holder
         if self.duties.probing:
-            self.probing.start(self.holder)
+            self.health_checks.start(self.holder)
         if self.slow_start is not None:
             self.slow_start.start(self.holder)
         self.send_and_schedule()
@@ -123,7 +124,7 @@
         """Gives back the leases it holds, lets another voter lead, and ends."""
         self._closed = True
         self.messenger.close()
-        self.probing.close()
+        self.health_checks.close()
         if self.slow_start is not None:
             self.slow_start.close()
         if self._wake_up is not None:
@@ -153,15 +154,11 @@
         return local_voter
 
     def _create_holder(self) -> LeaseHolder:
-        candidacies: dict[str, bool] = {}  # by duty: whether it is at this broker's own site
-        if self.duties.probing:
-            candidacies[self.probing.duty] = True
-        if self.slow_start is not None:
-            candidacies[SLOW_START_DUTY] = True
+        duties = candidacies(self.settings, self.duties, shares_budget=self.slow_start is not None)
         address = address_text(self.own)
         voters = tuple(self.voter_addresses)
         seed = random_seed(self.settings, self.incarnation, HOLDER_SEED)
-        return LeaseHolder(self.name, address, candidacies, voters, self.timing, seed, self.clock())
+        return LeaseHolder(self.name, address, duties, voters, self.timing, seed, self.clock())
 
     # -- datagrams
 
@@ -182,9 +179,9 @@
             case LeaseReply():
                 self._handle_lease_reply(message)
             case SuspicionReport():
-                self.probing.handle_suspicion(message, source)
+                self.health_checks.handle_suspicion(message, source)
             case ProbeReport():
-                self.probing.handle_report(message)
+                self.health_checks.handle_report(message)
             case BudgetRequest():
                 if self.slow_start is not None:
                     self.slow_start.handle_request(message, source)
--- a/badgerbend/lease_service/service_metrics.py
+++ b/badgerbend/lease_service/service_metrics.py
@@ -8,7 +8,7 @@
 
 
 def update_metrics(service: LeaseService, metrics: Metrics) -> None:
-    """Sets the gauges of a broker's leases, its probes, its budget and its vote."""
+    """Sets the gauges of a broker's leases, its health checks, its budget and its vote."""
     for lease in lease_statuses(service):
         metrics.duties.labels(lease.duty, "held here").set(lease.may_act)
         metrics.duties.labels(lease.duty, "epoch").set(lease.epoch)
@@ -19,8 +19,8 @@
 
 def _service_counts(service: LeaseService) -> dict[str, int]:
     return {
-        "probes": service.probing.health_checker.checks_started,
-        "findings": service.probing.results_received,
+        "probes": service.health_checks.checker.checks_started,
+        "findings": service.health_checks.results_received,
         "acts refused": service.fence.rejected,
         "datagrams sent": service.sent,
         "datagrams refused": service.refused,
--- a/badgerbend/lease_service/setup.py
+++ b/badgerbend/lease_service/setup.py
@@ -5,7 +5,8 @@
 from badgerbend.config.fleet import Duties
 from badgerbend.config.settings import Settings
 from badgerbend.consensus.types import RaftConfig
-from badgerbend.lease_service.probing import PROBING_DUTY
+from badgerbend.lease_service.budget_exchange import SLOW_START_DUTY
+from badgerbend.lease_service.health_check_duty import HEALTH_CHECK_DUTY
 from badgerbend.leases.timing import LeaseTiming
 
 VOTER_SEED = 1  # streams of random numbers
@@ -28,12 +29,22 @@
     return RaftConfig(duties.election_ms / 1000.0, duties.beat_ms / 1000.0)
 
 
-def probing_duty_name(settings: Settings) -> str:
-    """The probing duty of this broker's site; of the whole fleet where it has no site."""
+def health_check_duty_name(settings: Settings) -> str:
+    """The health-check duty of this broker's site; of the whole fleet where it has no site."""
     if settings.sites is None:
-        return PROBING_DUTY
+        return HEALTH_CHECK_DUTY
     home = settings.sites.home(settings.identity.zone)
-    return f"{PROBING_DUTY}:{home.name}" if home is not None else PROBING_DUTY
+    return f"{HEALTH_CHECK_DUTY}:{home.name}" if home is not None else HEALTH_CHECK_DUTY
+
+
+def candidacies(settings: Settings, duties: Duties, *, shares_budget: bool) -> dict[str, bool]:
+    """The duties that a broker is a candidate for, and whether each is at its own site, which all are."""
+    names = []
+    if duties.probing:
+        names.append(health_check_duty_name(settings))
+    if shares_budget:
+        names.append(SLOW_START_DUTY)
+    return dict.fromkeys(names, True)
 
 
 def random_seed(settings: Settings, incarnation: int, stream: int) -> int:
--- a/badgerbend/lease_service/status.py
+++ b/badgerbend/lease_service/status.py
@@ -93,8 +93,8 @@
     leader: str
     duties: list[DutyStatus]
     voter: VoterStatus | None = msgspec.field(name="vote")
-    probes: int
-    probe_results: int = msgspec.field(name="findings")
+    checks_started: int = msgspec.field(name="probes")
+    check_results: int = msgspec.field(name="findings")
     duty_messages: int = msgspec.field(name="acts")
     budget: dict[str, Any] | None = msgspec.field(name="dealing")
     fenced_messages: int = msgspec.field(name="refused_acts")
@@ -113,9 +113,9 @@
         leader=service.holder.leader if service.holder is not None else "",
         duties=lease_statuses(service),
         voter=_voter_status(service.local_voter) if service.local_voter is not None else None,
-        probes=service.probing.health_checker.checks_started,
-        probe_results=service.probing.results_received,
-        duty_messages=service.probing.reports_sent + budget_replies,
+        checks_started=service.health_checks.checker.checks_started,
+        check_results=service.health_checks.results_received,
+        duty_messages=service.health_checks.reports_sent + budget_replies,
         budget=msgspec.to_builtins(_budget_status(slow_start.exchange)) if slow_start is not None else None,
         fenced_messages=service.fence.rejected,
         sent=service.sent,
--- a/benchmarks/scale/dutyfleet.py
+++ b/benchmarks/scale/dutyfleet.py
@@ -19,7 +19,7 @@
 from badgerbend.consensus.raft import RaftConfig
 from badgerbend.lease_service import wire
 from badgerbend.lease_service.budget_exchange import SLOW_START_DUTY
-from badgerbend.lease_service.probing import PROBING_DUTY
+from badgerbend.lease_service.health_check_duty import HEALTH_CHECK_DUTY
 from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
 from badgerbend.leases.timing import LeaseTiming
@@ -72,7 +72,7 @@
 
 def duties_of(number: int) -> dict[str, bool]:
     """What the broker of this number stands for: probing in its own region, and dealing."""
-    return {f"{PROBING_DUTY}:region-{number % REGIONS}": True, SLOW_START_DUTY: True}
+    return {f"{HEALTH_CHECK_DUTY}:region-{number % REGIONS}": True, SLOW_START_DUTY: True}
 
 
 class DutyFleet:
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -12,8 +12,13 @@
 from badgerbend.consensus.messages import MalformedMessageError
 from badgerbend.discovery.members import parse_address
 from badgerbend.lease_service import wire
+from badgerbend.lease_service.commands import AddVoter, HandOver, RemoveVoter, parse_command
+from badgerbend.lease_service.messenger import LeaseMessenger
 from badgerbend.lease_service.setup import lease_timing
-from badgerbend.leases.messages import ReleaseLease, SuspicionReport, encode
+from badgerbend.lease_service.timers import RepeatingTimer
+from badgerbend.leases.holder import LeaseHolder
+from badgerbend.leases.messages import LeaseReply, LeaseReturn, ReleaseLease, SuspicionReport, encode
+from badgerbend.leases.timing import LeaseTiming
 from tests.sockets import EXAMPLE
 
 
@@ -88,3 +93,121 @@
     assert other.returncode == 2 and "is none of the voters" in other.stderr
     silent = badgerbend("duties", "list", "--port", 1)
     assert silent.returncode == 3 and "no answer from 127.0.0.1:1" in silent.stderr
+
+
+# -- operators' commands
+
+
+@pytest.mark.parametrize(
+    ("path", "command"),
+    [
+        ("hand-over", HandOver()),
+        ("voters/add/broker-3", AddVoter("broker-3")),
+        ("voters/remove/broker-3", RemoveVoter("broker-3")),
+        ("voters/remove", None),
+        ("voters/rename/broker-3", None),
+        ("voters/add/broker-3/now", None),
+        ("", None),
+    ],
+)
+def test_a_path_names_a_command_or_none(path, command):
+    assert parse_command(path) == command
+
+
+# -- timers and messages
+
+
+class Loop:
+    """Keeps what is scheduled, and runs it when a test says so."""
+
+    def __init__(self):
+        self.scheduled = []
+
+    def call_later(self, delay_s, callback, *arguments):
+        handle = Handle(delay_s, lambda: callback(*arguments))
+        self.scheduled.append(handle)
+        return handle
+
+    def call_soon(self, callback, *arguments):
+        return self.call_later(0.0, callback, *arguments)
+
+    def run_next(self):
+        handle = self.scheduled.pop(0)
+        if not handle.cancelled:
+            handle.callback()
+        return handle.delay_s
+
+
+class Handle:
+    def __init__(self, delay_s, callback):
+        self.delay_s, self.callback, self.cancelled = delay_s, callback, False
+
+    def cancel(self):
+        self.cancelled = True
+
+
+def test_a_repeating_timer_asks_for_each_delay_before_it_calls_and_ends_when_it_is_cancelled():
+    loop, events, delays = Loop(), [], iter((2.0, 3.0, 5.0))
+
+    def next_delay():
+        events.append("delay")
+        return next(delays)
+
+    timer = RepeatingTimer(loop, lambda: events.append("call"), next_delay)
+    timer.start(0.5)
+    assert [loop.run_next(), loop.run_next()] == [0.5, 2.0]
+    assert events == ["delay", "call", "delay", "call"]
+    timer.cancel()
+    assert loop.run_next() == 3.0 and not loop.scheduled and len(events) == 4
+
+
+class Socket:
+    def __init__(self):
+        self.own, self.loop, self.sent = ("127.0.0.1", 7000), Loop(), []
+
+    def send(self, address, body):
+        self.sent.append((address, body))
+
+
+class RecordingVoter:
+    def __init__(self):
+        self.messages = []
+
+    def handle_lease_message(self, message, source):
+        self.messages.append((message, source))
+
+
+VOTERS = {"broker-0": ("127.0.0.1", 7000), "broker-1": ("127.0.0.1", 7001)}
+REPLY = LeaseReply("broker-0", 0, "broker-0", True, ())
+
+
+def test_requests_go_to_the_own_voter_without_the_socket_and_to_others_by_datagram():
+    socket, voter = Socket(), RecordingVoter()
+    messenger = LeaseMessenger(socket, "broker-0", VOTERS, lambda reply: None)
+    holder = LeaseHolder("broker-0", "127.0.0.1:7000", {"probe": True}, tuple(VOTERS), LeaseTiming(), 1, 0.0)
+    assert not messenger.send_pending_requests(holder, voter)
+    holder.shut_down(0.0)  # says so to every voter
+    assert messenger.send_pending_requests(holder, voter)
+    ((own, source),) = voter.messages
+    assert isinstance(own, LeaseReturn) and source == socket.own
+    ((address, body),) = socket.sent
+    assert address == VOTERS["broker-1"] and wire.decode(body) == own
+    holder.shut_down(0.0)
+    assert messenger.send_pending_requests(holder, None)  # it does not vote, though a voter has its name
+    assert [address for address, _ in socket.sent[1:]] == list(VOTERS.values())
+
+
+def test_replies_to_the_process_itself_come_from_the_loop_and_not_after_it_closed():
+    socket, replies = Socket(), []
+    messenger = LeaseMessenger(socket, "broker-0", VOTERS, replies.append)
+    messenger.send_reply(socket.own, REPLY)
+    assert replies == []
+    socket.loop.run_next()
+    assert replies == [REPLY] and not socket.sent
+    messenger.send_reply(("127.0.0.1", 7001), REPLY)
+    ((address, body),) = socket.sent
+    assert address == ("127.0.0.1", 7001) and wire.decode(body) == REPLY
+    messenger.send_reply(socket.own, REPLY)
+    messenger.close()
+    socket.loop.run_next()
+    assert replies == [REPLY]
