--- a/badgerbend/consensus/durability.py
+++ b/badgerbend/consensus/durability.py
@@ -1,68 +1,100 @@
-"""What a voter's disk does not hold yet, and the messages that wait for it.
+"""Records that are not on disk yet, and the messages that wait for them.
 
-Writes are numbered in their order; the owner makes them durable and says up to which number they are.
+Records are numbered in their order. The owner persists them and reports up to which number they are on disk.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Sequence
+from typing import NamedTuple
 
 from badgerbend.consensus.messages import Entry, LogEntries, Message, Record, Snapshot
-from badgerbend.consensus.pending import HeldMessage, UnsyncedEntries
 from badgerbend.consensus.ready import OutboundMessage, SequencedRecord
 
 
+class UnpersistedEntries(NamedTuple):
+    """Once the record with this number is on disk, so are all entries up to this index."""
+
+    sequence: int
+    last_index: int
+
+
+class HeldMessage(NamedTuple):
+    """A message that may be sent once the record with this number is on disk."""
+
+    sequence: int
+    to: str
+    message: Message
+
+
 class Durability:
-    """seq: the number of the last write. synced: of the last one on disk. durable: the last index on disk."""
+    """Tracks which records are on disk, and releases messages that wait for one.
+
+    last_sequence: the number of the last record. persisted_sequence: of the last one on disk. persisted_index: the
+    index of the last entry on disk. records, messages: what was not taken yet.
+    """
 
     def __init__(self, last_index: int) -> None:
-        self.seq = self.synced = 0
-        self.durable = last_index
-        self.writes: list[SequencedRecord] = []
+        self.last_sequence = 0
+        self.persisted_sequence = 0
+        self.persisted_index = last_index
+        self.records: list[SequencedRecord] = []
         self.messages: list[OutboundMessage] = []
-        self.unsynced: deque[UnsyncedEntries] = deque()
-        self.held: deque[HeldMessage] = deque()
+        self.unpersisted_entries: deque[UnpersistedEntries] = deque()
+        self.held_messages: deque[HeldMessage] = deque()
 
     def write(self, record: Record) -> int:
-        """The write's number."""
-        self.seq += 1
-        self.writes.append(SequencedRecord(self.seq, record))
-        return self.seq
+        """Add a record to be persisted; return its number."""
+        self.last_sequence += 1
+        self.records.append(SequencedRecord(self.last_sequence, record))
+        return self.last_sequence
 
     def write_entries(self, entries: Sequence[Entry]) -> None:
-        """Entries in a row, in the place of all that stood from the first one's index on."""
-        self._replaced_after(entries[0].index - 1)
-        self.unsynced.append(UnsyncedEntries(self.write(LogEntries(tuple(entries))), entries[-1].index))
+        """Add entries in a row that replace all from the first one's index on."""
+        self._truncate(entries[0].index - 1)
+        sequence = self.write(LogEntries(tuple(entries)))
+        self.unpersisted_entries.append(UnpersistedEntries(sequence, entries[-1].index))
 
     def write_snapshot(self, snapshot: Snapshot, last_index: int) -> None:
-        """A snapshot that replaces the log's beginning; last_index: of the log as it is then."""
-        self._replaced_after(last_index)
-        self.unsynced.append(UnsyncedEntries(self.write(snapshot), snapshot.index))
-
-    def _replaced_after(self, index: int) -> None:
-        """What stood beyond this index was replaced, so that no write made before makes it durable."""
-        self.durable = min(self.durable, index)
-        self.unsynced = deque(UnsyncedEntries(write, min(last, index)) for write, last in self.unsynced)
+        """Add a snapshot that replaces the log's beginning. last_index: of the log with the snapshot in place."""
+        self._truncate(last_index)
+        sequence = self.write(snapshot)
+        self.unpersisted_entries.append(UnpersistedEntries(sequence, snapshot.index))
 
     def send(self, to: str, message: Message, after: int) -> None:
-        """after: the write that must be on disk first; 0 for none."""
-        if after > self.synced:
-            self.held.append(HeldMessage(after, to, message))
+        """Send a message once the record with the number `after` is on disk; at once for 0."""
+        if after > self.persisted_sequence:
+            self.held_messages.append(HeldMessage(after, to, message))
         else:
             self.messages.append(OutboundMessage(to, message))
 
-    def persisted(self, seq: int) -> None:
-        """All writes up to this one are on disk."""
-        self.synced = max(self.synced, seq)
-        while self.unsynced and self.unsynced[0].write <= self.synced:
-            self.durable = max(self.durable, self.unsynced.popleft().last_index)
-        while self.held and self.held[0].write <= self.synced:
-            held = self.held.popleft()
+    def persisted(self, sequence: int) -> None:
+        """Note that all records up to this number are on disk."""
+        self.persisted_sequence = max(self.persisted_sequence, sequence)
+        while self.unpersisted_entries and self.unpersisted_entries[0].sequence <= self.persisted_sequence:
+            entries = self.unpersisted_entries.popleft()
+            self.persisted_index = max(self.persisted_index, entries.last_index)
+        while self.held_messages and self.held_messages[0].sequence <= self.persisted_sequence:
+            held = self.held_messages.popleft()
             self.messages.append(OutboundMessage(held.to, held.message))
 
-    def take(self) -> tuple[list[SequencedRecord], list[OutboundMessage]]:
-        """Writes in their order, and the messages that may be sent, since the last call."""
-        taken = self.writes, self.messages
-        self.writes, self.messages = [], []
-        return taken
+    def take_records(self) -> list[SequencedRecord]:
+        """Return the records that were written since the last call, in their order."""
+        records = self.records
+        self.records = []
+        return records
+
+    def take_messages(self) -> list[OutboundMessage]:
+        """Return the messages that may be sent and were not returned before."""
+        messages = self.messages
+        self.messages = []
+        return messages
+
+    def _truncate(self, last_index: int) -> None:
+        """Entries beyond this index were replaced: no record written before makes the new ones durable."""
+        self.persisted_index = min(self.persisted_index, last_index)
+        self.unpersisted_entries = deque(
+            UnpersistedEntries(entries.sequence, min(entries.last_index, last_index))
+            for entries in self.unpersisted_entries
+        )
--- a/badgerbend/consensus/log.py
+++ b/badgerbend/consensus/log.py
@@ -45,14 +45,14 @@
             return self.entries[index - self.snapshot_index - 1].term
         return None
 
-    def after(self, index: int) -> Sequence[Entry]:
+    def entries_after(self, index: int) -> Sequence[Entry]:
         """Entries beyond an index that is held."""
         return self.entries[index - self.snapshot_index :]
 
     def entry(self, index: int) -> Entry:
         return self.entries[index - self.snapshot_index - 1]
 
-    def missing(self, entries: Sequence[Entry]) -> Sequence[Entry]:
+    def from_first_missing(self, entries: Sequence[Entry]) -> Sequence[Entry]:
         """Of entries in a row after the base, all from the first that this log does not hold with the same term."""
         for position, entry in enumerate(entries):
             if self.term_at(entry.index) != entry.term:
@@ -74,10 +74,10 @@
         del self.entries[entries[0].index - self.snapshot_index - 1 :]
         self.entries += entries
 
-    def take(self, snapshot: Snapshot) -> None:
+    def restore(self, snapshot: Snapshot) -> None:
         """The snapshot takes the place of all up to its index, and of all else if the log does not fit on it."""
         fits = self.term_at(snapshot.index) == snapshot.term
-        self.entries = list(self.after(snapshot.index)) if fits else []
+        self.entries = list(self.entries_after(snapshot.index)) if fits else []
         self.snapshot = snapshot
 
     def configuration(self) -> Configuration:
@@ -109,7 +109,7 @@
                     raise ValueError(f"entry {entries[0].index} after {self.log.last_index}")
                 self.log.append(entries)
             case Snapshot():
-                self.log.take(record)
+                self.log.restore(record)
 
     def records(self) -> list[Record]:
         """The fewest records that say the same. Added up, they are a copy."""
--- a/badgerbend/consensus/replication.py
+++ b/badgerbend/consensus/replication.py
@@ -1,123 +1,200 @@
-"""A leader's side of replication to one follower: what is known of the follower's log, and what to send it next."""
+"""A leader's replication: what each follower lacks, heartbeats, and the index up to which a majority has the log."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+import math
 
 from badgerbend.consensus.log import Log
 from badgerbend.consensus.messages import (
     MAX_MESSAGE_BYTES,
     AppendEntries,
+    AppendEntriesReply,
     Entry,
     InstallSnapshot,
-    Snapshot,
+    InstallSnapshotReply,
     encoded_size,
 )
+from badgerbend.consensus.progress import Progress
+from badgerbend.consensus.quorum import is_majority, majority_index
+from badgerbend.consensus.replica import Replica
 
-HEAD_BYTES = 300  # of a message: all but its entries or its piece
-PIPELINE = 4  # messages on the way to one follower, between its answers
+MESSAGE_OVERHEAD_BYTES = 300  # of a message: all but its entries or its chunk of a snapshot
+MAX_IN_FLIGHT = 4  # messages to one follower between its answers
+CHECK_QUORUM_TIMEOUTS = 2.0  # election timeouts without an answer after which a follower counts as unreachable
 
 
-@dataclass(frozen=True, slots=True)
-class Leadership:
-    """What every message of a leader states. heartbeat_round: the number of its latest round of heartbeats."""
+class Replication:
+    """The leader's side of replication; idle on any other voter.
 
-    term: int
-    leader: str
-    commit_index: int
-    heartbeat_round: int
-
-
-@dataclass(slots=True)
-class Progress:
-    """What a leader knows of one follower.
-
-    next_index: the index of the entry to send next. match_index: the last index known to be on the follower's disk.
-    heartbeat_round: the latest round of heartbeats that it answered. offset: how much of the snapshot it acknowledged,
-    in bytes. in_flight: messages sent since its last answer. last_contact_at: when its last answer came.
+    progress: by name of the follower. heartbeat_round: the number of the latest round of heartbeats in this term.
+    heartbeat_at: when the next one is due.
     """
 
-    next_index: int
-    last_contact_at: float
-    match_index: int = 0
-    heartbeat_round: int = 0
-    offset: int = 0
-    in_flight: int = 0
-
-    def answered(self, now: float, heartbeat_round: int) -> None:
-        """Any answer of this leader's term has come, to a message of that round of heartbeats."""
-        self.last_contact_at = now
-        self.in_flight = max(self.in_flight - 1, 0)
-        self.heartbeat_round = max(self.heartbeat_round, heartbeat_round)
-
-    def rejected(self, hint: int) -> None:
-        """Entries did not fit the follower's log. hint: the last index that may match."""
-        self.next_index = max(self.match_index + 1, min(hint + 1, self.next_index))
-
-    def matched(self, index: int) -> None:
-        """The follower's log is known to match up to this index, further than before."""
-        self.match_index = index
-        self.next_index = max(self.next_index, index + 1)
-
-    def installed(self, index: int) -> None:
-        """The follower has the whole snapshot of this index."""
-        self.match_index = max(self.match_index, index)
-        self.next_index = max(self.next_index, self.match_index + 1)
-        self.offset = 0
-
-
-def outstanding(
-    leadership: Leadership, log: Log, progress: Progress, heartbeat: bool
-) -> list[AppendEntries | InstallSnapshot]:
-    """What the follower lacks, as far as may be in flight at once. heartbeat: send a message if it lacks nothing."""
-    messages = list[AppendEntries | InstallSnapshot]()
-    while progress.in_flight < PIPELINE and (heartbeat or progress.next_index <= log.last_index):
-        heartbeat = False
+    def __init__(self, replica: Replica) -> None:
+        self.replica = replica
+        self.progress: dict[str, Progress] = {}
+        self.heartbeat_round = 0
+        self.heartbeat_at = math.inf
+
+    def start(self, now: float) -> None:
+        """Begin a term of leadership, with nothing known of the followers."""
+        next_index = self.replica.log.last_index + 1
+        self.progress = {voter: Progress(next_index, now) for voter in self.replica.other_voters}
+        self.heartbeat_round = 0
+
+    def stop(self) -> None:
+        """End a term of leadership."""
+        self.progress = {}
+        self.heartbeat_at = math.inf
+
+    def add_learner(self, now: float, name: str) -> None:
+        """Replicate to a server that does not vote yet."""
+        if name not in self.progress:
+            self.progress[name] = Progress(self.replica.log.last_index + 1, now)
+
+    def retain_voters(self) -> None:
+        """Replicate to the voters of the present configuration alone."""
+        self.progress = {voter: self.progress[voter] for voter in self.replica.other_voters}
+
+    def hasten_heartbeat(self, at: float) -> None:
+        """Send the next round of heartbeats no later than at a time."""
+        self.heartbeat_at = min(self.heartbeat_at, at)
+
+    def broadcast_heartbeat(self, now: float) -> None:
+        """Begin a round of heartbeats, and send again what was not answered."""
+        self.heartbeat_round += 1
+        self.heartbeat_at = now + self.replica.config.heartbeat_interval_s
+        for follower, progress in self.progress.items():
+            progress.in_flight = 0
+            self.send_entries(follower, heartbeat=True)
+
+    def broadcast_entries(self) -> None:
+        """Send each follower what it lacks."""
+        for follower in self.progress:
+            self.send_entries(follower)
+
+    def send_entries(self, follower: str, *, heartbeat: bool = False) -> None:
+        """Send a follower what it lacks, as far as may be in flight. heartbeat: send a message if it lacks nothing."""
+        log = self.replica.log
+        progress = self.progress[follower]
+        while progress.in_flight < MAX_IN_FLIGHT and (heartbeat or progress.next_index <= log.last_index):
+            heartbeat = False
+            previous_term = log.term_at(progress.next_index - 1)
+            if previous_term is None:  # compacted: only the snapshot holds it
+                self._send_snapshot_chunk(follower)
+                return
+            self._send_append(follower, previous_term)
+
+    def has_quorum(self, now: float) -> bool:
+        """Whether a majority of voters has answered lately; else the leader is cut off (Ongaro 2014, 6.2)."""
+        timeout_s = CHECK_QUORUM_TIMEOUTS * self.replica.config.election_timeout_s
+        reachable = [
+            voter
+            for voter in self.replica.voters
+            if voter == self.replica.name or now - self.progress[voter].last_contact_at < timeout_s
+        ]
+        return is_majority(reachable, self.replica.voters)
+
+    def quorum_round(self) -> int:
+        """The latest round of heartbeats that a majority of voters has answered."""
+        rounds = (
+            self.heartbeat_round if voter == self.replica.name else self.progress[voter].heartbeat_round
+            for voter in self.replica.voters
+        )
+        return min(majority_index(rounds), self.heartbeat_round)
+
+    def committable_index(self) -> int | None:
+        """The index up to which entries may be committed now, if that is further than before."""
+        replica = self.replica
+        index = majority_index(
+            replica.durability.persisted_index if voter == replica.name else self.progress[voter].match_index
+            for voter in replica.voters
+        )
+        return index if index > replica.commit_index and self.may_commit(index) else None
+
+    def may_commit(self, index: int) -> bool:
+        """Whether the entry is of this term: an earlier one is not committed by counting (Ongaro 2014, 3.6.2)."""
+        return self.replica.log.term_at(index) == self.replica.term
+
+    def record_answer(self, now: float, reply: AppendEntriesReply | InstallSnapshotReply) -> bool:
+        """Note that a follower has answered; return False where the sender is none of this leader's followers."""
+        progress = self.progress.get(reply.source)
+        if progress is None:
+            return False
+        progress.answered(now, reply.heartbeat_round)
+        return True
+
+    def handle_append_reply(self, reply: AppendEntriesReply) -> bool:
+        """Take a follower's answer to entries; return whether more of its log is known to match."""
+        progress = self.progress[reply.source]
+        if not reply.success:
+            progress.rejected(reply.index)
+            self.send_entries(reply.source, heartbeat=True)
+            return False
+        if reply.index <= progress.match_index:
+            return False
+        progress.matched(reply.index)
+        return True
+
+    def handle_snapshot_reply(self, reply: InstallSnapshotReply) -> bool:
+        """Take a follower's answer to a chunk; return whether entries may follow, else the next chunk was sent."""
+        progress = self.progress[reply.source]
+        if reply.installed:
+            progress.installed(reply.index)
+            return True
+        snapshot_index = self.replica.log.snapshot_index
+        progress.snapshot_offset = reply.offset if reply.index == snapshot_index else 0
+        if progress.next_index > snapshot_index:
+            return True
+        self._send_snapshot_chunk(reply.source)
+        return False
+
+    def _send_append(self, follower: str, previous_term: int) -> None:
+        replica = self.replica
+        progress = self.progress[follower]
+        previous_index = progress.next_index - 1
+        entries = entries_for_one_message(replica.log, previous_index)
         progress.in_flight += 1
-        previous = progress.next_index - 1
-        previous_term = log.term_at(previous)
-        if previous_term is None:  # compacted: only the snapshot holds it
-            messages.append(snapshot_piece(leadership, log.snapshot, progress.offset))
-            break
-        entries = _entries_for_one_message(log, previous)
         progress.next_index += len(entries)
-        messages.append(
-            AppendEntries(
-                leadership.term,
-                leadership.leader,
-                previous,
-                previous_term,
-                entries,
-                leadership.commit_index,
-                leadership.heartbeat_round,
-            )
+        message = AppendEntries(
+            term=replica.term,
+            source=replica.name,
+            prev_index=previous_index,
+            prev_term=previous_term,
+            entries=entries,
+            commit_index=replica.commit_index,
+            heartbeat_round=self.heartbeat_round,
         )
-    return messages
+        replica.send(follower, message)
+
+    def _send_snapshot_chunk(self, follower: str) -> None:
+        """Send the chunk that follows what the follower acknowledged."""
+        replica = self.replica
+        snapshot = replica.log.snapshot
+        progress = self.progress[follower]
+        progress.in_flight += 1
+        offset = min(progress.snapshot_offset, len(snapshot.state))
+        message = InstallSnapshot(
+            term=replica.term,
+            source=replica.name,
+            index=snapshot.index,
+            snapshot_term=snapshot.term,
+            voters=snapshot.voters,
+            offset=offset,
+            size=len(snapshot.state),
+            data=snapshot.state[offset : offset + MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES],
+            heartbeat_round=self.heartbeat_round,
+        )
+        replica.send(follower, message)
 
 
-def _entries_for_one_message(log: Log, previous: int) -> tuple[Entry, ...]:
-    """Entries after an index, as many as fit; at least one if there is one."""
-    entries, room = list[Entry](), MAX_MESSAGE_BYTES - HEAD_BYTES
-    for entry in log.after(previous):
-        room -= encoded_size(entry)
-        if entries and room < 0:
+def entries_for_one_message(log: Log, previous_index: int) -> tuple[Entry, ...]:
+    """Return the entries after an index, as many as fit into one message; at least one if there is one."""
+    entries: list[Entry] = []
+    capacity = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES
+    for entry in log.entries_after(previous_index):
+        capacity -= encoded_size(entry)
+        if entries and capacity < 0:
             break
         entries.append(entry)
     return tuple(entries)
-
-
-def snapshot_piece(leadership: Leadership, snapshot: Snapshot, acknowledged: int) -> InstallSnapshot:
-    """The piece of a snapshot that follows its first `acknowledged` bytes."""
-    offset = min(acknowledged, len(snapshot.state))
-    piece = snapshot.state[offset : offset + MAX_MESSAGE_BYTES - HEAD_BYTES]
-    return InstallSnapshot(
-        leadership.term,
-        leadership.leader,
-        snapshot.index,
-        snapshot.term,
-        snapshot.voters,
-        offset,
-        len(snapshot.state),
-        piece,
-        leadership.heartbeat_round,
-    )
--- a/tests/modelvoters.py
+++ b/tests/modelvoters.py
@@ -33,20 +33,35 @@
     def load(self, state): ...
 
 
-def _clone(raft):
-    new = object.__new__(type(raft))
-    new.__dict__ = dict(raft.__dict__)
+PARTS_OF_RAFT = ("election", "leadership", "follower")
+PARTS_OF_LEADERSHIP = ("replication", "membership", "reads", "transfer")
+
+
+def _shallow(original):
+    new = object.__new__(type(original))
+    new.__dict__ = dict(original.__dict__)
+    return new
+
+
+def clone(raft):
+    """A copy that shares nothing that changes; `test_agreement` checks that no part is missing here."""
+    new = _shallow(raft)
     new.log = Log(raft.log.snapshot, raft.log.entries)
-    new.votes = set(raft.votes)
-    new.progress = {}
-    for name, held in raft.progress.items():
-        one = new.progress[name] = object.__new__(type(held))
-        for slot in type(held).__slots__:
-            setattr(one, slot, getattr(held, slot))
-    new.disk = copy(raft.disk)
-    new.disk.unsynced, new.disk.held = deque(raft.disk.unsynced), deque(raft.disk.held)
-    new.disk.writes, new.disk.messages = [], []
-    new.reads, new.events = list(raft.reads), []
+    new.events = []
+    durability = new.durability = _shallow(raft.durability)
+    durability.unpersisted_entries = deque(raft.durability.unpersisted_entries)
+    durability.held_messages = deque(raft.durability.held_messages)
+    durability.records, durability.messages = [], []
+    for part in PARTS_OF_RAFT:
+        setattr(new, part, _shallow(getattr(new, part)))
+        getattr(new, part).replica = new
+    for part in PARTS_OF_LEADERSHIP:
+        setattr(new.leadership, part, _shallow(getattr(new.leadership, part)))
+        getattr(new.leadership, part).replica = new
+    new.election.votes = set(raft.election.votes)
+    replication = new.leadership.replication
+    replication.progress = {name: copy(progress) for name, progress in replication.progress.items()}
+    new.leadership.reads.pending = deque(new.leadership.reads.pending)
     return new
 
 
@@ -67,7 +82,7 @@
         for record in self.disks[name][0]:
             kept.replay(record)
         raft = self.rafts[name] = self.kind(name, kept, _Nothing(), RaftConfig(0.0, 1.0, 10**6), 0, 0.0)
-        raft.rng = _Dice()
+        raft.election.rng = _Dice()
 
     def copy(self):
         new = object.__new__(State)
@@ -77,7 +92,7 @@
         return new
 
     def _touch(self, name):
-        self.rafts[name] = _clone(self.rafts[name])
+        self.rafts[name] = clone(self.rafts[name])
         return self.rafts[name]
 
     def _collect(self, name):
@@ -98,7 +113,7 @@
             raft = self.rafts[name]
             if self.left["stand"] and raft.role is not Role.LEADER:
                 yield ("stand", name)
-            if raft.disk.seq > raft.disk.synced:
+            if raft.durability.last_sequence > raft.durability.persisted_sequence:
                 yield ("sync", name)
             if self.left["propose"] and raft.role is Role.LEADER:
                 yield ("propose", name)
@@ -124,11 +139,11 @@
                 new.left[kind] -= 1
             match kind:
                 case "stand":
-                    new._touch(name)._stand(0.0)
+                    new._touch(name).election.campaign(0.0)
                 case "sync":
                     raft = new._touch(name)
                     new.disks[name] = (new.disks[name][0], len(new.disks[name][0]))
-                    raft.persisted(0.0, raft.disk.seq)
+                    raft.persisted(0.0, raft.durability.last_sequence)
                 case "propose":
                     new._touch(name).propose(0.0, b"x%d" % new.left["propose"])
                 case "crash":
@@ -144,7 +159,7 @@
             r = self.rafts[name]
             progress = tuple((n, p.match_index, p.next_index, p.in_flight) for n, p in sorted(r.progress.items()))
             entries = tuple((e.term, e.data) for e in r.log.entries)
-            held = tuple((to, voting.encode(m)) for _, to, m in r.disk.held)
+            held = tuple((to, voting.encode(m)) for _, to, m in r.durability.held_messages)
             rows.append(
                 (
                     r.term,
@@ -153,11 +168,11 @@
                     r.leader,
                     r.commit_index,
                     entries,
-                    tuple(sorted(r.votes)),
+                    tuple(sorted(r.election.votes)),
                     progress,
                     held,
-                    r.disk.seq - r.disk.synced,
-                    r.disk.durable,
+                    r.durability.last_sequence - r.durability.persisted_sequence,
+                    r.durability.persisted_index,
                     len(self.disks[name][0]) - self.disks[name][1],
                 )
             )
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1,7 +1,11 @@
 """Defects that the checks must catch, each by its name: what `tests/simvoters.py` and its like are worth."""
 
+import msgspec
+
 from badgerbend.consensus import messages as voting
+from badgerbend.consensus.election import Election
 from badgerbend.consensus.raft import Raft, ReadConfirmed, Role
+from badgerbend.consensus.replication import Replication
 from badgerbend.leases.fencing import FencingGuard
 from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.manager import LeaseManager
@@ -10,43 +14,54 @@
 from tests.simvoters import Chaos
 
 
-class CountsTwice(Raft):
-    def _vote_for_me(self, now, name):
+class CountsTwice(Election):
+    def count_vote(self, now, voter):
         if not self.votes:
             self.heard = []
-        self.votes.add(name)
-        self.heard.append(name)
-        if 2 * len(self.heard) > len(self.voters):
-            self._stand(now) if self.role is Role.PRE_CANDIDATE else self._lead(now)
+        self.votes.add(voter)
+        self.heard.append(voter)
+        if 2 * len(self.heard) <= len(self.replica.voters):
+            return False
+        if self.replica.role is Role.PRE_CANDIDATE:
+            self.campaign(now)
+            return False
+        return True
 
 
 class VotesBeforeTheDisk(Raft):
-    def _send(self, to, message, after):
-        super()._send(to, message, 0 if isinstance(message, voting.RequestVoteReply) else after)
+    def send(self, to, message, after=0):
+        super().send(to, message, 0 if isinstance(message, voting.RequestVoteReply) else after)
 
 
 class AcknowledgesBeforeTheDisk(Raft):
-    def _send(self, to, message, after):
-        super()._send(to, message, 0 if isinstance(message, voting.AppendEntriesReply) else after)
+    def send(self, to, message, after=0):
+        super().send(to, message, 0 if isinstance(message, voting.AppendEntriesReply) else after)
 
 
-class CountsOwnBeforeTheDisk(Raft):
-    def _advance(self, now):
-        kept, self.disk.durable = self.disk.durable, self.log.last_index
-        super()._advance(now)
-        self.disk.durable = kept
+class CountsOwnBeforeTheDisk(Replication):
+    def committable_index(self):
+        durability = self.replica.durability
+        persisted_index = durability.persisted_index
+        durability.persisted_index = self.replica.log.last_index
+        index = super().committable_index()
+        durability.persisted_index = persisted_index
+        return index
 
 
-class CommitsAnEarlierTerm(Raft):
-    def _countable(self, index):
+class CommitsByCounting(Replication):
+    def may_commit(self, index):
         return True
 
 
-class TakesAnyLog(Raft):
+class CommitsAnEarlierTerm(Raft):
+    replication_type = CommitsByCounting
+
+
+class TakesAnyLog(Election):
     """Votes for a candidate that has less than itself."""
 
-    def _asked(self, now, m):
-        super()._asked(now, voting.RequestVote(m.term, m.source, 1 << 40, 1 << 40, m.pre_vote, m.leadership_transfer))
+    def answer(self, now, request):
+        super().answer(now, msgspec.structs.replace(request, last_index=1 << 40, last_term=1 << 40))
 
 
 class ReadsWithoutARound(Raft):
@@ -122,6 +137,10 @@
         return True
 
 
+def raft(election=Election, replication=Replication):
+    return type("Mutant", (Raft,), {"election_type": election, "replication_type": replication})
+
+
 def voter(raft=Raft, keeper=LeaseManager):
     return type("Mutant", (Voter,), {"raft_kind": raft, "keeper_kind": keeper})
 
@@ -135,10 +154,10 @@
 
 # name: what replaces the product's classes, the chaos in which it shows, and a seed that shows it
 MUTANTS = {
-    "a vote counted twice": ({"voter": voter(CountsTwice)}, FIVE, 37),
+    "a vote counted twice": ({"voter": voter(raft(election=CountsTwice))}, FIVE, 37),
     "entries not synced": ({"voter": voter(AcknowledgesBeforeTheDisk)}, DISKS, 19),
-    "own entries not synced": ({"voter": voter(CountsOwnBeforeTheDisk)}, DISKS, 102),
-    "a vote for a shorter log": ({"voter": voter(TakesAnyLog)}, NETS, 5),
+    "own entries not synced": ({"voter": voter(raft(replication=CountsOwnBeforeTheDisk))}, DISKS, 102),
+    "a vote for a shorter log": ({"voter": voter(raft(election=TakesAnyLog))}, NETS, 5),
     "a lease not shortened by drift": ({"holder": HoldsTheWholeLease, "voter": voter(keeper=WaitsNoLonger)}, DRIFT, 23),
     "a lease counted from its answer": ({"holder": CountsFromTheAnswer}, Chaos(late=0.2, every_s=0.3), 104),
     "a stall not noticed": ({"holder": NoticesNoStall}, STALLS, 2),
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -1,5 +1,9 @@
 """Agreement and leases: what must hold under everything that chance brings, and the defects that must be seen."""
 
+from collections import deque
+from enum import Enum
+
+import msgspec
 import pytest
 
 from badgerbend.consensus import messages as voting
@@ -9,7 +13,7 @@
 from badgerbend.leases.holder import LeaseHolder, LeaseTiming
 from badgerbend.leases.messages import GrantLease, LeaseReply, LeaseState, PutFact, ReleaseLease, encode
 from badgerbend.leases.table import Lease, LeaseTable
-from tests.modelvoters import NAMES, State, search
+from tests.modelvoters import NAMES, State, clone, search
 from tests.mutants import MUTANTS, CommitsAnEarlierTerm, LosesALease, ReadsWithoutARound, VotesBeforeTheDisk
 from tests.simvoters import Broken, Chaos, World
 
@@ -40,6 +44,38 @@
     assert search(8) == 6148  # a change of this figure is a change of what voters do: look at it
 
 
+def mutable_objects(owner):
+    """Everything in a voter that may change, by its path from the voter."""
+    found, waiting = {}, [("raft", owner)]
+    while waiting:
+        path, value = waiting.pop()
+        if id(value) in found or isinstance(value, Enum | msgspec.Struct | RaftConfig):
+            continue
+        if isinstance(value, dict):
+            inner = value.items()
+        elif isinstance(value, list | tuple | set | deque):
+            inner = enumerate(value)
+        elif type(value).__module__.startswith("badgerbend."):
+            inner = [(name, getattr(value, name)) for name in getattr(type(value), "__slots__", None) or vars(value)]
+        else:
+            continue
+        if not isinstance(value, tuple):
+            found[id(value)] = path
+        waiting += [(f"{path}.{name}", part) for name, part in inner]
+    return found
+
+
+def test_a_copy_of_a_voter_in_the_search_shares_nothing_that_changes():
+    circle = Circle()
+    circle.run(5)
+    leader = circle.leader()
+    leader.state_machine = None
+    assert leader.read_index(circle.now, 1) and leader.propose(circle.now, b"x")
+    found, copied = mutable_objects(leader), mutable_objects(clone(leader))
+    assert "raft.leadership.replication.progress.b" in copied.values() or leader.name == "b"
+    assert not {path for key, path in found.items() if key in copied}
+
+
 def test_a_vote_that_does_not_wait_for_the_disk_is_found():
     with pytest.raises(Broken, match="term 1 is led by a and by"):
         search(9, VotesBeforeTheDisk)
@@ -47,7 +83,7 @@
 
 def figure_8(kind, monkeypatch):
     """A leader finds an entry of an earlier term on most voters; another, who never had it, leads after it."""
-    monkeypatch.setattr(replication, "MAX_MESSAGE_BYTES", replication.HEAD_BYTES)  # one entry a message
+    monkeypatch.setattr(replication, "MAX_MESSAGE_BYTES", replication.MESSAGE_OVERHEAD_BYTES)  # one entry a message
     state = State(kind)
     state.left = {"stand": 9, "propose": 0, "crash": 0}
 
--- a/tests/test_planted_defects.py
+++ b/tests/test_planted_defects.py
@@ -71,24 +71,24 @@
 
 SOUND = """
 class Mutant(Raft):
-    def _advance(self, now):
+    def step(self, now):
         self.commit_index = 1
         self.log.snapshot_index = 0
 
-Other = type("Other", (Raft,), {"_advance": None})
+Other = type("Other", (Raft,), {"step": None})
 """
 
 
 @pytest.mark.parametrize(
     "old, new, stale",
     [
-        ("def _advance", "def _advance_gone", {"Mutant": {"_advance_gone"}}),
+        ("def step", "def step_gone", {"Mutant": {"step_gone"}}),
         ("self.commit_index", "self.commit_index_gone", {"Mutant": {"commit_index_gone"}}),
         ("self.log.snapshot_index", "self.log.snapshot_index_gone", {"self.log": {"snapshot_index_gone"}}),
-        ('{"_advance"', '{"_advance_gone"', {"'Other'": {"_advance_gone"}}),
+        ('{"step"', '{"step_gone"', {"'Other'": {"step_gone"}}),
         ("class Mutant(Raft)", "class Base(Raft): ...\nclass Mutant(Base)", {}),
-        ("def _advance", "_advance = 1\n    def _receive", {"Mutant": {"_receive"}}),
-        ("_advance", "_advance", {}),
+        ("def step", "step = 1\n    def _receive", {"Mutant": {"_receive"}}),
+        ("step", "step", {}),
     ],
 )
 def test_a_name_that_the_product_does_not_have_is_found(tmp_path, old, new, stale):
