--- a/tests/test_public_interfaces.py
+++ b/tests/test_public_interfaces.py
@@ -11,16 +11,16 @@
 from typer.testing import CliRunner
 
 # Whoever renames a class or module edits these lines, and nothing else in this file.
-from badgerbend import cli, facts
+from badgerbend import cli, platform_settings
 from badgerbend.config.decode import dashed
 from badgerbend.config.reading import parse as parse_settings
 from badgerbend.config.settings import Settings
 from badgerbend.config.sexpr import SettingsError
 from badgerbend.discovery.keyed import NodeRow
-from badgerbend.knowledge.record import Record
+from badgerbend.knowledge.record import KnowledgeRecord
 from badgerbend.platform import config as platform_config
 from badgerbend.platform.config import Limits as PlatformLimits
-from badgerbend.snapshot.store import _Body as SnapshotBody
+from badgerbend.snapshot.store import SnapshotBody
 from badgerbend.wal.store import StoreIdentity as VoterOwner
 from tests.interfaces import RecordingMapping, compare, struct_schema
 from tests.platform_stage import SETTINGS, file_of
@@ -87,7 +87,7 @@
 
 def platform_paths():
     """Every value of a complete platform configuration, by its path; optional ones too."""
-    paths = facts.flatten(SETTINGS)
+    paths = platform_settings.flatten(SETTINGS)
     return paths | OPTIONAL_PATHS
 
 
@@ -116,7 +116,7 @@
     looked_up = {}
     for mode in ("push", "ask"):
         settings = RecordingMapping(platform_paths() | {"registryMode": mode})
-        facts.read_settings(settings)
+        platform_settings.read_settings(settings)
         looked_up[mode] = sorted(settings.looked_up)
     compare("platform_keys", looked_up)
 
@@ -158,7 +158,7 @@
     documents = {
         "voter's owner file": VoterOwner,
         "snapshot's body": SnapshotBody,
-        "knowledge record": Record,
+        "knowledge record": KnowledgeRecord,
         "row of the list in the feed": NodeRow,
     }
     compare("documents", {name: struct_schema(kind) for name, kind in documents.items()})
