--- a/badgerbend/cli_leases.py
+++ b/badgerbend/cli_leases.py
@@ -15,7 +15,8 @@
 from badgerbend.net.seal import KeyFileError, read_key
 from badgerbend.process import BAD_SETTINGS, CANNOT_START, stop
 from badgerbend.wal.errors import StoreError
-from badgerbend.wal.store import create_store, read_identity, read_store
+from badgerbend.wal.identity import read_identity
+from badgerbend.wal.store import create_store, read_store
 
 duties = typer.Typer(no_args_is_help=True, help="Duties that one broker holds at a time: who holds them, hand-over.")
 voters = typer.Typer(no_args_is_help=True, help="Those who agree on duties: their stores, their state, who votes.")
--- a/badgerbend/wal/__init__.py
+++ b/badgerbend/wal/__init__.py
@@ -1,1 +1,1 @@
-"""What a voter keeps on disk: its records in segments, whole or refused."""
+"""A voter's write-ahead log on disk: records in segments, with group commit, read back complete or rejected."""
--- a/badgerbend/wal/errors.py
+++ b/badgerbend/wal/errors.py
@@ -67,3 +67,15 @@
 
     def __init__(self, path: Path, problem: str) -> None:
         super().__init__(path, problem, REPLACE_VOTER)
+
+
+class StoreStoppedError(OSError):
+    """Nothing more is written to a store after a write or a sync that failed.
+
+    path: the segment concerned. reason: what the system said of the failure.
+    """
+
+    def __init__(self, path: Path, failure: OSError) -> None:
+        super().__init__(f"nothing more is written after {path}: {failure.strerror}")
+        self.path = path
+        self.reason = failure.strerror
--- a/tests/test_public_interfaces.py
+++ b/tests/test_public_interfaces.py
@@ -21,7 +21,7 @@
 from badgerbend.platform import config as platform_config
 from badgerbend.platform.config import Limits as PlatformLimits
 from badgerbend.snapshot.store import SnapshotBody
-from badgerbend.wal.store import StoreIdentity as VoterOwner
+from badgerbend.wal.identity import StoreIdentity as VoterOwner
 from tests.interfaces import RecordingMapping, compare, struct_schema
 from tests.platform_stage import SETTINGS, file_of
 
--- a/tests/test_stored_bytes_wal.py
+++ b/tests/test_stored_bytes_wal.py
@@ -7,7 +7,8 @@
 from badgerbend.consensus.messages import Entry, EntryKind, HardState, LogEntries, Snapshot, encode_voters
 from badgerbend.leases.messages import GrantLease, PutFact, ReleaseLease, encode
 from badgerbend.leases.table import Fact, Lease, LeaseTable
-from badgerbend.wal.store import Store, create_store, read_identity, read_store
+from badgerbend.wal.identity import read_identity
+from badgerbend.wal.store import Store, create_store, read_store
 from tests.wire_bytes import DATA
 
 STORES = DATA / "voter-store"
--- a/tests/test_wal.py
+++ b/tests/test_wal.py
@@ -8,10 +8,20 @@
 
 import pytest
 
-from badgerbend.consensus.messages import Entry, EntryKind, HardState, LogEntries, Snapshot, encode
-from badgerbend.wal import store as wal_store
-from badgerbend.wal.errors import StoreError
+from badgerbend.consensus.messages import Entry, EntryKind, HardState, LogEntries, Snapshot
+from badgerbend.consensus.ready import SequencedRecord
+from badgerbend.wal.errors import (
+    REPLACE_VOTER,
+    StoreDamagedError,
+    StoreExistsError,
+    StoreLockedError,
+    StoreMissingError,
+    StoreStoppedError,
+    StoreVersionError,
+)
 from badgerbend.wal.group_commit import GroupCommitWriter
+from badgerbend.wal.mark import MARK
+from badgerbend.wal.segments import HEADER, MAGIC, checksum, frame_record
 from badgerbend.wal.store import Store, create_store, read_store
 
 VOTERS = ("v0", "v1", "v2")
@@ -46,9 +56,9 @@
     one = Store(folder)
     one.append([HardState(4, "v2"), LogEntries(tuple(entry(i) for i in range(1, 50)))])
     one.append([Snapshot(40, 1, VOTERS, b"state")])
-    before = one.length
+    before = one.segment_bytes
     one.compact()
-    assert one.length < before and {p.name for p in folder.iterdir()} == {"voter", "mark", "log.2"}
+    assert one.segment_bytes < before and {p.name for p in folder.iterdir()} == {"voter", "mark", "log.2"}
     one.append([LogEntries((entry(50),))])
     one.close()
     two = Store(folder)
@@ -59,35 +69,35 @@
 
 def test_a_store_is_one_process_s_and_is_made_once(folder):
     one = Store(folder)
-    with pytest.raises(StoreError, match="another process"):
+    with pytest.raises(StoreLockedError, match="another process"):
         Store(folder)
     one.close()
-    with pytest.raises(StoreError, match="made once"):
+    with pytest.raises(StoreExistsError, match="made once"):
         create_store(folder, "v0", VOTERS)
 
 
 def test_a_voter_without_its_store_does_not_start_as_if_it_were_new(tmp_path):
-    with pytest.raises(StoreError, match=r"voter: not there; .*voters create"):
+    with pytest.raises(StoreMissingError, match=r"voter: not there; .*voters create"):
         Store(tmp_path)
     create_store(tmp_path / "a", "a", VOTERS)
     (tmp_path / "a" / "log.1").unlink()
-    with pytest.raises(StoreError, match=r"no log\.N.* under a new name"):
+    with pytest.raises(StoreMissingError, match=r"no log\.N.* under a new name"):
         Store(tmp_path / "a")
 
 
 def test_a_write_torn_anywhere_is_cut_off_and_nothing_acknowledged_goes_with_it(folder):
     one = Store(folder)
     one.append([HardState(1, "v1"), LogEntries((entry(1),))])
-    sure, kept = one.length, said(read_store(folder)[1])
+    sure, kept = one.segment_bytes, said(read_store(folder)[1])
     one.close()
     path = folder / "log.1"
     whole = path.read_bytes()
-    more = b"".join(wal_store._framed(encode(r)) for r in (LogEntries((entry(2, 1, b"long" * 9),)), HardState(2, "")))
+    more = b"".join(frame_record(r) for r in (LogEntries((entry(2, 1, b"long" * 9),)), HardState(2, "")))
     for cut in range(len(more)):
         path.write_bytes(whole + more[:cut])
         two = Store(folder)
         assert (
-            two.length >= sure
+            two.segment_bytes >= sure
             and said(two.persistent_state)[:3] == kept[:3]
             and said(two.persistent_state)[3][:1] == kept[3]
         )
@@ -110,11 +120,12 @@
         spoilt = bytearray(whole)
         spoilt[at] ^= 1 << random.Random(at).randrange(8)
         path.write_bytes(spoilt)
-        with pytest.raises(StoreError) as err:
+        with pytest.raises(StoreDamagedError) as err:
             Store(folder)
         assert str(path) in str(err.value) and "\n" not in str(err.value)
+        assert err.value.path == path and err.value.remedy == REPLACE_VOTER
     path.write_bytes(whole[:-1])
-    with pytest.raises(StoreError, match="kept for good; remove this voter"):
+    with pytest.raises(StoreDamagedError, match="kept for good; remove this voter"):
         Store(folder)
     path.write_bytes(whole)
     Store(folder).close()
@@ -124,7 +135,7 @@
     one = Store(folder)
     one.append([HardState(1, "v1")])
     one.close()
-    for mark in (b"", b"x" * wal_store.MARK.size, (folder / "mark").read_bytes()[:-1] + b"?"):
+    for mark in (b"", b"x" * MARK.size, (folder / "mark").read_bytes()[:-1] + b"?"):
         (folder / "mark").write_bytes(mark)
         two = Store(folder)
         assert two.persistent_state.voted_for == "v1"
@@ -134,14 +145,15 @@
 def test_a_file_of_a_newer_version_is_left_alone(folder):
     path = folder / "log.1"
     data = bytearray(path.read_bytes())
-    head = struct.pack(">8sHQ", wal_store.MAGIC, 2, 0)
-    data[: wal_store.HEAD.size] = head + struct.pack(">I", wal_store.google_crc32c.value(head))
+    head = struct.pack(">8sHQ", MAGIC, 2, 0)
+    data[: HEADER.size] = head + struct.pack(">I", checksum(head))
     path.write_bytes(data)
-    with pytest.raises(StoreError, match="version 2, this reads 1; start the program that wrote it"):
+    with pytest.raises(StoreVersionError, match="version 2, this reads 1; start the program that wrote it") as err:
         Store(folder)
+    assert (err.value.path, err.value.found, err.value.supported) == (path, 2, 1)
     assert path.read_bytes() == data
     (folder / "voter").write_bytes(b'{"name":"v0","voters":[],"version":9}')
-    with pytest.raises(StoreError, match="version 9"):
+    with pytest.raises(StoreVersionError, match="version 9"):
         Store(folder)
 
 
@@ -194,7 +206,7 @@
         patched.setattr(os, fails, full)
         with pytest.raises(OSError, match="No space"):
             one.append([HardState(2, "v2")])
-    with pytest.raises(OSError, match="nothing more is written after .*log.1: No space"):
+    with pytest.raises(StoreStoppedError, match="nothing more is written after .*log.1: No space"):
         one.append([HardState(3, "v0")])
     one.close()
     assert Store(folder).persistent_state.term in (1, 2)  # acknowledged to nobody: either will do
@@ -206,16 +218,16 @@
         saved, failed, told = [], [], asyncio.Event()
         writer = GroupCommitWriter(Store(folder), loop, lambda n: (saved.append(n), told.set()), failed.append)
         for n in range(1, 201):
-            writer.write([(n, LogEntries((entry(n),)))])
+            writer.write([SequencedRecord(n, LogEntries((entry(n),)))])
         while not saved or saved[-1] < 200:
             told.clear()
             await told.wait()
         assert saved == sorted(saved) and writer.sync_count == len(saved) and writer.record_count == 200
         monkeypatch.setattr(os, "fdatasync", lambda _: (_ for _ in ()).throw(OSError(errno.EIO, "Input/output error")))
-        writer.write([(201, HardState(5, ""))])
+        writer.write([SequencedRecord(201, HardState(5, ""))])
         while not failed:
             await asyncio.sleep(0.001)
-        writer.write([(202, HardState(6, ""))])
+        writer.write([SequencedRecord(202, HardState(6, ""))])
         writer.close()
         await asyncio.sleep(0)
         assert saved[-1] == 200 and failed == ["[Errno 5] Input/output error"]
