--- a/badgerbend/consensus/__init__.py
+++ b/badgerbend/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement among a few voters on one log: Raft, pure. Time and messages in, messages and writes out."""
+"""Consensus on one replicated log among a few voters: Raft, without a clock, a socket or a disk of its own."""
--- a/badgerbend/consensus/durability.py
+++ b/badgerbend/consensus/durability.py
@@ -20,7 +20,7 @@
     last_index: int
 
 
-class HeldMessage(NamedTuple):
+class DeferredMessage(NamedTuple):
     """A message that may be sent once the record with this number is on disk."""
 
     sequence: int
@@ -42,7 +42,7 @@
         self.records: list[SequencedRecord] = []
         self.messages: list[OutboundMessage] = []
         self.unpersisted_entries: deque[UnpersistedEntries] = deque()
-        self.held_messages: deque[HeldMessage] = deque()
+        self.deferred_messages: deque[DeferredMessage] = deque()
 
     def write(self, record: Record) -> int:
         """Add a record to be persisted; return its number."""
@@ -65,7 +65,7 @@
     def send(self, to: str, message: Message, after: int) -> None:
         """Send a message once the record with the number `after` is on disk; at once for 0."""
         if after > self.persisted_sequence:
-            self.held_messages.append(HeldMessage(after, to, message))
+            self.deferred_messages.append(DeferredMessage(after, to, message))
         else:
             self.messages.append(OutboundMessage(to, message))
 
@@ -75,9 +75,9 @@
         while self.unpersisted_entries and self.unpersisted_entries[0].sequence <= self.persisted_sequence:
             entries = self.unpersisted_entries.popleft()
             self.persisted_index = max(self.persisted_index, entries.last_index)
-        while self.held_messages and self.held_messages[0].sequence <= self.persisted_sequence:
-            held = self.held_messages.popleft()
-            self.messages.append(OutboundMessage(held.to, held.message))
+        while self.deferred_messages and self.deferred_messages[0].sequence <= self.persisted_sequence:
+            deferred = self.deferred_messages.popleft()
+            self.messages.append(OutboundMessage(deferred.to, deferred.message))
 
     def take_records(self) -> list[SequencedRecord]:
         """Return the records that were written since the last call, in their order."""
--- a/badgerbend/consensus/election.py
+++ b/badgerbend/consensus/election.py
@@ -43,7 +43,7 @@
         """Wait for one to two election timeouts from now on, by chance, so that few stand at the same time."""
         self.deadline = now + self.replica.config.election_timeout_s * self.rng.uniform(1.0, 2.0)
 
-    def heard_leader(self, now: float) -> None:
+    def note_leader_contact(self, now: float) -> None:
         """Note that the current leader has sent something."""
         self.leader_contact_at = now
         self.reset_deadline(now)
--- a/badgerbend/consensus/events.py
+++ b/badgerbend/consensus/events.py
@@ -1,4 +1,4 @@
-"""What `Raft` tells its owner: entries that are committed, who leads, and reads that are confirmed."""
+"""What `Raft` notifies its owner of: applied entries, who leads, and confirmed reads."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryApplied:
-    """An entry is committed, and the machine was given it if it is a command."""
+    """An entry is committed; a command was applied to the state machine."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
 class BecameLeader:
-    """This voter leads, and knows all that was ever acknowledged."""
+    """This voter leads and has committed an entry of its own term, so that it knows all that was ever committed."""
 
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class BecameFollower:
-    """This voter does not lead, or no longer. leader: empty while unknown."""
+    """This voter does not lead, or no longer does. leader: who does; empty while unknown."""
 
     term: int
     leader: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadConfirmed:
-    """At some moment after `read` was called this voter was the leader, and knew all acknowledged before it."""
+    """At some moment after `Raft.read_index` was called this voter led, and knew all that was committed by then."""
 
     token: int
 
--- a/badgerbend/consensus/log.py
+++ b/badgerbend/consensus/log.py
@@ -1,14 +1,16 @@
-"""A voter's log in memory: a snapshot, and the entries after it. Pure; what changes it is written by its owner."""
+"""A voter's log in memory: a snapshot and the entries after it.
+
+Changes made here do not reach the disk by themselves: `durability` numbers the records that the owner persists.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
-from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from badgerbend.consensus.messages import Entry, EntryKind, HardState, LogEntries, Record, Snapshot
+from badgerbend.consensus.messages import Entry, EntryKind, Snapshot
 
-EMPTY = Snapshot(0, 0, (), b"")
+EMPTY_SNAPSHOT = Snapshot(0, 0, (), b"")
 
 
 class Configuration(NamedTuple):
@@ -19,50 +21,58 @@
 
 
 class Log:
-    """Indices count from 1; `base` is the snapshot's index, 0 where there is none."""
+    """Entries in a row from the snapshot's index on. Indices count from 1."""
 
-    def __init__(self, snapshot: Snapshot = EMPTY, entries: Iterable[Entry] = ()) -> None:
+    def __init__(self, snapshot: Snapshot = EMPTY_SNAPSHOT, entries: Iterable[Entry] = ()) -> None:
         self.snapshot = snapshot
         self.entries: list[Entry] = list(entries)
 
     @property
     def snapshot_index(self) -> int:
+        """The index of the last entry within the snapshot; 0 where there is no snapshot."""
         return self.snapshot.index
 
     @property
     def last_index(self) -> int:
+        """The index of the last entry, or that of the snapshot."""
         return self.snapshot_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
+        """The term of the last entry, or that of the snapshot."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """None where it is not held: before the snapshot, or beyond the end."""
+        """Return an entry's term; None where it is not known: within the snapshot, or beyond the end."""
         if index == self.snapshot_index:
             return self.snapshot.term
         if self.snapshot_index < index <= self.last_index:
-            return self.entries[index - self.snapshot_index - 1].term
+            return self.entry(index).term
         return None
 
     def entries_after(self, index: int) -> Sequence[Entry]:
-        """Entries beyond an index that is held."""
+        """Return the entries beyond an index that is not before the snapshot's."""
         return self.entries[index - self.snapshot_index :]
 
     def entry(self, index: int) -> Entry:
+        """Return the entry at an index that is after the snapshot's."""
         return self.entries[index - self.snapshot_index - 1]
 
     def from_first_missing(self, entries: Sequence[Entry]) -> Sequence[Entry]:
-        """Of entries in a row after the base, all from the first that this log does not hold with the same term."""
+        """Return the entries from the first that this log lacks, or has of another term.
+
+        entries: in a row, after the snapshot's index.
+        """
         for position, entry in enumerate(entries):
             if self.term_at(entry.index) != entry.term:
                 return entries[position:]
         return ()
 
     def last_possible_match(self, index: int, term: int, committed: int) -> int:
-        """The last index at which a log may agree with this one, if it has `term` at `index`, where this one differs.
+        """Return the last index at which a leader's log may agree with this one.
 
-        A whole term that the other cannot hold there is passed over at once; what is committed agrees.
+        The leader has an entry of `term` at `index`, where this log has none of that term. Entries here of a later term
+        cannot be in the leader's log before that index; what is committed is.
         """
         match = min(index - 1, self.last_index)
         while match > committed and (self.term_at(match) or 0) > term:
@@ -70,14 +80,14 @@
         return match
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """In a row, from an index that is held or follows the last; what stood there is replaced."""
+        """Append entries in a row that begin at most one beyond the last; what stood in their place is replaced."""
         del self.entries[entries[0].index - self.snapshot_index - 1 :]
         self.entries += entries
 
     def restore(self, snapshot: Snapshot) -> None:
-        """The snapshot takes the place of all up to its index, and of all else if the log does not fit on it."""
-        fits = self.term_at(snapshot.index) == snapshot.term
-        self.entries = list(self.entries_after(snapshot.index)) if fits else []
+        """Replace all up to a snapshot's index, and the rest too where this log does not match it."""
+        matches = self.term_at(snapshot.index) == snapshot.term
+        self.entries = list(self.entries_after(snapshot.index)) if matches else []
         self.snapshot = snapshot
 
     def configuration(self) -> Configuration:
@@ -86,36 +96,3 @@
             if entry.kind is EntryKind.CONFIGURATION:
                 return Configuration(entry.voters(), entry.index)
         return Configuration(self.snapshot.voters, self.snapshot_index)
-
-
-@dataclass(slots=True)
-class PersistentState:
-    """What a voter's disk says: the sum of its records."""
-
-    term: int = 0
-    voted_for: str = ""
-    log: Log = field(default_factory=Log)
-
-    def replay(self, record: Record) -> None:
-        """Raises ValueError for one that cannot follow what came before it."""
-        match record:
-            case HardState(term, voted_for):
-                if term < self.term or (term == self.term and self.voted_for and voted_for != self.voted_for):
-                    raise ValueError(f"a vote in term {term} after one in term {self.term}")
-                self.term = term
-                self.voted_for = voted_for
-            case LogEntries(entries):
-                if not self.log.snapshot_index < entries[0].index <= self.log.last_index + 1:
-                    raise ValueError(f"entry {entries[0].index} after {self.log.last_index}")
-                self.log.append(entries)
-            case Snapshot():
-                self.log.restore(record)
-
-    def records(self) -> list[Record]:
-        """The fewest records that say the same. Added up, they are a copy."""
-        out: list[Record] = [HardState(self.term, self.voted_for)]
-        if self.log.snapshot != EMPTY:
-            out.append(self.log.snapshot)
-        if self.log.entries:
-            out.append(LogEntries(tuple(self.log.entries)))
-        return out
--- a/badgerbend/consensus/messages.py
+++ b/badgerbend/consensus/messages.py
@@ -1,7 +1,7 @@
-"""What voters say to each other, and what they keep: typed arrays in MessagePack, bounded before they are believed.
+"""Messages between voters and the records that they persist, with their encoding.
 
-The names are those of Ongaro's thesis (2014) with the field's plain words: `Feed` is AppendEntries, `AskVote`
-RequestVote, `Install` InstallSnapshot, `Cede` TimeoutNow.
+The messages are those of Raft (Ongaro 2014). Each is an array in MessagePack; the position of a field and the tag of a
+type are the format, names are not. What is decoded is checked against bounds before it is used.
 """
 
 from __future__ import annotations
@@ -24,40 +24,42 @@
 class EntryKind(IntEnum):
     """What an entry is for."""
 
-    NOOP = 0  # a leader's first: what it commits commits all before it
-    COMMAND = 1  # the machine's
-    CONFIGURATION = 2  # who votes from here on
+    NOOP = 0  # the first of a leader's term: once it is committed, so is all before it
+    COMMAND = 1  # for the state machine
+    CONFIGURATION = 2  # the voters from this entry on
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
+    """An entry of the replicated log. index: counts from 1. term: of the leader that proposed it."""
+
     index: Number
     term: Number
     kind: EntryKind
     data: Annotated[bytes, msgspec.Meta(max_length=MAX_COMMAND_BYTES)] = b""
 
     def voters(self) -> tuple[str, ...]:
-        """Of an entry of kind CONFIGURATION."""
+        """Return the voters that an entry of kind CONFIGURATION states. Raises msgspec.MsgspecError for any other."""
         return _voters_decoder.decode(self.data)
 
 
-# -- what is kept, in the order of its writing
-
-
 class HardState(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """The term a voter is in, and whom it gave its vote in it; empty: nobody yet."""
+    """A record: the voter's term, and whom it voted for in that term, or an empty text for nobody yet."""
 
     term: Number
     voted_for: TextOrNone
 
 
 class LogEntries(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Entries in a row. Whatever the log held from the first one's index on is gone."""
+    """A record: entries in a row, which replace whatever the log held from the first one's index on."""
 
     entries: tuple[Entry, ...]
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """The machine's whole state after `index`. The log up to there is gone, and all of it if it does not fit."""
+    """A record: the state machine after the entry at `index`, which replaces the log up to there.
+
+    Where the log has no entry of this term at `index`, all of it is replaced.
+    """
 
     index: Number
     term: Number
@@ -68,14 +70,11 @@
 Record = HardState | LogEntries | Snapshot
 
 
-# -- what is said; each is of a term and from a voter
-
-
 class RequestVote(msgspec.Struct, array_like=True, frozen=True, tag=1):
     """A candidate asks for a vote.
 
-    pre_vote: the candidate only asks whether the vote would be granted; nobody's term changes by it.
-    leadership_transfer: the leader told the candidate to start the election.
+    last_index, last_term: of the last entry in its log. pre_vote: it only asks whether the vote would be granted;
+    nobody's term changes by it. leadership_transfer: the leader told it to start the election.
     """
 
     term: Number
@@ -87,6 +86,8 @@
 
 
 class RequestVoteReply(msgspec.Struct, array_like=True, frozen=True, tag=2):
+    """A voter's answer to a candidate. term: of the voter, or for a granted pre-vote the term that was asked about."""
+
     term: Number
     source: Text
     pre_vote: bool
@@ -94,7 +95,11 @@
 
 
 class AppendEntries(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Entries after `prev_index`, none for a heartbeat. heartbeat_round: numbers the leader's rounds, for reads."""
+    """A leader's entries after `prev_index`, or none for a heartbeat.
+
+    prev_term: of the entry at `prev_index`. heartbeat_round: the number of the leader's latest round of heartbeats,
+    which the answer repeats and by which reads are confirmed.
+    """
 
     term: Number
     source: Text
@@ -106,7 +111,11 @@
 
 
 class AppendEntriesReply(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """success: all up to `index` is here and kept. Else `index` is where it may fit."""
+    """A follower's answer.
+
+    success: its log matches the leader's up to `index`, and is on disk up to there. Otherwise `index` is the last one
+    that may match.
+    """
 
     term: Number
     source: Text
@@ -116,7 +125,10 @@
 
 
 class InstallSnapshot(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """A piece of a snapshot, from `offset` of its `size` bytes on."""
+    """A chunk of a leader's snapshot, from `offset` of its `size` bytes on.
+
+    index, snapshot_term, voters: of the snapshot.
+    """
 
     term: Number
     source: Text
@@ -130,7 +142,10 @@
 
 
 class InstallSnapshotReply(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """So much of the snapshot at `index` is here; once `installed`, all of it, and on disk."""
+    """A follower's answer to a chunk.
+
+    offset: how many bytes of the snapshot at `index` it has. installed: it has all of them, on disk.
+    """
 
     term: Number
     source: Text
@@ -141,7 +156,7 @@
 
 
 class TimeoutNow(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """The leader wants its receiver to stand at once."""
+    """The leader tells its receiver to start an election at once, to transfer leadership."""
 
     term: Number
     source: Text
@@ -164,11 +179,11 @@
 
 
 class MalformedMessageError(Exception):
-    """Bytes that are none of ours, or out of bounds."""
+    """Bytes that are not a valid message or record, or that exceed a bound."""
 
 
 def decode_typed(decoder: msgspec.msgpack.Decoder[T], data: bytes) -> T:
-    """What bytes of anybody's say, by a decoder of typed arrays. Raises Malformed."""
+    """Decode bytes of any origin. Raises MalformedMessageError and nothing else."""
     try:
         return decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as err:
@@ -176,42 +191,43 @@
 
 
 def encode(message: Message | Record) -> bytes:
+    """Return the bytes of a message or a record."""
     return _encoder.encode(message)
 
 
 def encode_voters(names: tuple[str, ...]) -> bytes:
-    """The data of an entry of kind CONFIGURATION."""
+    """Return the data of an entry of kind CONFIGURATION."""
     return _encoder.encode(names)
 
 
 def encoded_size(entry: Entry) -> int:
-    """Bytes that an entry takes in a message."""
+    """Return how many bytes an entry takes in a message."""
     return len(_encoder.encode(entry))
 
 
 def decode(data: bytes) -> Message:
-    """Raises Malformed."""
+    """Decode a message. Raises MalformedMessageError."""
     message = decode_typed(_message_decoder, data)
     if isinstance(message, AppendEntries):
-        _check(message.entries, message.prev_index)
+        _check_entries(message.entries, message.prev_index)
     return message
 
 
 def decode_record(data: bytes) -> Record:
-    """Raises Malformed."""
+    """Decode a record. Raises MalformedMessageError."""
     record = decode_typed(_record_decoder, data)
     if isinstance(record, LogEntries):
         if not record.entries:
             raise MalformedMessageError("nothing to append")
-        _check(record.entries, record.entries[0].index - 1)
+        _check_entries(record.entries, record.entries[0].index - 1)
     return record
 
 
-def _check(entries: tuple[Entry, ...], prev: int) -> None:
-    for entry in entries:
-        if entry.index != prev + 1:
+def _check_entries(entries: tuple[Entry, ...], previous_index: int) -> None:
+    """Check that the indices are in a row, and that the voters in configurations can be read."""
+    for expected_index, entry in enumerate(entries, previous_index + 1):
+        if entry.index != expected_index:
             raise MalformedMessageError("entries out of order")
-        prev = entry.index
         if entry.kind is EntryKind.CONFIGURATION:
             try:
                 entry.voters()
--- a/badgerbend/consensus/quorum.py
+++ b/badgerbend/consensus/quorum.py
@@ -11,6 +11,6 @@
 
 
 def majority_index(indices: Iterable[int]) -> int:
-    """The highest index that more than half have reached. indices: the last one that each voter holds."""
+    """Return the highest index that more than half have reached. indices: one for each voter, at least one."""
     ascending = sorted(indices)
     return ascending[(len(ascending) - 1) // 2]
--- a/badgerbend/consensus/raft.py
+++ b/badgerbend/consensus/raft.py
@@ -18,7 +18,6 @@
 from badgerbend.consensus.events import BecameFollower, BecameLeader, EntryApplied, Event, ReadConfirmed
 from badgerbend.consensus.follower import Follower
 from badgerbend.consensus.leadership import Leadership
-from badgerbend.consensus.log import PersistentState
 from badgerbend.consensus.membership import MembershipRefusal
 from badgerbend.consensus.messages import (
     MAX_COMMAND_BYTES,
@@ -32,6 +31,7 @@
     RequestVoteReply,
     TimeoutNow,
 )
+from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.consensus.progress import Progress
 from badgerbend.consensus.ready import Ready
 from badgerbend.consensus.replica import Replica
@@ -209,7 +209,7 @@
     def _accept_leader(self, now: float, leader: str) -> None:
         if self.role is not Role.FOLLOWER or self.leader != leader:
             self._become_follower(now, self.term, leader)
-        self.election.heard_leader(now)
+        self.election.note_leader_contact(now)
 
     def _become_leader(self, now: float) -> None:
         self.role = Role.LEADER
--- a/badgerbend/consensus/replica.py
+++ b/badgerbend/consensus/replica.py
@@ -10,8 +10,8 @@
 
 from badgerbend.consensus.durability import Durability
 from badgerbend.consensus.events import BecameLeader, EntryApplied, Event
-from badgerbend.consensus.log import PersistentState
 from badgerbend.consensus.messages import Entry, EntryKind, HardState, Message, Snapshot
+from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.consensus.snapshots import compacted
 from badgerbend.consensus.types import RaftConfig, Role, StateMachine
 
--- a/badgerbend/consensus/types.py
+++ b/badgerbend/consensus/types.py
@@ -1,4 +1,4 @@
-"""What an owner of `Raft` gives it, and what a voter can be."""
+"""What an owner of `Raft` provides, and the roles of a voter."""
 
 from __future__ import annotations
 
@@ -8,13 +8,19 @@
 
 
 class StateMachine(Protocol):
-    """What the log is for. The same commands in the same order leave the same state, wherever."""
+    """What committed commands are applied to. The same commands in the same order must leave the same state."""
 
-    def apply(self, index: int, data: bytes) -> None: ...
+    def apply(self, index: int, data: bytes) -> None:
+        """Apply a command. index: of its entry, which only grows."""
+        ...
 
-    def dump(self) -> bytes: ...
+    def dump(self) -> bytes:
+        """Return the whole state, for a snapshot."""
+        ...
 
-    def load(self, state: bytes) -> None: ...
+    def load(self, state: bytes) -> None:
+        """Replace the whole state by one that `dump` returned."""
+        ...
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +38,9 @@
 
 
 class Role(Enum):
+    """A voter's part in its term."""
+
     FOLLOWER = auto()
-    PRE_CANDIDATE = auto()  # whether it would be given votes
+    PRE_CANDIDATE = auto()  # asks whether it would be elected
     CANDIDATE = auto()
     LEADER = auto()
--- a/badgerbend/leases/voter.py
+++ b/badgerbend/leases/voter.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from badgerbend.consensus import messages as voting
-from badgerbend.consensus.log import PersistentState
+from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.consensus.raft import (
     BecameFollower,
     BecameLeader,
--- a/badgerbend/wal/segments.py
+++ b/badgerbend/wal/segments.py
@@ -15,8 +15,9 @@
 
 import google_crc32c
 
-from badgerbend.consensus.log import Log, PersistentState
+from badgerbend.consensus.log import Log
 from badgerbend.consensus.messages import MalformedMessageError, Record, decode_record, encode
+from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.disk import write_atomically
 from badgerbend.wal.errors import StoreDamagedError, StoreVersionError
 
--- a/badgerbend/wal/store.py
+++ b/badgerbend/wal/store.py
@@ -13,8 +13,9 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from badgerbend.consensus.log import Log, PersistentState
+from badgerbend.consensus.log import Log
 from badgerbend.consensus.messages import Record, Snapshot
+from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.disk import write_all
 from badgerbend.wal.errors import (
     REPLACE_VOTER,
--- a/benchmarks/scale/dutyfleet.py
+++ b/benchmarks/scale/dutyfleet.py
@@ -15,7 +15,8 @@
 from typing import cast
 
 from badgerbend.consensus import messages as voting
-from badgerbend.consensus.log import Log, PersistentState
+from badgerbend.consensus.log import Log
+from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.consensus.raft import RaftConfig
 from badgerbend.lease_service import wire
 from badgerbend.lease_service.probing import PROBING_DUTY
--- a/tests/modelvoters.py
+++ b/tests/modelvoters.py
@@ -8,7 +8,8 @@
 from copy import copy
 
 from badgerbend.consensus import messages as voting
-from badgerbend.consensus.log import Log, PersistentState
+from badgerbend.consensus.log import Log
+from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.consensus.raft import Raft, RaftConfig, Role
 from tests.simvoters import Broken
 
@@ -50,7 +51,7 @@
     new.events = []
     durability = new.durability = _shallow(raft.durability)
     durability.unpersisted_entries = deque(raft.durability.unpersisted_entries)
-    durability.held_messages = deque(raft.durability.held_messages)
+    durability.deferred_messages = deque(raft.durability.deferred_messages)
     durability.records, durability.messages = [], []
     for part in PARTS_OF_RAFT:
         setattr(new, part, _shallow(getattr(new, part)))
@@ -159,7 +160,7 @@
             r = self.rafts[name]
             progress = tuple((n, p.match_index, p.next_index, p.in_flight) for n, p in sorted(r.progress.items()))
             entries = tuple((e.term, e.data) for e in r.log.entries)
-            held = tuple((to, voting.encode(m)) for _, to, m in r.durability.held_messages)
+            deferred = tuple((to, voting.encode(m)) for _, to, m in r.durability.deferred_messages)
             rows.append(
                 (
                     r.term,
@@ -170,7 +171,7 @@
                     entries,
                     tuple(sorted(r.election.votes)),
                     progress,
-                    held,
+                    deferred,
                     r.durability.last_sequence - r.durability.persisted_sequence,
                     r.durability.persisted_index,
                     len(self.disks[name][0]) - self.disks[name][1],
--- a/tests/simvoters.py
+++ b/tests/simvoters.py
@@ -10,7 +10,8 @@
 from itertools import count
 
 from badgerbend.consensus import messages as voting
-from badgerbend.consensus.log import Log, PersistentState
+from badgerbend.consensus.log import Log
+from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.consensus.raft import RaftConfig, Role
 from badgerbend.leases import messages as saying
 from badgerbend.leases.fencing import FencingGuard
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -8,7 +8,8 @@
 
 from badgerbend.consensus import messages as voting
 from badgerbend.consensus import replication
-from badgerbend.consensus.log import Log, PersistentState
+from badgerbend.consensus.log import Log
+from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.consensus.raft import BecameLeader, EntryApplied, Raft, RaftConfig, ReadConfirmed, Role
 from badgerbend.leases.holder import LeaseHolder, LeaseTiming
 from badgerbend.leases.messages import GrantLease, LeaseReply, LeaseState, PutFact, ReleaseLease, encode
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -64,6 +64,7 @@
     "consensus/log.py",
     "consensus/membership.py",
     "consensus/messages.py",
+    "consensus/persistent_state.py",
     "consensus/progress.py",
     "consensus/quorum.py",
     "consensus/raft.py",
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -6,8 +6,9 @@
 import pytest
 
 from badgerbend.consensus import messages as voting
-from badgerbend.consensus.log import Log, PersistentState
+from badgerbend.consensus.log import Log
 from badgerbend.consensus.messages import Snapshot
+from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.consensus.raft import RaftConfig
 from badgerbend.feed.commands import split
 from badgerbend.feed.configuration import ConfigurationInForce, UnusableConfigurationError
