--- a/badgerbend/consensus/raft.py
+++ b/badgerbend/consensus/raft.py
@@ -55,8 +55,8 @@
 class Raft(Replica):
     """One voter, or a server that waits to become one."""
 
-    election_type: type[Election] = Election
-    replication_type: type[Replication] = Replication
+    election_class: type[Election] = Election
+    replication_class: type[Replication] = Replication
 
     def __init__(
         self,
@@ -68,8 +68,8 @@
         now: float,
     ) -> None:
         super().__init__(name, persistent_state, state_machine, config)
-        self.election = self.election_type(self, seed, now)
-        self.leadership = Leadership(self, self.replication_type(self))
+        self.election = self.election_class(self, seed, now)
+        self.leadership = Leadership(self, self.replication_class(self))
         self.follower = Follower(self)
 
     @property
--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -22,8 +22,9 @@
 from badgerbend.feed_service.timer import Clock, Timer, monotonic
 from badgerbend.lease_service import wire
 from badgerbend.lease_service.local_voter import LocalVoter
-from badgerbend.leases.holder import LeaseHolder, LeaseTiming
+from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
+from badgerbend.leases.timing import LeaseTiming
 from badgerbend.net.seal import Seal
 from badgerbend.net.udp import Address, SealedSocket, address_text
 
@@ -107,9 +108,9 @@
 
     async def close(self) -> None:
         """Gives the lease back, lets another lead, and ends."""
-        self.lease_holder.leave(self.clock())
+        self.lease_holder.shut_down(self.clock())
         self._settle()
-        self.local_voter.hand_over()
+        self.local_voter.transfer_leadership()
         self._closed = True
         self._timer.cancel()
         self.local_voter.close()
@@ -149,9 +150,9 @@
     def _heard(self, message: control_wire.ControlMessage, source: Address) -> None:
         match message:
             case LeaseRequest() | LeaseReturn():
-                self.local_voter.from_broker(message, source)
+                self.local_voter.receive_from_broker(message, source)
             case LeaseReply():
-                self.lease_holder.told(self.clock(), message)
+                self.lease_holder.receive_reply(self.clock(), message)
             case Proposal(command):
                 self._proposed(command)
             case Summary():
@@ -165,29 +166,29 @@
                 | voting.InstallSnapshotReply()
                 | voting.TimeoutNow()
             ):
-                self.local_voter.from_voter(message)
+                self.local_voter.receive_from_voter(message)
             case _:
                 self.refused += 1
 
     def _proposed(self, command: bytes) -> None:
-        if self.local_voter.broken is None:
+        if self.local_voter.failure is None:
             self.local_voter.voter.propose(self.clock(), command)
             self.local_voter.flush()
 
     def _to_voter(self, name: str, message: voting.Message) -> None:
         address = self.settings.voters.get(name)
         if address is not None:
-            self.send(address, wire.voter_body(message))
+            self.send(address, wire.encode_consensus_message(message))
 
     def _to_candidate(self, address: Address, message: LeaseReply) -> None:
         if address == self.own:
             self.loop.call_soon(self._told_self, message)
         else:
-            self.send(address, wire.broker_body(message))
+            self.send(address, wire.encode_lease_message(message))
 
     def _told_self(self, message: LeaseReply) -> None:
         if not self._closed:
-            self.lease_holder.told(self.clock(), message)
+            self.lease_holder.receive_reply(self.clock(), message)
             self._settle()
 
     # -- time
@@ -218,12 +219,12 @@
 
     def _ask_for_lease(self) -> bool:
         """The holder's words to the voters, this machine's own among them."""
-        words = self.lease_holder.take()
+        words = self.lease_holder.drain_output()
         for name, message in words:
             if name == self.settings.name:
-                self.local_voter.from_broker(message, self.own)
+                self.local_voter.receive_from_broker(message, self.own)
             else:
-                self.send(self.settings.voters[name], wire.broker_body(message))
+                self.send(self.settings.voters[name], wire.encode_lease_message(message))
         return bool(words)
 
     def _carry_out(self, action: Action) -> None:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -20,8 +20,21 @@
     "membership": set(),
     "consensus": set(),
     "leases": {"api", "consensus"},
+    "slow_start_budget": {"leases"},
     "wal": {"consensus", "disk"},
-    "lease_service": {"api", "config", "consensus", "discovery", "leases", "wal", "log", "metrics", "net", "runtime"},
+    "lease_service": {
+        "api",
+        "config",
+        "consensus",
+        "discovery",
+        "leases",
+        "slow_start_budget",
+        "wal",
+        "log",
+        "metrics",
+        "net",
+        "runtime",
+    },
     "feed": {"consensus", "leases"},
     "feed_service": {"consensus", "leases", "feed", "net", "lease_service"},
     "publication_validation": {"config", "discovery", "feed"},
@@ -74,13 +87,17 @@
     "consensus/replication.py",
     "consensus/snapshots.py",
     "consensus/types.py",
-    "leases/slow_start.py",
+    "slow_start_budget/allocator.py",
+    "slow_start_budget/broker.py",
+    "slow_start_budget/fair_share.py",
+    "slow_start_budget/timing.py",
     "leases/fencing.py",
+    "leases/health_checks.py",
     "leases/holder.py",
     "leases/manager.py",
     "leases/messages.py",
-    "leases/probing.py",
     "leases/table.py",
+    "leases/timing.py",
     "leases/voter.py",
     "lease_service/wire.py",
     "standin/acts.py",
@@ -190,3 +207,13 @@
     for file in ROOT.rglob("*.py"):
         if "standin" not in file.parts and file.name != "cli.py":
             assert "standin" not in rooms(file), file
+
+
+def test_the_page_names_every_package_and_none_that_is_gone():
+    page = (ROOT.parent / "docs" / "architecture.md").read_text()
+    table = page.partition("## Packages and arrows")[2].partition("## Glossary")[0]
+    cells = [line.split("|")[1] for line in table.splitlines() if line.startswith("| `")]
+    named = {name.strip(" `/").removesuffix(".py") for cell in cells for name in cell.split(",")}
+    modules = {path.stem for path in ROOT.glob("[a-z]*.py")}
+    packages = {path.parent.name for path in ROOT.glob("*/__init__.py")}
+    assert named == modules | packages
