--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -19,11 +19,11 @@
 from tests.mutants import MUTANTS, CommitsAnEarlierTerm, LosesALease, ReadsWithoutARound, VotesBeforeTheDisk
 from tests.simvoters import Broken, Chaos, World
 
-# -- in simulated time
+# -- random faults in simulated time
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_whatever_chance_brings_nothing_breaks_and_all_comes_back(seed):
+def test_invariants_hold_under_random_faults_and_the_cluster_recovers(seed):
     chaos = Chaos(voters=5) if seed % 4 == 3 else Chaos()
     world = World(seed, chaos)
     world.run(8)
@@ -32,14 +32,14 @@
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_each_defect_is_found_and_the_product_lives_through_the_same(name):
+def test_each_mutant_is_found_and_the_product_passes_the_same_run(name):
     kinds, chaos, seed = MUTANTS[name]
     with pytest.raises(Broken):
         World(seed, chaos, **kinds).run(10)
     World(seed, chaos).run(10)
 
 
-# -- every interleaving, and the scenario of the thesis's figure 3.7
+# -- every interleaving, and the scenario of figure 3.7 of the thesis
 
 
 def test_every_interleaving_of_three_voters_to_a_depth():
@@ -67,18 +67,18 @@
     return found
 
 
-def test_a_copy_of_a_voter_in_the_search_shares_nothing_that_changes():
-    circle = Circle()
-    circle.run(5)
-    leader = circle.leader()
+def test_clone_of_a_voter_shares_no_mutable_state():
+    cluster = Cluster()
+    cluster.run(5)
+    leader = cluster.leader()
     leader.state_machine = None
-    assert leader.read_index(circle.now, 1) and leader.propose(circle.now, b"x")
+    assert leader.read_index(cluster.now, 1) and leader.propose(cluster.now, b"x")
     found, copied = mutable_objects(leader), mutable_objects(clone(leader))
     assert "raft.leadership.replication.progress.b" in copied.values() or leader.name == "b"
     assert not {path for key, path in found.items() if key in copied}
 
 
-def test_a_vote_that_does_not_wait_for_the_disk_is_found():
+def test_search_finds_a_vote_that_does_not_wait_for_the_disk():
     with pytest.raises(Broken, match="term 1 is led by a and by"):
         search(9, VotesBeforeTheDisk)
 
@@ -128,22 +128,24 @@
         figure_8(CommitsAnEarlierTerm, monkeypatch)
 
 
-# -- one at a time
+# -- single properties of Raft
 
 
-class Circle:
-    """Voters on perfect links and disks; time moves by hand."""
+class Cluster:
+    """Voters with a network and disks that lose and delay nothing; the tests advance the time."""
 
-    def __init__(self, names=NAMES, compact=10**6, others=(), kind=Raft):
-        self.now, self.tuning = 0.0, RaftConfig(1.0, 0.2, compact)
-        self.cut, self.events = set(), {n: [] for n in (*names, *others)}
+    def __init__(self, names=NAMES, compact_after=10**6, learners=(), kind=Raft):
+        self.now = 0.0
+        self.config = RaftConfig(1.0, 0.2, compact_after)
+        self.isolated = set()
+        self.events = {name: [] for name in (*names, *learners)}
         self.tables = {n: LeaseTable() for n in self.events}
         self.rafts = {
             n: kind(
                 n,
                 PersistentState(log=Log(voting.Snapshot(0, 0, names if n in names else (), b""))),
                 self.tables[n],
-                self.tuning,
+                self.config,
                 i,
                 0.0,
             )
@@ -160,7 +162,7 @@
                 if ready.records:
                     raft.persisted(self.now, ready.records[-1].sequence)
                 for to, message in ready.messages:
-                    if to in self.rafts and not {name, to} & self.cut:
+                    if to in self.rafts and not {name, to} & self.isolated:
                         self.rafts[to].step(self.now, voting.decode(voting.encode(message)))
                 moved = moved or bool(ready.records or ready.messages or ready.events)
 
@@ -173,7 +175,7 @@
             self.settle()
 
     def leader(self):
-        found = [r for n, r in self.rafts.items() if r.is_established_leader and n not in self.cut]
+        found = [r for n, r in self.rafts.items() if r.is_established_leader and n not in self.isolated]
         assert len(found) == 1
         return found[0]
 
@@ -183,118 +185,118 @@
         return index
 
 
-def test_one_leads_and_what_it_acknowledged_is_everywhere():
-    circle = Circle()
-    circle.run(5)
-    index = circle.put("version", b"7")
-    circle.run(1)
-    assert {t.facts["version"].value for t in circle.tables.values()} == {b"7"}
-    leader = circle.leader()
-    assert sum(isinstance(e, BecameLeader) for es in circle.events.values() for e in es) == 1
-    assert [e.entry.index for e in circle.events[leader.name] if isinstance(e, EntryApplied)][-1] == index
-    circle.put("version", b"8", over=index)
-    circle.put("version", b"9", over=index)  # somebody was faster
-    assert circle.tables[leader.name].facts["version"].value == b"8"
-    circle.put("version", b"", over=index + 1)
-    assert not circle.tables[leader.name].facts
-
-
-def cut_off(kind=Raft):
-    """A leader is asked to confirm that it leads, then is cut off and asked again; six seconds later."""
-    circle = Circle(kind=kind)
-    circle.run(5)
-    old = circle.leader()
-    assert old.read_index(circle.now, 1)
-    circle.run(0.3)
-    assert ReadConfirmed(1) in circle.events[old.name]
-    circle.cut = {old.name}
-    assert old.read_index(circle.now, 2) and old.propose(circle.now, encode(PutFact("k", b"v", 0)))
-    circle.run(6)
-    return circle, old
-
-
-def test_a_leader_that_is_cut_off_steps_down_and_confirms_nothing():
-    circle, old = cut_off()
-    assert old.role is not Role.LEADER and ReadConfirmed(2) not in circle.events[old.name]
-    wrong, leader = cut_off(ReadsWithoutARound)
-    assert ReadConfirmed(2) in wrong.events[leader.name]  # what is looked for can be found
-    new, term = circle.leader(), circle.leader().term
-    circle.put("other")
-    circle.cut = set()
-    circle.run(3)
-    assert circle.leader() is new and new.term == term  # who was cut off disturbed nobody on its return
-    assert [set(t.facts) for t in circle.tables.values()] == [{"other"}] * 3
-
-
-def test_leadership_is_handed_over_without_a_pause():
-    circle = Circle()
-    circle.run(5)
-    old = circle.leader()
+def test_one_voter_leads_and_commits_reach_all_state_machines():
+    cluster = Cluster()
+    cluster.run(5)
+    index = cluster.put("version", b"7")
+    cluster.run(1)
+    assert {t.facts["version"].value for t in cluster.tables.values()} == {b"7"}
+    leader = cluster.leader()
+    assert sum(isinstance(e, BecameLeader) for es in cluster.events.values() for e in es) == 1
+    assert [e.entry.index for e in cluster.events[leader.name] if isinstance(e, EntryApplied)][-1] == index
+    cluster.put("version", b"8", over=index)
+    cluster.put("version", b"9", over=index)  # another proposal was committed before
+    assert cluster.tables[leader.name].facts["version"].value == b"8"
+    cluster.put("version", b"", over=index + 1)
+    assert not cluster.tables[leader.name].facts
+
+
+def isolate_leader(kind=Raft):
+    """A leader confirms a read, is isolated and is asked for another one; six seconds later."""
+    cluster = Cluster(kind=kind)
+    cluster.run(5)
+    old = cluster.leader()
+    assert old.read_index(cluster.now, 1)
+    cluster.run(0.3)
+    assert ReadConfirmed(1) in cluster.events[old.name]
+    cluster.isolated = {old.name}
+    assert old.read_index(cluster.now, 2) and old.propose(cluster.now, encode(PutFact("k", b"v", 0)))
+    cluster.run(6)
+    return cluster, old
+
+
+def test_isolated_leader_steps_down_and_confirms_no_read():
+    cluster, old = isolate_leader()
+    assert old.role is not Role.LEADER and ReadConfirmed(2) not in cluster.events[old.name]
+    wrong, leader = isolate_leader(ReadsWithoutARound)
+    assert ReadConfirmed(2) in wrong.events[leader.name]  # the check finds what it looks for
+    new, term = cluster.leader(), cluster.leader().term
+    cluster.put("other")
+    cluster.isolated = set()
+    cluster.run(3)
+    assert cluster.leader() is new and new.term == term  # its return did not disturb the others
+    assert [set(t.facts) for t in cluster.tables.values()] == [{"other"}] * 3
+
+
+def test_leadership_transfer_takes_no_time():
+    cluster = Cluster()
+    cluster.run(5)
+    old = cluster.leader()
     to = next(n for n in NAMES if n != old.name)
-    before = circle.now
-    assert old.transfer_leadership(circle.now, to) and old.propose(circle.now, encode(PutFact("k", b"v", 0))) is None
-    circle.settle()
-    assert circle.leader().name == to and circle.now == before
-    assert not circle.rafts[old.name].transfer_leadership(circle.now)
+    before = cluster.now
+    assert old.transfer_leadership(cluster.now, to) and old.propose(cluster.now, encode(PutFact("k", b"v", 0))) is None
+    cluster.settle()
+    assert cluster.leader().name == to and cluster.now == before
+    assert not cluster.rafts[old.name].transfer_leadership(cluster.now)
 
 
-def test_a_newcomer_is_fed_by_snapshot_and_votes_and_one_that_left_is_not_missed():
-    circle = Circle(compact=20, others=("d",))
-    circle.run(5)
+def test_learner_catches_up_by_snapshot_and_votes_and_a_removed_voter_is_not_needed():
+    cluster = Cluster(compact_after=20, learners=("d",))
+    cluster.run(5)
     for i in range(150):
-        circle.put(f"fact-{i}", b"x" * 40)
-    leader = circle.leader()
+        cluster.put(f"fact-{i}", b"x" * 40)
+    leader = cluster.leader()
     assert leader.log.snapshot_index > 100 and len(leader.log.snapshot.state) > 4 * voting.MAX_MESSAGE_BYTES
-    gone = next(n for n in NAMES if n != leader.name)
-    assert leader.change_membership(circle.now, "d", True) is None
-    assert leader.change_membership(circle.now, gone, False) == "another change is under way"
-    circle.run(3)
-    assert circle.rafts["d"].voters == (*NAMES, "d") and len(circle.tables["d"].facts) == 150
-    assert leader.change_membership(circle.now, gone, False) is None
-    circle.run(1)
-    circle.cut = {gone, next(n for n in NAMES if n not in (gone, leader.name))}
-    circle.put("after")
-    circle.run(0.5)  # a follower learns of a commit with the next heartbeat
-    assert "after" in circle.tables["d"].facts  # two of three: the newcomer's vote counts, the old one's does not
-    assert leader.change_membership(circle.now, gone, False) == "nothing to change"
-
-
-def test_a_leader_that_removes_itself_leads_to_the_end_of_that_and_no_further():
-    circle = Circle()
-    circle.run(5)
-    old = circle.leader()
-    assert old.change_membership(circle.now, old.name, False) is None
-    circle.run(6)
-    new = circle.leader()
+    removed = next(n for n in NAMES if n != leader.name)
+    assert leader.change_membership(cluster.now, "d", True) is None
+    assert leader.change_membership(cluster.now, removed, False) == "another change is under way"
+    cluster.run(3)
+    assert cluster.rafts["d"].voters == (*NAMES, "d") and len(cluster.tables["d"].facts) == 150
+    assert leader.change_membership(cluster.now, removed, False) is None
+    cluster.run(1)
+    cluster.isolated = {removed, next(n for n in NAMES if n not in (removed, leader.name))}
+    cluster.put("after")
+    cluster.run(0.5)  # followers learn of the commit with the next heartbeat
+    assert "after" in cluster.tables["d"].facts  # two of three: the new voter counts, the removed one does not
+    assert leader.change_membership(cluster.now, removed, False) == "nothing to change"
+
+
+def test_leader_that_removes_itself_steps_down_once_that_is_committed():
+    cluster = Cluster()
+    cluster.run(5)
+    old = cluster.leader()
+    assert old.change_membership(cluster.now, old.name, False) is None
+    cluster.run(6)
+    new = cluster.leader()
     assert new is not old and set(new.voters) == set(NAMES) - {old.name}
     for name in list(new.voters):
         if name != new.name:
-            assert new.change_membership(circle.now, name, False) is None
-            circle.run(1)
-    assert new.change_membership(circle.now, new.name, False) == "the last voter stays"
+            assert new.change_membership(cluster.now, name, False) is None
+            cluster.run(1)
+    assert new.change_membership(cluster.now, new.name, False) == "the last voter stays"
 
 
-def test_a_single_voter_leads_and_commits_by_its_own_disk():
-    circle = Circle(("a",))
-    circle.run(3)
-    circle.put("k")
-    assert circle.tables["a"].facts and circle.leader().read_index(circle.now, 1)
-    circle.run(0.3)
-    assert ReadConfirmed(1) in circle.events["a"]
+def test_single_voter_leads_and_commits_once_its_own_disk_has_the_entry():
+    cluster = Cluster(("a",))
+    cluster.run(3)
+    cluster.put("k")
+    assert cluster.tables["a"].facts and cluster.leader().read_index(cluster.now, 1)
+    cluster.run(0.3)
+    assert ReadConfirmed(1) in cluster.events["a"]
 
 
-def test_what_is_no_message_is_refused():
+def test_malformed_messages_are_rejected():
     good = voting.AppendEntries(
         1, "a", 0, 0, (voting.Entry(1, 1, voting.EntryKind.CONFIGURATION, voting.encode_voters(NAMES)),), 0, 0
     )
     assert voting.decode(voting.encode(good)) == good
-    spoilt = [
+    malformed = [
         voting.AppendEntries(1, "a", 5, 0, (voting.Entry(1, 1, voting.EntryKind.NOOP),), 0, 0),
         voting.AppendEntries(1, "a", 0, 0, (voting.Entry(1, 1, voting.EntryKind.CONFIGURATION, b"?"),), 0, 0),
         voting.RequestVoteReply(1 << 63, "a", False, True),
         voting.RequestVoteReply(1, "", False, True),
     ]
-    for message in (*map(voting.encode, spoilt), b"", b"\xff", b"[]", voting.encode(good)[:-1]):
+    for message in (*map(voting.encode, malformed), b"", b"\xff", b"[]", voting.encode(good)[:-1]):
         with pytest.raises(voting.MalformedMessageError):
             voting.decode(message)
 
--- a/tests/test_wal.py
+++ b/tests/test_wal.py
@@ -1,4 +1,4 @@
-"""A voter's disk: what is kept is kept whole, and what is damaged is refused with a line that says what to do."""
+"""A voter's store: acknowledged records are read back completely; damage is an error that says what to do."""
 
 import asyncio
 import errno
@@ -31,8 +31,8 @@
     return Entry(index, term, EntryKind.COMMAND, data)
 
 
-def said(kept):
-    return kept.term, kept.voted_for, kept.log.snapshot, tuple(kept.log.entries)
+def contents(state):
+    return state.term, state.voted_for, state.log.snapshot, tuple(state.log.entries)
 
 
 @pytest.fixture
@@ -41,42 +41,42 @@
     return tmp_path / "v0"
 
 
-def test_what_was_appended_is_there_at_the_next_start(folder):
-    one = Store(folder)
-    assert (one.identity.name, one.persistent_state.log.configuration()) == ("v0", (VOTERS, 0))
-    one.append([HardState(1, "v1"), LogEntries((entry(1), entry(2)))])
-    one.append([LogEntries((entry(2, 2, b"y"),)), HardState(3, "")])
-    one.close()
-    two = Store(folder)
-    assert said(two.persistent_state) == (3, "", Snapshot(0, 0, VOTERS, b""), (entry(1), entry(2, 2, b"y")))
-    two.close()
-
-
-def test_a_snapshot_shortens_the_log_and_keeps_the_vote_and_the_rest(folder):
-    one = Store(folder)
-    one.append([HardState(4, "v2"), LogEntries(tuple(entry(i) for i in range(1, 50)))])
-    one.append([Snapshot(40, 1, VOTERS, b"state")])
-    before = one.segment_bytes
-    one.compact()
-    assert one.segment_bytes < before and {p.name for p in folder.iterdir()} == {"voter", "mark", "log.2"}
-    one.append([LogEntries((entry(50),))])
-    one.close()
-    two = Store(folder)
+def test_appended_records_are_read_when_the_store_is_opened_again(folder):
+    store = Store(folder)
+    assert (store.identity.name, store.persistent_state.log.configuration()) == ("v0", (VOTERS, 0))
+    store.append([HardState(1, "v1"), LogEntries((entry(1), entry(2)))])
+    store.append([LogEntries((entry(2, 2, b"y"),)), HardState(3, "")])
+    store.close()
+    reopened = Store(folder)
+    assert contents(reopened.persistent_state) == (3, "", Snapshot(0, 0, VOTERS, b""), (entry(1), entry(2, 2, b"y")))
+    reopened.close()
+
+
+def test_compaction_after_a_snapshot_keeps_the_vote_and_later_entries(folder):
+    store = Store(folder)
+    store.append([HardState(4, "v2"), LogEntries(tuple(entry(i) for i in range(1, 50)))])
+    store.append([Snapshot(40, 1, VOTERS, b"state")])
+    before = store.segment_bytes
+    store.compact()
+    assert store.segment_bytes < before and {p.name for p in folder.iterdir()} == {"voter", "mark", "log.2"}
+    store.append([LogEntries((entry(50),))])
+    store.close()
+    reopened = Store(folder)
     snapshot = Snapshot(40, 1, VOTERS, b"state")
-    assert said(two.persistent_state) == (4, "v2", snapshot, tuple(entry(i) for i in range(41, 51)))
-    two.close()
+    assert contents(reopened.persistent_state) == (4, "v2", snapshot, tuple(entry(i) for i in range(41, 51)))
+    reopened.close()
 
 
-def test_a_store_is_one_process_s_and_is_made_once(folder):
-    one = Store(folder)
+def test_store_is_open_in_one_process_and_created_once(folder):
+    store = Store(folder)
     with pytest.raises(StoreLockedError, match="another process"):
         Store(folder)
-    one.close()
+    store.close()
     with pytest.raises(StoreExistsError, match="made once"):
         create_store(folder, "v0", VOTERS)
 
 
-def test_a_voter_without_its_store_does_not_start_as_if_it_were_new(tmp_path):
+def test_missing_store_is_an_error_and_not_an_empty_store(tmp_path):
     with pytest.raises(StoreMissingError, match=r"voter: not there; .*voters create"):
         Store(tmp_path)
     create_store(tmp_path / "a", "a", VOTERS)
@@ -85,35 +85,35 @@
         Store(tmp_path / "a")
 
 
-def test_a_write_torn_anywhere_is_cut_off_and_nothing_acknowledged_goes_with_it(folder):
-    one = Store(folder)
-    one.append([HardState(1, "v1"), LogEntries((entry(1),))])
-    sure, kept = one.segment_bytes, said(read_store(folder)[1])
-    one.close()
+def test_torn_write_is_truncated_and_nothing_acknowledged_is_lost(folder):
+    store = Store(folder)
+    store.append([HardState(1, "v1"), LogEntries((entry(1),))])
+    acknowledged_bytes = store.segment_bytes
+    acknowledged = contents(read_store(folder).persistent_state)
+    store.close()
     path = folder / "log.1"
     whole = path.read_bytes()
     more = b"".join(frame_record(r) for r in (LogEntries((entry(2, 1, b"long" * 9),)), HardState(2, "")))
     for cut in range(len(more)):
         path.write_bytes(whole + more[:cut])
-        two = Store(folder)
-        assert (
-            two.segment_bytes >= sure
-            and said(two.persistent_state)[:3] == kept[:3]
-            and said(two.persistent_state)[3][:1] == kept[3]
-        )
-        two.append([LogEntries((entry(two.persistent_state.log.last_index + 1),))])
-        two.close()
+        reopened = Store(folder)
+        found = contents(reopened.persistent_state)
+        assert reopened.segment_bytes >= acknowledged_bytes
+        assert found[:3] == acknowledged[:3]
+        assert found[3][:1] == acknowledged[3]
+        reopened.append([LogEntries((entry(reopened.persistent_state.log.last_index + 1),))])
+        reopened.close()
         again = Store(folder)
-        assert again.persistent_state.log.last_index == two.persistent_state.log.last_index + 1
+        assert again.persistent_state.log.last_index == reopened.persistent_state.log.last_index + 1
         again.close()
         (folder / "mark").unlink()
 
 
-def test_a_bit_that_flips_in_what_was_acknowledged_is_refused_wherever_it_is(folder):
-    one = Store(folder)
-    one.append([HardState(1, "v1"), LogEntries((entry(1), entry(2)))])
-    one.append([LogEntries((entry(3),))])
-    one.close()
+def test_flipped_bit_in_acknowledged_bytes_is_an_error(folder):
+    store = Store(folder)
+    store.append([HardState(1, "v1"), LogEntries((entry(1), entry(2)))])
+    store.append([LogEntries((entry(3),))])
+    store.close()
     path = folder / "log.1"
     whole = path.read_bytes()
     for at in range(len(whole)):
@@ -131,18 +131,18 @@
     Store(folder).close()
 
 
-def test_a_mark_that_is_lost_or_damaged_makes_nothing_worse(folder):
-    one = Store(folder)
-    one.append([HardState(1, "v1")])
-    one.close()
+def test_store_opens_without_a_valid_mark(folder):
+    store = Store(folder)
+    store.append([HardState(1, "v1")])
+    store.close()
     for mark in (b"", b"x" * MARK.size, (folder / "mark").read_bytes()[:-1] + b"?"):
         (folder / "mark").write_bytes(mark)
-        two = Store(folder)
-        assert two.persistent_state.voted_for == "v1"
-        two.close()
+        reopened = Store(folder)
+        assert reopened.persistent_state.voted_for == "v1"
+        reopened.close()
 
 
-def test_a_file_of_a_newer_version_is_left_alone(folder):
+def test_file_of_a_newer_version_is_an_error_and_is_not_changed(folder):
     path = folder / "log.1"
     data = bytearray(path.read_bytes())
     head = struct.pack(">8sHQ", MAGIC, 2, 0)
@@ -157,12 +157,12 @@
         Store(folder)
 
 
-def test_a_crash_between_the_steps_of_a_new_segment_loses_nothing(folder, monkeypatch):
-    """Each call to the system is the last one once: the old segment or the new one is whole, and says the same."""
-    one = Store(folder)
-    one.append([HardState(2, "v1"), LogEntries(tuple(entry(i) for i in range(1, 9))), Snapshot(8, 1, VOTERS, b"s")])
-    expected = said(read_store(folder)[1])
-    one.close()
+def test_crash_at_any_step_of_compaction_loses_nothing(folder, monkeypatch):
+    """Each system call is the last one once: the old segment or the new one is complete, and states the same."""
+    store = Store(folder)
+    store.append([HardState(2, "v1"), LogEntries(tuple(entry(i) for i in range(1, 9))), Snapshot(8, 1, VOTERS, b"s")])
+    expected = contents(read_store(folder).persistent_state)
+    store.close()
     calls = 0
 
     class Crash(Exception):
@@ -190,14 +190,14 @@
             except Crash:
                 done = False
         store.close()
-        assert said(read_store(folder)[1]) == expected
-    assert done  # the last rounds went through whole
+        assert contents(read_store(folder).persistent_state) == expected
+    assert done  # the last rounds completed
 
 
 @pytest.mark.parametrize("fails", ["write", "fdatasync"])
-def test_after_a_failure_nothing_more_is_written(folder, monkeypatch, fails):
-    one = Store(folder)
-    one.append([HardState(1, "v1")])
+def test_nothing_is_written_after_a_failed_write_or_sync(folder, monkeypatch, fails):
+    store = Store(folder)
+    store.append([HardState(1, "v1")])
 
     def full(*_):
         raise OSError(errno.ENOSPC, "No space left on device")
@@ -205,14 +205,14 @@
     with monkeypatch.context() as patched:
         patched.setattr(os, fails, full)
         with pytest.raises(OSError, match="No space"):
-            one.append([HardState(2, "v2")])
+            store.append([HardState(2, "v2")])
     with pytest.raises(StoreStoppedError, match="nothing more is written after .*log.1: No space"):
-        one.append([HardState(3, "v0")])
-    one.close()
-    assert Store(folder).persistent_state.term in (1, 2)  # acknowledged to nobody: either will do
+        store.append([HardState(3, "v0")])
+    store.close()
+    assert Store(folder).persistent_state.term in (1, 2)  # acknowledged to nobody: either is right
 
 
-def test_the_writer_tells_of_groups_in_order_and_of_a_failure_once(folder, monkeypatch):
+def test_writer_notifies_of_groups_in_order_and_of_a_failure_once(folder, monkeypatch):
     async def main():
         loop = asyncio.get_running_loop()
         saved, failed, told = [], [], asyncio.Event()
@@ -234,5 +234,5 @@
 
     asyncio.run(asyncio.wait_for(main(), 60))
     monkeypatch.undo()
-    kept = read_store(folder)[1]
+    kept = read_store(folder).persistent_state
     assert kept.log.last_index == 200 and kept.term in (0, 5)
