--- a/tests/modelvoters.py
+++ b/tests/modelvoters.py
@@ -1,30 +1,70 @@
-"""Every interleaving of three voters up to a depth: breadth first over the product's own `Raft`, states seen once.
+"""Exhaustive search over three voters: every interleaving up to a depth, on the product's own `Raft`.
 
-An action is: one stands, one syncs its disk, a message arrives, one that leads proposes, one crashes and starts again
-from what was synced. What never arrives is lost; what arrives late is reordered. Time stands still.
+The search is breadth first and sees each state once. An action is one of: a voter starts an election, its disk syncs,
+a message is delivered, a leader proposes, a voter crashes and restarts from what was synced. A message that is never
+delivered is lost, and one that is delivered late is reordered. Time does not advance.
 """
 
 from collections import deque
 from copy import copy
+from enum import Enum
+from typing import NamedTuple
 
 from badgerbend.consensus import messages as voting
 from badgerbend.consensus.log import Log
+from badgerbend.consensus.messages import Record
 from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.consensus.raft import Raft, RaftConfig, Role
 from tests.simvoters import Broken
 
 NAMES = ("a", "b", "c")
+CONFIG = RaftConfig(election_timeout_s=0.0, heartbeat_interval_s=1.0, compact_after_entries=10**6)
+NOW = 0.0
+PARTS_OF_RAFT = ("election", "leadership", "follower")
+PARTS_OF_LEADERSHIP = ("replication", "membership", "reads", "transfer")
+
+
+class Kind(Enum):
+    """What an action does. The value of those whose number is limited is the name of the limit."""
+
+    CAMPAIGN = "stand"
+    SYNC = "sync"
+    PROPOSE = "propose"
+    CRASH = "crash"
+    DELIVER = "deliver"
+
+
+class Packet(NamedTuple):
+    """A message on its way. data: as it is encoded."""
+
+    to: str
+    data: bytes
+
+
+class Action(NamedTuple):
+    """A step from one state to the next. voter: where it happens. packet: the one that is delivered."""
+
+    kind: Kind
+    voter: str
+    packet: Packet | None = None
+
+
+class Disk(NamedTuple):
+    """A voter's records, and how many of them are synced."""
 
+    records: tuple[Record, ...]
+    synced: int
 
-class _Dice:
-    """In the place of chance, which decides nothing here."""
+
+class FixedTimeouts:
+    """In the place of a random generator, whose numbers decide nothing while time does not advance."""
 
     def uniform(self, low, high):
         return low
 
 
-class _Nothing:
-    """A machine without state."""
+class EmptyStateMachine:
+    """A state machine without state."""
 
     def apply(self, index, data): ...
 
@@ -34,74 +74,171 @@
     def load(self, state): ...
 
 
-PARTS_OF_RAFT = ("election", "leadership", "follower")
-PARTS_OF_LEADERSHIP = ("replication", "membership", "reads", "transfer")
-
-
-def _shallow(original):
+def shallow_copy(original):
+    """A copy of an object with the same attributes; `copy.copy` would be slower."""
     new = object.__new__(type(original))
     new.__dict__ = dict(original.__dict__)
     return new
 
 
+def copy_parts(owner, names, replica):
+    """Give an object copies of some of its parts that belong to a copy of the replica."""
+    for name in names:
+        part = shallow_copy(getattr(owner, name))
+        part.replica = replica
+        setattr(owner, name, part)
+
+
 def clone(raft):
-    """A copy that shares nothing that changes; `test_agreement` checks that no part is missing here."""
-    new = _shallow(raft)
+    """A copy that shares nothing that changes; a test in test_agreement checks that no part is forgotten."""
+    new = shallow_copy(raft)
     new.log = Log(raft.log.snapshot, raft.log.entries)
     new.events = []
-    durability = new.durability = _shallow(raft.durability)
-    durability.unpersisted_entries = deque(raft.durability.unpersisted_entries)
-    durability.deferred_messages = deque(raft.durability.deferred_messages)
-    durability.records, durability.messages = [], []
-    for part in PARTS_OF_RAFT:
-        setattr(new, part, _shallow(getattr(new, part)))
-        getattr(new, part).replica = new
-    for part in PARTS_OF_LEADERSHIP:
-        setattr(new.leadership, part, _shallow(getattr(new.leadership, part)))
-        getattr(new.leadership, part).replica = new
+    copy_parts(new, PARTS_OF_RAFT, new)
+    copy_parts(new.leadership, PARTS_OF_LEADERSHIP, new)
+    new.durability = shallow_copy(raft.durability)
+    new.durability.unpersisted_entries = deque(raft.durability.unpersisted_entries)
+    new.durability.deferred_messages = deque(raft.durability.deferred_messages)
+    new.durability.records = []
+    new.durability.messages = []
     new.election.votes = set(raft.election.votes)
     replication = new.leadership.replication
-    replication.progress = {name: copy(progress) for name, progress in replication.progress.items()}
-    new.leadership.reads.pending = deque(new.leadership.reads.pending)
+    replication.progress = {name: copy(progress) for name, progress in raft.progress.items()}
+    new.leadership.reads.pending = deque(raft.leadership.reads.pending)
     return new
 
 
 class State:
-    """Voters, their disks (records, and how many are synced), what is on the way, what was ever committed or led."""
+    """Voters, their disks, the network, and what was ever committed or led.
+
+    limits: how many more actions of some kinds there may be, by the kind's value.
+    """
 
-    def __init__(self, kind=Raft):
-        self.kind = kind
-        self.rafts, self.disks = {}, {}
-        self.net, self.leaders, self.committed = (), {}, {}
-        self.left = {}
+    def __init__(self, raft_class=Raft):
+        self.raft_class = raft_class
+        self.rafts = {}
+        self.disks = {}
+        self.network = ()
+        self.leaders = {}
+        self.committed = {}
+        self.limits = {}
         for name in NAMES:
-            self.disks[name] = ((voting.Snapshot(0, 0, NAMES, b""),), 1)
-            self._boot(name)
+            self.disks[name] = Disk((voting.Snapshot(0, 0, NAMES, b""),), synced=1)
+            self._start(name)
 
-    def _boot(self, name):
-        kept = PersistentState(log=Log())
-        for record in self.disks[name][0]:
-            kept.replay(record)
-        raft = self.rafts[name] = self.kind(name, kept, _Nothing(), RaftConfig(0.0, 1.0, 10**6), 0, 0.0)
-        raft.election.rng = _Dice()
+    def actions(self):
+        """Every action that is possible now."""
+        for name in NAMES:
+            raft = self.rafts[name]
+            if self.limits["stand"] and raft.role is not Role.LEADER:
+                yield Action(Kind.CAMPAIGN, name)
+            if raft.durability.last_sequence > raft.durability.persisted_sequence:
+                yield Action(Kind.SYNC, name)
+            if self.limits["propose"] and raft.role is Role.LEADER:
+                yield Action(Kind.PROPOSE, name)
+            if self.limits["crash"]:
+                yield Action(Kind.CRASH, name)
+        for position, packet in enumerate(self.network):
+            if position == 0 or packet != self.network[position - 1]:
+                yield Action(Kind.DELIVER, packet.to, packet)
 
-    def copy(self):
+    def do(self, action):
+        """The state after an action. Raises Broken where an invariant does not hold in it."""
+        new = self._copy()
+        name = action.voter
+        if action.kind.value in new.limits:
+            new.limits[action.kind.value] -= 1
+        match action.kind:
+            case Kind.CAMPAIGN:
+                new._clone_voter(name).election.campaign(NOW)
+            case Kind.SYNC:
+                new._sync(name)
+            case Kind.PROPOSE:
+                new._clone_voter(name).propose(NOW, b"x%d" % new.limits["propose"])
+            case Kind.CRASH:
+                new._crash(name)
+            case Kind.DELIVER:
+                new._remove(action.packet)
+                new._clone_voter(name).step(NOW, voting.decode(action.packet.data))
+        new._collect(name)
+        new._check(name)
+        return new
+
+    def key(self):
+        """What tells this state from others."""
+        voters = tuple(self._voter_key(name) for name in NAMES)
+        return (voters, self.network, tuple(self.limits.items()), tuple(sorted(self.committed.items())))
+
+    def _voter_key(self, name):
+        raft = self.rafts[name]
+        durability = raft.durability
+        disk = self.disks[name]
+        return (
+            raft.term,
+            raft.voted_for,
+            raft.role,
+            raft.leader,
+            raft.commit_index,
+            tuple((entry.term, entry.data) for entry in raft.log.entries),
+            tuple(sorted(raft.election.votes)),
+            tuple(
+                (follower, progress.match_index, progress.next_index, progress.in_flight)
+                for follower, progress in sorted(raft.progress.items())
+            ),
+            tuple((to, voting.encode(message)) for _, to, message in durability.deferred_messages),
+            durability.last_sequence - durability.persisted_sequence,
+            durability.persisted_index,
+            len(disk.records) - disk.synced,
+        )
+
+    def _start(self, name):
+        state = PersistentState(log=Log())
+        for record in self.disks[name].records:
+            state.replay(record)
+        raft = self.raft_class(name, state, EmptyStateMachine(), CONFIG, 0, NOW)
+        raft.election.rng = FixedTimeouts()
+        self.rafts[name] = raft
+
+    def _copy(self):
         new = object.__new__(State)
-        new.kind, new.net, new.left = self.kind, self.net, dict(self.left)
-        new.rafts, new.disks = dict(self.rafts), dict(self.disks)
-        new.leaders, new.committed = dict(self.leaders), dict(self.committed)
+        new.raft_class = self.raft_class
+        new.rafts = dict(self.rafts)
+        new.disks = dict(self.disks)
+        new.network = self.network
+        new.leaders = dict(self.leaders)
+        new.committed = dict(self.committed)
+        new.limits = dict(self.limits)
         return new
 
-    def _touch(self, name):
+    def _clone_voter(self, name):
         self.rafts[name] = clone(self.rafts[name])
         return self.rafts[name]
 
+    def _sync(self, name):
+        raft = self._clone_voter(name)
+        records = self.disks[name].records
+        self.disks[name] = Disk(records, synced=len(records))
+        raft.persisted(NOW, raft.durability.last_sequence)
+
+    def _crash(self, name):
+        disk = self.disks[name]
+        self.disks[name] = Disk(disk.records[: disk.synced], disk.synced)
+        self._start(name)
+
+    def _remove(self, packet):
+        position = self.network.index(packet)
+        self.network = self.network[:position] + self.network[position + 1 :]
+
     def _collect(self, name):
+        ready = self.rafts[name].take_ready()
+        disk = self.disks[name]
+        self.disks[name] = Disk(disk.records + tuple(record for _, record in ready.records), disk.synced)
+        sent = tuple(Packet(to, voting.encode(message)) for to, message in ready.messages)
+        self.network = tuple(sorted(self.network + sent))
+
+    def _check(self, name):
+        """No two voters lead one term, and no two commit different entries at one index."""
         raft = self.rafts[name]
-        ready = raft.take_ready()
-        records, sure = self.disks[name]
-        self.disks[name] = (records + tuple(record for _, record in ready.records), sure)
-        self.net = tuple(sorted((*self.net, *((to, voting.encode(m)) for to, m in ready.messages))))
         if raft.role is Role.LEADER and self.leaders.setdefault(raft.term, name) != name:
             raise Broken(f"term {raft.term} is led by {self.leaders[raft.term]} and by {name}")
         for index in range(1, raft.commit_index + 1):
@@ -109,97 +246,36 @@
             if self.committed.setdefault(index, (entry.term, entry.data)) != (entry.term, entry.data):
                 raise Broken(f"{name} committed another entry {index}")
 
-    def actions(self):
-        for name in NAMES:
-            raft = self.rafts[name]
-            if self.left["stand"] and raft.role is not Role.LEADER:
-                yield ("stand", name)
-            if raft.durability.last_sequence > raft.durability.persisted_sequence:
-                yield ("sync", name)
-            if self.left["propose"] and raft.role is Role.LEADER:
-                yield ("propose", name)
-            if self.left["crash"]:
-                yield ("crash", name)
-        for place, row in enumerate(self.net):
-            if place == 0 or row != self.net[place - 1]:
-                yield ("deliver", row)
 
-    def do(self, action):
-        """The state after it. Raises Broken."""
-        new = self.copy()
-        kind, what = action
-        if kind == "deliver":
-            name, data = what
-            rows = list(new.net)
-            rows.remove(what)
-            new.net = tuple(rows)
-            new._touch(name).step(0.0, voting.decode(data))
-        else:
-            name = what
-            if kind in new.left:
-                new.left[kind] -= 1
-            match kind:
-                case "stand":
-                    new._touch(name).election.campaign(0.0)
-                case "sync":
-                    raft = new._touch(name)
-                    new.disks[name] = (new.disks[name][0], len(new.disks[name][0]))
-                    raft.persisted(0.0, raft.durability.last_sequence)
-                case "propose":
-                    new._touch(name).propose(0.0, b"x%d" % new.left["propose"])
-                case "crash":
-                    records, sure = new.disks[name]
-                    new.disks[name] = (records[:sure], sure)
-                    new._boot(name)
-        new._collect(name)
-        return new
+def search(depth, raft_class=Raft, stand=2, propose=0, crash=1, most=10**9):
+    """How many states there are up to a depth, with so many campaigns, proposals and crashes; at most `most` are seen.
 
-    def key(self):
-        rows = []
-        for name in NAMES:
-            r = self.rafts[name]
-            progress = tuple((n, p.match_index, p.next_index, p.in_flight) for n, p in sorted(r.progress.items()))
-            entries = tuple((e.term, e.data) for e in r.log.entries)
-            deferred = tuple((to, voting.encode(m)) for _, to, m in r.durability.deferred_messages)
-            rows.append(
-                (
-                    r.term,
-                    r.voted_for,
-                    r.role,
-                    r.leader,
-                    r.commit_index,
-                    entries,
-                    tuple(sorted(r.election.votes)),
-                    progress,
-                    deferred,
-                    r.durability.last_sequence - r.durability.persisted_sequence,
-                    r.durability.persisted_index,
-                    len(self.disks[name][0]) - self.disks[name][1],
-                )
-            )
-        return (tuple(rows), self.net, tuple(self.left.items()), tuple(sorted(self.committed.items())))
-
-
-def search(depth, kind=Raft, stand=2, propose=0, crash=1, most=10**9):
-    """How many states there are to that depth, with so many elections begun, proposals and crashes. Raises Broken with
-    the actions that led there."""
-    first = State(kind)
-    first.left = {"stand": stand, "propose": propose, "crash": crash}
-    seen, level = {first.key()}, [(first, ())]
+    Raises Broken with the actions that led to a state in which an invariant does not hold.
+    """
+    first = State(raft_class)
+    first.limits = {"stand": stand, "propose": propose, "crash": crash}
+    seen = {first.key()}
+    level = [(first, ())]
     for _ in range(depth):
-        following = []
+        next_level = []
         for state, path in level:
             for action in state.actions():
-                try:
-                    new = state.do(action)
-                except Broken as err:
-                    steps = [a if a[0] != "deliver" else "deliver" for a in (*path, action)]
-                    raise Broken(f"{err}, by {steps}") from None
+                new = do_or_explain(state, path, action)
                 key = new.key()
-                if key not in seen:
-                    seen.add(key)
-                    following.append((new, (*path, action)))
-                    if len(seen) >= most:
-                        return len(seen)
-        level = following
+                if key in seen:
+                    continue
+                seen.add(key)
+                next_level.append((new, (*path, action)))
+                if len(seen) >= most:
+                    return len(seen)
+        level = next_level
     return len(seen)
+
+
+def do_or_explain(state, path, action):
+    """The state after an action. Raises Broken with the path to it."""
+    try:
+        return state.do(action)
+    except Broken as err:
+        steps = ", ".join(f"{step.kind.value} {step.voter}" for step in (*path, action))
+        raise Broken(f"{err}, by {steps}") from None
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -15,7 +15,7 @@
 from badgerbend.leases.messages import GrantLease, LeaseId, LeaseReply, LeaseState, PutFact, ReleaseLease, encode
 from badgerbend.leases.table import Lease, LeaseTable
 from badgerbend.leases.timing import LeaseTiming
-from tests.modelvoters import NAMES, State, clone, search
+from tests.modelvoters import NAMES, Action, Kind, State, clone, search
 from tests.mutants import MUTANTS, CommitsAnEarlierTerm, LosesALease, ReadsWithoutARound, VotesBeforeTheDisk
 from tests.simvoters import Broken, Chaos, World
 
@@ -87,22 +87,28 @@
     """A leader finds an entry of an earlier term on most voters; another, who never had it, leads after it."""
     monkeypatch.setattr(replication, "MAX_MESSAGE_BYTES", replication.MESSAGE_OVERHEAD_BYTES)  # one entry a message
     state = State(kind)
-    state.left = {"stand": 9, "propose": 0, "crash": 0}
+    state.limits = {"stand": 9, "propose": 0, "crash": 0}
+
+    def age(packet):
+        message = voting.decode(packet.data)
+        return message.term, getattr(message, "heartbeat_round", 0)
 
     def deliver(to, *kinds, source=None):
         nonlocal state
-        rows = [(n, d) for n, d in state.net if n == to and isinstance(voting.decode(d), kinds)]
-        rows = [r for r in rows if source is None or voting.decode(r[1]).source == source]
-        assert rows, (to, kinds, [(n, voting.decode(d)) for n, d in state.net])
-        newest = max(rows, key=lambda r: (voting.decode(r[1]).term, getattr(voting.decode(r[1]), "heartbeat_round", 0)))
-        state = state.do(("deliver", newest))
-        state = state.do(("sync", to))
+        packets = [
+            packet for packet in state.network if packet.to == to and isinstance(voting.decode(packet.data), kinds)
+        ]
+        packets = [packet for packet in packets if source is None or voting.decode(packet.data).source == source]
+        assert packets, (to, kinds, [(packet.to, voting.decode(packet.data)) for packet in state.network])
+        newest = max(packets, key=age)
+        state = state.do(Action(Kind.DELIVER, to, newest))
+        state = state.do(Action(Kind.SYNC, to))
 
     def lead(name, times):
         nonlocal state
         for _ in range(times):
-            state = state.do(("stand", name))
-        state = state.do(("sync", name))
+            state = state.do(Action(Kind.CAMPAIGN, name))
+        state = state.do(Action(Kind.SYNC, name))
         deliver("b", voting.RequestVote, source=name)
         deliver(name, voting.RequestVoteReply, source="b")
         assert state.rafts[name].role is Role.LEADER
