--- a/badgerbend/consensus/election.py
+++ b/badgerbend/consensus/election.py
@@ -63,15 +63,8 @@
         sequence = replica.enter_next_term_as_candidate()
         self._own_vote = OwnVote(sequence, replica.term)
         self.reset_deadline(now)
+        request = self._request(replica.term, pre_vote=False, leadership_transfer=leadership_transfer)
         for voter in replica.other_voters:
-            request = RequestVote(
-                term=replica.term,
-                source=replica.name,
-                last_index=replica.log.last_index,
-                last_term=replica.log.last_term,
-                pre_vote=False,
-                leadership_transfer=leadership_transfer,
-            )
             replica.send_once_persisted(voter, request)
 
     def persisted(self, now: float) -> bool:
@@ -133,7 +126,12 @@
         self._answer(request, replica.term, granted=granted)
 
     def _answer(self, request: RequestVote, term: int, *, granted: bool) -> None:
-        reply = RequestVoteReply(term, self.replica.name, request.pre_vote, granted)
+        reply = RequestVoteReply(
+            term=term,
+            source=self.replica.name,
+            pre_vote=request.pre_vote,
+            granted=granted,
+        )
         self.replica.send_once_persisted(request.source, reply)
 
     def _become(self, role: Role) -> None:
@@ -144,14 +142,18 @@
     def _start_pre_vote(self, now: float) -> None:
         replica = self.replica
         self._become(Role.PRE_CANDIDATE)
+        request = self._request(replica.term + 1, pre_vote=True)
         for voter in replica.other_voters:
-            request = RequestVote(
-                term=replica.term + 1,
-                source=replica.name,
-                last_index=replica.log.last_index,
-                last_term=replica.log.last_term,
-                pre_vote=True,
-                leadership_transfer=False,
-            )
             replica.send(voter, request)
         self.count_vote(now, replica.name)
+
+    def _request(self, term: int, *, pre_vote: bool, leadership_transfer: bool = False) -> RequestVote:
+        log = self.replica.log
+        return RequestVote(
+            term=term,
+            source=self.replica.name,
+            last_index=log.last_index,
+            last_term=log.last_term,
+            pre_vote=pre_vote,
+            leadership_transfer=leadership_transfer,
+        )
--- a/badgerbend/consensus/follower.py
+++ b/badgerbend/consensus/follower.py
@@ -52,7 +52,13 @@
         self._answer_installed(message)
 
     def _answer_append(self, message: AppendEntries, index: int, *, success: bool) -> None:
-        reply = AppendEntriesReply(self.replica.term, self.replica.name, success, index, message.heartbeat_round)
+        reply = AppendEntriesReply(
+            term=self.replica.term,
+            source=self.replica.name,
+            success=success,
+            index=index,
+            heartbeat_round=message.heartbeat_round,
+        )
         self.replica.send_once_persisted(message.source, reply)
 
     def _answer_chunk(self, message: InstallSnapshot, received_bytes: int) -> None:
--- a/badgerbend/consensus/raft.py
+++ b/badgerbend/consensus/raft.py
@@ -53,7 +53,12 @@
 
 
 class Raft(Replica):
-    """One voter, or a server that waits to become one."""
+    """One voter, or a server that waits to become one.
+
+    persistent_state: what its records add up to; it belongs to `Raft` from then on. state_machine: loaded from the
+    snapshot, where there is one. seed: of the election timeouts. election_class, replication_class: parts that a
+    subclass may replace.
+    """
 
     election_class: type[Election] = Election
     replication_class: type[Replication] = Replication
@@ -94,9 +99,8 @@
             self._become_follower(now, message.term, "")
         if message.term >= self.term:
             self._handle(now, message)
-        elif isinstance(message, AppendEntries | InstallSnapshot):  # tell a leader of an earlier term that it is one
-            reply = AppendEntriesReply(self.term, self.name, False, self.log.last_index, 0)
-            self.send_once_persisted(message.source, reply)
+        elif isinstance(message, AppendEntries | InstallSnapshot):  # of an earlier term
+            self._reject_former_leader(message.source)
 
     def tick(self, now: float) -> None:
         """Do what is due by now."""
@@ -130,7 +134,7 @@
         self.leadership.add_read(now, token)
         return True
 
-    def change_membership(self, now: float, name: str, votes: bool) -> MembershipRefusal | None:
+    def change_membership(self, now: float, name: str, *, votes: bool) -> MembershipRefusal | None:
         """Add a voter, once it has caught up, or remove one; return why that is refused, or None."""
         refusal = self.leadership.change_membership(now, name, votes=votes)
         self._step_down_if_removed(now)
@@ -162,6 +166,16 @@
         self.events = []
         return events
 
+    def _reject_former_leader(self, name: str) -> None:
+        reply = AppendEntriesReply(
+            term=self.term,
+            source=self.name,
+            success=False,
+            index=self.log.last_index,
+            heartbeat_round=0,
+        )
+        self.send_once_persisted(name, reply)
+
     def _handle_request_vote(self, now: float, request: RequestVote) -> None:
         if request.term < self.term:
             self.election.reject(request)
--- a/badgerbend/lease_service/service.py
+++ b/badgerbend/lease_service/service.py
@@ -345,7 +345,7 @@
         if len(words) == 3 and words[0] == "voters" and words[1] in ("add", "remove"):
             if self.local_voter is None or not self.local_voter.voter.is_leader:
                 return 409, f"not the leader; that is {self.holder.leader if self.holder else ''}"
-            against = self.local_voter.voter.raft.change_membership(self.clock(), words[2], words[1] == "add")
+            against = self.local_voter.voter.raft.change_membership(self.clock(), words[2], votes=words[1] == "add")
             self.local_voter.flush()
             self._after()
             return (409, against) if against else (200, "on the way; see the status")
