--- a/tests/test_wal.py
+++ b/tests/test_wal.py
@@ -165,7 +165,7 @@
     store.close()
     calls = 0
 
-    class Crash(Exception):
+    class CrashError(Exception):
         pass
 
     def wrap(real, last):
@@ -173,7 +173,7 @@
             nonlocal calls
             calls += 1
             if calls > last:
-                raise Crash
+                raise CrashError
             return real(*args, **more)
 
         return call
@@ -187,7 +187,7 @@
             try:
                 store.compact()
                 done = True
-            except Crash:
+            except CrashError:
                 done = False
         store.close()
         assert contents(read_store(folder).persistent_state) == expected
@@ -206,7 +206,7 @@
         patched.setattr(os, fails, full)
         with pytest.raises(OSError, match="No space"):
             store.append([HardState(2, "v2")])
-    with pytest.raises(StoreStoppedError, match="nothing more is written after .*log.1: No space"):
+    with pytest.raises(StoreStoppedError, match=r"nothing more is written after .*log\.1: No space"):
         store.append([HardState(3, "v0")])
     store.close()
     assert Store(folder).persistent_state.term in (1, 2)  # acknowledged to nobody: either is right
