--- a/benchmarks/scale/dutyfleet.py
+++ b/benchmarks/scale/dutyfleet.py
@@ -15,11 +15,12 @@
 from typing import cast
 
 from badgerbend.consensus import messages as voting
-from badgerbend.consensus.log import Log, PersistentState
+from badgerbend.consensus.log import Log
+from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.consensus.raft import RaftConfig
 from badgerbend.lease_service import wire
 from badgerbend.lease_service.budget_exchange import SLOW_START_DUTY
-from badgerbend.lease_service.probing import PROBING_DUTY
+from badgerbend.lease_service.health_check_duty import HEALTH_CHECK_DUTY
 from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
 from badgerbend.leases.timing import LeaseTiming
@@ -72,7 +73,7 @@
 
 def duties_of(number: int) -> dict[str, bool]:
     """What the broker of this number stands for: probing in its own region, and dealing."""
-    return {f"{PROBING_DUTY}:region-{number % REGIONS}": True, SLOW_START_DUTY: True}
+    return {f"{HEALTH_CHECK_DUTY}:region-{number % REGIONS}": True, SLOW_START_DUTY: True}
 
 
 class DutyFleet:
