--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -22,9 +22,9 @@
 
 CHAOS = (
     Chaos(),
-    Chaos(voters=5, loss=0.15, every_s=0.4),
-    Chaos(sync=(0.01, 0.3), slow_sync=0.1, every_s=0.3),
-    Chaos(rate=0.1, late=0.1, every_s=0.4, compact=8),
+    Chaos(voters=5, loss=0.15, fault_interval_s=0.4),
+    Chaos(sync=(0.01, 0.3), slow_sync=0.1, fault_interval_s=0.3),
+    Chaos(clock_drift=0.1, late=0.1, fault_interval_s=0.4, compact_after_entries=8),
 )
 
 
@@ -37,7 +37,7 @@
         wrong = "" if world.settles(10) else "not settled within 10 s of the last trouble"
     except Broken as err:
         wrong = str(err)
-    return seed, wrong, world.acts, world.refused, world.elections, len(world.chosen)
+    return seed, wrong, world.acts, world.rejected, world.elections, len(world.committed)
 
 
 def seeds(count: int, first: int) -> int:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -126,12 +126,12 @@
     return type("Mutant", (Voter,), {"raft_class": raft, "manager_class": manager})
 
 
-DRIFT = Chaos(rate=0.1, rate_claimed=0.1)
-FIVE = Chaos(voters=5, brokers=2, duplicates=0.3, loss=0.15, every_s=0.3)
-DISKS = Chaos(sync=(0.01, 0.3), slow_sync=0.2, every_s=0.25, brokers=2)
-NETS = Chaos(voters=5, brokers=2, loss=0.2, late=0.2, every_s=0.25)
-STALLS = Chaos(every_s=0.25, troubles=("stall", "cut", "oneway"))
-LATE = Chaos(late=0.4, late_s=0.6, every_s=0.3, troubles=("fail", "fail", "fail", "stall"))
+DRIFT = Chaos(clock_drift=0.1, claimed_clock_drift=0.1)
+FIVE = Chaos(voters=5, brokers=2, duplicates=0.3, loss=0.15, fault_interval_s=0.3)
+DISKS = Chaos(sync=(0.01, 0.3), slow_sync=0.2, fault_interval_s=0.25, brokers=2)
+NETS = Chaos(voters=5, brokers=2, loss=0.2, late=0.2, fault_interval_s=0.25)
+STALLS = Chaos(fault_interval_s=0.25, faults=("stall", "cut", "cut one way"))
+LATE = Chaos(late=0.4, late_s=0.6, fault_interval_s=0.3, faults=("fail", "fail", "fail", "stall"))
 
 # name: what replaces the product's classes, the chaos in which it shows, and a seed that shows it
 MUTANTS = {
@@ -144,10 +144,10 @@
         DRIFT,
         23,
     ),
-    "a lease counted from its answer": ({"holder": CountsFromTheAnswer}, Chaos(late=0.2, every_s=0.3), 104),
+    "a lease counted from its answer": ({"holder": CountsFromTheAnswer}, Chaos(late=0.2, fault_interval_s=0.3), 104),
     "a stall not noticed": ({"holder": NoticesNoStall}, STALLS, 2),
     "a lease taken back after it was given": ({"holder": TakesBackWhatItGave}, LATE, 73),
-    "a new leader that does not wait": ({"voter": voter(manager=WaitsForNobody)}, Chaos(every_s=0.4), 101),
+    "a new leader that does not wait": ({"voter": voter(manager=WaitsForNobody)}, Chaos(fault_interval_s=0.4), 101),
     "a lease renewed while it ends": ({"voter": voter(manager=RenewsWhatEnds)}, STALLS, 24),
-    "an epoch not checked": ({"fence": AdmitsAll}, Chaos(), 1),
+    "an epoch not checked": ({"guard": AdmitsAll}, Chaos(), 1),
 }
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -260,7 +260,7 @@
         host.machine = self.kinds.machine(RETENTION)
         host.machine.apply = self._seen_by_judge(host.machine.apply)
         tuning = replace(TUNING, compact_after_entries=self.chaos.compact)
-        kept = self.disks[host.name].kept()
+        kept = self.disks[host.name].persistent_state()
         host.voter = self.kinds.voter(host.name, kept, tuning, TERMS, seed, local, host.machine)
         host.holder = LeaseHolder(host.name, host.name, {PUBLISH: True}, self.voters, TERMS, seed + 1, local)
         host.log = host.machine.log
@@ -396,7 +396,7 @@
         if host.life != life or not host.running:
             return
         disk = self.disks[host.name]
-        disk.sure = max(disk.sure, length)
+        disk.synced = max(disk.synced, length)
         if self.when_running(host, self._synced, host, life, seq, length):
             host.voter.persisted(host.local(), seq)
             self.collect(host)
