--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -56,20 +56,24 @@
         return self.is_established_leader
 
 
-class HoldsTheWholeLease(LeaseHolder):
+class HolderIgnoresClockDrift(LeaseHolder):
+    """Counts on the full duration of a lease, as if its clock were right."""
+
     def _lease_length(self):
         return self.timing.lease_duration_s
 
 
-class CountsFromTheAnswer(LeaseHolder):
+class CountsFromTheReply(LeaseHolder):
+    """Counts a lease from when the reply came, not from when the request was sent."""
+
     def receive_reply(self, now, reply):
         if reply.seq in self._sent_at:
             self._sent_at[reply.seq] = now
         super().receive_reply(now, reply)
 
 
-class NoticesNoStall(LeaseHolder):
-    """Acts by the time of its last look at the clock."""
+class IgnoresStalls(LeaseHolder):
+    """Decides by the time of its last tick whether it may act."""
 
     def _check_stall(self, now):
         pass
@@ -82,15 +86,17 @@
         return super().may_act(self._last_run_at, duty)
 
 
-class TakesBackWhatItGave(LeaseHolder):
+class AcceptsReturnedLeases(LeaseHolder):
+    """Takes a lease over again that it has returned."""
+
     def _apply_lease_state(self, now, state, sent_at):
         if state.duty in self.duties:
             self.duties[state.duty].returned_epoch = 0
         super()._apply_lease_state(now, state, sent_at)
 
 
-class WaitsForNobody(LeaseManager):
-    """A new leader ends leases as if it had renewed none, though the last one did."""
+class NewLeaderDoesNotWait(LeaseManager):
+    """Ends leases at once when it becomes leader, though the last leader may have renewed them."""
 
     def become_leader(self, now):
         super().become_leader(now)
@@ -98,12 +104,16 @@
             clock.expires_at = now
 
 
-class WaitsNoLonger(LeaseManager):
+class LeaderIgnoresClockDrift(LeaseManager):
+    """Ends a lease after its nominal duration, as if its clock were right."""
+
     def _lease_length(self):
         return self.timing.lease_duration_s
 
 
-class RenewsWhatEnds(LeaseManager):
+class RenewsReleasedLeases(LeaseManager):
+    """Renews a lease although the command that ends it is on its way."""
+
     def renew(self, received_at, request):
         for clock in self.lease_clocks.values():
             clock.is_releasing = False
@@ -111,13 +121,18 @@
 
 
 class LosesALease(LeaseTable):
+    """Leaves one lease out of its snapshots."""
+
     def dump(self):
-        gone = LeaseTable()
-        gone.leases, gone.facts = dict(list(self.leases.items())[:-1]), self.facts
-        return LeaseTable.dump(gone)
+        incomplete = LeaseTable()
+        incomplete.leases = dict(list(self.leases.items())[:-1])
+        incomplete.facts = self.facts
+        return LeaseTable.dump(incomplete)
 
 
-class AdmitsAll(FencingGuard):
+class AdmitsAnyEpoch(FencingGuard):
+    """Admits acts whatever their epoch is."""
+
     def admits(self, duty, epoch):
         return True
 
@@ -140,14 +155,18 @@
     "own entries not synced": ({"voter": voter(CountsOwnBeforeTheDisk)}, DISKS, 102),
     "a vote for a shorter log": ({"voter": voter(TakesAnyLog)}, NETS, 5),
     "a lease not shortened by drift": (
-        {"holder": HoldsTheWholeLease, "voter": voter(manager=WaitsNoLonger)},
+        {"holder": HolderIgnoresClockDrift, "voter": voter(manager=LeaderIgnoresClockDrift)},
         DRIFT,
         23,
     ),
-    "a lease counted from its answer": ({"holder": CountsFromTheAnswer}, Chaos(late=0.2, fault_interval_s=0.3), 104),
-    "a stall not noticed": ({"holder": NoticesNoStall}, STALLS, 2),
-    "a lease taken back after it was given": ({"holder": TakesBackWhatItGave}, LATE, 73),
-    "a new leader that does not wait": ({"voter": voter(manager=WaitsForNobody)}, Chaos(fault_interval_s=0.4), 101),
-    "a lease renewed while it ends": ({"voter": voter(manager=RenewsWhatEnds)}, STALLS, 24),
-    "an epoch not checked": ({"guard": AdmitsAll}, Chaos(), 1),
+    "a lease counted from its answer": ({"holder": CountsFromTheReply}, Chaos(late=0.2, fault_interval_s=0.3), 104),
+    "a stall not noticed": ({"holder": IgnoresStalls}, STALLS, 2),
+    "a lease taken back after it was given": ({"holder": AcceptsReturnedLeases}, LATE, 73),
+    "a new leader that does not wait": (
+        {"voter": voter(manager=NewLeaderDoesNotWait)},
+        Chaos(fault_interval_s=0.4),
+        101,
+    ),
+    "a lease renewed while it ends": ({"voter": voter(manager=RenewsReleasedLeases)}, STALLS, 24),
+    "an epoch not checked": ({"guard": AdmitsAnyEpoch}, Chaos(), 1),
 }
