--- a/badgerbend/leases/health_checks.py
+++ b/badgerbend/leases/health_checks.py
@@ -121,7 +121,9 @@
             return []
         server.check_in_flight = False
         age_ms = max(now - server.check_started_at, 0.0) * 1000.0
-        report = ProbeReport(self.name, self.duty, epoch, (ProbeResult(name, succeeded, latency_ms, age_ms),))
+        report = ProbeReport(
+            self.name, self.duty, epoch, (ProbeResult(name, succeeded=succeeded, latency_ms=latency_ms, age_ms=age_ms),)
+        )
         return [OutboundReport(address, report) for address in server.subscribers]
 
     def clear(self) -> None:
--- a/badgerbend/leases/holder.py
+++ b/badgerbend/leases/holder.py
@@ -179,10 +179,10 @@
         self._output = []
         return output
 
-    def _give_up(self, now: float, leases: tuple[LeaseId, ...], is_departing: bool) -> None:
+    def _give_up(self, now: float, leases: tuple[LeaseId, ...], *, is_departing: bool) -> None:
         for lease in leases:
             self.duties[lease.duty].give_up(lease.epoch)
-        self._send_return(now, leases, is_departing)
+        self._send_return(now, leases, is_departing=is_departing)
 
     def _check_stall(self, now: float) -> None:
         """Must run before anything else: it finds out whether the event loop has stood still."""
@@ -223,10 +223,10 @@
             interval_s = min(interval_s, self.timing.reply_timeout_s * min(missed, MAX_RETRY_TIMEOUTS))
         return interval_s
 
-    def _send_return(self, now: float, leases: tuple[LeaseId, ...], is_departing: bool) -> None:
+    def _send_return(self, now: float, leases: tuple[LeaseId, ...], *, is_departing: bool) -> None:
         """Sends it to all voters, since it may never be repeated: one of them leads."""
         self._seq += 1
-        message = LeaseReturn(self.name, self._seq, leases, is_departing)
+        message = LeaseReturn(self.name, self._seq, leases, is_departing=is_departing)
         for voter in self.voter_selection.voters:
             self._output.append(OutboundRequest(voter, message))
         self._send_within(now, self.timing.reply_timeout_s)
--- a/badgerbend/leases/lease_clock.py
+++ b/badgerbend/leases/lease_clock.py
@@ -34,7 +34,7 @@
         """Whether it has run out, and the command that ends it is yet to be proposed."""
         return now >= self.expires_at and not self.is_releasing
 
-    def observe_failing(self, now: float, is_failing: bool) -> float:
+    def observe_failing(self, now: float, *, is_failing: bool) -> float:
         """Takes note of whether the holder fails at the duty; gives for how long it has, in seconds, 0 if it does not.
 
         0 is also given at the moment at which it begins.
@@ -45,6 +45,6 @@
         self.failing_since = min(self.failing_since, now)
         return now - self.failing_since
 
-    def observe_better_candidate(self, now: float, is_there: bool) -> None:
+    def observe_better_candidate(self, now: float, *, is_there: bool) -> None:
         """Takes note of whether another candidate is better placed than the holder."""
         self.better_candidate_since = min(self.better_candidate_since, now) if is_there else math.inf
--- a/badgerbend/leases/manager.py
+++ b/badgerbend/leases/manager.py
@@ -113,19 +113,20 @@
             if clock.is_renewable:
                 clock.extend(received_at + self._lease_length())
             should_yield = clock.is_revoked or self._is_handover_due(received_at, clock)
-            states.append(self.lease_state(candidacy.duty, clock.is_renewable, should_yield))
+            state = self.lease_state(candidacy.duty, renewed=clock.is_renewable, should_yield=should_yield)
+            states.append(state)
         return states
 
     def current_leases(self, request: LeaseRequest) -> list[LeaseState]:
         """The answer to a request that renews nothing."""
         return [self.lease_state(candidacy.duty) for candidacy in request.candidacies]
 
-    def lease_state(self, duty: str, renewed: bool = False, should_yield: bool = False) -> LeaseState:
+    def lease_state(self, duty: str, *, renewed: bool = False, should_yield: bool = False) -> LeaseState:
         """What brokers are notified of about a duty."""
         lease = self.table.lease(duty)
         candidate = self.candidates.find(duty, lease.holder)
         address = "" if candidate is None else candidate.address
-        return LeaseState(duty, lease.holder, address, lease.epoch, renewed, should_yield)
+        return LeaseState(duty, lease.holder, address, lease.epoch, renewed=renewed, should_yield=should_yield)
 
     def receive_return(self, message: LeaseReturn) -> list[Command]:
         """Leases that are returned end at once; a broker that departs is a candidate no more."""
@@ -185,13 +186,13 @@
             clock.is_revoked = self._has_failed(now, duty, clock, holder)
         is_better_there = self.candidates.has_better_placed(now, duty, holder)
         may_hand_over = now - clock.started_at >= HANDOVER_LEASES * self.timing.lease_duration_s
-        clock.observe_better_candidate(now, is_better_there and may_hand_over)
+        clock.observe_better_candidate(now, is_there=is_better_there and may_hand_over)
 
     def _has_failed(self, now: float, duty: str, clock: LeaseClock, holder: str) -> bool:
         """Whether the holder's acts have had no effect for a lease's duration, and there is another broker to try."""
         candidate = self.candidates.find(duty, holder)
         is_failing = candidate is not None and candidate.is_failing
-        failing_s = clock.observe_failing(now, is_failing)
+        failing_s = clock.observe_failing(now, is_failing=is_failing)
         if candidate is None or not is_failing:
             return False
         has_alternative = self.candidates.has_sound_alternative(now, duty, holder)
--- a/tests/simvoters.py
+++ b/tests/simvoters.py
@@ -297,7 +297,7 @@
                 self._collect(process)
                 self._crash(name, self.rng.random())
             case "fail" if name not in self.voters and self._running(name):
-                process.core.set_failing("probe", self.rng.random() < 0.5)
+                process.core.set_failing("probe", is_failing=self.rng.random() < 0.5)
             case "transfer" if name in self.voters and self._running(name):
                 process.core.raft.transfer_leadership(process.clock.local(self.now))
                 self._collect(process)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -311,16 +311,16 @@
         checker.receive_suspicions(0.0, report, f"127.0.0.1:{number + 1}")
     assert checker.start_due_checks(0.0) == ["s1", "s2"]
     assert checker.start_due_checks(0.1) == []
-    reports = checker.finish_check(0.2, 7, "s1", True, 12.0)
+    reports = checker.finish_check(0.2, 7, "s1", succeeded=True, latency_ms=12.0)
     assert len(reports) == 50
     assert reports[0] == ("127.0.0.1:1", ProbeReport("b0", DUTY, 7, (ProbeResult("s1", True, 12.0, 200.0),)))
-    assert checker.finish_check(0.2, 7, "s1", True, 12.0) == []  # the check has ended already
+    assert checker.finish_check(0.2, 7, "s1", succeeded=True, latency_ms=12.0) == []  # the check has ended already
     assert checker.start_due_checks(0.3) == ["s3"]
     assert checker.start_due_checks(0.6) == []  # two are in flight
-    checker.finish_check(0.6, 7, "s2", False, 1000.0)
+    checker.finish_check(0.6, 7, "s2", succeeded=False, latency_ms=1000.0)
     assert checker.start_due_checks(0.7) == ["s1"]
     for server in ("s1", "s3"):
-        checker.finish_check(1.0, 7, server, True, 1.0)
+        checker.finish_check(1.0, 7, server, succeeded=True, latency_ms=1.0)
     assert checker.start_due_checks(20.0) == []
     assert not checker.servers  # nobody suspects them any more
     assert checker.checks_started == 4
