--- a/badgerbend/feed/commands.py
+++ b/badgerbend/feed/commands.py
@@ -40,7 +40,7 @@
     """The commands that publish it, in order. Raises TooLarge."""
     data = _encoder.encode(publication)
     if len(data) > MAX_PUBLICATION_BYTES or len(publication.changes) > MAX_CHANGES:
-        raise PublicationTooLargeError(f"a publication of {len(data)} bytes; {MAX_PUBLICATION_BYTES} at most")
+        raise PublicationTooLargeError(len(data), MAX_PUBLICATION_BYTES)
     pieces = [data[at : at + MAX_PART_BYTES] for at in range(0, len(data), MAX_PART_BYTES)]
     checkpoint, whole = publication.checkpoint, hash_bytes(data)[:PUBLICATION_ID_BYTES]
     return [
--- a/badgerbend/feed/log.py
+++ b/badgerbend/feed/log.py
@@ -78,22 +78,22 @@
         """Raises RevisionGap, OldEpoch, TamperedChanges or DigestMismatch; then nothing has changed."""
         checkpoint = publication.checkpoint
         if checkpoint.revision != self.revision + 1:
-            raise RevisionGapError(f"revision {checkpoint.revision} after {self.revision}")
+            raise RevisionGapError(checkpoint.revision, self.revision)
         if checkpoint.epoch < self.epoch:
-            raise StaleEpochError(f"epoch {checkpoint.epoch} after {self.epoch}")
+            raise StaleEpochError(checkpoint.epoch, self.epoch)
         if changes_digest(publication.changes) != checkpoint.changes_digest:
-            raise TamperedChangesError(f"revision {checkpoint.revision}: other changes than were signed")
+            raise TamperedChangesError(checkpoint.revision)
         undo = self.content.apply(publication.changes)
         if self.content.digest() != checkpoint.content_digest:
             self.content.apply(undo)
-            raise DigestMismatchError(f"revision {checkpoint.revision}: other content than was signed")
+            raise DigestMismatchError(checkpoint.revision)
         self.checkpoint = checkpoint
         self._retain(publication)
 
     def install_snapshot(self, content: Content, checkpoint: Checkpoint) -> None:
         """Takes over a whole snapshot. Raises DigestMismatch; then nothing has changed."""
         if content.digest() != checkpoint.content_digest:
-            raise DigestMismatchError(f"snapshot of revision {checkpoint.revision}: other content than was signed")
+            raise DigestMismatchError(checkpoint.revision, of_snapshot=True)
         self.content, self.checkpoint, self._before = content, checkpoint, checkpoint
         self._retained.clear()
         self._bytes = 0
--- a/badgerbend/feed/machine.py
+++ b/badgerbend/feed/machine.py
@@ -12,7 +12,7 @@
 
 from badgerbend.feed.commands import PublishPart, decode_part, decode_publication
 from badgerbend.feed.content import Content
-from badgerbend.feed.errors import FeedError
+from badgerbend.feed.errors import FeedError, PartMismatchError
 from badgerbend.feed.log import PublicationLog, Retention
 from badgerbend.feed.messages import Change, Checkpoint, Publication
 from badgerbend.leases.table import LeaseTable
@@ -111,4 +111,4 @@
         """The epoch that was checked is the one that is signed."""
         checkpoint = publication.checkpoint
         if (checkpoint.epoch, checkpoint.revision) != (part.epoch, part.revision):
-            raise FeedError("a publication of another epoch or revision than its parts")
+            raise PartMismatchError(part.epoch, part.revision)
--- /dev/null
+++ b/badgerbend/feed/relay_summary.py
@@ -0,0 +1,24 @@
+"""A relay's summary of its followers for the publisher, of bounded size. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from badgerbend.feed.messages import MAX_LAGGARDS, Summary
+from badgerbend.feed.session import Session, SessionPhase
+
+
+def summarize(relay: str, revision: int, sessions: Iterable[Session]) -> Summary:
+    """How many followers have applied this revision, and those that are the furthest behind by name."""
+    greeted = [session for session in sessions if session.phase is not SessionPhase.AWAITING_HELLO]
+    behind = [session for session in greeted if session.applied_revision < revision or session.rejected_revision]
+    behind.sort(key=lambda session: session.applied_revision)
+    return Summary(
+        relay=relay,
+        revision=revision,
+        followers=len(greeted),
+        applied=sum(session.applied_revision >= revision for session in greeted),
+        rejected=sum(session.rejected_revision > 0 for session in greeted),
+        oldest_applied=min((session.applied_revision for session in greeted), default=revision),
+        laggards=tuple(session.as_laggard() for session in behind[:MAX_LAGGARDS]),
+    )
--- a/badgerbend/feed/snapshot.py
+++ b/badgerbend/feed/snapshot.py
@@ -78,7 +78,8 @@
     def add(self, piece: SnapshotPiece) -> None:
         """Raises OutOfSequence or Malformed."""
         if piece.index != self._next or self.complete:
-            raise OutOfSequenceError(f"piece {piece.index} of a snapshot, {self._next} was due")
+            text = f"piece {piece.index} of a snapshot, {self._next} was due"
+            raise OutOfSequenceError(text, received=piece.index, expected=self._next)
         self.content.apply(decode_changes(_unpacked(piece.compressed)))
         self._next += 1
 
--- /dev/null
+++ b/badgerbend/feed/snapshot_transfers.py
@@ -0,0 +1,137 @@
+"""Snapshots on their way from a relay to its followers, limited in number and in bytes per second. Pure.
+
+An image of the content is packed once and shared by all followers that need one; a token bucket paces the bytes of all
+transfers together, so that many followers may return at once.
+"""
+
+from __future__ import annotations
+
+import math
+from collections import deque
+from typing import Protocol
+
+from badgerbend.feed.log import PublicationLog
+from badgerbend.feed.relay_types import RelayTuning
+from badgerbend.feed.session import Session, SessionPhase
+from badgerbend.feed.snapshot import SnapshotImage
+
+BEGIN_FRAME = -1  # index of a snapshot's first frame, before its pieces
+NO_REVISION = -1  # of a follower whose replica does not matter
+
+
+class TransferOwner(Protocol):
+    """The relay, as its transfers use it."""
+
+    log: PublicationLog
+    tuning: RelayTuning
+    sessions: dict[int, Session]
+
+    def send_frame(self, now: float, session: Session, data: bytes) -> None:
+        """Send a frame to a follower."""
+        ...
+
+    def catch_up(self, now: float, session: Session) -> None:
+        """Send the publications that follow the session's position."""
+        ...
+
+
+class TokenBucket:
+    """Bytes that may be sent now. The last frame may overdraw it."""
+
+    def __init__(self, tokens: float) -> None:
+        self.tokens = tokens
+        self._refilled_at = -math.inf
+
+    def refill(self, now: float, tuning: RelayTuning) -> None:
+        """Add the bytes that the time since the last refill allows, up to the burst."""
+        passed = max(now - self._refilled_at, 0.0)
+        refilled = self.tokens + passed * tuning.snapshot_bytes_per_second
+        self.tokens = min(refilled, float(tuning.snapshot_burst_bytes))
+        self._refilled_at = now
+
+    def next_at(self, now: float, tuning: RelayTuning) -> float:
+        """When an empty bucket has tokens again."""
+        return now - self.tokens / tuning.snapshot_bytes_per_second
+
+
+class SnapshotCache:
+    """The image that new transfers share."""
+
+    def __init__(self) -> None:
+        self.image: SnapshotImage | None = None
+
+    def image_for(self, log: PublicationLog, max_lag: int, follower_revision: int = NO_REVISION) -> SnapshotImage:
+        """The last image while the log leads on from it and is not far ahead, else a new one.
+
+        A follower rejects an image that is not later than its own replica, unless that is of the log's own revision.
+        """
+        image = self.image
+        if image is not None:
+            checkpoint = image.checkpoint
+            lag = log.revision - checkpoint.revision
+            is_same_history = log.digest_at(checkpoint.revision) == checkpoint.content_digest
+            is_acceptable = not lag or checkpoint.revision > follower_revision
+            if is_same_history and is_acceptable and lag <= max_lag:
+                return image
+        self.image = SnapshotImage(log.content, log.checkpoint)
+        return self.image
+
+
+class SnapshotTransfers:
+    """Queue of followers that need a snapshot, and the transfers under way."""
+
+    def __init__(self, owner: TransferOwner) -> None:
+        self.owner = owner
+        self.cache = SnapshotCache()
+        self.active = set[int]()  # numbers of sessions
+        self.started = 0
+        self.next_at = math.inf  # when the pace lets more bytes out
+        self._queue: deque[int] = deque()  # numbers of sessions
+        self._bucket = TokenBucket(float(owner.tuning.snapshot_burst_bytes))
+
+    def enqueue(self, now: float, session: Session) -> None:
+        """Send a follower a snapshot as soon as the limits allow."""
+        session.phase = SessionPhase.SNAPSHOT_QUEUED
+        self._queue.append(session.number)
+        self.run(now)
+
+    def cancel(self, number: int) -> None:
+        """The session is gone."""
+        self.active.discard(number)
+
+    def run(self, now: float) -> None:
+        """Begin transfers and send pieces, as the limits allow."""
+        tuning = self.owner.tuning
+        self._bucket.refill(now, tuning)
+        while self._queue and len(self.active) < tuning.max_concurrent_snapshots:
+            self._begin(self._queue.popleft())
+        for number in list(self.active):
+            if number in self.active:  # the end of another transfer may have run this one to its own end
+                self._send_pieces(now, self.owner.sessions[number])
+        is_paced = self._bucket.tokens <= 0 and bool(self.active)
+        self.next_at = self._bucket.next_at(now, tuning) if is_paced else math.inf
+
+    def _begin(self, number: int) -> None:
+        session = self.owner.sessions.get(number)
+        if session is None or session.phase is not SessionPhase.SNAPSHOT_QUEUED:
+            return
+        session.image = self.cache.image_for(self.owner.log, self.owner.tuning.max_image_lag, session.position)
+        session.next_piece = BEGIN_FRAME
+        session.phase = SessionPhase.SENDING_SNAPSHOT
+        self.active.add(number)
+        self.started += 1
+
+    def _send_pieces(self, now: float, session: Session) -> None:
+        image = session.image
+        assert image is not None
+        while session.next_piece < image.piece_count:
+            if self._bucket.tokens <= 0 or session.in_flight >= self.owner.tuning.send_window:
+                return
+            is_first = session.next_piece == BEGIN_FRAME
+            data = image.begin_frame if is_first else image.piece_frame(session.next_piece)
+            session.next_piece += 1
+            self._bucket.tokens -= len(data)
+            self.owner.send_frame(now, session, data)
+        self.active.discard(session.number)
+        session.snapshot_sent(image)
+        self.owner.catch_up(now, session)
--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -14,7 +14,8 @@
 from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
 from badgerbend.feed.messages import Change, Summary
 from badgerbend.feed.publisher import ChangeCheck, Publisher, PublisherTuning, RejectedChange, RolloutProgress
-from badgerbend.feed.relay import Relay, RelayTuning
+from badgerbend.feed.relay import Relay
+from badgerbend.feed.relay_types import RelayTuning
 from badgerbend.feed.signature import Signer
 from badgerbend.feed_service import control_wire
 from badgerbend.feed_service.control_wire import Proposal
--- a/badgerbend/feed_service/follower.py
+++ b/badgerbend/feed_service/follower.py
@@ -7,7 +7,8 @@
 from typing import Protocol
 
 from badgerbend.feed.errors import FeedError
-from badgerbend.feed.follower import Action, Connect, Disconnect, Follower, Install, MessageRejected, Send
+from badgerbend.feed.follower import Follower
+from badgerbend.feed.follower_types import Action, Connect, Disconnect, Install, MessageRejected, Send
 from badgerbend.feed.messages import Change, Message
 from badgerbend.feed_service.stream import MessageStream
 from badgerbend.feed_service.timer import Clock, Timer, monotonic
@@ -156,8 +157,8 @@
     def _install(self, action: Install) -> None:
         reason = self.owner.install(action.revision, action.changes)
         now = self.clock()
-        if not reason and self.follower.rejected_revision:
+        if not reason and self.follower.status.rejected_revision:
             self.follower.accepted(now)
-        elif reason and reason != self.follower.rejected_reason:
+        elif reason and reason != self.follower.status.rejected_reason:
             self.follower.rejected(now, action.revision, reason)
         self.follower.applied(now, action.revision)
--- a/badgerbend/feed_service/relay.py
+++ b/badgerbend/feed_service/relay.py
@@ -7,7 +7,8 @@
 
 from badgerbend.feed.errors import FeedError
 from badgerbend.feed.messages import Message
-from badgerbend.feed.relay import Close, Relay, SendTo
+from badgerbend.feed.relay import Relay
+from badgerbend.feed.relay_types import Close, SendTo
 from badgerbend.feed_service.stream import MessageStream
 from badgerbend.feed_service.timer import Clock, Timer, monotonic
 
--- a/badgerbend/feed_subscription/subscription.py
+++ b/badgerbend/feed_subscription/subscription.py
@@ -10,7 +10,8 @@
 from badgerbend.discovery.keyed import KeyedList
 from badgerbend.feed.configuration import ActiveConfiguration
 from badgerbend.feed.errors import FeedError
-from badgerbend.feed.follower import Follower, FollowerTuning, RelayAddress
+from badgerbend.feed.follower import Follower
+from badgerbend.feed.follower_types import FollowerTuning, RelayAddress
 from badgerbend.feed.messages import Change
 from badgerbend.feed.signature import Ed25519Verifier
 from badgerbend.feed_service.follower import FollowerClient
--- a/benchmarks/scale/feed_followers.py
+++ b/benchmarks/scale/feed_followers.py
@@ -8,7 +8,8 @@
 
 from badgerbend.feed.content import Content, bucket_index
 from badgerbend.feed.errors import FeedError
-from badgerbend.feed.follower import Follower, FollowerTuning
+from badgerbend.feed.follower import Follower
+from badgerbend.feed.follower_types import FollowerTuning
 from badgerbend.feed.messages import Change
 from badgerbend.feed_service.follower import FollowerClient
 from scale.feed_control import VERIFIER
--- a/benchmarks/scale/feed_relays.py
+++ b/benchmarks/scale/feed_relays.py
@@ -6,10 +6,12 @@
 import time
 
 from badgerbend.feed.errors import FeedError
-from badgerbend.feed.follower import Follower, FollowerTuning, RelayAddress
+from badgerbend.feed.follower import Follower
+from badgerbend.feed.follower_types import FollowerTuning, RelayAddress
 from badgerbend.feed.log import Retention
 from badgerbend.feed.messages import Change
-from badgerbend.feed.relay import Relay, RelayTuning
+from badgerbend.feed.relay import Relay
+from badgerbend.feed.relay_types import RelayTuning
 from badgerbend.feed_service.follower import FollowerClient
 from badgerbend.feed_service.relay import RelayServer
 from scale.feed_control import VERIFIER, Control
--- a/tests/feed_lines.py
+++ b/tests/feed_lines.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from badgerbend.feed.follower import FollowerTuning, RelayAddress
+from badgerbend.feed.follower_types import FollowerTuning, RelayAddress
 from badgerbend.feed.log import Retention
-from badgerbend.feed.relay import RelayTuning
+from badgerbend.feed.relay_types import RelayTuning
 
 UNKNOWN_AGE_S = 1e12  # JSON has no infinity
 
--- a/tests/feed_mutants.py
+++ b/tests/feed_mutants.py
@@ -2,73 +2,84 @@
 
 from dataclasses import dataclass
 
-from badgerbend.feed.follower import Follower, FollowerPhase, Install
+from badgerbend.feed.follower import Follower
+from badgerbend.feed.follower_types import Install
 from badgerbend.feed.machine import FeedStateMachine
 from badgerbend.feed.messages import Change, Checkpoint, Publication, decode_changes, signed_bytes
 from badgerbend.feed.publisher import Publisher
 from badgerbend.feed.relay import Relay
+from badgerbend.feed.replica import Replica
 from badgerbend.feed.snapshot import SnapshotAssembly, _unpacked
+from badgerbend.feed.snapshot_transfers import SnapshotTransfers
+from badgerbend.feed.staleness import StalenessTracker
 from badgerbend.leases.voter import Voter
 from tests.simfeed import Chaos, Kinds
 
 # -- followers
 
 
+def follower_with(replica):
+    """A follower whose replica has a defect."""
+    return type("DefectiveFollower", (Follower,), {"replica_type": replica})
+
+
 class AppliesBeforeTheDigests(Follower):
     """Puts a signed publication's changes in force before it looks at their digests."""
 
-    def _published(self, publication):
-        if self._assembly is None and publication.checkpoint.revision == self.log.revision + 1:
-            self._verify(publication.checkpoint)
+    def _apply_publication(self, publication):
+        replica = self.replica
+        if replica.assembly is None and publication.checkpoint.revision == self.log.revision + 1:
+            replica._verify(publication.checkpoint)
             self._actions.append(Install(publication.checkpoint.revision, publication.changes))
-        super()._published(publication)
+        super()._apply_publication(publication)
 
 
-class ChecksNoSignature(Follower):
+class ChecksNoSignature(Replica):
     def _verify(self, checkpoint):
         pass
 
 
-class ChecksNoDigestOfASnapshot(Follower):
-    def _snapshot_piece(self, message):
-        assembly = self._assembly
-        if assembly is not None:
-            assembly.add(message)
-            if assembly.complete:
-                checkpoint, content = assembly.checkpoint, assembly.content
-                digest = content.digest()
-                assembly.checkpoint = Checkpoint(
-                    checkpoint.epoch, checkpoint.revision, digest, checkpoint.changes_digest, checkpoint.signature
-                )
-                changes = self.log.content.changes_to(content)
-                self.log.install_snapshot(content, assembly.checkpoint)
-                self._assembly, self.phase = None, FollowerPhase.STREAMING
-                self._install(changes)
-
-
-class TakesAnOlderSnapshot(Follower):
-    def _replaces(self, checkpoint):
+class ChecksNoDigestOfASnapshot(Replica):
+    def add_snapshot_piece(self, message):
+        assembly = self.assembly
+        if assembly is None:
+            return None
+        assembly.add(message)
+        if not assembly.complete:
+            return None
+        checkpoint = assembly.checkpoint
+        digest = assembly.content.digest()
+        false = Checkpoint(
+            checkpoint.epoch, checkpoint.revision, digest, checkpoint.changes_digest, checkpoint.signature
+        )
+        changes = self.log.content.changes_to(assembly.content)
+        self.log.install_snapshot(assembly.content, false)
+        self.assembly = None
+        return changes
+
+
+class TakesAnOlderSnapshot(Replica):
+    def _can_be_replaced_by(self, checkpoint):
         return True
 
 
-class TakesAnOlderPublication(Follower):
+class TakesAnOlderPublication(Replica):
     """Applies a replayed publication's changes once more."""
 
-    def _published(self, publication):
-        if self._assembly is None and publication.checkpoint.revision <= self.log.revision:
+    def apply_publication(self, publication):
+        if self.assembly is None and publication.checkpoint.revision <= self.log.revision:
             self._verify(publication.checkpoint)
             self.log.content.apply(publication.changes)
-            self._install(publication.changes)
-            return
-        super()._published(publication)
+            return publication.changes
+        return super().apply_publication(publication)
 
 
-class KeepsHalfASnapshot(Follower):
+class KeepsHalfASnapshot(Replica):
     """Goes on with a half-loaded snapshot's pieces under the next connection."""
 
-    def _wait(self, until):
-        half = self._assembly
-        super()._wait(until)
+    def discard_assembly(self):
+        half = self.assembly
+        super().discard_assembly()
         if half is not None and half._next:
             self.log.content.apply([Change(key, value) for key, value in half.content.items()])
 
@@ -76,11 +87,12 @@
 class LoadsInPlace(Follower):
     """Puts each piece of a snapshot in force as it comes."""
 
-    def _snapshot_piece(self, message):
-        if self._assembly is not None and message.index == self._assembly._next:
+    def _add_snapshot_piece(self, message):
+        assembly = self.replica.assembly
+        if assembly is not None and message.index == assembly._next:
             changes = decode_changes(_unpacked(message.compressed))
-            self._actions.append(Install(self._assembly.checkpoint.revision, changes))
-        super()._snapshot_piece(message)
+            self._actions.append(Install(assembly.checkpoint.revision, changes))
+        super()._add_snapshot_piece(message)
 
 
 class _UnorderedAssembly(SnapshotAssembly):
@@ -92,9 +104,10 @@
 class ChecksNoOrderOfPieces(ChecksNoDigestOfASnapshot):
     """Counts pieces only, and trusts that they are the signed ones."""
 
-    def _begin_snapshot(self, message):
-        super()._begin_snapshot(message)
-        self._assembly = _UnorderedAssembly(message)
+    def begin_snapshot(self, message):
+        changes = super().begin_snapshot(message)
+        self.assembly = _UnorderedAssembly(message)
+        return changes
 
 
 class InstallsNoRemovals(Follower):
@@ -102,22 +115,27 @@
         super()._install(tuple(change for change in changes if change.value is not None))
 
 
-class TakesAgeOfARelayBehind(Follower):
+class TakesAgeOfAnyRelay(StalenessTracker):
     """Counts the age of a relay that announces a newer revision, or holds an older one."""
 
-    def _heartbeat(self, now, message):
+    def record_relay_age(self, now, message):
         self._as_of = max(self._as_of, now - message.age_ms / 1000.0)
-        super()._heartbeat(now, message)
+        return super().record_relay_age(now, message)
+
+
+class TakesAgeOfARelayBehind(Follower):
+    staleness_type = TakesAgeOfAnyRelay
 
 
 class LooksNotAtItself(Follower):
     """Says of its replica what the checkpoint says, and not what it is."""
 
     def connected(self, now, attempt):
-        damaged, self._damaged = self._damaged, False
+        replica = self.replica
+        damaged, replica.is_damaged = replica.is_damaged, False
         content, self.log.content = self.log.content, _SaysItIsWhole(self.log)
         super().connected(now, attempt)
-        self.log.content, self._damaged = content, damaged
+        self.log.content, replica.is_damaged = content, damaged
 
 
 class _SaysItIsWhole:
@@ -144,23 +162,23 @@
 class SkipsOnCatchUp(Relay):
     """A follower that is more than one behind does not get the first that it lacks."""
 
-    def _stream(self, now, number, session):
+    def catch_up(self, now, session):
         if self.log.oldest_revision <= session.position < self.log.revision - 1:
             session.position += 1
-        super()._stream(now, number, session)
+        super().catch_up(now, session)
 
 
 class GoesOnAfterCompaction(Relay):
     """Sends the oldest publication retained to one who is behind it, in place of a snapshot."""
 
-    def _stream(self, now, number, session):
+    def catch_up(self, now, session):
         if session.position < self.log.oldest_revision:
             session.position, session.digest = self.log.oldest_revision, None
-        super()._stream(now, number, session)
+        super().catch_up(now, session)
 
 
 class ComparesNoDigests(Relay):
-    def _same_past(self, session):
+    def _has_same_history(self, session):
         session.digest = None
         return True
 
@@ -173,16 +191,20 @@
 
 
 class SendsPastTheWindow(Relay):
-    def _send(self, now, number, session, data):
-        super()._send(now, number, session, data)
+    def send_frame(self, now, session, data):
+        super().send_frame(now, session, data)
         session.in_flight = 0
 
 
-class BeginsEverySnapshot(Relay):
-    def _load(self, now):
+class UnlimitedTransfers(SnapshotTransfers):
+    def run(self, now):
         while self._queue:
-            self._begin_snapshot(now, self._queue.popleft())
-        super()._load(now)
+            self._begin(self._queue.popleft())
+        super().run(now)
+
+
+class BeginsEverySnapshot(Relay):
+    transfers_type = UnlimitedTransfers
 
 
 # -- voters
@@ -287,13 +309,13 @@
 
 MUTANTS = {
     "changes in force before their digest is checked": Mutant(Kinds(follower=AppliesBeforeTheDigests), 1, LIES),
-    "a signature not checked": Mutant(Kinds(follower=ChecksNoSignature), 0, LIES),
-    "a snapshot's digest not checked": Mutant(Kinds(follower=ChecksNoDigestOfASnapshot), 1, LIES),
-    "an older snapshot taken": Mutant(Kinds(follower=TakesAnOlderSnapshot), 2, LIES),
-    "an older publication taken": Mutant(Kinds(follower=TakesAnOlderPublication), 0, LIES),
-    "half a snapshot kept": Mutant(Kinds(follower=KeepsHalfASnapshot), 0, ZONES),
+    "a signature not checked": Mutant(Kinds(follower=follower_with(ChecksNoSignature)), 0, LIES),
+    "a snapshot's digest not checked": Mutant(Kinds(follower=follower_with(ChecksNoDigestOfASnapshot)), 1, LIES),
+    "an older snapshot taken": Mutant(Kinds(follower=follower_with(TakesAnOlderSnapshot)), 2, LIES),
+    "an older publication taken": Mutant(Kinds(follower=follower_with(TakesAnOlderPublication)), 0, LIES),
+    "half a snapshot kept": Mutant(Kinds(follower=follower_with(KeepsHalfASnapshot)), 0, ZONES),
     "a snapshot put in force piece by piece": Mutant(Kinds(follower=LoadsInPlace), 0, ZONES),
-    "the order of pieces not checked": Mutant(Kinds(follower=ChecksNoOrderOfPieces), 3, LIES),
+    "the order of pieces not checked": Mutant(Kinds(follower=follower_with(ChecksNoOrderOfPieces)), 3, LIES),
     "removals not installed": Mutant(Kinds(follower=InstallsNoRemovals)),
     "the age of a relay behind": Mutant(Kinds(follower=TakesAgeOfARelayBehind), 0, CUTS),
     "the first of two changes of a key": Mutant(Kinds(follower=ForgetsTheFirstOfTwo)),
--- a/tests/feed_process.py
+++ b/tests/feed_process.py
@@ -12,7 +12,9 @@
 from badgerbend.feed.follower import Follower
 from badgerbend.feed.framing import FrameReader
 from badgerbend.feed.messages import Publication, SnapshotPiece
-from badgerbend.feed.relay import Relay, SendTo, SessionPhase
+from badgerbend.feed.relay import Relay
+from badgerbend.feed.relay_types import SendTo
+from badgerbend.feed.session import SessionPhase
 from badgerbend.feed_service.control import ControlServer, ControlSettings, NotPublishingError
 from badgerbend.feed_service.follower import FollowerClient
 from badgerbend.feed_service.relay import RelayServer
--- a/tests/feed_processes.py
+++ b/tests/feed_processes.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from badgerbend.feed.follower import RelayAddress
+from badgerbend.feed.follower_types import RelayAddress
 from tests.feed_lines import (
     ControlReport,
     FollowersReport,
--- a/tests/feed_stage.py
+++ b/tests/feed_stage.py
@@ -1,10 +1,10 @@
 """A relay and followers joined without a network: every action is carried out at once, on a clock of the test's."""
 
 from badgerbend.feed.errors import FeedError
-from badgerbend.feed.follower import (
+from badgerbend.feed.follower import Follower
+from badgerbend.feed.follower_types import (
     Connect,
     Disconnect,
-    Follower,
     FollowerTuning,
     Install,
     MessageRejected,
@@ -16,7 +16,8 @@
 from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
 from badgerbend.feed.messages import Change
 from badgerbend.feed.publisher import Publisher, PublisherTuning
-from badgerbend.feed.relay import Close, Relay, RelayTuning, SendTo
+from badgerbend.feed.relay import Relay
+from badgerbend.feed.relay_types import Close, RelayTuning, SendTo
 from badgerbend.feed.signature import Ed25519Signer, Ed25519Verifier
 from badgerbend.leases.messages import GrantLease, ReleaseLease, encode
 
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -16,10 +16,10 @@
 from badgerbend.consensus.raft import RaftConfig
 from badgerbend.feed import snapshot
 from badgerbend.feed.control import ChangesAbandoned, ControlNode, ControlTuning, Propose, ReportSummary
-from badgerbend.feed.follower import (
+from badgerbend.feed.follower import Follower
+from badgerbend.feed.follower_types import (
     Connect,
     Disconnect,
-    Follower,
     FollowerTuning,
     Install,
     MessageRejected,
@@ -30,7 +30,8 @@
 from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
 from badgerbend.feed.messages import Change
 from badgerbend.feed.publisher import Publisher, PublisherTuning
-from badgerbend.feed.relay import Close, Relay, RelayTuning, SendTo
+from badgerbend.feed.relay import Relay
+from badgerbend.feed.relay_types import Close, RelayTuning, SendTo
 from badgerbend.leases import messages as saying
 from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.timing import LeaseTiming
@@ -580,7 +581,9 @@
                 for leader in [h.name for h in self._controls() if h.voter.is_leader]:
                     self._crash(leader, self.rng.random() * 4.0)
             case "crash mid-snapshot":
-                loading = [h for h in self.hosts.values() if h.running and h.relay is not None and h.relay._loading]
+                loading = [
+                    h for h in self.hosts.values() if h.running and h.relay is not None and h.relay.transfers.active
+                ]
                 for host in loading[:1]:
                     self._crash(host.name, self.rng.random() * 2.0)
             case "stop relay":
@@ -688,7 +691,7 @@
     def _watch_relay(self, host):
         images = [s.image for s in host.relay.sessions.values() if s.image is not None]
         loading = len(images)
-        kept = {id(image) for image in images} | ({id(host.relay._image)} if host.relay._image is not None else set())
+        kept = {id(image) for image in (*images, host.relay.transfers.cache.image) if image is not None}
         self.judge.relay(
             host.name,
             len(kept),
--- a/tests/test_capacity_feed.py
+++ b/tests/test_capacity_feed.py
@@ -9,7 +9,8 @@
 from badgerbend.feed.framing import encode_frame
 from badgerbend.feed.log import Retention
 from badgerbend.feed.messages import Change
-from badgerbend.feed.relay import Relay, RelayTuning, SendTo
+from badgerbend.feed.relay import Relay
+from badgerbend.feed.relay_types import RelayTuning, SendTo
 from tests.feed_stage import Control, Stage
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "benchmarks"))
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -23,7 +23,8 @@
     StaleEpochError,
     TamperedChangesError,
 )
-from badgerbend.feed.follower import Connect, Disconnect, Follower, FollowerTuning, RelayAddress
+from badgerbend.feed.follower import Follower
+from badgerbend.feed.follower_types import Connect, Disconnect, FollowerTuning, RelayAddress
 from badgerbend.feed.framing import FRAME_HEADER, FrameReader, encode_frame
 from badgerbend.feed.log import PublicationLog, Retention, changes_digest
 from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
@@ -38,7 +39,8 @@
     signed_bytes,
 )
 from badgerbend.feed.publisher import Publisher, PublisherTuning
-from badgerbend.feed.relay import Relay, RelayTuning
+from badgerbend.feed.relay import Relay
+from badgerbend.feed.relay_types import RelayTuning
 from badgerbend.feed.snapshot import SnapshotAssembly
 from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import GrantLease, encode
@@ -693,7 +695,8 @@
     first = sum(made.sent_bytes.values())
     made.pass_time(1.0)
     second = sum(made.sent_bytes.values())
-    whole = sum(len(made.relay._image_now().piece_frame(i)) for i in range(made.relay._image_now().piece_count))
+    image = made.relay.transfers.cache.image_for(made.relay.log, made.relay.tuning.max_image_lag)
+    whole = sum(len(image.piece_frame(index)) for index in range(image.piece_count))
     assert first <= 10_000 + whole + 2_000
     assert second - first <= 20_000 + whole + 2_000
     made.pass_time(8 * whole / 20_000 + 2.0)
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -17,7 +17,8 @@
 from badgerbend.config.fleet import Site, Sites
 from badgerbend.config.settings import Snapshot
 from badgerbend.feed.log import Retention
-from badgerbend.feed.relay import Relay, RelayTuning
+from badgerbend.feed.relay import Relay
+from badgerbend.feed.relay_types import RelayTuning
 from badgerbend.feed_service.relay import RelayServer
 from badgerbend.feed_subscription.public_key import read_public_key
 from badgerbend.feed_subscription.subscription import WAITING_FOR_CAPACITY
@@ -372,7 +373,7 @@
             await s.in_force(PUBLISHED)
             assert s.generations.current is before
             s.publish(None)
-            await until(lambda: s.broker.feed_subscription.client.follower.applied_revision == 2)
+            await until(lambda: s.broker.feed_subscription.client.follower.status.applied_revision == 2)
             assert s.generations.live == (before,)
 
     run(main)
@@ -440,7 +441,10 @@
                 server.published()
                 await until(lambda: other.directory.known)
                 await until(
-                    lambda: other.feed_subscription.client.follower.applied_revision == s.control.machine.log.revision
+                    lambda: (
+                        other.feed_subscription.client.follower.status.applied_revision
+                        == s.control.machine.log.revision
+                    )
                 )
                 await until(lambda: states_of(other)[drained] == api.EndpointState.DRAINING)
                 number = other.directory.known[drained].line.node
--- a/tests/test_feed_control.py
+++ b/tests/test_feed_control.py
@@ -3,8 +3,8 @@
 import asyncio
 import socket
 
-from badgerbend.feed.follower import FollowerTuning
-from badgerbend.feed.relay import RelayTuning
+from badgerbend.feed.follower_types import FollowerTuning
+from badgerbend.feed.relay_types import RelayTuning
 from badgerbend.standin.rig import free_port
 from badgerbend.wal.store import create_store
 from tests.feed_lines import ControlSetup, FollowersSetup, Installed, Listening, Publish, Published, Submitted
--- a/tests/test_feed_faults.py
+++ b/tests/test_feed_faults.py
@@ -7,11 +7,13 @@
 import pytest
 
 from badgerbend.feed.content import Content
-from badgerbend.feed.follower import Follower, FollowerPhase, FollowerTuning, RelayAddress
+from badgerbend.feed.follower import Follower
+from badgerbend.feed.follower_types import FollowerPhase, FollowerTuning, RelayAddress
 from badgerbend.feed.framing import FrameReader, encode_frame
 from badgerbend.feed.log import PublicationLog, Retention, changes_digest
 from badgerbend.feed.messages import Checkpoint, Publication, signed_bytes
-from badgerbend.feed.relay import Relay, RelayTuning, SendTo
+from badgerbend.feed.relay import Relay
+from badgerbend.feed.relay_types import RelayTuning, SendTo
 from badgerbend.feed.signature import Ed25519Signer
 from badgerbend.feed.snapshot import SnapshotImage
 from badgerbend.feed_service.follower import FollowerClient
--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -5,9 +5,11 @@
 
 import pytest
 
-from badgerbend.feed.follower import Follower, FollowerPhase, FollowerTuning, RelayAddress
+from badgerbend.feed.follower import Follower
+from badgerbend.feed.follower_types import FollowerPhase, FollowerTuning, RelayAddress
 from badgerbend.feed.log import Retention
-from badgerbend.feed.relay import Relay, RelayTuning
+from badgerbend.feed.relay import Relay
+from badgerbend.feed.relay_types import RelayTuning
 from badgerbend.feed_service.follower import FollowerClient
 from badgerbend.feed_service.relay import RelayServer
 from tests.feed_stage import VERIFIER, Control, change
@@ -157,6 +159,6 @@
                 while fleet.relay.sessions:
                     await asyncio.sleep(0.01)
             assert [type(error) for error in told] == [ZeroDivisionError]
-            assert client.follower.applied_revision == 0 and client.follower.phase is FollowerPhase.STOPPED
+            assert client.follower.status.applied_revision == 0 and client.follower.phase is FollowerPhase.STOPPED
 
     asyncio.run(scene())
