--- /dev/null
+++ b/badgerbend/decisions/connections.py
@@ -0,0 +1,88 @@
+"""Idle connections: which of them to trust, learned from the attempts that were sent on them.
+
+Something between broker and servers may drop connections that are idle for some time, without a word to either end. The
+next part sent on one is then lost, by a reset or by silence. Where most parts beyond some idle time are lost, older
+connections are closed before a send, for half a minute. The price is a handshake for each of them, so this is not
+done while handshakes fail.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from itertools import pairwise
+from math import inf
+
+from badgerbend import api
+from badgerbend.decisions.queries import Attempt, PartState
+from badgerbend.decisions.servers import Server
+from badgerbend.decisions.timing import REFRESH_INTERVAL_MS, SUSPICION_MS
+
+RECENT_ATTEMPTS = 40
+"""Attempts on idle connections that the threshold is derived from."""
+
+LOSS_SHARE = 0.2
+"""A larger share lost is neither chance nor a few servers that went down."""
+
+LOSS_EXCESS = 4.0
+"""Losses beyond that share which are needed for a threshold: five in a row are not enough, six are."""
+
+HANDSHAKE_WEIGHT = 0.05
+"""Weight of the last handshake in the share that fails: the last twenty count."""
+
+
+class ConnectionMonitor:
+    """Judges idle connections.
+
+    idle_threshold_ms: connections idle for longer are not trusted, until `distrusted_until_ms`.
+    handshake_failure_share: share of new connections that did not come up in time, a running mean.
+    """
+
+    def __init__(self, settings: api.Settings) -> None:
+        self._closed_after_ms = settings.connection_idle_ms
+        self._recent: deque[Attempt] = deque(maxlen=RECENT_ATTEMPTS)
+        self.idle_threshold_ms = inf
+        self.distrusted_until_ms = -inf
+        self.handshake_failure_share = 0.0
+
+    def idle_ms(self, server: Server, now_ms: float) -> float:
+        """How long the connection to a server has been idle; infinite where a new one is needed."""
+        idle_ms = 0.0 if server.in_flight else now_ms - server.connection_used_ms
+        return idle_ms if idle_ms < self._closed_after_ms else inf
+
+    def distrusts(self, idle_ms: float, part: PartState, now_ms: float) -> bool:
+        """Whether a part may not go on a connection that has been idle for so long.
+
+        A part that must not run twice goes on none that was idle for a second: its loss can only be prevented.
+        """
+        if idle_ms == inf or self.handshake_failure_share >= LOSS_SHARE:
+            return False
+        if part.runs_once and idle_ms > REFRESH_INTERVAL_MS:
+            return True
+        return self.idle_threshold_ms <= idle_ms and now_ms < self.distrusted_until_ms
+
+    def record_handshake(self, *, failed: bool) -> None:
+        """Takes a new connection into the share that fails."""
+        self.handshake_failure_share += (failed - self.handshake_failure_share) * HANDSHAKE_WEIGHT
+
+    def record_result(self, attempt: Attempt, now_ms: float, *, lost: bool) -> None:
+        """Notes whether an attempt was lost or late. One that was late and is answered after all ends the distrust."""
+        wrongly_lost = bool(attempt.lost) and not lost and self.idle_threshold_ms <= attempt.idle_ms < inf
+        if attempt.lost is None and attempt.idle_ms < inf:
+            self._recent.append(attempt)
+        attempt.lost = lost
+        if wrongly_lost:
+            self.distrusted_until_ms = -inf
+        if lost or wrongly_lost:
+            self._find_threshold(now_ms)
+
+    def _find_threshold(self, now_ms: float) -> None:
+        """Sets the threshold where the losses beyond it exceed `LOSS_SHARE` by the most."""
+        rows = sorted(((attempt.idle_ms, bool(attempt.lost)) for attempt in self._recent), reverse=True)
+        excess = 0.0
+        largest_excess = LOSS_EXCESS
+        for (idle_ms, lost), (next_idle_ms, _) in pairwise([*rows, (0.0, False)]):
+            excess += lost - LOSS_SHARE
+            if lost and idle_ms > 0 and excess > largest_excess:
+                largest_excess = excess
+                self.idle_threshold_ms = (idle_ms + next_idle_ms) / 2
+                self.distrusted_until_ms = now_ms + SUSPICION_MS
--- /dev/null
+++ b/badgerbend/decisions/endpoints.py
@@ -0,0 +1,113 @@
+"""The endpoint list: servers, the replicas of each shard, and when discovery is polled.
+
+A poll that failed is repeated after a random backoff that doubles up to the time within which the list must have been
+polled. Brokers that all polled again at once kept discovery out of reach for most of them. The price is that changes
+are heard of later once discovery is back.
+"""
+
+from __future__ import annotations
+
+from math import inf
+from random import Random
+from typing import NamedTuple
+
+from badgerbend import api
+from badgerbend.decisions.servers import Server
+
+FIRST_BACKOFF_DIVISOR = 8.0
+"""The first backoff is the poll interval divided by this."""
+
+BACKOFF_NOTIFICATION_SHARE = 1 / 3
+"""Largest backoff, as a share of the longest notification delay; the call before and the answer after take as much."""
+
+
+class ServerStart(NamedTuple):
+    """A start that the list stated first in this update; was_ready: the server was ready before it."""
+
+    server: Server
+    was_ready: bool
+
+
+class EndpointTracker:
+    """The servers of the list, and those that left it while attempts were in flight to them.
+
+    servers: by their number. available_count: ready servers that were not down, as of the last `refresh`.
+    """
+
+    def __init__(self, settings: api.Settings, random: Random) -> None:
+        self._settings = settings
+        self._cell_count = settings.cell_count
+        self._random = random
+        self.servers: dict[int, Server] = {}
+        self.available_count = 0
+        self._replicas_by_cell: dict[int, list[Server]] = {}  # ready servers of the cells that hold a shard
+        self._ready_by_cell: dict[int, list[tuple[int, Server]]] = {}  # with their place on the list
+        self._poll_at_ms = -inf
+        self._failed_polls = 0
+
+    def poll_is_due(self, now_ms: float) -> bool:
+        """Whether discovery is to be polled now; if so, the next poll is due when this one stays unanswered."""
+        if not self._settings.polls_endpoint_list or now_ms < self._poll_at_ms:
+            return False
+        self._poll_at_ms = now_ms + self._settings.max_poll_interval_ms / 2
+        return True
+
+    def poll_failed(self, now_ms: float) -> None:
+        """Backs off after a failed poll, or after a watch that broke."""
+        backoff_ms = self._settings.max_poll_interval_ms * min(1.0, 2.0**self._failed_polls / FIRST_BACKOFF_DIVISOR)
+        backoff_ms = min(backoff_ms, self._settings.max_notification_delay_ms * BACKOFF_NOTIFICATION_SHARE)
+        self._poll_at_ms = now_ms + backoff_ms * self._random.uniform(0.5, 1.0)
+        self._failed_polls += 1
+
+    def apply(self, update: api.EndpointUpdate) -> list[ServerStart]:
+        """Takes an update of the list, and gives the starts of servers that it stated."""
+        if update.kind != api.UpdateKind.CACHED:
+            self._poll_at_ms = inf  # watched from now on
+        self._failed_polls = 0
+        changed = update.kind != api.UpdateKind.DELTA
+        if changed:
+            for server in self.servers.values():
+                server.ready = False  # a server that is missing from a complete list has left
+        starts: list[ServerStart] = []
+        for endpoint in update.endpoints:
+            server = self._server(endpoint)
+            before = server.cell, server.ready
+            if endpoint.started_ms > server.started_ms:
+                server.started_ms = endpoint.started_ms
+                starts.append(ServerStart(server, server.ready))
+            server.cell = endpoint.cell
+            server.ready = endpoint.state == api.EndpointState.READY
+            changed = changed or before != (server.cell, server.ready)
+        if changed:
+            self._replicas_by_cell = {}
+            self.servers = {n: server for n, server in self.servers.items() if server.ready or server.in_flight}
+        return starts
+
+    def refresh(self) -> None:
+        """Counts the available servers anew."""
+        self.available_count = sum(1 for server in self.servers.values() if server.ready and not server.is_down)
+
+    def replicas(self, shard: int) -> list[Server]:
+        """The ready servers that hold a shard, in the order of the list."""
+        cell = shard % self._cell_count
+        replicas = self._replicas_by_cell.get(cell)
+        if replicas is None:
+            replicas = self._find_replicas(cell)
+        return replicas
+
+    def _server(self, endpoint: api.Endpoint) -> Server:
+        server = self.servers.get(endpoint.node)
+        if server is None:
+            server = self.servers[endpoint.node] = Server(endpoint)
+        return server
+
+    def _find_replicas(self, cell: int) -> list[Server]:
+        if not self._replicas_by_cell:  # the list has changed: one walk over it serves all shards
+            self._ready_by_cell = {}
+            for place, server in enumerate(server for server in self.servers.values() if server.ready):
+                self._ready_by_cell.setdefault(server.cell, []).append((place, server))
+        cells = [(cell + i) % self._cell_count for i in range(self._settings.cells_per_shard)]
+        rows = [row for near in cells for row in self._ready_by_cell.get(near, [])]
+        replicas = [server for _, server in sorted(rows, key=lambda row: row[0])]
+        self._replicas_by_cell[cell] = replicas
+        return replicas
--- /dev/null
+++ b/badgerbend/decisions/queries.py
@@ -0,0 +1,190 @@
+"""The open queries, their parts and the attempts in flight."""
+
+from __future__ import annotations
+
+from itertools import accumulate
+from math import isfinite
+
+from badgerbend import api
+from badgerbend.decisions.servers import Server
+from badgerbend.decisions.timing import FINAL_ANSWER_MARGIN_MS
+
+ROUNDING = 5e-5
+"""Sums of weights may fall short by this much through rounding."""
+
+
+class Attempt:
+    """One attempt of a part. Times are milliseconds.
+
+    idle_ms: how long its connection had been idle before it; infinite for a new connection.
+    lost: whether it was lost or late; None until that was judged.
+    """
+
+    __slots__ = ("idle_ms", "lost", "sent_ms", "server")
+
+    def __init__(self, server: Server, sent_ms: float, idle_ms: float) -> None:
+        self.server = server
+        self.sent_ms = sent_ms
+        self.idle_ms = idle_ms
+        self.lost: bool | None = None
+
+
+class PartState:
+    """One part of an open query.
+
+    in_flight: attempts that are out, by their number.
+    may_have_run: when each attempt was sent that is not proven to have had no effect, by its number.
+    """
+
+    __slots__ = (
+        "attempts_made",
+        "cost_ms",
+        "done",
+        "id",
+        "in_flight",
+        "may_have_run",
+        "query",
+        "runs_once",
+        "servers_tried",
+        "shard",
+        "weight",
+    )
+
+    def __init__(self, part: api.Part, query: QueryState) -> None:
+        self.id = part.id
+        self.shard = part.shard
+        self.weight = part.weight
+        self.cost_ms = part.cost_ms if part.cost_ms and isfinite(part.cost_ms) else 0.0
+        self.query = query
+        self.attempts_made = 0
+        self.done = False
+        self.runs_once = query.query_class.effect == "unsafe"
+        self.in_flight: dict[int, Attempt] = {}
+        self.servers_tried: list[Server] = []
+        self.may_have_run: dict[int, float] = {}
+
+
+class QueryState:
+    """One open query.
+
+    objective_at_ms: when its latency objective is over.
+    end_at_ms: when its final answer is due at the latest.
+    reserved_parts: surplus parts of a query that any m of k parts answer, which are not sent yet.
+    answered_weight, answered_parts: what is in, in this step.
+    failed_servers: servers that went down while they had a part of it.
+    cleared: a part of it was answered, so it is no poison request.
+    parts_to_send: how many parts the redundancy asks for.
+    has_canary: one part is sent ahead of the others.
+    complete: no answer so far was a partial one.
+    """
+
+    __slots__ = (
+        "answered_parts",
+        "answered_weight",
+        "cleared",
+        "complete",
+        "end_at_ms",
+        "failed_servers",
+        "has_canary",
+        "id",
+        "number",
+        "objective_at_ms",
+        "parts",
+        "parts_to_send",
+        "query_class",
+        "reserved_parts",
+        "review_at_ms",
+        "step",
+    )
+
+    def __init__(self, event: api.Query, query_class: api.QueryClass, now_ms: float) -> None:
+        self.id = event.id
+        self.number = event.number
+        self.query_class = query_class
+        self.objective_at_ms = now_ms + query_class.latency_objective_ms
+        time_left_ms = event.time_left_ms if isfinite(event.time_left_ms) else 0.0
+        self.end_at_ms = now_ms + time_left_ms - FINAL_ANSWER_MARGIN_MS
+        if query_class.late_value_share <= 0:  # worthless after its objective: ending it there frees its servers
+            self.end_at_ms = min(self.end_at_ms, self.objective_at_ms)
+        self.parts: list[PartState] = []
+        self.reserved_parts: list[PartState] = []
+        self.step = 1
+        self.answered_weight = 0.0
+        self.answered_parts = 0
+        self.review_at_ms = 0.0
+        self.failed_servers: set[int] = set()
+        self.cleared = False
+        self.parts_to_send = 0
+        self.has_canary = False
+        self.complete = True
+
+    @property
+    def allows_partial_answer(self) -> bool:
+        """Whether its class may be answered from less than a complete answer."""
+        return self.query_class.minimum_weight < self.query_class.complete_weight
+
+    @property
+    def minimum_weight(self) -> float:
+        """The least weight of parts that its first answer may be made from."""
+        return min(self.query_class.complete_weight, self.query_class.minimum_weight)
+
+    def fewest_parts(self, weight: float) -> int:
+        """How many parts weigh at least this much, whichever they are."""
+        sums = accumulate(sorted(part.weight for part in self.parts))
+        lighter = sum(1 for total in sums if weight >= 1 or total < weight - ROUNDING)
+        return min(1 + lighter, len(self.parts))
+
+    def begin_follow_up(self) -> None:
+        """Turns to the second step, whose parts are added afterwards."""
+        self.step = 2
+        self.answered_weight = 0.0
+        self.answered_parts = 0
+        self.clear_parts()
+
+    def clear_parts(self) -> None:
+        """Gives up its parts. They refer back to it: else they would wait for the garbage collector."""
+        self.parts = []
+        self.reserved_parts = []
+
+
+class QueryTable:
+    """All open queries by id and by number, their parts by id, and all attempts in flight.
+
+    attempts: also those that were cancelled or whose query is over, until they end.
+    """
+
+    def __init__(self) -> None:
+        self.by_id: dict[int, QueryState] = {}
+        self.by_number: dict[int, QueryState] = {}
+        self.parts: dict[int, PartState] = {}
+        self.attempts: dict[tuple[int, int], Attempt] = {}
+
+    def add(self, query: QueryState) -> None:
+        """Opens a query."""
+        self.by_id[query.id] = query
+        self.by_number[query.number] = query
+
+    def add_part(self, query: QueryState, part: api.Part) -> PartState:
+        """Adds a part to an open query."""
+        state = PartState(part, query)
+        self.parts[part.id] = state
+        query.parts.append(state)
+        return state
+
+    def remove(self, query: QueryState) -> None:
+        """Closes a query."""
+        del self.by_id[query.id]
+        del self.by_number[query.number]
+
+    def remove_parts(self, query: QueryState) -> None:
+        """Forgets the parts of a query; their attempts stay until they end."""
+        for part in query.parts:
+            self.parts.pop(part.id, None)
+
+    def next_end_ms(self, now_ms: float, latest_ms: float) -> float:
+        """The earliest time after now, and up to the latest given, at which a query has to end."""
+        earliest = latest_ms
+        for query in self.by_id.values():
+            if now_ms < query.end_at_ms < earliest:
+                earliest = query.end_at_ms
+        return earliest
--- /dev/null
+++ b/badgerbend/decisions/retries.py
@@ -0,0 +1,37 @@
+"""Whether a part may have another attempt: limits of its class, of the settings and of the retry budget."""
+
+from __future__ import annotations
+
+from math import inf
+
+from badgerbend import api
+from badgerbend.decisions.budget import RetryBudget
+from badgerbend.decisions.queries import PartState
+from badgerbend.decisions.timing import EARLY_FINISH_MS
+
+
+class RetryPolicy:
+    """Decides on further attempts of a part."""
+
+    def __init__(self, settings: api.Settings, budget: RetryBudget) -> None:
+        self._max_attempts = settings.max_attempts
+        self._hedging = settings.hedging
+        self._budget = budget
+
+    def is_exhausted(self, part: PartState, now_ms: float) -> bool:
+        """Whether no further attempt of a part will ever be allowed."""
+        if part.attempts_made >= self._max_attempts or now_ms >= self.start_before_ms(part):
+            return True
+        return part.runs_once and bool(part.may_have_run)
+
+    def start_before_ms(self, part: PartState) -> float:
+        """When the next attempt must have started: an idempotent part is repeated only within the servers' window."""
+        if part.query.query_class.effect != "keyed" or not part.may_have_run:
+            return inf
+        return min(part.may_have_run.values()) + part.query.query_class.idempotency_window_ms - EARLY_FINISH_MS
+
+    def allows(self, part: PartState, now_ms: float) -> bool:
+        """Whether a part may have another attempt now."""
+        if self.is_exhausted(part, now_ms) or (part.in_flight and not self._hedging):
+            return False
+        return self._budget.allows_retry(now_ms)
--- a/badgerbend/peering/service.py
+++ b/badgerbend/peering/service.py
@@ -129,12 +129,12 @@
             identity.index,
             identity.zone,
             self.driver.open_parts,
-            module.chosen,
+            module.redundancy.chosen,
         )
 
     def check_answer(self, node: int, took_ms: float) -> None:
         module = self.driver.module
-        for peer in self.trust.check_answer(node, took_ms, module.usual, module.now):
+        for peer in self.trust.check_answer(node, took_ms, module.latency.typical_ms, module.now_ms):
             self.trouble("peer not believed", peer)
 
     def endpoint_list_loaded(self) -> None:
--- a/badgerbend/standin/baseline.py
+++ b/badgerbend/standin/baseline.py
@@ -18,6 +18,7 @@
 from badgerbend.broker import Broker, read_subgraph
 from badgerbend.config.reading import load
 from badgerbend.decisions import Aggregator
+from badgerbend.decisions.redundancy import RedundancyPolicy
 from badgerbend.process import serve
 from badgerbend.sites.tiers import Tiers
 
@@ -26,16 +27,30 @@
 EJECT_AFTER, EJECT_MS = 5, 5000.0  # losses in a row, and how long a server is left out for them
 
 
-class Least(Aggregator):
-    def _redundancy(self, m: int, k: int) -> int:
+class FewestParts(RedundancyPolicy):
+    """Sends no surplus parts."""
+
+    def parts_to_send(self, m: int, k: int, now_ms: float) -> int:
+        """Gives m."""
         return m
 
 
-class All(Aggregator):
-    def _redundancy(self, m: int, k: int) -> int:
+class AllParts(RedundancyPolicy):
+    """Sends all parts."""
+
+    def parts_to_send(self, m: int, k: int, now_ms: float) -> int:
+        """Gives k."""
         return k
 
 
+class Least(Aggregator):
+    redundancy_type = FewestParts
+
+
+class All(Aggregator):
+    redundancy_type = AllParts
+
+
 class LeastBroker(Broker):
     decisions = Least
 
--- a/benchmarks/snapshot.py
+++ b/benchmarks/snapshot.py
@@ -73,9 +73,9 @@
         tuple((10.0, 20.0, False) for _ in range(400)),
     )
     module.step(1001.0, [prior])
-    for node in module.nodes.values():
-        node.told = False  # as if seen itself
-    module.learned_at = -1e9
+    for node in module.endpoints.servers.values():
+        node.peer_observed = False  # as if seen itself
+    module.observation_exchange._imported_ms = -1e9
 
     def each(what: object, times: int = 50) -> float:
         began = time.process_time()
@@ -90,7 +90,7 @@
     pack_ms = each(lambda: encode_snapshot(make_record(module.observations(), names, 0, 0, 0, {}), 0.0))
     data = encode(own)
     in_ms = each(lambda: [decode(data) for _ in range(3)]) + each(lambda: PeerTrust().combine(told, numbers, 0.0))
-    learn_ms = each(lambda: Aggregator._learn(module, prior))
+    learn_ms = each(lambda: module.observation_exchange.learn(prior, 1001.0))
     print(f"\n{servers} servers, a record of {len(data)} bytes; CPU ms on one core")
     print("| export | export and pack a snapshot | take in three records | the module's part |")
     print("| --- | --- | --- | --- |")
--- a/tests/test_allowance.py
+++ b/tests/test_allowance.py
@@ -259,7 +259,7 @@
 def cold_bench(allowance):
     """One server, warm while the record is made, then started anew."""
     b = Bench(lines=[line(10, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0, max_attempts=50)
-    b.agg.allowance = allowance
+    b.agg.slow_start.budget = allowance
     b.learn(queries=10)
     b.do(api.EndpointUpdate(api.UpdateKind.DELTA, (line(10, 0, started=b.now),)))
     return b
@@ -286,12 +286,12 @@
         Bench(lines=[line(10, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0, max_attempts=50),
         Fixed(10.0),
     )
-    b.agg.allowance = much
+    b.agg.slow_start.budget = much
     b.learn(queries=10)
     _, sends = b.query(ALL, parts=1)
     b.finish(of(api.Send, sends)[0].part, api.Outcome.CONNECT_FAILED)
     b.wait(500.0)
-    assert much.asked == [] and b.agg._warmth(b.agg.nodes[10]) == 0.2
+    assert much.asked == [] and b.agg.slow_start.warmth(b.agg.endpoints.servers[10], b.now) == 0.2
 
 
 def test_a_returning_site_of_ones_own_is_let_in_by_what_was_dealt():
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -46,21 +46,24 @@
 
 class Reckless(Broker):
     class decisions(Aggregator):  # noqa: N801
-        def _spent(self, part):
-            return part.tries >= self.set.max_attempts
+        def __init__(self, settings, *more):
+            super().__init__(settings, *more)
+            limit = settings.max_attempts
+            replace_attribute(self.retries, "is_exhausted", lambda part, now_ms: part.attempts_made >= limit)
 
 
 class Deaf(Broker):
     class decisions(Aggregator):  # noqa: N801
-        def _view(self, view):
-            lines = tuple(replace(line, state=api.EndpointState.READY) for line in view.endpoints)
-            super()._view(api.EndpointUpdate(view.kind, lines))
+        def _update_endpoints(self, update, now_ms):
+            lines = tuple(replace(line, state=api.EndpointState.READY) for line in update.endpoints)
+            super()._update_endpoints(api.EndpointUpdate(update.kind, lines), now_ms)
 
 
 class Eager(Broker):
     class decisions(Aggregator):  # noqa: N801
-        def _admits(self, node, part):
-            return True
+        def __init__(self, *settings):
+            super().__init__(*settings)
+            replace_attribute(self.slow_start, "admits", lambda server, part, now_ms: True)
 
 
 class Hasty(Broker):
@@ -94,7 +97,7 @@
     for name in names:
         stage.world.crash(name)
     numbers = {name: node for node, name in stage.broker.directory.names.items()}
-    nodes = stage.broker.driver.module.nodes
+    nodes = stage.broker.driver.module.endpoints.servers
     await until(lambda: not any(numbers[n] in nodes and nodes[numbers[n]].ready for n in names))
     for name in names:
         await stage.world.restart(name)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -167,6 +167,6 @@
             assert (await s.client.query(text))[0] == 403
             assert (await s.client.query(text, badgerbend_tenant="c"))[0] == 403
             assert (await s.client.query(text, badgerbend_tenant="b"))[0] == 200
-            assert "tenant 1" in s.broker.driver.module.seen and "tenant 0" not in s.broker.driver.module.seen
+            assert set(s.broker.driver.module.rates.tenants) == {1}
 
     run(main)
--- a/tests/test_crossings_cold.py
+++ b/tests/test_crossings_cold.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from badgerbend.decisions import Aggregator
+from badgerbend.decisions.slow_start import SlowStart
 from tests.simfleet import Fleet
 
 
@@ -18,5 +18,5 @@
 
 def test_the_judge_finds_a_module_that_takes_the_cold_for_warm(monkeypatch):
     # A pace of many times the warm one is not enough for that: a slow server has more out, and is chosen less.
-    monkeypatch.setattr(Aggregator, "_admits", lambda self, node, part: True)
+    monkeypatch.setattr(SlowStart, "admits", lambda self, server, part, now_ms: True)
     assert all(Fleet(seed, 20, factor=1.2, overload_window_ms=1000.0).play() for seed in (0, 3, 5))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -100,7 +100,7 @@
                 answers.append(await stage.client.query("{ fullQuote(blocks: [1, 2], amount: 9000) { id } }"))
             assert answers and all("errors" not in a for _, a, _ in answers)
             assert max(sizes) <= SLICE
-            assert sum(1 for n in stage.broker.driver.module.nodes.values() if n.ready) == 24
+            assert sum(1 for n in stage.broker.driver.module.endpoints.servers.values() if n.ready) == 24
 
     run(main)
 
@@ -180,16 +180,16 @@
         async with Stage(discovery={"mode": mode, "must_ask_ms": 800.0}) as s:
             node = next(n for n, name in s.broker.directory.names.items() if name == "rates-1")
             module = s.broker.driver.module
-            await until(lambda: node in module.nodes and module.nodes[node].ready)
+            await until(lambda: node in module.endpoints.servers and module.endpoints.servers[node].ready)
             s.world.drain("rates-1")
-            await until(lambda: node not in module.nodes or not module.nodes[node].ready)
+            await until(lambda: node not in module.endpoints.servers or not module.endpoints.servers[node].ready)
             s.world.registry.cut(True)
             await until(lambda: s.broker.watch.failures >= 2)
             _, answer, _ = await s.client.query(QUOTE)
             assert len(answer["data"]["fullQuote"]) == 4
             await s.world.restart("rates-1")
             s.world.registry.cut(False)
-            await until(lambda: node in module.nodes and module.nodes[node].ready)
+            await until(lambda: node in module.endpoints.servers and module.endpoints.servers[node].ready)
             s.world.registry.extra = [None, {"Service": 3}]
             s.world.registry.changed()
             await until(lambda: s.broker.watch.index == s.world.registry.index)
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -11,7 +11,7 @@
 
 from badgerbend import api
 from badgerbend.decisions import Aggregator
-from badgerbend.decisions.aggregator import END_EARLY_MS
+from badgerbend.decisions.timing import EARLY_FINISH_MS
 from badgerbend.runtime.driver import Driver
 from badgerbend.runtime.ports import PartPlan, QueryPlan
 
@@ -140,7 +140,7 @@
     none = rig.ask(TWO, shards=(0, 1, 2), more=0)
     rig.run(200.0)
     assert [how for _, how in none.finals] == ["answered"] and none.whole and len(none.results) == 3
-    assert not rig.driver.queries and not rig.driver.module.queries
+    assert not rig.driver.queries and not rig.driver.module.queries.by_id
 
 
 def test_a_client_that_left_hears_nothing_and_its_attempts_are_called_off():
@@ -164,7 +164,7 @@
     rig.driver.gone(sink.id)
     rig.run(5.0)
     assert list(rig.ends) == [key] and len(rig.sent) == 1 and not rig.troubles
-    assert not rig.driver.module.attempts and not rig.driver.module.queries
+    assert not rig.driver.module.queries.attempts and not rig.driver.module.queries.by_id
 
 
 def test_a_client_that_leaves_in_the_turn_of_its_query_costs_no_server():
@@ -173,7 +173,7 @@
     rig.driver.gone(sink.id)
     rig.run(5.0)
     assert [a.query_id for _, a in rig.sent] == [other.id] and not rig.troubles
-    assert list(rig.driver.module.queries) == [other.id]
+    assert list(rig.driver.module.queries.by_id) == [other.id]
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -185,7 +185,7 @@
     assert rig.unbegun
     rig.run(100.0)
     assert [how for _, how in sink.finals] == ["answered"] and not rig.live and not rig.driver._out
-    assert not rig.driver.module.attempts
+    assert not rig.driver.module.queries.attempts
 
 
 def test_a_repeat_that_has_not_begun_within_its_window_comes_back_and_its_query_is_over():
@@ -193,7 +193,7 @@
     sink = rig.ask(KEY, shards=(0,))
     rig.run(150.0)
     (_, first), (_, again) = rig.sent
-    assert again.begin_by_ms == first.sent_ms + 400.0 - END_EARLY_MS and first.begin_by_ms == math.inf
+    assert again.begin_by_ms == first.sent_ms + 400.0 - EARLY_FINISH_MS and first.begin_by_ms == math.inf
     rig.unbegun |= set(rig.live)
     rig.run(300.0)
     assert [how for _, how in sink.finals] == ["failed"] and not rig.live
@@ -215,7 +215,7 @@
                 raise RuntimeError("a defect")
             return super().step(now_ms, events)
 
-        def _look(self): ...
+        def _review(self, now_ms): ...
 
     rig = Rig(ok(), module=Broken)
     sink = rig.ask(left=500.0)
@@ -260,7 +260,7 @@
     assert all(n == 1 for n in rig.ends.values()) and len(rig.ends) == len(rig.sent)
     assert not rig.driver.queries and rig.driver.open_parts == 0 and not rig.live
     assert not rig.driver._out and not rig.driver._tries and not rig.driver._owners
-    assert not rig.driver.module.attempts and not [t for t in rig.troubles if t[0] == "send after the end"]
+    assert not rig.driver.module.queries.attempts and not [t for t in rig.troubles if t[0] == "send after the end"]
     ran = Counter(a.part_id for _, a in rig.sent)
     assert max(ran.values()) <= SETTINGS.max_attempts
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -23,13 +23,19 @@
 
 def answer_all(b, silent=()):
     """Answers whatever is out, except at the silent servers; the keys answered."""
-    done = [key for key, (node, _) in b.sent.items() if key in b.agg.attempts and node not in silent]
+    done = [key for key, (node, _) in b.sent.items() if key in b.agg.queries.attempts and node not in silent]
     for part, n in done:
-        if (part, n) in b.agg.attempts:
+        if (part, n) in b.agg.queries.attempts:
             b.finish(part, Outcome.OK, n)
     return done
 
 
+def observe(server, time_ms, now_ms):
+    """Lets a server's last answer have taken so long."""
+    server.response_time_ms = time_ms
+    server.response_time_at_ms = now_ms
+
+
 def share(b, sends):
     """How many of the sends went to each server."""
     return {n: sum(1 for a in sends if a.node == n) for n in (10, 11, 12, 13)}
@@ -45,15 +51,17 @@
     sent = [node for node, _ in list(b.sent.values())[before:]]
     assert sent.count(10) < 0.1 * len(sent)
     assert len(of(api.Answer, b.log)) >= b.number - 20 - 4
-    assert b.agg.late < 1000.0 and not of(api.StartHealthCheck, b.log)
+    assert b.agg.latency.late_ms < 1000.0 and not of(api.StartHealthCheck, b.log)
 
 
 def test_lost_parts_do_not_move_the_late_mark_beyond_three_middles():
     b = Bench()
-    b.agg.now = b.now
-    b.agg.record.extend([(b.now, 50.0, False)] * 40 + [(b.now, 5000.0, True)] * 12)
-    b.agg._refresh()
-    assert b.agg.late == 150.0
+    for _ in range(40):
+        b.agg.latency.add(b.now, 50.0, censored=False)
+    for _ in range(12):
+        b.agg.latency.add(b.now, 5000.0, censored=True)
+    b.agg.latency.refresh(b.now, [])
+    assert b.agg.latency.late_ms == 150.0
 
 
 def test_a_full_server_does_not_draw_the_traffic():
@@ -97,7 +105,7 @@
     def copies(win):
         b = Bench(retry_budget_min=1000.0)
         b.learn(ms=40.0)
-        b.agg.credit = 1.0
+        b.agg.hedges.credit = 1.0
         made = 0
         for _ in range(30):
             _, sends = b.query(ALL, parts=1)
@@ -114,7 +122,7 @@
     # One shard's only server jams while the others idle: all latencies together would refuse everyone.
     b = Bench(cells_per_shard=1)
     b.learn(ms=40.0, queries=30)
-    b.agg.nodes[10].time, b.agg.nodes[10].time_at = 3000.0, b.now
+    observe(b.agg.endpoints.servers[10], 3000.0, b.now)
     b.query(ALL, parts=1, shard=2)  # something is out, so the broker is not idle
     hot, acts = b.query(ALL, parts=1, shard=0)
     assert of(api.Reject, acts) == [api.Reject(hot, 0.0)]
@@ -127,9 +135,10 @@
     b = Bench()
     b.learn(ms=40.0, queries=40)
     b.query(ALL, parts=1)
-    b.agg.answered, b.agg.spread = [30.0, 60.0, 90.0, 120.0] * 10, {}
-    for node in b.agg.nodes.values():
-        node.time, node.time_at = 550.0, b.now
+    b.agg.latency.use_answers([30.0, 60.0, 90.0, 120.0] * 10)
+    b.agg.admission.reset()
+    for server in b.agg.endpoints.servers.values():
+        observe(server, 550.0, b.now)
     _, acts = b.query(ANY)
     assert of(api.Send, acts)
     _, acts = b.query(ALL)
@@ -140,8 +149,8 @@
     # After a jam that made it refuse all, no answer came any more that could have told of its end.
     b = Bench()
     b.learn()
-    for node in b.agg.nodes.values():
-        node.time, node.time_at = 5000.0, b.now
+    for server in b.agg.endpoints.servers.values():
+        observe(server, 5000.0, b.now)
     _, acts = b.query(ALL)
     assert len(of(api.Send, acts)) == 4
     _, acts = b.query(ALL)
@@ -156,12 +165,12 @@
     b.finish(part, Outcome.CONNECT_FAILED)
     b.wait(40.0)
     assert b.tries[part] == 1  # by token, not at once
-    node = b.agg.nodes[10]
-    assert b.agg._warmth(node) == 0.2
+    node = b.agg.endpoints.servers[10]
+    assert b.agg.slow_start.warmth(node, b.now) == 0.2
     b.wait(1500.0)
     assert 2 <= b.tries[part] < 6
     b.finish(part, Outcome.OK, b.tries[part] - 1)
-    assert node.died_at == math.inf and 0.2 < b.agg._warmth(node) < 1.0
+    assert node.down_since_ms == math.inf and 0.2 < b.agg.slow_start.warmth(node, b.now) < 1.0
 
 
 def killer(b, query, sends):
@@ -205,7 +214,7 @@
     answer_all(b)
     _, sends = b.query(ALL)
     assert len(of(api.Send, sends)) == 4
-    assert all(n.died_at == math.inf for n in b.agg.nodes.values())
+    assert all(n.down_since_ms == math.inf for n in b.agg.endpoints.servers.values())
 
 
 def test_a_part_turned_away_twice_waits_a_tick_and_does_not_spend_its_tries_on_full_queues():
@@ -238,13 +247,13 @@
     b = Bench(lines=[line(10, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0)
     b.learn(queries=10)
     number = broken(b)
-    node = b.agg.nodes[number]
-    assert node.died_at < math.inf
+    node = b.agg.endpoints.servers[number]
+    assert node.down_since_ms < math.inf
     b.wait(100.0)  # the next look sends it again, for which one token is there
-    assert b.tries[9001] == 2 and b.sent[9001, 1][1] <= node.died_at + 100.0
+    assert b.tries[9001] == 2 and b.sent[9001, 1][1] <= node.down_since_ms + 100.0
     b.finish(9001, Outcome.OK, 1)
-    assert node.died_at == math.inf and b.agg._warmth(node) == 1.0
-    assert b.agg.killing_at == -math.inf
+    assert node.down_since_ms == math.inf and b.agg.slow_start.warmth(node, b.now) == 1.0
+    assert b.agg.outliers.poison_seen_ms == -math.inf
     _, sends = b.query(ALL)
     assert len(of(api.Send, sends)) == 4
 
@@ -253,13 +262,13 @@
     b = Bench(lines=[line(10, 0), line(11, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0)
     b.learn(queries=10)
     number = broken(b, scout=True)
-    assert b.agg.killing_at == -math.inf and 9000 in b.agg.queries  # not known yet
+    assert b.agg.outliers.poison_seen_ms == -math.inf and 9000 in b.agg.queries.by_id  # not known yet
     ps = tuple(api.Part(9101 + i, 0, 0.25, None) for i in range(4))
     sends = of(api.Send, b.do(api.Query(9100, 1000, ALL, 0, 0, 3000.0, False, None, ps)))
     there = [a.part for a in sends if a.node == number]
     assert there
     b.finish(there[0], Outcome.CONNECT_FAILED)
-    assert b.agg.killing_at == b.now and b.agg.nodes[number].refused
+    assert b.agg.outliers.poison_seen_ms == b.now and b.agg.endpoints.servers[number].refused_connection
     b.wait(100.0)
     assert of(api.Reject, b.log) == [api.Reject(9000, 0.0)]
 
@@ -270,11 +279,11 @@
     number = broken(b)
     b.finish(9001, Outcome.REJECTED, 1)
     b.wait(400.0)
-    node = b.agg.nodes[number]
+    node = b.agg.endpoints.servers[number]
     last = b.tries[9001] - 1
-    assert last >= 1 and b.sent[9001, last][1] > node.died_at + 100.0
+    assert last >= 1 and b.sent[9001, last][1] > node.down_since_ms + 100.0
     b.finish(9001, Outcome.OK, last)
-    assert node.died_at == math.inf and b.agg._warmth(node) < 0.3
+    assert node.down_since_ms == math.inf and b.agg.slow_start.warmth(node, b.now) < 0.3
 
 
 def test_news_of_a_drain_counts_for_all_that_is_decided_in_its_step():
@@ -317,7 +326,7 @@
 def test_deaths_are_forgotten():
     b = Bench()
     b.learn()
-    b.agg.killing_at = b.now
+    b.agg.outliers.poison_seen_ms = b.now
     _, sends = b.query(ALL)
     assert len(of(api.Send, sends)) == 1
     b.wait(35_000.0)
@@ -339,7 +348,7 @@
         nonlocal looked
         b = Bench(lines=[line(10 + i, i) for i in range(servers)], cell_count=servers)
         b.learn()
-        b.agg.nodes = Counting(b.agg.nodes)
+        b.agg.endpoints.servers = Counting(b.agg.endpoints.servers)
         looked = 0
         for _ in range(50):
             b.query(ALL)
@@ -433,7 +442,9 @@
         for a in of(api.Send, sends):
             b.finish(a.part)
         b.wait(1000.0)
-    assert max(map(len, b.agg.seen.values())) <= 5 * 12
+    rates = b.agg.rates
+    windows = [rates.queries, rates.accepted, rates.attempts, rates.retries, *rates.tenants.values()]
+    assert max(map(len, windows)) <= 5 * 12
 
 
 def test_gone_client_ends_the_query():
@@ -476,7 +487,7 @@
 def reaped(b, struck, outcome, idle=2000.0, rounds=12):
     """Sends after idle times; these servers lose what comes on an old connection that was not shut first."""
     closed = lost = sent = 0
-    links = set(b.agg.nodes)
+    links = set(b.agg.endpoints.servers)
     for _ in range(rounds):
         b.wait(idle)
         _, acts = b.query(ALL)
@@ -548,7 +559,7 @@
     b.wait(2000.0)
     b.query(ALL, parts=8)
     b.wait(400.0)
-    assert b.agg.idle_until > b.now and 1400.0 < b.agg.idle_most < 3500.0
+    assert b.agg.connections.distrusted_until_ms > b.now and 1400.0 < b.agg.connections.idle_threshold_ms < 3500.0
     answer_all(b)  # they were slow after all
     b.wait(31_000.0)
     _, acts = b.query(ALL)
@@ -573,7 +584,7 @@
     q, sends = b.query(ALL)
     for a in of(api.Send, sends)[:3]:
         b.finish(a.part)
-    b.wait(1000.0 - b.agg.late)
+    b.wait(1000.0 - b.agg.latency.late_ms)
     assert of(api.Answer, b.log) == [api.Answer(q, False)]
     more = (api.Part(901, 0, 0.5, None), api.Part(902, 1, 0.5, None))
     b.do(api.FollowUpParts(number, more))
@@ -603,7 +614,7 @@
             b.finish(a.part, Outcome.OK if a.node == 13 and n else Outcome.CONNECT_FAILED)
         answer_all(b, silent={10, 11, 12})  # one server's connections come up
         b.wait(4000.0)
-    assert all(n.died_at == math.inf for n in b.agg.nodes.values())
+    assert all(n.down_since_ms == math.inf for n in b.agg.endpoints.servers.values())
     _, acts = b.query(ANY, parts=2)
     assert not of(api.CloseIdleConnections, acts)
     assert {a.node for a in of(api.Send, acts)} == {13}
@@ -614,7 +625,7 @@
     b.learn()
     _, sends = b.query(ALL)
     b.finish(of(api.Send, sends)[0].part, Outcome.CONNECT_FAILED)
-    assert b.agg.nodes[of(api.Send, sends)[0].node].died_at < math.inf
+    assert b.agg.endpoints.servers[of(api.Send, sends)[0].node].down_since_ms < math.inf
 
 
 def test_what_is_late_on_a_distrusted_connection_is_called_off_and_sent_anew():
@@ -623,7 +634,7 @@
     b.learn(at_once=2)
     b.wait(2000.0)
     q, _ = b.query(ALL, parts=8)
-    b.agg.credit = 0.0
+    b.agg.hedges.credit = 0.0
     acts = b.wait(400.0)
     assert len(of(api.Cancel, acts)) >= 4 and len(of(api.Send, acts)) >= 4
 
@@ -634,10 +645,10 @@
     b.wait(2000.0)
     _, acts = b.query(ALL, parts=8)
     b.wait(160.0)
-    assert b.agg.idle_until > b.now
+    assert b.agg.connections.distrusted_until_ms > b.now
     for a in of(api.Send, acts):
         b.finish(a.part)
-    assert b.agg.idle_until < b.now
+    assert b.agg.connections.distrusted_until_ms < b.now
 
 
 def test_a_query_whose_attempts_are_spent_is_ended_at_once():
@@ -651,7 +662,7 @@
     q, sends = b.query(ANY, parts=4)  # the other parts still make a whole answer
     for n in range(SETTINGS.max_attempts):
         acts = b.finish(of(api.Send, sends)[0].part, Outcome.ERROR, n)
-    assert not of(api.Reject, acts) and q in b.agg.queries
+    assert not of(api.Reject, acts) and q in b.agg.queries.by_id
 
 
 def test_a_zone_out_of_reach_is_avoided_before_each_of_its_servers_was_tried():
@@ -673,7 +684,7 @@
     for i in range(50):
         old, new = line(100 + i, 0, api.EndpointState.REMOVED), line(101 + i, 0)
         b.do(api.EndpointUpdate(api.UpdateKind.DELTA, (new, old)))
-    assert len(b.agg.nodes) <= 6
+    assert len(b.agg.endpoints.servers) <= 6
 
 
 def test_a_zone_out_of_reach_does_not_keep_dropped_links_open_elsewhere():
@@ -682,16 +693,16 @@
         lines = [api.Endpoint(10 + i, i % 4, api.EndpointState.READY, 0.0, i // 4, 0, 1.0) for i in range(8)]
         b = Bench(lines=lines, retry_budget_min=1000.0)
         b.learn()
-        b.agg.lost = {0: 0.9, 1: 0.1} if cut else {}
+        b.agg.outliers.zone_loss = {0: 0.9, 1: 0.1} if cut else {}
         b.wait(16_000.0)
         for _ in range(90):
-            node, part = b.agg.nodes[10 + b.agg.rng.randrange(4)], b.next_id
-            b.agg.holders = {c: [node] for c in range(4)}
+            node, part = b.agg.endpoints.servers[10 + b.agg.random.randrange(4)], b.next_id
+            b.agg.endpoints._replicas_by_cell = {c: [node] for c in range(4)}
             b.query(ALL, parts=1)
             b.wait(250.0)
             b.finish(part + 1, Outcome.CONNECT_FAILED)
             b.do(api.ClientDisconnected(part))
-        return b.agg.stuck
+        return b.agg.connections.handshake_failure_share
 
     assert stuck(cut=True) < 0.1 < 0.2 < stuck(cut=False)
 
@@ -701,7 +712,8 @@
     b = Bench(lines=EIGHT, retry_budget_min=1000.0)
     b.learn()
     b.query(ONCE, parts=8, left=2000.0)
-    b.agg.idle_most, b.agg.idle_until = 100.0, b.now + 5000.0  # learned just after, from others
+    b.agg.connections.idle_threshold_ms = 100.0  # learned just after, from others
+    b.agg.connections.distrusted_until_ms = b.now + 5000.0
     assert not of(api.Cancel, b.wait(900.0))
 
 
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -134,8 +134,8 @@
             await s.in_force(replaced(with_deadline(300, *forms), "(need 0.75)", "(need 0.9)"))
             newest = s.generations.current
             assert newest is not before and s.generations.draining == [before] and before.driver.queries
-            assert [t.quota_per_s for t in newest.driver.module.set.tenants] == [7.0, 8.0]
-            assert [c.complete_weight for c in newest.driver.module.set.classes][1] == 0.9
+            assert [t.quota_per_s for t in newest.driver.module.settings.tenants] == [7.0, 8.0]
+            assert [c.complete_weight for c in newest.driver.module.settings.classes][1] == 0.9
             assert (await s.client.query(ASK))[0] == 403  # tenants are told apart from now on
             loop = asyncio.get_running_loop()
             began = loop.time()
@@ -238,18 +238,18 @@
             for number in range(60):
                 await s.client.query(f"{{ fullQuote(blocks: [{number % 24}], amount: 5) {{ id }} }}")
             before = s.generations.current
-            await until(lambda: before.driver.module.usual > 0.0)
+            await until(lambda: before.driver.module.latency.typical_ms > 0.0)
             known = {one.node: one.time_ms for one in before.driver.known().nodes}
-            usual = before.driver.module.usual
+            usual = before.driver.module.latency.typical_ms
             assert known
             for deadline_ms in (2900, 2800, 2700):  # one right after the other: what was seen goes on
                 await s.in_force(with_deadline(deadline_ms))
             newest = s.generations.current
-            await until(lambda: newest.driver.module.nodes)
-            ready = {n.id for n in newest.driver.module.nodes.values() if n.ready}
+            await until(lambda: newest.driver.module.endpoints.servers)
+            ready = {n.id for n in newest.driver.module.endpoints.servers.values() if n.ready}
             assert ready == set(s.broker.directory.addresses) and len(ready) == 12
             assert {one.node: one.time_ms for one in newest.driver.known().nodes} == known
-            assert newest.driver.module.usual == pytest.approx(usual, rel=0.5)
+            assert newest.driver.module.latency.typical_ms == pytest.approx(usual, rel=0.5)
             s.slow(SLOW_MS)
             held = asyncio.ensure_future(s.client.query(ASK))
             await until(lambda: newest.driver.queries)
@@ -257,7 +257,7 @@
             gone = next(iter(s.world.servers))
             s.world.crash(gone)
             modules = [one.driver.module for one in s.generations.live]
-            await until(lambda: all(sum(n.ready for n in m.nodes.values()) == 11 for m in modules))
+            await until(lambda: all(sum(n.ready for n in m.endpoints.servers.values()) == 11 for m in modules))
             assert len(modules) == 2
             await held
 
@@ -310,9 +310,9 @@
         async with FeedStage(tmp_path, discovery={"mode": "ask"}) as s:
             await s.in_force(with_deadline(2900))
             newest = s.generations.current.driver.module
-            await until(lambda: sum(n.ready for n in newest.nodes.values()) == 12)
+            await until(lambda: sum(n.ready for n in newest.endpoints.servers.values()) == 12)
             s.world.crash(next(iter(s.world.servers)))
-            await until(lambda: sum(n.ready for n in newest.nodes.values()) == 11)
+            await until(lambda: sum(n.ready for n in newest.endpoints.servers.values()) == 11)
 
     run(main)
 
@@ -396,7 +396,7 @@
             s.publish_changes(change(f"node/{removed}", None))
             await until(lambda: removed not in states_of(s.broker))
             module = s.generations.current.driver.module
-            await until(lambda: sum(n.ready for n in module.nodes.values()) == 10)
+            await until(lambda: sum(n.ready for n in module.endpoints.servers.values()) == 10)
             s.records.clear()
             await s.in_force(with_deadline(2900))  # a new generation begins with the feed's list
             for block in range(24):
@@ -442,9 +442,9 @@
                 await until(lambda: other.feed_subscription.client.follower.in_force == s.control.machine.log.revision)
                 await until(lambda: states_of(other)[drained] == api.EndpointState.DRAINING)
                 number = other.directory.known[drained].line.node
-                module = other.driver.module
-                await until(lambda: sum(n.ready for n in module.nodes.values()) == len(states_of(other)) - 1)
-                assert number not in module.nodes or not module.nodes[number].ready
+                endpoints = other.driver.module.endpoints
+                await until(lambda: sum(n.ready for n in endpoints.servers.values()) == len(states_of(other)) - 1)
+                assert number not in endpoints.servers or not endpoints.servers[number].ready
             finally:
                 await other.stop()
                 await server.stop()
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -50,26 +50,28 @@
 def test_a_prior_is_taken_where_nothing_was_seen_and_the_first_own_answer_ends_it():
     bench = Bench()
     learn(bench, (10, 300.0, 100.0), answers=[(200.0, 20.0, False)] * 30)
-    node = bench.agg.nodes[10]
-    assert bench.agg.late == 60.0 and node.told and node.time == 300.0
+    node = bench.agg.endpoints.servers[10]
+    assert bench.agg.latency.late_ms == 60.0 and node.peer_observed and node.response_time_ms == 300.0
     assert bench.agg.observations() == api.Observations((), ())  # what was told is never told on
-    node.time, node.time_at, node.told = 25.0, bench.now - 5000.0, False
+    node.response_time_ms, node.response_time_at_ms, node.peer_observed = 25.0, bench.now - 5000.0, False
     learn(bench, (10, 300.0, 0.0))
-    assert node.time == 25.0  # fresh news against an own answer of five seconds ago
+    assert node.response_time_ms == 25.0  # fresh news against an own answer of five seconds ago
 
 
 def test_old_news_fades_as_own_old_answers_do_and_answers_end_with_their_window():
     bench = Bench()
     learn(bench, (10, 300.0, 300_000.0), answers=[(300_000.0, 20.0, False)] * 30)
-    assert bench.agg.late == 0.0 and not bench.agg.latencies
-    bench.agg.usual = 20.0
-    assert bench.agg._time(bench.agg.nodes[10]) == pytest.approx(20.0, abs=0.1)
+    assert bench.agg.latency.late_ms == 0.0 and not bench.agg.latency.distribution.latencies_ms
+    bench.agg.latency.typical_ms = 20.0
+    assert bench.agg.latency.response_time_ms(bench.agg.endpoints.servers[10], bench.now) == pytest.approx(
+        20.0, abs=0.1
+    )
 
 
 def test_news_of_before_a_servers_start_is_none():
     bench = Bench(lines=[line(10, 0, started=900.0)])
     learn(bench, (10, 300.0, 500.0))  # seen at 500, the server started at 900; it is 1000 now
-    assert not bench.agg.nodes[10].told
+    assert not bench.agg.endpoints.servers[10].peer_observed
 
 
 def test_a_prior_moves_the_choice_and_nothing_else():
@@ -315,7 +317,7 @@
     for _ in range(10):
         bench.query(ALL, parts=2, shard=2)
     assert {a.node for a in bench.log[before:] if isinstance(a, api.Send)} <= {12, 13}
-    assert 99 not in bench.agg.nodes  # a server that only a peer names
+    assert 99 not in bench.agg.endpoints.servers  # a server that only a peer names
 
 
 @pytest.mark.parametrize("told", [0.0, 1.0, 1e6])
--- a/tests/test_little_traffic.py
+++ b/tests/test_little_traffic.py
@@ -37,7 +37,7 @@
         turns, last = turns + (node != last), node
     assert turns < 40  # it was every second one
     b.wait(6000.0)  # what was seen so long ago proves nothing
-    assert not any(b.agg._proven(n) for n in b.agg.nodes.values())
+    assert not any(b.agg.replicas.is_proven(n, b.now) for n in b.agg.endpoints.servers.values())
 
 
 def test_a_proven_server_that_is_busy_or_slow_is_passed_over():
@@ -46,7 +46,7 @@
     first = ask(b, parts=1)[0]
     b.query(ALL, parts=1)
     _, acts = b.query(ALL, parts=1)  # one of the two is out there
-    out = [n.id for n in b.agg.nodes.values() if n.out]
+    out = [n.id for n in b.agg.endpoints.servers.values() if n.in_flight]
     assert sorted(out) == [10, 14] and first in out
     for part in [a.part for a in of(api.Send, acts)]:
         b.finish(part)
@@ -77,17 +77,17 @@
     assert not any(of(api.Reject, b.query(ANY, parts=4, shard=0)[1]) for _ in range(10))  # it can do without one
     b.wait(3500.0)  # all of these end, lost
     b.wait(40_000.0)
-    assert b.agg._fared(2) > 0.95 and b.agg._fared(0) > 0.95  # it fades
+    assert b.agg.cells.share(2, b.now) > 0.95 and b.agg.cells.share(0, b.now) > 0.95  # it fades
 
 
 def test_an_answer_counts_for_a_cell_and_an_impatient_client_against_none():
     b = Bench(lines=TWO_EACH, cells_per_shard=1, retry_budget_min=1000.0)
     b.query(ALL, parts=1, shard=1, left=200.0)
     b.wait(400.0)
-    assert of(api.Reject, b.log) and b.agg._fared(1) == 1.0
+    assert of(api.Reject, b.log) and b.agg.cells.share(1, b.now) == 1.0
     b.query(ALL, parts=1, shard=1)
     b.wait(3200.0)
-    low = b.agg._fared(1)
+    low = b.agg.cells.share(1, b.now)
     assert low < 0.7
     ask(b, parts=1, shard=1)
-    assert b.agg._fared(1) > low + 0.1
+    assert b.agg.cells.share(1, b.now) > low + 0.1
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -4,17 +4,17 @@
 
 from badgerbend import api
 from badgerbend.api import Outcome
+from badgerbend.decisions.latency import LatencyDistribution
 
 
 def ready(values, brokers=2, queries=0):
     b = Bench(broker_count=brokers)
-    agg = b.agg
-    agg.latencies, agg.weights = list(values), [(i + 1) / len(values) for i in range(len(values))]
-    agg.began = b.now - 10_000
-    agg.seen["queries"] = agg.seen.get("queries", type(agg.record)())
-    agg.seen["queries"].extend([b.now] * queries)
-    agg.now = b.now
-    return agg
+    weights = [(i + 1) / len(values) for i in range(len(values))]
+    b.agg.latency.distribution = LatencyDistribution(list(values), weights)
+    b.agg.rates.begin(b.now - 10_000)
+    for _ in range(queries):
+        b.agg.rates.queries.add(b.now)
+    return lambda m, k: b.agg.redundancy.parts_to_send(m, k, b.now)
 
 
 def test_without_samples_all_parts_are_asked():
@@ -25,35 +25,33 @@
 
 def test_equal_latencies_leave_the_least_cost_only_with_r_equal_to_m():
     # All X alike: T(r) grows with r through the load term alone, so the least T is at m.
-    assert ready([100.0] * 30, queries=10)._redundancy(2, 4) == 2
+    assert ready([100.0] * 30, queries=10)(2, 4) == 2
 
 
 def test_a_long_tail_asks_for_spares_while_load_is_light():
     values = [50.0] * 24 + [2000.0] * 6
-    assert ready(values, queries=2)._redundancy(2, 4) > 2
+    assert ready(values, queries=2)(2, 4) > 2
 
 
 def test_no_room_for_even_m_asks_for_m_only():
     values = [500.0] * 24 + [3000.0] * 6
-    assert ready(values, queries=5000)._redundancy(2, 4) == 2
+    assert ready(values, queries=5000)(2, 4) == 2
 
 
 def test_cost_stays_within_that_of_all_parts():
     # Two thirds slow: m of k waits for a slow part at small r, and each r must cost no more than k does.
     values = [10.0] * 10 + [1000.0] * 20
-    agg = ready(values, queries=1)
-    assert agg._redundancy(1, 4) == 4
+    assert ready(values, queries=1)(1, 4) == 4
 
 
 def test_cancelled_parts_do_not_make_the_record_fast():
     b = Bench()
-    b.agg.now = b.now
     for ms in (50.0,) * 10 + (400.0,) * 10:
-        b.agg.record.append((b.now, ms, False))
-    plain = b.agg._distribution()
+        b.agg.latency.add(b.now, ms, censored=False)
+    plain = b.agg.latency.estimate_distribution(b.now, [])
     for _ in range(20):
-        b.agg.record.append((b.now, 60.0, True))
-    values, sums = b.agg._distribution()
+        b.agg.latency.add(b.now, 60.0, censored=True)
+    values, sums = b.agg.latency.estimate_distribution(b.now, [])
     fast = sum(1 for v in values if v < 100)
     assert sums[-1] > 0.999 and abs(sums[fast - 1] - 0.5) < 0.3
     assert sums[fast - 1] <= plain[1][9] + 1e-9  # called off at 60: they belong to the slow half
@@ -91,7 +89,7 @@
 def test_held_part_replaces_a_failed_one_without_budget():
     b = Bench(retry_budget_min=0.0, retry_budget_share=0.0)
     b.learn()
-    b.agg.chosen[2, 4] = 2
+    b.agg.redundancy._chosen[2, 4] = 2
     q, sends = b.query(ANY)
     first = of(api.Send, sends)
     assert len(first) == 2
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -13,7 +13,7 @@
 from badgerbend.config.reading import parse
 from badgerbend.config.settings import Snapshot
 from badgerbend.config.sexpr import SettingsError
-from badgerbend.decisions import aggregator
+from badgerbend.decisions import replicas
 from badgerbend.disk import write_atomically
 from badgerbend.knowledge.record import AnswerLatency, KnowledgeRecord, ServerObservation, encode
 from badgerbend.membership.messages import MemberState
@@ -76,7 +76,7 @@
 
 def test_a_new_broker_learns_which_servers_are_slow(keys, monkeypatch):
     # in 25 rounds each broker meets all servers, without queues of its own
-    monkeypatch.setattr(aggregator, "MEET", 1.0)
+    monkeypatch.setattr(replicas, "EXPLORATION_SHARE", 1.0)
 
     async def main():
         async with Stage() as s:
@@ -90,8 +90,10 @@
             await until(lambda: new.knowledge_exchange.servers_learned > 0 and not new.driver._events)
             module = new.driver.module
             numbers = {name: n for n, name in new.directory.names.items()}
-            assert module.late > 0 and module.usual > 0
-            ratio = {name: module._time(module.nodes[n]) / module.usual for name, n in numbers.items()}
+            assert module.latency.late_ms > 0 and module.latency.typical_ms > 0
+            latency, servers = module.latency, module.endpoints.servers
+            times = {name: latency.response_time_ms(servers[n], module.now_ms) for name, n in numbers.items()}
+            ratio = {name: time_ms / latency.typical_ms for name, time_ms in times.items()}
             assert min(ratio["rates-2"], ratio["rates-7"]) > 2 * max(
                 ratio[n] for n in ratio if n not in ("rates-2", "rates-7")
             )
@@ -188,9 +190,9 @@
     async def main():
         async with Stage(snapshot=Snapshot(str(file), 100.0)) as s:
             module = s.broker.driver.module
-            await until(lambda: any(n.told for n in module.nodes.values()))
+            await until(lambda: any(n.peer_observed for n in module.endpoints.servers.values()))
             numbers = {name: n for n, name in s.broker.directory.names.items()}
-            assert module.nodes[numbers["rates-4"]].time == 150.0
+            assert module.endpoints.servers[numbers["rates-4"]].response_time_ms == 150.0
             before = file.read_bytes()
             await ask_all(s.broker, 3)
             await until(lambda: file.read_bytes() != before)
--- a/tests/test_planted_defects.py
+++ b/tests/test_planted_defects.py
@@ -101,9 +101,9 @@
 @pytest.mark.parametrize(
     "source, unchecked",
     [
-        ("x.agg._admits = lambda node: True", ["x.agg._admits"]),
-        ("def some(): ...\nx.agg._admits = some", ["x.agg._admits"]),
-        ("admits = x.agg._admits\nx.agg._admits = admits", []),
+        ("x.agg._handle = lambda node: True", ["x.agg._handle"]),
+        ("def some(): ...\nx.agg._handle = some", ["x.agg._handle"]),
+        ("handle = x.agg._handle\nx.agg._handle = handle", []),
         ("x.nothing_of_the_product = lambda: 1", []),
         ("text.replace('ab', 'c')", ["text.replace('ab', 'c')"]),
         ("text.replace(old, new, 1)", ["text.replace(old, new, 1)"]),
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -462,7 +462,7 @@
     async def main():
         async with Stage() as s:
             await until(lambda: s.agent.waiting)
-            known, numbers = lambda: s.service.driver.module.nodes, {uid: s.number(uid) for uid in s.nodes}
+            known, numbers = lambda: s.service.driver.module.endpoints.servers, {uid: s.number(uid) for uid in s.nodes}
             await until(lambda: len(known()) == len(numbers))
             s.agent.rev += 1
             s.agent.changes.append((s.agent.rev, row))
@@ -736,7 +736,7 @@
                     "driver": len(driver.queries) + len(driver._owners) + len(driver._tries) + len(driver._out),
                     "parts": driver.open_parts,
                     "front": len(service.front.open),
-                    "module": len(module.queries) + len(module.parts) + len(module.attempts) + len(module.by_number),
+                    "module": sum(map(len, vars(module.queries).values())),
                     "tasks": len(asyncio.all_tasks()),
                 }
 
@@ -766,7 +766,7 @@
                 await s.ask((cell,), Connection="close")
             await settled()
             assert kept() == before
-            nodes = service.driver.module.nodes
+            nodes = service.driver.module.endpoints.servers
             assert len(nodes) <= 2 * CELLS and len(service.driver._due) <= due + 1000
 
     run(main)
@@ -777,7 +777,7 @@
 
     async def main():
         async with Stage() as s:
-            kinds = {"_Pending", "Exchange", "_Query", "_Connection", "Channel"}
+            kinds = {"_Pending", "Exchange", "_Query", "QueryState", "PartState", "_Connection", "Channel"}
 
             def alive():
                 return Counter(type(o).__name__ for o in gc.get_objects() if type(o).__name__ in kinds)
