--- a/badgerbend/decisions/admission.py
+++ b/badgerbend/decisions/admission.py
@@ -14,7 +14,7 @@
 from badgerbend.decisions.context import DecisionContext
 from badgerbend.decisions.latency import FADE_MS
 from badgerbend.decisions.outliers import OutlierDetector
-from badgerbend.decisions.queries import QueryState
+from badgerbend.decisions.queries import EndReason, QueryState
 from badgerbend.decisions.servers import Server
 
 OBJECTIVE_SHARE = 0.7
@@ -52,20 +52,20 @@
         """Forgets the order statistics; called when the latency estimate was refreshed."""
         self._order_statistics = {}
 
-    def rejection(self, event: api.Query, query: QueryState, now_ms: float) -> str | None:
+    def rejection(self, event: api.Query, query: QueryState, now_ms: float) -> EndReason | None:
         """Why a query is rejected, or None if it is admitted. Notes whether it needs a canary."""
         over_quota = self._is_over_quota(event.tenant, now_ms)
         fewest = query.fewest_parts(query.query_class.complete_weight)
         if self._sites and not self._sites.admits(event, over_quota, fewest):
-            return "no site takes it"
+            return EndReason.NO_SITE
         if not query.parts or self._foreseen_ms(query, now_ms) >= self._longest_ms(query, over_quota, now_ms):
-            return "foreseen to be late"
+            return EndReason.FORESEEN_LATE
         query.has_canary = event.is_retry or self._outliers.needs_canary(now_ms)
         chance = self._chance_in_time(query, now_ms)
         if fewest == len(query.parts):
             chance *= self._chance_of_all_parts(query, now_ms)
         if chance < EVEN_ODDS and self._random.random() > chance / EVEN_ODDS:
-            return "more likely lost than answered"
+            return EndReason.UNLIKELY
         return None
 
     def _is_over_quota(self, tenant: int, now_ms: float) -> bool:
@@ -91,10 +91,10 @@
         """
         if not self._latency.late_ms or not self._queries.attempts:
             return 0.0
-        k = len(query.parts)
-        m = query.fewest_parts(query.minimum_weight)
-        times_ms = sorted(self._shard_time_ms(part.shard, now_ms) for part in query.parts)[:m]
-        foreseen_ms = max(times_ms[-1], sum(times_ms) / m * self._order_statistic(m, k))
+        part_count = len(query.parts)
+        needed = query.fewest_parts(query.minimum_weight)
+        times_ms = sorted(self._shard_time_ms(part.shard, now_ms) for part in query.parts)[:needed]
+        foreseen_ms = max(times_ms[-1], sum(times_ms) / needed * self._order_statistic(needed, part_count))
         return foreseen_ms * (FOLLOW_UP_FACTOR if query.query_class.follow_up_parts else 1.0)
 
     def _shard_time_ms(self, shard: int, now_ms: float) -> float:
@@ -139,6 +139,6 @@
         chance = bisect_right(answers_ms, time_left_ms) / len(answers_ms)
         if chance == 1.0:
             return 1.0
-        k = len(query.parts)
-        least = query.fewest_parts(query.minimum_weight)
-        return sum(comb(k, n) * chance**n * (1 - chance) ** (k - n) for n in range(least, k + 1))
+        count = len(query.parts)
+        needed = query.fewest_parts(query.minimum_weight)
+        return sum(comb(count, n) * chance**n * (1 - chance) ** (count - n) for n in range(needed, count + 1))
--- a/badgerbend/decisions/attempts.py
+++ b/badgerbend/decisions/attempts.py
@@ -11,7 +11,7 @@
 from badgerbend.decisions.connections import ConnectionMonitor
 from badgerbend.decisions.context import DecisionContext
 from badgerbend.decisions.outliers import OutlierDetector
-from badgerbend.decisions.queries import Attempt, PartState
+from badgerbend.decisions.queries import Attempt, EndReason, PartState
 from badgerbend.decisions.retries import RetryPolicy
 from badgerbend.decisions.sending import PartSender
 from badgerbend.decisions.timing import TICK_MS
@@ -20,6 +20,10 @@
 """A connection that breaks sooner than this did so before the part can have begun: that is as good as refused."""
 
 
+FAILED_AT_ONCE = (Outcome.REJECTED, Outcome.ERROR, Outcome.RESET)
+"""Outcomes that say nothing about how long a part takes."""
+
+
 class AttemptResults:
     """Takes the ends of attempts."""
 
@@ -67,31 +71,36 @@
         self._outliers.record_result(attempt.server.zone, lost=lost)
 
     def _observe(self, event: api.AttemptCompleted, attempt: Attempt, part: PartState | None, now_ms: float) -> None:
-        """What the end of an attempt says about its server, its connection and latencies."""
-        server = attempt.server
-        outcome = event.outcome
+        """Takes what the end of an attempt says about its server, its connection and latencies."""
         latency_ms = now_ms - attempt.sent_ms
-        answered = outcome == Outcome.OK
+        answered = event.outcome == Outcome.OK
         handshake_timed_out = self._handshake_timed_out(event)
-        if attempt.idle_ms == inf and not self._outliers.is_zone_unreachable(server):
+        if attempt.idle_ms == inf and not self._outliers.is_zone_unreachable(attempt.server):
             self._connections.record_handshake(failed=handshake_timed_out)
-        if answered or outcome == Outcome.ERROR:
-            server.connection_used_ms = now_ms
+        self._judge_connection(event.outcome, attempt, latency_ms, now_ms)
+        self._latency.add(now_ms, latency_ms, censored=not answered)
+        if answered and attempt.server.is_down:
+            self._outliers.answered(attempt.server, attempt, now_ms)
+        elif self._broke_midway(event):
+            self._outliers.connection_lost(attempt.server, now_ms, refused=False)
+        elif event.outcome == Outcome.CONNECT_FAILED and not handshake_timed_out:
+            self._outliers.connection_lost(attempt.server, now_ms, refused=True)
+        failed_at_once = event.outcome in FAILED_AT_ONCE or handshake_timed_out
+        self._latency.observe(
+            attempt.server, part, latency_ms, now_ms, answered=answered, failed_at_once=failed_at_once
+        )
+
+    def _judge_connection(self, outcome: Outcome, attempt: Attempt, latency_ms: float, now_ms: float) -> None:
+        """Notes whether the connection of an attempt works; one that an attempt was lost or late on is closed."""
+        server = attempt.server
+        if outcome in (Outcome.OK, Outcome.ERROR):
+            self._connections.mark_used(server, now_ms)
             self.judge(attempt, now_ms, lost=False)
         elif outcome in (Outcome.RESET, Outcome.CONNECT_FAILED) or latency_ms > (self._latency.late_ms or inf):
-            server.connection_used_ms = -inf
+            self._connections.mark_unusable(server)
             if not server.in_flight:
                 self._actions.append(api.CloseIdleConnections(server.id))
             self.judge(attempt, now_ms, lost=True)
-        self._latency.add(now_ms, latency_ms, censored=not answered)
-        if answered and server.is_down:
-            self._outliers.answered(server, attempt, now_ms)
-        elif self._broke_midway(event):
-            self._outliers.connection_lost(server, now_ms, refused=False)
-        elif outcome == Outcome.CONNECT_FAILED and not handshake_timed_out:
-            self._outliers.connection_lost(server, now_ms, refused=True)
-        failed_at_once = outcome in (Outcome.REJECTED, Outcome.ERROR, Outcome.RESET) or handshake_timed_out
-        self._latency.observe(server, part, latency_ms, now_ms, answered=answered, failed_at_once=failed_at_once)
 
     def _handshake_timed_out(self, event: api.AttemptCompleted) -> bool:
         """Whether a connection did not come up in time, which is no proof that the server is down."""
@@ -127,4 +136,4 @@
             return
         not_sent = bool(part.in_flight) or not self._sender.send(part, now_ms)
         if not_sent and self._completion.is_hopeless(query, now_ms):
-            self._completion.give_up(query, "no attempt is left", now_ms)
+            self._completion.give_up(query, EndReason.NO_ATTEMPT_LEFT, now_ms)
--- a/badgerbend/decisions/completion.py
+++ b/badgerbend/decisions/completion.py
@@ -6,7 +6,7 @@
 from badgerbend.decisions.cell_success import CellSuccess
 from badgerbend.decisions.context import DecisionContext
 from badgerbend.decisions.outliers import OutlierDetector
-from badgerbend.decisions.queries import ROUNDING, QueryState
+from badgerbend.decisions.queries import ROUNDING, EndReason, QueryState
 from badgerbend.decisions.retries import RetryPolicy
 from badgerbend.decisions.timing import EARLY_FINISH_MS
 
@@ -50,10 +50,10 @@
             part.weight for part in undone if not part.in_flight and self._retries.is_exhausted(part, now_ms)
         )
         query_class = query.query_class
-        whole = query_class.complete_weight if query.step == 1 else 1.0
-        return exhausted > 1.0 - min(query_class.minimum_weight, whole) + ROUNDING
+        complete_weight = query_class.complete_weight if query.step == 1 else 1.0
+        return exhausted > 1.0 - min(query_class.minimum_weight, complete_weight) + ROUNDING
 
-    def give_up(self, query: QueryState, reason: str, now_ms: float) -> None:
+    def give_up(self, query: QueryState, reason: EndReason, now_ms: float) -> None:
         """Ends a query without a complete answer: partially where its class allows it, else by rejection or failure.
 
         It is rejected if a repeat by the client does no harm, and fails otherwise.
@@ -65,9 +65,9 @@
         if is_last_step and query.parts and query.allows_partial_answer and has_minimum:
             final = api.Answer(query.id, False)
         elif query_class.effect == "safe" or not any(part.may_have_run for part in query.parts):
-            final = api.Reject(query.id, self._retry_after_ms, reason)
+            final = api.Reject(query.id, self._retry_after_ms, reason.value)
         else:
-            final = api.Fail(query.id, reason)
+            final = api.Fail(query.id, reason.value)
         self._finish(query, final, now_ms)
 
     def client_disconnected(self, query_id: int) -> None:
--- a/badgerbend/decisions/connections.py
+++ b/badgerbend/decisions/connections.py
@@ -15,7 +15,7 @@
 from badgerbend import api
 from badgerbend.decisions.queries import Attempt, PartState
 from badgerbend.decisions.servers import Server
-from badgerbend.decisions.timing import REFRESH_INTERVAL_MS, SUSPICION_MS
+from badgerbend.decisions.timing import REFRESH_INTERVAL_MS
 
 RECENT_ATTEMPTS = 40
 """Attempts on idle connections that the threshold is derived from."""
@@ -26,6 +26,9 @@
 LOSS_EXCESS = 4.0
 """Losses beyond that share which are needed for a threshold: five in a row are not enough, six are."""
 
+DISTRUST_MS = 30_000.0
+"""How long a threshold holds, so that connections are trusted again once nothing drops them."""
+
 HANDSHAKE_WEIGHT = 0.05
 """Weight of the last handshake in the share that fails: the last twenty count."""
 
@@ -60,6 +63,14 @@
             return True
         return self.idle_threshold_ms <= idle_ms and now_ms < self.distrusted_until_ms
 
+    def mark_used(self, server: Server, now_ms: float) -> None:
+        """Notes that the connection to a server was used, or was seen to work."""
+        server.connection_used_ms = now_ms
+
+    def mark_unusable(self, server: Server) -> None:
+        """Notes that the connection to a server is not to be trusted."""
+        server.connection_used_ms = -inf
+
     def record_handshake(self, *, failed: bool) -> None:
         """Takes a new connection into the share that fails."""
         self.handshake_failure_share += (failed - self.handshake_failure_share) * HANDSHAKE_WEIGHT
@@ -85,4 +96,4 @@
             if lost and idle_ms > 0 and excess > largest_excess:
                 largest_excess = excess
                 self.idle_threshold_ms = (idle_ms + next_idle_ms) / 2
-                self.distrusted_until_ms = now_ms + SUSPICION_MS
+                self.distrusted_until_ms = now_ms + DISTRUST_MS
--- a/badgerbend/decisions/intake.py
+++ b/badgerbend/decisions/intake.py
@@ -73,10 +73,9 @@
 
         With sites the nearest come first, and surplus parts are sent only where they are at nobody's cost.
         """
-        k = len(query.parts)
         fewest = query.fewest_parts(query.query_class.complete_weight)
-        query.parts_to_send = self._redundancy.parts_to_send(fewest, k, now_ms)
-        query.reserved_parts = self._random.sample(query.parts, k)
+        query.parts_to_send = self._redundancy.parts_to_send(fewest, len(query.parts), now_ms)
+        query.reserved_parts = self._random.sample(query.parts, len(query.parts))
         sites = self._sites
         if sites:
             query.reserved_parts.sort(key=lambda part: sites.rank(part.shard))
--- a/badgerbend/decisions/latency.py
+++ b/badgerbend/decisions/latency.py
@@ -177,6 +177,12 @@
         server.response_time_at_ms = now_ms
         server.peer_observed = False
 
+    def import_observation(self, server: Server, response_time_ms: float, observed_at_ms: float) -> None:
+        """Takes a response time that other brokers have observed."""
+        server.response_time_ms = response_time_ms
+        server.response_time_at_ms = observed_at_ms
+        server.peer_observed = True
+
     def forget(self, server: Server) -> None:
         """Forgets what was observed of a server."""
         server.response_time_at_ms = -inf
--- a/badgerbend/decisions/observations.py
+++ b/badgerbend/decisions/observations.py
@@ -36,15 +36,15 @@
         """Takes others' observations; whether their answers went into the record, so that estimates change."""
         for observed in observations.nodes:
             self._learn_server(observed, now_ms)
-        told = [
+        imported = [
             LatencySample(now_ms - age_ms, latency_ms, censored)
             for age_ms, latency_ms, censored in observations.answers
             if 0 <= age_ms < WINDOW_MS
         ]
         own = self._own_samples()
-        if not told or sum(1 for sample in own if not sample.censored) >= MIN_SAMPLES:
+        if not imported or sum(1 for sample in own if not sample.censored) >= MIN_SAMPLES:
             return False
-        self._latency.replace_samples(told + own)
+        self._latency.replace_samples(imported + own)
         self._imported_ms = now_ms
         return True
 
@@ -57,9 +57,7 @@
         has_own = not server.peer_observed and server.response_time_at_ms > -inf
         if has_own or at_ms <= max(server.response_time_at_ms, server.warming_since_ms):
             return
-        server.response_time_ms = observed.time_ms
-        server.response_time_at_ms = at_ms
-        server.peer_observed = True
+        self._latency.import_observation(server, observed.time_ms, at_ms)
 
     def _own_samples(self) -> list[LatencySample]:
         return [sample for sample in self._latency.samples if sample.at_ms > self._imported_ms]
--- a/badgerbend/decisions/outliers.py
+++ b/badgerbend/decisions/outliers.py
@@ -14,7 +14,7 @@
 from badgerbend.decisions.queries import Attempt, QueryState
 from badgerbend.decisions.servers import Server
 from badgerbend.decisions.slow_start import SlowStart
-from badgerbend.decisions.timing import REVIEW_INTERVAL_MS, SUSPICION_MS
+from badgerbend.decisions.timing import REVIEW_INTERVAL_MS
 
 UNREACHABLE_EXCESS = 0.5
 """A zone is out of reach when it loses so much more of its parts than another."""
@@ -22,6 +22,9 @@
 ZONE_WEIGHT = 0.05
 """Weight of the last part in a zone's share of lost ones: the last twenty count."""
 
+POISON_SUSPICION_MS = 30_000.0
+"""How long new queries send a canary ahead after a query seemed to have brought down a server."""
+
 MAX_FAILED_SERVERS = 2
 """A query is sent no more after it lost parts at so many servers that went down."""
 
@@ -109,7 +112,7 @@
 
     def needs_canary(self, now_ms: float) -> bool:
         """Whether new queries send one part ahead."""
-        return now_ms - self.poison_seen_ms < SUSPICION_MS
+        return now_ms - self.poison_seen_ms < POISON_SUSPICION_MS
 
     def part_lost(self, query: QueryState, server: Server) -> None:
         """A connection broke under a part of a query."""
--- a/badgerbend/decisions/queries.py
+++ b/badgerbend/decisions/queries.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from enum import Enum
 from itertools import accumulate
 from math import isfinite
 
@@ -13,6 +14,17 @@
 """Sums of weights may fall short by this much through rounding."""
 
 
+class EndReason(Enum):
+    """Why a query ended without a complete answer, in the words of the log."""
+
+    NO_SITE = "no site takes it"
+    FORESEEN_LATE = "foreseen to be late"
+    UNLIKELY = "more likely lost than answered"
+    NO_ATTEMPT_LEFT = "no attempt is left"
+    SERVERS_DOWN = "servers died under it"
+    TIME_OVER = "its time is over"
+
+
 class Attempt:
     """One attempt of a part. Times are milliseconds.
 
--- a/badgerbend/decisions/review.py
+++ b/badgerbend/decisions/review.py
@@ -7,7 +7,7 @@
 from badgerbend.decisions.attempts import AttemptResults
 from badgerbend.decisions.completion import QueryCompletion
 from badgerbend.decisions.context import DecisionContext
-from badgerbend.decisions.queries import PartState, QueryState
+from badgerbend.decisions.queries import EndReason, PartState, QueryState
 from badgerbend.decisions.sending import PartSender
 from badgerbend.decisions.timing import REVIEW_INTERVAL_MS
 
@@ -31,7 +31,7 @@
                 self._completion.settle(query, now_ms)
         for query in list(self._queries.by_id.values()):
             if now_ms >= query.end_at_ms:
-                self._completion.give_up(query, "its time is over", now_ms)
+                self._completion.give_up(query, EndReason.TIME_OVER, now_ms)
             elif now_ms >= query.review_at_ms:
                 self._review_parts(query, now_ms)
 
@@ -44,7 +44,7 @@
             else:
                 self._help_late_part(part, now_ms)
         if self._completion.is_hopeless(query, now_ms):
-            self._completion.give_up(query, "servers died under it", now_ms)
+            self._completion.give_up(query, EndReason.SERVERS_DOWN, now_ms)
 
     def _late_at_ms(self, part: PartState) -> float:
         """When the last attempt of a part is late; long ago if none is in flight."""
--- a/badgerbend/decisions/sending.py
+++ b/badgerbend/decisions/sending.py
@@ -88,7 +88,7 @@
         part.servers_tried.append(server)
         part.attempts_made += 1
         server.in_flight[part.id, number] = now_ms
-        server.connection_used_ms = now_ms
+        self._connections.mark_used(server, now_ms)
         if self._sites:
             self._sites.attempt_sent(part.id, number, server.id)
         timeout_ms = max(part.query.end_at_ms - now_ms, MIN_TIMEOUT_MS)
--- a/badgerbend/decisions/timing.py
+++ b/badgerbend/decisions/timing.py
@@ -16,6 +16,3 @@
 
 FINAL_ANSWER_MARGIN_MS = 10.0
 """Time kept back from a client's deadline for the final answer: a batch and the way to the client."""
-
-SUSPICION_MS = 30_000.0
-"""How long a suspicion lasts, whether of a poison request or of connections that are dropped while idle."""
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -15,6 +15,7 @@
     "collections",
     "collections.abc",
     "dataclasses",
+    "enum",
     "itertools",
     "math",
     "random",
