--- a/badgerbend/feed_subscription/subscription.py
+++ b/badgerbend/feed_subscription/subscription.py
@@ -8,7 +8,7 @@
 from badgerbend.config.feed import NODE_PREFIX, Feed, RelayAt
 from badgerbend.config.settings import Settings
 from badgerbend.discovery.keyed import KeyedList
-from badgerbend.feed.configuration import ConfigurationInForce
+from badgerbend.feed.configuration import ActiveConfiguration
 from badgerbend.feed.errors import FeedError
 from badgerbend.feed.follower import Follower, FollowerTuning, RelayAddress
 from badgerbend.feed.messages import Change
@@ -47,7 +47,7 @@
         self.endpoint_list = endpoint_list
         self.log = get(part="feed")
         reader = ConfigurationReader(settings, feed.configuration, generations)
-        self.in_force = ConfigurationInForce(reader.read, UsableConfiguration(settings, generations.current.graph))
+        self.in_force = ActiveConfiguration(reader.read, UsableConfiguration(settings, generations.current.graph))
         follower = Follower(
             f"broker-{settings.identity.index}",
             feed.region,
@@ -86,8 +86,8 @@
         for change in changes:
             if change.key == self.feed.configuration:
                 self._receive_configuration(revision, change.value)
-        if self.in_force.refused is not None:
-            return self.in_force.refused[1]
+        if self.in_force.rejected is not None:
+            return self.in_force.rejected[1]
         return WAITING_FOR_CAPACITY if self._waiting_for_capacity else ""
 
     def rejected(self, relay: str, error: FeedError) -> None:
@@ -99,9 +99,9 @@
     def _receive_configuration(self, revision: int, value: bytes | None) -> None:
         """Check a configuration and activate it; a removed one (None) leaves the one in force as it is."""
         if value is None:
-            self.in_force.refused = None
+            self.in_force.rejected = None
             return
-        reason = self.in_force.offer(revision, value)
+        reason = self.in_force.stage(revision, value)
         if reason:
             self.metrics.trouble("configuration not usable", f"revision {revision}: {reason}")
             return
@@ -110,7 +110,7 @@
     def _activate(self) -> None:
         """Put the newest usable configuration in force, or wait for capacity."""
         self._waiting_for_capacity = not self.generations.has_capacity
-        if self._waiting_for_capacity or not self.in_force.turn():
+        if self._waiting_for_capacity or not self.in_force.activate():
             return
         usable = self.in_force.current.settings
         if usable.settings != self.generations.current.settings:
@@ -129,7 +129,7 @@
     def _activate_waiting(self) -> None:
         self._activation = None
         self._activate()
-        if not self._waiting_for_capacity and self.in_force.refused is None:
+        if not self._waiting_for_capacity and self.in_force.rejected is None:
             self.client.follower.accepted(self.client.clock())
 
 
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -1,4 +1,4 @@
-"""Brokers that learn from each other, on real sockets: meeting, telling, refusing, and what must not change."""
+"""Brokers that learn from each other, on real sockets: joining, serving, rejecting, and what must not change."""
 
 import asyncio
 import socket
@@ -45,7 +45,10 @@
     """A stage's world with more brokers before it, one the seed of the others."""
 
     def __init__(self, stage, key):
-        self.stage, self.key, self.seed, self.all = stage, str(key), f"127.0.0.1:{free_port()}", []
+        self.stage = stage
+        self.key = str(key)
+        self.seed = f"127.0.0.1:{free_port()}"
+        self.all = []
 
     async def add(self, index, **changes):
         port = int(self.seed.rpartition(":")[2]) if not self.all else 0
@@ -53,14 +56,15 @@
         peers = msgspec.structs.replace(peers, **changes)
         base = self.stage.settings
         identity = msgspec.structs.replace(base.identity, index=index, count=10)
-        one = Broker(msgspec.structs.replace(base, peers=peers, identity=identity), self.stage.broker.front.subgraph)
-        self.all.append(one)
-        await one.start()
-        return one
+        settings = msgspec.structs.replace(base, peers=peers, identity=identity)
+        broker = Broker(settings, self.stage.broker.front.subgraph)
+        self.all.append(broker)
+        await broker.start()
+        return broker
 
     async def close(self):
-        for one in self.all:
-            await one.stop()
+        for broker in self.all:
+            await broker.stop()
 
 
 def alive(broker):
@@ -107,7 +111,7 @@
     run(main)
 
 
-def test_another_key_opens_nothing(keys):
+def test_a_broker_with_another_key_is_rejected(keys):
     async def main():
         async with Stage() as s:
             group = Brokers(s, keys / "key")
@@ -131,11 +135,12 @@
     run(main)
 
 
-def test_a_leave_is_known_and_a_stop_is_clean(keys):
+def test_a_departure_is_noticed_and_a_stop_is_clean(keys):
     async def main():
         async with Stage() as s:
             group = Brokers(s, keys / "key")
-            a, b = await group.add(0), await group.add(1)
+            a = await group.add(0)
+            b = await group.add(1)
             await until(lambda: alive(a) and alive(b))
             await b.stop()
             group.all.remove(b)
@@ -145,7 +150,7 @@
     run(main)
 
 
-def test_a_record_is_told_once_for_each_nonce_and_only_whole(keys):
+def test_a_record_is_served_once_for_each_nonce_and_only_with_a_valid_signature(keys):
     key = read_key(keys / "key")
 
     async def main():
@@ -179,7 +184,7 @@
     run(main)
 
 
-def test_a_broker_takes_its_own_snapshot_and_writes_the_next(tmp_path):
+def test_a_broker_uses_its_own_snapshot_and_writes_the_next(tmp_path):
     file = tmp_path / "seen"
     servers = tuple(ServerObservation(f"rates-{i}", 150.0 if i == 4 else 20.0, 100.0) for i in range(12))
     write_atomically(
@@ -221,7 +226,7 @@
     run(main)
 
 
-def test_a_missing_or_short_key_ends_the_start(tmp_path):
+def test_a_missing_or_short_key_prevents_the_start(tmp_path):
     (tmp_path / "short").write_bytes(b"short\n")
     for name in ("none", "short"):
         with pytest.raises(KeyFileError, match=name):
