--- a/badgerbend/feed_service/control_settings.py
+++ b/badgerbend/feed_service/control_settings.py
@@ -9,7 +9,7 @@
 from badgerbend.feed.control import ControlTuning
 from badgerbend.feed.log import Retention
 from badgerbend.feed.publisher import PublisherTuning
-from badgerbend.feed.relay import RelayTuning
+from badgerbend.feed.relay_types import RelayTuning
 from badgerbend.leases.timing import LeaseTiming
 from badgerbend.net.udp import Address
 
--- a/badgerbend/peering/service.py
+++ b/badgerbend/peering/service.py
@@ -118,13 +118,13 @@
             identity.index,
             identity.zone,
             self.driver.open_parts,
-            self.driver.module.chosen,
+            self.driver.module.redundancy.chosen,
         )
 
     def check_answer(self, node: int, latency_ms: float) -> None:
         """Compare an own answer with what peers stated of its server."""
         module = self.driver.module
-        for peer in self.trust.check_answer(node, latency_ms, module.usual, module.now):
+        for peer in self.trust.check_answer(node, latency_ms, module.latency.typical_ms, module.now_ms):
             self.report_fault("peer not believed", peer)
 
     # -- what it learns
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -17,7 +17,8 @@
 from badgerbend.config.fleet import Site, Sites
 from badgerbend.config.settings import Snapshot
 from badgerbend.feed.log import Retention
-from badgerbend.feed.relay import Relay, RelayTuning
+from badgerbend.feed.relay import Relay
+from badgerbend.feed.relay_types import RelayTuning
 from badgerbend.feed_service.relay import RelayServer
 from badgerbend.feed_subscription.public_key import read_public_key
 from badgerbend.feed_subscription.subscription import WAITING_FOR_CAPACITY
@@ -135,8 +136,8 @@
             await stage.put_in_force(replaced(with_deadline(300, *forms), "(need 0.75)", "(need 0.9)"))
             newest = stage.generations.current
             assert newest is not before and stage.generations.draining == [before] and before.driver.queries
-            assert [tenant.quota_per_s for tenant in newest.driver.module.set.tenants] == [7.0, 8.0]
-            assert [one.complete_weight for one in newest.driver.module.set.classes][1] == 0.9
+            assert [tenant.quota_per_s for tenant in newest.driver.module.settings.tenants] == [7.0, 8.0]
+            assert [one.complete_weight for one in newest.driver.module.settings.classes][1] == 0.9
             assert (await stage.client.query(ASK))[0] == 403  # tenants are told apart from now on
             loop = asyncio.get_running_loop()
             began = loop.time()
@@ -244,18 +245,18 @@
             for number in range(60):
                 await stage.client.query(f"{{ fullQuote(blocks: [{number % 24}], amount: 5) {{ id }} }}")
             before = stage.generations.current
-            await until(lambda: before.driver.module.usual > 0.0)
+            await until(lambda: before.driver.module.latency.typical_ms > 0.0)
             known = {one.node: one.time_ms for one in before.driver.known().nodes}
-            usual = before.driver.module.usual
+            usual = before.driver.module.latency.typical_ms
             assert known
             for deadline_ms in (2900, 2800, 2700):  # one right after the other: what was seen goes on
                 await stage.put_in_force(with_deadline(deadline_ms))
             newest = stage.generations.current
-            await until(lambda: newest.driver.module.nodes)
-            ready = {node.id for node in newest.driver.module.nodes.values() if node.ready}
+            await until(lambda: newest.driver.module.endpoints.servers)
+            ready = {server.id for server in newest.driver.module.endpoints.servers.values() if server.ready}
             assert ready == set(stage.broker.directory.addresses) and len(ready) == 12
             assert {one.node: one.time_ms for one in newest.driver.known().nodes} == known
-            assert newest.driver.module.usual == pytest.approx(usual, rel=0.5)
+            assert newest.driver.module.latency.typical_ms == pytest.approx(usual, rel=0.5)
             stage.slow_down(SLOW_MS)
             first = asyncio.ensure_future(stage.client.query(ASK))
             await until(lambda: newest.driver.queries)
@@ -263,7 +264,11 @@
             gone = next(iter(stage.world.servers))
             stage.world.crash(gone)
             modules = [one.driver.module for one in stage.generations.live]
-            await until(lambda: all(sum(node.ready for node in module.nodes.values()) == 11 for module in modules))
+            await until(
+                lambda: all(
+                    sum(server.ready for server in module.endpoints.servers.values()) == 11 for module in modules
+                )
+            )
             assert len(modules) == 2
             await first
 
@@ -316,9 +321,9 @@
         async with FeedStage(tmp_path, discovery={"mode": "ask"}) as stage:
             await stage.put_in_force(with_deadline(2900))
             newest = stage.generations.current.driver.module
-            await until(lambda: sum(node.ready for node in newest.nodes.values()) == 12)
+            await until(lambda: sum(server.ready for server in newest.endpoints.servers.values()) == 12)
             stage.world.crash(next(iter(stage.world.servers)))
-            await until(lambda: sum(node.ready for node in newest.nodes.values()) == 11)
+            await until(lambda: sum(server.ready for server in newest.endpoints.servers.values()) == 11)
 
     run(main)
 
@@ -378,7 +383,7 @@
             await stage.put_in_force(PUBLISHED)
             assert stage.generations.current is before
             stage.publish(None)
-            await until(lambda: stage.broker.feed_subscription.client.follower.applied_revision == 2)
+            await until(lambda: stage.broker.feed_subscription.client.follower.status.applied_revision == 2)
             assert stage.generations.live == (before,)
 
     run(main)
@@ -402,7 +407,7 @@
             stage.publish_changes(change(f"node/{removed}", None))
             await until(lambda: removed not in states_of(stage.broker))
             module = stage.generations.current.driver.module
-            await until(lambda: sum(node.ready for node in module.nodes.values()) == 10)
+            await until(lambda: sum(server.ready for server in module.endpoints.servers.values()) == 10)
             stage.records.clear()
             await stage.put_in_force(with_deadline(2900))  # a new generation begins with the feed's list
             for block in range(24):
@@ -447,14 +452,15 @@
                 await until(lambda: other.directory.known)
                 await until(
                     lambda: (
-                        other.feed_subscription.client.follower.applied_revision == stage.control.machine.log.revision
+                        other.feed_subscription.client.follower.status.applied_revision
+                        == stage.control.machine.log.revision
                     )
                 )
                 await until(lambda: states_of(other)[drained] == api.EndpointState.DRAINING)
                 number = other.directory.known[drained].line.node
-                module = other.driver.module
-                await until(lambda: sum(node.ready for node in module.nodes.values()) == len(states_of(other)) - 1)
-                assert number not in module.nodes or not module.nodes[number].ready
+                servers = other.driver.module.endpoints.servers
+                await until(lambda: sum(server.ready for server in servers.values()) == len(states_of(other)) - 1)
+                assert number not in servers or not servers[number].ready
             finally:
                 await other.stop()
                 await server.stop()
