--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -14,13 +14,15 @@
 from tests.simvoters import Chaos
 
 
-class CountsTwice(Election):
+class CountsVotesTwice(Election):
+    """Counts each vote that is delivered twice as two."""
+
     def count_vote(self, now, voter):
         if not self.votes:
-            self.heard = []
+            self.counted = []
         self.votes.add(voter)
-        self.heard.append(voter)
-        if 2 * len(self.heard) <= len(self.replica.voters):
+        self.counted.append(voter)
+        if 2 * len(self.counted) <= len(self.replica.voters):
             return False
         if self.replica.role is Role.PRE_CANDIDATE:
             self.campaign(now)
@@ -28,17 +30,23 @@
         return True
 
 
-class VotesBeforeTheDisk(Raft):
+class VotesBeforePersisting(Raft):
+    """Sends a vote before it is on disk."""
+
     def send(self, to, message, after=0):
         super().send(to, message, 0 if isinstance(message, voting.RequestVoteReply) else after)
 
 
-class AcknowledgesBeforeTheDisk(Raft):
+class AcknowledgesBeforePersisting(Raft):
+    """Acknowledges entries before they are on disk."""
+
     def send(self, to, message, after=0):
         super().send(to, message, 0 if isinstance(message, voting.AppendEntriesReply) else after)
 
 
-class CountsOwnBeforeTheDisk(Replication):
+class CountsUnpersistedEntries(Replication):
+    """Counts the leader's own entries before they are on disk."""
+
     def committable_index(self):
         durability = self.replica.durability
         persisted_index = durability.persisted_index
@@ -48,23 +56,29 @@
         return index
 
 
-class CommitsByCounting(Replication):
+class CountsEntriesOfEarlierTerms(Replication):
+    """Commits an entry of an earlier term once a majority has it."""
+
     def may_commit(self, index):
         return True
 
 
-class CommitsAnEarlierTerm(Raft):
-    replication_class = CommitsByCounting
+class CommitsEntriesOfEarlierTerms(Raft):
+    """A voter whose replication counts entries of earlier terms."""
+
+    replication_class = CountsEntriesOfEarlierTerms
 
 
-class TakesAnyLog(Election):
-    """Votes for a candidate that has less than itself."""
+class VotesForShorterLogs(Election):
+    """Votes for a candidate whose log is behind its own."""
 
     def answer(self, now, request):
         super().answer(now, msgspec.structs.replace(request, last_index=1 << 40, last_term=1 << 40))
 
 
-class ReadsWithoutARound(Raft):
+class ConfirmsReadsWithoutHeartbeats(Raft):
+    """Confirms a read at once, without a round of heartbeats."""
+
     def read_index(self, now, token):
         if self.is_established_leader:
             self.events.append(ReadConfirmed(token))
@@ -169,10 +183,10 @@
 
 # name: what replaces the product's classes, the chaos in which it shows, and a seed that shows it
 MUTANTS = {
-    "a vote counted twice": ({"voter": voter(raft(election=CountsTwice))}, FIVE, 37),
-    "entries not synced": ({"voter": voter(AcknowledgesBeforeTheDisk)}, DISKS, 19),
-    "own entries not synced": ({"voter": voter(raft(replication=CountsOwnBeforeTheDisk))}, DISKS, 102),
-    "a vote for a shorter log": ({"voter": voter(raft(election=TakesAnyLog))}, NETS, 5),
+    "a vote counted twice": ({"voter": voter(raft(election=CountsVotesTwice))}, FIVE, 37),
+    "entries not synced": ({"voter": voter(AcknowledgesBeforePersisting)}, DISKS, 19),
+    "own entries not synced": ({"voter": voter(raft(replication=CountsUnpersistedEntries))}, DISKS, 102),
+    "a vote for a shorter log": ({"voter": voter(raft(election=VotesForShorterLogs))}, NETS, 5),
     "a lease not shortened by drift": (
         {"holder": HolderIgnoresClockDrift, "voter": voter(manager=LeaderIgnoresClockDrift)},
         DRIFT,
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -16,7 +16,13 @@
 from badgerbend.leases.table import Lease, LeaseTable
 from badgerbend.leases.timing import LeaseTiming
 from tests.modelvoters import NAMES, Action, Kind, State, clone, search
-from tests.mutants import MUTANTS, CommitsAnEarlierTerm, LosesALease, ReadsWithoutARound, VotesBeforeTheDisk
+from tests.mutants import (
+    MUTANTS,
+    CommitsEntriesOfEarlierTerms,
+    ConfirmsReadsWithoutHeartbeats,
+    LosesALease,
+    VotesBeforePersisting,
+)
 from tests.simvoters import Broken, Chaos, World
 
 # -- random faults in simulated time
@@ -80,7 +86,7 @@
 
 def test_search_finds_a_vote_that_does_not_wait_for_the_disk():
     with pytest.raises(Broken, match="term 1 is led by a and by"):
-        search(9, VotesBeforeTheDisk)
+        search(9, VotesBeforePersisting)
 
 
 def figure_8(kind, monkeypatch):
@@ -131,7 +137,7 @@
     state = figure_8(Raft, monkeypatch)
     assert state.rafts["a"].commit_index == 0 and state.rafts["c"].commit_index == 2
     with pytest.raises(Broken, match="committed another entry 1"):
-        figure_8(CommitsAnEarlierTerm, monkeypatch)
+        figure_8(CommitsEntriesOfEarlierTerms, monkeypatch)
 
 
 # -- single properties of Raft
@@ -224,7 +230,7 @@
 def test_isolated_leader_steps_down_and_confirms_no_read():
     cluster, old = isolate_leader()
     assert old.role is not Role.LEADER and ReadConfirmed(2) not in cluster.events[old.name]
-    wrong, leader = isolate_leader(ReadsWithoutARound)
+    wrong, leader = isolate_leader(ConfirmsReadsWithoutHeartbeats)
     assert ReadConfirmed(2) in wrong.events[leader.name]  # the check finds what it looks for
     new, term = cluster.leader(), cluster.leader().term
     cluster.put("other")
--- a/tests/test_planted_defects.py
+++ b/tests/test_planted_defects.py
@@ -33,7 +33,7 @@
     },
     "tests/known_red.py": {"report": {"longrepr"}},  # of pytest
     "tests/modelvoters.py": {"new": {"__dict__"}},
-    "tests/mutants.py": {"CountsTwice": {"heard"}},
+    "tests/mutants.py": {"CountsVotesTwice": {"counted"}},
     "tests/test_feed_faults.py": {"LyingRelay": {"lie"}},
     "tests/test_siting.py": {"Keyed": {"folder"}},
 }
