--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -9,11 +9,11 @@
 
 from badgerbend.consensus import messages as voting
 from badgerbend.consensus.types import RaftConfig
-from badgerbend.feed.control import Abandoned, Action, ControlNode, ControlTuning, Propose, Report
+from badgerbend.feed.control import Action, ChangesAbandoned, ControlNode, ControlTuning, Propose, ReportSummary
 from badgerbend.feed.log import Retention
-from badgerbend.feed.machine import PUBLISH, FeedMachine
+from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
 from badgerbend.feed.messages import Change, Summary
-from badgerbend.feed.publisher import Check, Problem, Progress, Publisher, PublisherTuning
+from badgerbend.feed.publisher import ChangeCheck, Publisher, PublisherTuning, RejectedChange, RolloutProgress
 from badgerbend.feed.relay import Relay, RelayTuning
 from badgerbend.feed.signature import Signer
 from badgerbend.feed_service import control_wire
@@ -59,7 +59,7 @@
         self,
         settings: ControlSettings,
         signer: Signer,
-        check: Check,
+        check: ChangeCheck,
         note: Callable[..., None],
         clock: Clock = monotonic,
     ) -> None:
@@ -68,7 +68,7 @@
         self.settings, self.note, self.clock = settings, note, clock
         self.own = settings.voters[settings.name]
         now, seed = clock(), life << 8
-        machine = FeedMachine(settings.retention)
+        machine = FeedStateMachine(settings.retention)
         self.messenger = LeaseMessenger(self, settings.name, settings.voters, self._receive_own_reply)
         self.local_voter = LocalVoter(
             settings.store_path,
@@ -84,7 +84,7 @@
         self.lease_holder = LeaseHolder(
             settings.name,
             address_text(self.own),
-            {PUBLISH: True},
+            {PUBLISH_LEASE: True},
             tuple(settings.voters),
             settings.lease_timing,
             seed + 2,
@@ -124,15 +124,15 @@
         """Whether this machine holds the lease on publishing now."""
         return bool(self.publisher.epoch)
 
-    def submit(self, changes: Iterable[Change]) -> tuple[Problem, ...]:
+    def submit(self, changes: Iterable[Change]) -> tuple[RejectedChange, ...]:
         """Takes all of these changes for publication, or none of them and says why. Raises NotPublishing."""
         if not self.is_publisher:
-            raise NotPublishingError(f"{self.lease_holder.duties[PUBLISH].holder or 'nobody'} publishes")
+            raise NotPublishingError(f"{self.lease_holder.duties[PUBLISH_LEASE].holder or 'nobody'} publishes")
         problems = self.publisher.submit(self.clock(), changes)
         self._settle()
         return problems
 
-    def progress(self, revision: int) -> Progress:
+    def progress(self, revision: int) -> RolloutProgress:
         """Who has this revision in force, as far as relays have reported."""
         return self.publisher.progress(self.clock(), revision)
 
@@ -157,7 +157,7 @@
             case Proposal(command):
                 self.local_voter.propose(command)
             case Summary():
-                self.publisher.heard(self.clock(), message)
+                self.publisher.record_summary(self.clock(), message)
             case (
                 voting.RequestVote()
                 | voting.RequestVoteReply()
@@ -191,8 +191,8 @@
             return
         for _ in range(MAX_ROUNDS):
             busy = self.messenger.send_pending_requests(self.lease_holder, self.local_voter)
-            busy |= self.control_node.settle(self.clock())
-            for action in self.control_node.take():
+            busy |= self.control_node.synchronize(self.clock())
+            for action in self.control_node.take_actions():
                 busy = True
                 self._carry_out(action)
             if not busy:
@@ -208,8 +208,8 @@
                     self.local_voter.propose(command)
                 elif leader in self.settings.voters:
                     self.send(self.settings.voters[leader], control_wire.encode_proposal(command))
-            case Report(publisher, summary):
+            case ReportSummary(publisher, summary):
                 if publisher in self.settings.voters:
                     self.send(self.settings.voters[publisher], control_wire.encode_summary(summary))
-            case Abandoned(changes):
+            case ChangesAbandoned(changes):
                 self.note("changes not published", changes=len(changes))
--- a/badgerbend/lease_service/local_voter.py
+++ b/badgerbend/lease_service/local_voter.py
@@ -115,14 +115,14 @@
     def flush(self) -> None:
         """Writes, sends and logs what the voter has put out."""
         output = self.voter.drain_output()
-        if output.writes:
-            self.writer.write(output.writes)
+        if output.records:
+            self.writer.write(output.records)
         for name, message in output.to_voters:
             self.messenger.send_to_voter(name, message)
         for broker, reply in output.to_brokers:
             if broker in self.broker_addresses:
                 self.messenger.send_reply(self.broker_addresses[broker], reply)
-        for event, fields in output.log_records:
+        for event, fields in output.log_lines:
             self.log_event(event, **fields)
 
     def close(self) -> None:
@@ -137,7 +137,7 @@
 
     def _handle_saved(self, last_write: int) -> None:
         if self.failure is None:
-            self.voter.saved(self.clock(), last_write)
+            self.voter.persisted(self.clock(), last_write)
             self.flush()
             self.on_saved()
 
