--- a/badgerbend/lease_service/budget_exchange.py
+++ b/badgerbend/lease_service/budget_exchange.py
@@ -14,6 +14,7 @@
 from badgerbend.leases.messages import BudgetReply, BudgetRequest
 from badgerbend.slow_start_budget.allocator import BudgetAllocator
 from badgerbend.slow_start_budget.broker import BrokerBudget
+from badgerbend.slow_start_budget.resources import ResourceKey
 from badgerbend.slow_start_budget.timing import BudgetTiming
 
 SLOW_START_DUTY = "cold"  # on the wire; one for the whole fleet, since brokers of all sites may send to a server
@@ -57,14 +58,14 @@
     def create_requests(self) -> list[BudgetRequest]:
         """What to send to the allocator now; empty while no server is warming up."""
         now_ms = self.now_ms()
-        self.broker_budget.update_cold_servers(now_ms, self._cold_servers(now_ms))
+        self.broker_budget.update_warming_servers(now_ms, self._warming_servers(now_ms))
         requests = self.broker_budget.create_requests(now_ms)
         self.unanswered_requests = self.unanswered_requests + 1 if requests else 0
         return requests
 
-    def _cold_servers(self, now_ms: float) -> dict[int, tuple[str, float]]:
+    def _warming_servers(self, now_ms: float) -> dict[int, ResourceKey]:
         return {
-            known.number: (name, known.started)
+            known.number: ResourceKey(name, known.started)
             for name, known in self.directory.known.items()
             if known.line.state == api.EndpointState.READY
             and known.started_ms
--- a/badgerbend/lease_service/status.py
+++ b/badgerbend/lease_service/status.py
@@ -168,7 +168,7 @@
 def _budget_status(exchange: BudgetExchange) -> BudgetStatus:
     now_ms = exchange.now_ms()
     budget = exchange.broker_budget
-    resources = {resource.name: resource for resource in (*budget.servers.values(), *budget.sites.values())}
+    resources = {resource.key.name: resource for resource in (*budget.servers.values(), *budget.sites.values())}
     return BudgetStatus(
         resources=[
             ResourceStatus(
--- a/badgerbend/slow_start_budget/allocator.py
+++ b/badgerbend/slow_start_budget/allocator.py
@@ -4,20 +4,13 @@
 
 import math
 from dataclasses import dataclass, field
-from typing import NamedTuple
 
 from badgerbend.leases.messages import BudgetDemand, BudgetGrant, BudgetReply, BudgetRequest
 from badgerbend.slow_start_budget.fair_share import RateDemand, fair_rate
+from badgerbend.slow_start_budget.resources import ResourceKey
 from badgerbend.slow_start_budget.timing import BudgetTiming
 
 
-class ResourceKey(NamedTuple):
-    """A server or a site by name, with the start time that the endpoint list states (0 for a site)."""
-
-    name: str
-    started_ms: float
-
-
 @dataclass(frozen=True, slots=True)
 class IssuedGrant:
     """A rate in parts a millisecond, and when it was granted, by the allocator's clock."""
--- a/badgerbend/slow_start_budget/broker.py
+++ b/badgerbend/slow_start_budget/broker.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass, field
 
 from badgerbend.leases.messages import MAX_SERVERS, BudgetDemand, BudgetReply, BudgetRequest
+from badgerbend.slow_start_budget.resources import ResourceKey
 from badgerbend.slow_start_budget.timing import BudgetTiming
 
 MAX_REQUESTS = 8  # datagrams that a broker sends at once: 128 resources, those of the largest difference first
@@ -16,15 +17,14 @@
 
 
 @dataclass(slots=True)
-class Resource:
-    """A server that is warming up, or a site that recovers, as one broker sees it.
+class ResourceBudget:
+    """One broker's view of a resource.
 
     Rates are parts a millisecond; those of a server are as if it were warm. Times are milliseconds of the broker's
     clock. A server's demand is counted in parts since the last request, a site's is a rate.
     """
 
-    name: str
-    started_ms: float
+    key: ResourceKey
     own_rate: float = 0.0
     demand_parts: float = 0.0
     demand_rate: float = 0.0
@@ -51,8 +51,8 @@
         self.name = name
         self.duty = duty
         self.timing = timing
-        self.servers: dict[int, Resource] = {}
-        self.sites: dict[str, Resource] = {}
+        self.servers: dict[int, ResourceBudget] = {}
+        self.sites: dict[str, ResourceBudget] = {}
         self.request_times: dict[int, float] = {}  # by number of the request
         self.grants_applied = 0
         self._last_request = incarnation << REQUEST_NUMBER_BITS  # replies to earlier incarnations match no request
@@ -72,11 +72,11 @@
     def recovering_site_rate(self, now_ms: float, name: str, own: float, wanted: float) -> float:
         """See `api.SlowStartBudget`."""
         resource_name = f"site {name}"
-        site = self.sites.setdefault(resource_name, Resource(resource_name, 0.0))
+        site = self.sites.setdefault(resource_name, ResourceBudget(ResourceKey(resource_name, 0.0)))
         site.demand_rate = wanted
         return self._usable_rate(site, now_ms, own)
 
-    def _usable_rate(self, resource: Resource, now_ms: float, own_rate: float) -> float:
+    def _usable_rate(self, resource: ResourceBudget, now_ms: float, own_rate: float) -> float:
         resource.own_rate = own_rate
         if now_ms < resource.granted_until_ms:
             return resource.granted_rate
@@ -86,17 +86,14 @@
 
     # -- requests and replies
 
-    def update_cold_servers(self, now_ms: float, cold: Mapping[int, tuple[str, float]]) -> None:
-        """Sets which servers are warming up: by number, their names and start times as the endpoint list states them.
-
-        A grant for an earlier start of a server is dropped.
-        """
-        for number, (name, started_ms) in cold.items():
+    def update_warming_servers(self, now_ms: float, warming: Mapping[int, ResourceKey]) -> None:
+        """Sets which servers are warming up, by number. A grant for an earlier start of a server is dropped."""
+        for number, key in warming.items():
             server = self.servers.get(number)
-            if server is None or (server.name, server.started_ms) != (name, started_ms):
-                self.servers[number] = Resource(name, started_ms, demand_since_ms=now_ms)
+            if server is None or server.key != key:
+                self.servers[number] = ResourceBudget(key, demand_since_ms=now_ms)
         # A server that is still capped is kept: the list may name it again, and the allocator counts on the cap.
-        warm = [n for n, server in self.servers.items() if n not in cold and now_ms >= server.capped_until_ms]
+        warm = [n for n, server in self.servers.items() if n not in warming and now_ms >= server.capped_until_ms]
         for number in warm:
             del self.servers[number]
 
@@ -125,9 +122,9 @@
         granted_until_ms = requested_ms + self.timing.broker_grant_ms
         if now_ms >= granted_until_ms:
             return
-        resources = {(r.name, r.started_ms): r for r in (*self.servers.values(), *self.sites.values())}
+        resources = {resource.key: resource for resource in (*self.servers.values(), *self.sites.values())}
         for grant in reply.grants:
-            resource = resources.get((grant.resource, grant.started_ms))
+            resource = resources.get(ResourceKey(grant.resource, grant.started_ms))
             if resource is None or granted_until_ms < resource.granted_until_ms:
                 continue
             resource.granted_rate = grant.rate
@@ -141,7 +138,7 @@
         for server in self.servers.values():
             rate = server.demand_parts / max(now_ms - server.demand_since_ms, 1.0)
             acknowledged = server.acknowledged_request(now_ms)
-            demands.append(BudgetDemand(server.name, server.started_ms, server.own_rate, rate, acknowledged))
+            demands.append(BudgetDemand(*server.key, server.own_rate, rate, acknowledged))
             server.demand_parts = 0.0
             server.demand_since_ms = now_ms
             server.counted_parts.clear()
@@ -152,8 +149,8 @@
         for site in list(self.sites.values()):
             if site.own_rate > 0.0:
                 acknowledged = site.acknowledged_request(now_ms)
-                demands.append(BudgetDemand(site.name, 0.0, site.own_rate, site.demand_rate, acknowledged))
+                demands.append(BudgetDemand(*site.key, site.own_rate, site.demand_rate, acknowledged))
                 site.own_rate = 0.0  # set again by the decisions as long as the site recovers
             elif now_ms >= site.capped_until_ms:
-                del self.sites[site.name]
+                del self.sites[site.key.name]
         return demands
--- a/badgerbend/slow_start_budget/fair_share.py
+++ b/badgerbend/slow_start_budget/fair_share.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _WaterLevel:
-    """level: what everybody gets who wants at least so much more. left: what nobody wants of the spare rate."""
+    """level: what everybody gets who wants at least so much more. left: the spare rate that nobody wants."""
 
     level: float
     left: float
@@ -35,17 +35,17 @@
     own = demands[broker]
     if own.demand_rate >= own.own_rate:
         return own.own_rate + min(own.demand_rate - own.own_rate, water.level)
-    used_share = (spare - water.left) / spare
-    return own.own_rate - (own.own_rate - own.demand_rate) * used_share
+    used_fraction = (spare - water.left) / spare
+    return own.own_rate - (own.own_rate - own.demand_rate) * used_fraction
 
 
 def _water_level(wanted: Sequence[float], spare: float) -> _WaterLevel:
     level = 0.0
     left = spare
     ascending = sorted(wanted)
-    for index, want in enumerate(ascending):
+    for index, rate in enumerate(ascending):
         remaining = len(ascending) - index
-        step = min(want - level, left / remaining)
+        step = min(rate - level, left / remaining)
         level += step
         left -= step * remaining
     return _WaterLevel(level, left)
--- a/benchmarks/allowance.py
+++ b/benchmarks/allowance.py
@@ -15,8 +15,8 @@
 
 sys.path[:0] = [str(Path(__file__).parent.parent), str(Path(__file__).parent.parent / "tests")]
 
-from tests.simallowance import Over, World  # noqa: E402
-from tests.simcold import release_and_shift, return_of_a_site  # noqa: E402
+from tests.simbudget import BudgetExceededError, World  # noqa: E402
+from tests.simslowstart import release_and_shift, return_of_a_site  # noqa: E402
 
 LOSSES = (0.0, 0.2, 0.6)
 SCENES = {"all cold, clients moved": release_and_shift, "a site back": return_of_a_site}
@@ -28,9 +28,9 @@
     world = World(seed, brokers=3 + seed % 8, loss=LOSSES[seed % len(LOSSES)])
     try:
         world.run(30_000)
-    except Over as err:
-        return seed, str(err), world.checks, world.dealt
-    return seed, "", world.checks, world.dealt
+    except BudgetExceededError as err:
+        return seed, str(err), world.checks, world.replies
+    return seed, "", world.checks, world.replies
 
 
 def seeds(count: int, first: int) -> int:
--- a/tests/simcold.py
+++ b/tests/simslowstart.py
@@ -1,60 +1,66 @@
-"""A site lost and back, all its servers cold, in simulated time; some of its brokers have most of its clients."""
+"""A site that recovers and a fleet restarted at once, in simulated time: what sharing the slow-start budget gains."""
 
 from collections import defaultdict
 
 from badgerbend.slow_start_budget.allocator import BudgetAllocator
 from badgerbend.slow_start_budget.broker import BrokerBudget
+from badgerbend.slow_start_budget.resources import ResourceKey
 from badgerbend.slow_start_budget.timing import BudgetTiming
 from tests.simsites import PACE, World
 
-LENGTHS = BudgetTiming(1000.0, 0.01)
-FACTOR, COLD_FROM, FALL_MS, COLD_MS = 2.0, 0.25, 1000.0, 5000.0  # a server that bears little while it is cold
-WAY_MS = 2.0  # of a word from one broker to another
+TIMING = BudgetTiming(1000.0, 0.01)
+OVERLOAD_FACTOR = 2.0
+SLOW_START_FROM = 0.25  # of its normal load a server takes right after its start
+SLOW_START_MS = 5000.0
+OVERLOAD_WINDOW_MS = 1000.0  # a server fails where it is overloaded for so long
+LATENCY_MS = 2.0  # of a message from one broker to another
 
 
-class ColdWorld(World):
-    """dealt: whether brokers deal cold allowance among them; `hold(False)` leaves them without a dealer."""
+class SlowStartWorld(World):
+    """shares_budget: whether brokers share it; `set_allocating(False)` leaves them without an allocator."""
 
-    module = {"overload_factor": FACTOR, "slow_start_from": COLD_FROM}  # noqa: RUF012
+    module = {"overload_factor": OVERLOAD_FACTOR, "slow_start_from": SLOW_START_FROM}  # noqa: RUF012
 
     def __init__(self, seed, dealt=True, brokers=(12, 4), servers=16, **changes):
-        self.budgets, self.dealt, self.arrivals = {}, dealt, defaultdict(list)
+        self.budgets = {}
+        self.shares_budget = dealt
+        self.arrivals = defaultdict(list)
         super().__init__(seed=seed, brokers=brokers, servers=servers, **changes)
-        self.allocator = BudgetAllocator("dealer", "cold", LENGTHS)
+        self.allocator = BudgetAllocator("allocator", "cold", TIMING)
         self.allocator.start(self.now)
-        self.held = True
+        self.allocating = True
         for i in self.budgets:
-            self.at(self.now + self.rng.uniform(0, 250), lambda i=i: self.ask(i))
+            self.at(self.now + self.rng.uniform(0, 250), lambda i=i: self.send_requests(i))
 
     def allowance(self, index, seed):
-        if not self.dealt:
+        if not self.shares_budget:
             return None
-        self.budgets[index] = BrokerBudget(f"b{index}", "cold", LENGTHS, 1)
+        self.budgets[index] = BrokerBudget(f"b{index}", "cold", TIMING, 1)
         return self.budgets[index]
 
-    def hold(self, held):
-        self.held = held
-        if held:
+    def set_allocating(self, allocating):
+        self.allocating = allocating
+        if allocating:
             self.allocator.start(self.now)
 
-    def ask(self, i):
-        self.at(self.now + self.rng.uniform(200, 300), lambda: self.ask(i))
-        mine = self.budgets[i]
-        mine.update_cold_servers(
+    def send_requests(self, i):
+        self.at(self.now + self.rng.uniform(200, 300), lambda: self.send_requests(i))
+        budget = self.budgets[i]
+        budget.update_warming_servers(
             self.now,
             {
-                s.node: (str(s.node), s.started)
+                s.node: ResourceKey(str(s.node), s.started)
                 for s in self.servers.values()
-                if s.up and s.started and self.now - s.started < COLD_MS
+                if s.up and s.started and self.now - s.started < SLOW_START_MS
             },
         )
-        for ask in mine.create_requests(self.now):
-            self.at(self.now + WAY_MS, lambda ask=ask: self.deals(i, ask))
+        for request in budget.create_requests(self.now):
+            self.at(self.now + LATENCY_MS, lambda request=request: self.receive_request(i, request))
 
-    def deals(self, i, ask):
-        dealt = self.allocator.handle_request(self.now, 1, ask) if self.held else None
-        if dealt is not None:
-            self.at(self.now + WAY_MS, lambda: self.budgets[i].apply_reply(self.now, dealt))
+    def receive_request(self, i, request):
+        reply = self.allocator.handle_request(self.now, 1, request) if self.allocating else None
+        if reply is not None:
+            self.at(self.now + LATENCY_MS, lambda: self.budgets[i].apply_reply(self.now, reply))
 
     def count(self, broker, server):
         super().count(broker, server)
@@ -67,11 +73,11 @@
             times = [t for t in self.arrivals[server.node] if since <= t <= until]
             first = 0
             for n, t in enumerate(times):
-                while times[first] < t - FALL_MS:
+                while times[first] < t - OVERLOAD_WINDOW_MS:
                     first += 1
-                warmth = min(1.0, COLD_FROM + (1 - COLD_FROM) * (t - server.started) / COLD_MS)
+                warmth = min(1.0, SLOW_START_FROM + (1 - SLOW_START_FROM) * (t - server.started) / SLOW_START_MS)
                 if warmth < 1.0:
-                    most = max(most, (n - first + 1) / (FACTOR * warmth * PACE * FALL_MS))
+                    most = max(most, (n - first + 1) / (OVERLOAD_FACTOR * warmth * PACE * OVERLOAD_WINDOW_MS))
         return most
 
 
@@ -85,15 +91,15 @@
         "asked": len(ends),
         "answered": len(well) / max(len(ends), 1),
         "ms": sum(well) / max(len(well), 1),
-        "peak": world.peak(since, since + COLD_MS),
+        "peak": world.peak(since, since + SLOW_START_MS),
         "at home": own,
     }
 
 
 def return_of_a_site(seed, dealt, held=True, skew=3.0):
     """A site is lost and back, and some of its brokers have most of its clients."""
-    world = ColdWorld(seed, dealt)
-    world.hold(held)
+    world = SlowStartWorld(seed, dealt)
+    world.set_allocating(held)
     world.load(0, 140.0, weights=[1.0 / (1 + i) ** skew for i in range(12)])
     world.load(1, 40.0)
     world.run(12_000)
@@ -107,8 +113,8 @@
 
 def release_and_shift(seed, dealt, held=True):
     """All servers start anew at once, and in that moment the clients of most brokers go to a few others."""
-    world = ColdWorld(seed, dealt, brokers=(12, 1))
-    world.hold(held)
+    world = SlowStartWorld(seed, dealt, brokers=(12, 1))
+    world.set_allocating(held)
     weights = [1.0] * 10 + [0.2] * 2
     world.load(0, 110.0, weights=weights)
     world.run(12_000)
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -82,6 +82,7 @@
     "slow_start_budget/allocator.py",
     "slow_start_budget/broker.py",
     "slow_start_budget/fair_share.py",
+    "slow_start_budget/resources.py",
     "slow_start_budget/timing.py",
     "leases/candidates.py",
     "leases/duty_state.py",
--- a/tests/test_allowance.py
+++ b/tests/test_slow_start_budget.py
@@ -1,4 +1,4 @@
-"""Cold allowance: what is dealt never sums to more than the shares, whatever is lost; who asks nobody keeps its own."""
+"""The slow-start budget: usable rates never sum up to more than the own rates, whatever is lost or late."""
 
 from dataclasses import replace
 
@@ -20,15 +20,16 @@
 from badgerbend.slow_start_budget.allocator import BudgetAllocator
 from badgerbend.slow_start_budget.broker import BrokerBudget
 from badgerbend.slow_start_budget.fair_share import RateDemand, fair_rate
+from badgerbend.slow_start_budget.resources import ResourceKey
 from badgerbend.slow_start_budget.timing import BudgetTiming
 from tests.conftest import ALL, Bench, line, of
-from tests.simallowance import DUTY, LENGTHS, NODE, SERVER, START, Over, World
-from tests.simcold import release_and_shift
+from tests.simbudget import DUTY, NODE, SERVER, START, TIMING, BudgetExceededError, World
 from tests.simsites import rules
+from tests.simslowstart import release_and_shift
 
 
-class BelievesAtOnce(BudgetAllocator):
-    """Counts on what a broker gives up before it has heard of it."""
+class CountsUnacknowledgedCaps(BudgetAllocator):
+    """Counts on a cap that the broker has not acknowledged."""
 
     def max_usable_rate(self, now_ms, allocation):
         if allocation.grants and allocation.acknowledged_request not in allocation.grants:
@@ -36,8 +37,8 @@
         return super().max_usable_rate(now_ms, allocation)
 
 
-class CountsTheLast(BudgetAllocator):
-    """Forgets that an earlier slice may still be in force."""
+class CountsOnlyTheLastGrant(BudgetAllocator):
+    """Forgets that an earlier grant may still be in force."""
 
     def max_usable_rate(self, now_ms, allocation):
         all_grants = allocation.grants
@@ -52,8 +53,8 @@
             allocation.grants = all_grants
 
 
-class AnswersTwice(BudgetAllocator):
-    """Deals anew for a word that came a second time, or was overtaken."""
+class GrantsDuplicatesAgain(BudgetAllocator):
+    """Issues another grant for a request that is a duplicate or was overtaken."""
 
     def handle_request(self, now_ms, epoch, request):
         for demand in request.demands:
@@ -62,14 +63,14 @@
         return super().handle_request(now_ms, epoch, request)
 
 
-class DealsAtOnce(BudgetAllocator):
+class GrantsAtOnce(BudgetAllocator):
     def start(self, now_ms):
         super().start(now_ms)
         self.leader_since_ms = -1e9
 
 
-class CountsFromTheAnswer(BrokerBudget):
-    """Counts a slice from when it came, not from when it was asked for."""
+class CountsFromTheReply(BrokerBudget):
+    """Counts a grant from when the reply arrived, not from when it was requested."""
 
     def apply_reply(self, now_ms, reply):
         if reply.seq in self.request_times:
@@ -77,146 +78,154 @@
         super().apply_reply(now_ms, reply)
 
 
-class KeepsNothing(BrokerBudget):
-    """Goes back to its own share once its slice is over."""
+class IgnoresTheCap(BrokerBudget):
+    """Goes back to its own rate as soon as its grant has expired."""
 
     def _usable_rate(self, resource, now_ms, own_rate):
         resource.own_rate = own_rate
         return resource.granted_rate if now_ms < resource.granted_until_ms else own_rate
 
 
-class NeverEnds(BrokerBudget):
+class NeverExpires(BrokerBudget):
     def _usable_rate(self, resource, now_ms, own_rate):
         resource.own_rate = own_rate
         return resource.granted_rate if resource.granted_until_ms > 0 else own_rate
 
 
-def test_the_sum_stays_within_the_shares_whatever_is_lost_late_or_replaced():
-    most = dealt = 0
+def test_usable_rates_stay_within_the_own_rates_whatever_is_lost_late_or_replaced():
+    max_used = replies = 0
     for seed in range(150):
         world = World(seed, loss=(0.0, 0.2, 0.6)[seed % 3])
         world.run(20_000)
         assert world.checks > 500
-        most, dealt = max(most, world.most), dealt + world.dealt
-    assert dealt > 10_000 and most > 0.99  # the shares are used up, and not by standing still
+        max_used = max(max_used, world.max_used)
+        replies += world.replies
+    assert replies > 10_000
+    assert max_used > 0.99  # the budget is used up, not left idle
 
 
 @pytest.mark.parametrize(
     "kinds",
     [
-        {"allocator": BelievesAtOnce},
-        {"allocator": CountsTheLast},
-        {"allocator": AnswersTwice},
-        {"allocator": DealsAtOnce},
-        {"budget": CountsFromTheAnswer},
-        {"budget": KeepsNothing},
-        {"budget": NeverEnds},
+        {"allocator": CountsUnacknowledgedCaps},
+        {"allocator": CountsOnlyTheLastGrant},
+        {"allocator": GrantsDuplicatesAgain},
+        {"allocator": GrantsAtOnce},
+        {"budget": CountsFromTheReply},
+        {"budget": IgnoresTheCap},
+        {"budget": NeverExpires},
         {"rate": 0.4},
     ],
     ids=lambda kinds: "clocks beyond the bound" if "rate" in kinds else next(iter(kinds.values())).__name__,
 )
-def test_each_defect_lets_brokers_send_too_much_together(kinds):
+def test_each_defect_exceeds_the_budget(kinds):
     for seed in range(300):
         try:
             World(seed, loss=0.2, **kinds).run(20_000)
-        except Over:
+        except BudgetExceededError:
             return
     pytest.fail("no seed shows it")
 
 
-def deal(dealer, slices, now, wants, owns, rounds=4):
-    """Brokers ask in turn, every answer arrives."""
+def exchange(allocator, budgets, now, demands, own_rates, rounds=4):
+    """Brokers send requests in turn, and every reply arrives. Returns the rates that they may use then."""
     for r in range(rounds):
         at = now + r * 200.0
-        for s, want, own in zip(slices, wants, owns, strict=True):
-            s.update_cold_servers(at, {NODE: (SERVER, START)})
-            s.server_rate(at, NODE, own, 1.0, 1, 1)
-            s.servers[NODE].demand_parts = want * 100.0
-            s.servers[NODE].demand_since_ms = at - 100.0
-            for ask in s.create_requests(at):
-                dealt = dealer.handle_request(at, 5, ask)
-                if dealt is not None:
-                    s.apply_reply(at, dealt)
+        for budget, demand, own_rate in zip(budgets, demands, own_rates, strict=True):
+            budget.update_warming_servers(at, {NODE: ResourceKey(SERVER, START)})
+            budget.server_rate(at, NODE, own_rate, 1.0, 1, 1)
+            budget.servers[NODE].demand_parts = demand * 100.0
+            budget.servers[NODE].demand_since_ms = at - 100.0
+            for request in budget.create_requests(at):
+                reply = allocator.handle_request(at, 5, request)
+                if reply is not None:
+                    budget.apply_reply(at, reply)
     at = now + rounds * 200.0 - 100.0
-    return [s.server_rate(at, NODE, own, 1.0, 1, 1) for s, own in zip(slices, owns, strict=True)]
+    return usable_rates(budgets, at, own_rates)
+
+
+def usable_rates(budgets, at, own_rates):
+    return [budget.server_rate(at, NODE, own, 1.0, 1, 1) for budget, own in zip(budgets, own_rates, strict=True)]
 
 
 def fleet(n):
-    dealer = BudgetAllocator("d", DUTY, LENGTHS)
-    dealer.start(0.0)
-    return dealer, [BrokerBudget(f"b{i}", DUTY, LENGTHS, i) for i in range(n)]
+    allocator = BudgetAllocator("d", DUTY, TIMING)
+    allocator.start(0.0)
+    return allocator, [BrokerBudget(f"b{i}", DUTY, TIMING, i) for i in range(n)]
 
 
-def test_what_quiet_brokers_leave_goes_to_those_that_want_more():
-    dealer, slices = fleet(4)
-    got = deal(dealer, slices, 2000.0, wants=[0.0, 0.0, 10.0, 1.5], owns=[1.0] * 4)
+def test_rate_that_some_brokers_leave_unused_is_granted_to_those_that_need_more():
+    allocator, budgets = fleet(4)
+    got = exchange(allocator, budgets, 2000.0, demands=[0.0, 0.0, 10.0, 1.5], own_rates=[1.0] * 4)
     assert got == pytest.approx([0.0, 0.0, 2.5, 1.5])
-    # all want less: each gets its own back in the end
-    got = deal(dealer, slices, 2900.0, wants=[0.1] * 4, owns=[1.0] * 4, rounds=12)
+    # All need less: each gets its own rate back in the end.
+    got = exchange(allocator, budgets, 2900.0, demands=[0.1] * 4, own_rates=[1.0] * 4, rounds=12)
     assert got == pytest.approx([1.0] * 4)
 
 
-def test_without_a_dealer_or_soon_after_one_came_each_keeps_to_its_own():
-    dealer, slices = fleet(3)
-    assert deal(dealer, slices, 10.0, wants=[0.0, 5.0, 5.0], owns=[1.0, 2.0, 3.0], rounds=1) == [1.0, 2.0, 3.0]
-    assert dealer.grants_issued == 0
-    got = deal(dealer, slices, 2000.0, wants=[0.0, 5.0, 5.0], owns=[1.0, 2.0, 3.0])
+def test_without_an_allocator_and_soon_after_it_started_brokers_use_their_own_rates():
+    allocator, budgets = fleet(3)
+    own_rates = [1.0, 2.0, 3.0]
+    assert exchange(allocator, budgets, 10.0, demands=[0.0, 5.0, 5.0], own_rates=own_rates, rounds=1) == own_rates
+    assert allocator.grants_issued == 0
+    got = exchange(allocator, budgets, 2000.0, demands=[0.0, 5.0, 5.0], own_rates=own_rates)
     assert got == pytest.approx([0.0, 2.5, 3.5])
-    # it is silent: what was given ends, what was given up is kept to for a while, then all is as before
-    for at, may in (
-        (2600.0 + LENGTHS.broker_grant_ms, [0.0, 2.0, 3.0]),
-        (2600.0 + LENGTHS.broker_cap_ms, [1.0, 2.0, 3.0]),
+    # No more replies: grants expire, caps hold on for a while, then all is as before.
+    for at, usable in (
+        (2600.0 + TIMING.broker_grant_ms, [0.0, 2.0, 3.0]),
+        (2600.0 + TIMING.broker_cap_ms, [1.0, 2.0, 3.0]),
     ):
-        assert [s.server_rate(at, NODE, n, 1.0, 1, 1) for s, n in zip(slices, (1.0, 2.0, 3.0), strict=True)] == may
+        assert usable_rates(budgets, at, own_rates) == usable
 
 
-def test_a_server_that_starts_again_is_another_and_a_warm_one_is_nobody_s():
-    dealer, slices = fleet(2)
-    assert deal(dealer, slices, 2000.0, wants=[0.0, 9.0], owns=[1.0, 1.0])[1] == pytest.approx(2.0)
-    slices[1].update_cold_servers(2700.0, {NODE: (SERVER, START + 1.0)})
-    assert slices[1].server_rate(2700.0, NODE, 1.0, 1.0, 1, 1) == 1.0
-    late = BudgetReply("d", DUTY, 5, next(iter(slices[1].request_times)), (BudgetGrant(SERVER, START, 9.0),))
-    slices[1].apply_reply(2700.0, late)  # a word on the start before
-    assert slices[1].server_rate(2700.0, NODE, 1.0, 1.0, 1, 1) == 1.0
-    slices[0].update_cold_servers(9000.0, {})
-    assert slices[0].server_rate(9000.0, NODE, 1.0, 1.0, 1, 1) == 1.0 and not slices[0].create_requests(9000.0)
+def test_a_restarted_server_is_another_resource_and_a_warm_one_is_none():
+    allocator, budgets = fleet(2)
+    assert exchange(allocator, budgets, 2000.0, demands=[0.0, 9.0], own_rates=[1.0, 1.0])[1] == pytest.approx(2.0)
+    budgets[1].update_warming_servers(2700.0, {NODE: ResourceKey(SERVER, START + 1.0)})
+    assert budgets[1].server_rate(2700.0, NODE, 1.0, 1.0, 1, 1) == 1.0
+    late = BudgetReply("d", DUTY, 5, next(iter(budgets[1].request_times)), (BudgetGrant(SERVER, START, 9.0),))
+    budgets[1].apply_reply(2700.0, late)  # for the start before
+    assert budgets[1].server_rate(2700.0, NODE, 1.0, 1.0, 1, 1) == 1.0
+    budgets[0].update_warming_servers(9000.0, {})
+    assert budgets[0].server_rate(9000.0, NODE, 1.0, 1.0, 1, 1) == 1.0 and not budgets[0].create_requests(9000.0)
 
 
-def test_a_want_counts_each_part_once_among_the_servers_it_may_go_to():
-    s = BrokerBudget("b", DUTY, LENGTHS, 1)
-    s.update_cold_servers(0.0, {1: ("one", 1.0), 2: ("two", 1.0)})
+def test_demand_counts_each_part_once_divided_by_the_servers_it_may_go_to():
+    budget = BrokerBudget("b", DUTY, TIMING, 1)
+    budget.update_warming_servers(0.0, {1: ResourceKey("one", 1.0), 2: ResourceKey("two", 1.0)})
     for part in (10, 11):
         for _ in range(5):  # looked at again and again while it waits
-            s.server_rate(100.0, 1, 0.5, 0.25, part, 2)
-            s.server_rate(100.0, 2, 0.5, 0.25, part, 2)
-    (ask,) = s.create_requests(1000.0)
-    assert {n.resource: n.demand_rate for n in ask.demands} == pytest.approx({"one": 0.004, "two": 0.004})
-    assert all(n.own_rate == 0.5 and n.acknowledged_request == 0 for n in ask.demands)
+            budget.server_rate(100.0, 1, 0.5, 0.25, part, 2)
+            budget.server_rate(100.0, 2, 0.5, 0.25, part, 2)
+    (request,) = budget.create_requests(1000.0)
+    rates = {demand.resource: demand.demand_rate for demand in request.demands}
+    assert rates == pytest.approx({"one": 0.004, "two": 0.004})
+    assert all(demand.own_rate == 0.5 and demand.acknowledged_request == 0 for demand in request.demands)
 
 
-def test_many_cold_servers_take_several_words_the_most_uneven_first():
-    s = BrokerBudget("b", DUTY, LENGTHS, 1)
-    s.update_cold_servers(0.0, {i: (f"s{i:03}", 1.0) for i in range(400)})
-    s.server_rate(10.0, 300, 1.0, 1.0, 1, 1)
-    asks = s.create_requests(100.0)
-    assert len(asks) == 8 and all(len(a.demands) == MAX_SERVERS for a in asks)
-    assert asks[0].demands[0].resource == "s300" and len({a.seq for a in asks}) == 8
+def test_many_servers_take_several_requests_the_largest_differences_first():
+    budget = BrokerBudget("b", DUTY, TIMING, 1)
+    budget.update_warming_servers(0.0, {i: ResourceKey(f"s{i:03}", 1.0) for i in range(400)})
+    budget.server_rate(10.0, 300, 1.0, 1.0, 1, 1)
+    requests = budget.create_requests(100.0)
+    assert len(requests) == 8 and all(len(request.demands) == MAX_SERVERS for request in requests)
+    assert requests[0].demands[0].resource == "s300" and len({request.seq for request in requests}) == 8
 
 
-def test_a_returning_site_is_dealt_as_a_server_is():
-    dealer, slices = fleet(2)
+def test_a_recovering_site_has_a_budget_as_a_server_has():
+    allocator, budgets = fleet(2)
     for r in range(4):
         at = 2000.0 + r * 200.0
-        for s, want in zip(slices, (0.1, 4.0), strict=True):
-            s.recovering_site_rate(at, "east", 1.0, want)
-            for ask in s.create_requests(at):
-                s.apply_reply(at, dealer.handle_request(at, 5, ask))
-    assert [s.recovering_site_rate(2700.0, "east", 1.0, 1.0) for s in slices] == pytest.approx([0.1, 1.9])
-    assert not slices[0].create_requests(2800.0) or slices[0].sites  # stated once more, then it is in
-    assert not slices[0].create_requests(9000.0) and not slices[0].sites
+        for budget, demand in zip(budgets, (0.1, 4.0), strict=True):
+            budget.recovering_site_rate(at, "east", 1.0, demand)
+            for request in budget.create_requests(at):
+                budget.apply_reply(at, allocator.handle_request(at, 5, request))
+    assert [budget.recovering_site_rate(2700.0, "east", 1.0, 1.0) for budget in budgets] == pytest.approx([0.1, 1.9])
+    assert not budgets[0].create_requests(2800.0) or budgets[0].sites  # reported once more, then it has recovered
+    assert not budgets[0].create_requests(9000.0) and not budgets[0].sites
 
 
-def test_max_min_and_nothing_made():
+def test_fair_rates_are_max_min_fair_and_sum_up_to_the_own_rates():
     book = {"a": RateDemand(2.0, 0.5), "b": RateDemand(1.0, 1.2), "c": RateDemand(1.0, 9.0), "d": RateDemand(0.0, 9.0)}
     parts = {b: fair_rate(book, b) for b in book}
     assert sum(parts.values()) == pytest.approx(4.0)
@@ -224,7 +233,7 @@
     assert parts["c"] - 1.0 == pytest.approx(parts["d"])
 
 
-def test_words_of_the_deal_are_read_back_or_refused():
+def test_messages_of_the_budget_are_decoded_or_rejected():
     ask = BudgetRequest("b", DUTY, 3, (BudgetDemand(SERVER, START, 1.0, 2.0, 0),))
     assert decode_peer_message(encode(ask)) == ask
     dealt = BudgetReply("d", DUTY, 9, 3, (BudgetGrant(SERVER, START, 2.0),))
@@ -235,29 +244,29 @@
             decode_peer_message(encode(BudgetRequest("b", DUTY, 3, (bad,))))
 
 
-def test_books_are_forgotten_with_those_who_ask_no_more():
-    dealer, slices = fleet(3)
-    deal(dealer, slices, 2000.0, wants=[0.0, 9.0, 9.0], owns=[1.0] * 3)
-    late = BrokerBudget("x", DUTY, LENGTHS, 9)
-    for at in (2600.0 + 2 * LENGTHS.allocator_cap_ms, 2600.0 + 6 * LENGTHS.allocator_cap_ms):
-        late.update_cold_servers(at, {1: ("other", 1.0)})
+def test_allocations_of_silent_brokers_are_dropped():
+    allocator, budgets = fleet(3)
+    exchange(allocator, budgets, 2000.0, demands=[0.0, 9.0, 9.0], own_rates=[1.0] * 3)
+    late = BrokerBudget("x", DUTY, TIMING, 9)
+    for at in (2600.0 + 2 * TIMING.allocator_cap_ms, 2600.0 + 6 * TIMING.allocator_cap_ms):
+        late.update_warming_servers(at, {1: ResourceKey("other", 1.0)})
         late.server_rate(at, 1, 1.0, 1.0, 1, 1)
-        for ask in late.create_requests(at):
-            dealer.handle_request(at, 5, ask)
-    assert set(dealer.allocations) == {("other", 1.0)}
+        for request in late.create_requests(at):
+            allocator.handle_request(at, 5, request)
+    assert set(allocator.allocations) == {ResourceKey("other", 1.0)}
 
 
-def test_lengths_leave_time_for_both_clocks():
+def test_durations_leave_time_for_the_drift_of_both_clocks():
     lengths = BudgetTiming(1000.0, 0.1)
     assert lengths.broker_grant_ms / (1 - 0.1) <= lengths.allocator_grant_ms / (1 + 0.1) + 1e-9
     assert lengths.allocator_cap_ms / (1 - 0.1) <= lengths.broker_cap_ms / (1 + 0.1) + 1e-9
 
 
-# -- the decisions ask
+# -- the decisions use the budget
 
 
-class Fixed:
-    """Deals the same to all, and notes what it was asked."""
+class FixedBudget:
+    """Allows the same rate everywhere, and records what it was asked."""
 
     def __init__(self, pace):
         self.pace, self.asked = pace, []
@@ -285,7 +294,7 @@
 
 def test_a_cold_server_gets_what_was_dealt_in_the_place_of_the_own_share():
     own = sent_in(cold_bench(None), 900.0)
-    much, little = Fixed(0.1), Fixed(1e-6)
+    much, little = FixedBudget(0.1), FixedBudget(1e-6)
     assert sent_in(cold_bench(much), 900.0) > own >= sent_in(cold_bench(little), 900.0)
     assert {(node, among) for node, *_, among in much.asked} == {(10, 1)}
     assert len({part for *_, part, _ in much.asked}) == 20  # each part that would go there is named
@@ -295,7 +304,7 @@
 def test_a_server_that_died_in_own_sight_is_fed_by_the_own_share_whatever_was_dealt():
     b, much = (
         Bench(lines=[line(10, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0, max_attempts=50),
-        Fixed(10.0),
+        FixedBudget(10.0),
     )
     b.agg.allowance = much
     b.learn(queries=10)
