--- a/badgerbend/leases/voter.py
+++ b/badgerbend/leases/voter.py
@@ -12,9 +12,9 @@
 from typing import Protocol, assert_never
 
 from badgerbend.consensus.events import BecameFollower, BecameLeader, EntryApplied, Event, ReadConfirmed
-from badgerbend.consensus.log import PersistentState
 from badgerbend.consensus.messages import AppendEntries
 from badgerbend.consensus.messages import Message as ConsensusMessage
+from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.consensus.raft import Raft
 from badgerbend.consensus.types import RaftConfig, Role, StateMachine
 from badgerbend.leases.manager import LeaseManager
