--- /dev/null
+++ b/tests/bench_traffic.py
@@ -0,0 +1,31 @@
+"""Traffic for tests of the decisions: answers to what is in flight, and response times that were observed."""
+
+from badgerbend.api import Outcome
+from tests.conftest import ALL
+
+
+def run_traffic(b, silent=(), ms=3000.0, answer=50.0):
+    """Traffic for a while; every server but the silent ones answers after `answer`."""
+    answered, end = set(b.sent), b.now + ms
+    while b.now < end:
+        b.query(ALL)
+        b.wait(answer)
+        for key, (node, _) in list(b.sent.items()):
+            if node not in silent and key not in answered:
+                answered.add(key)
+                b.finish(key[0], Outcome.OK, key[1])
+
+
+def answer_all(b, silent=()):
+    """Answers whatever is out, except at the silent servers; the keys answered."""
+    done = [key for key, (node, _) in b.sent.items() if key in b.agg.queries.attempts and node not in silent]
+    for part, n in done:
+        if (part, n) in b.agg.queries.attempts:
+            b.finish(part, Outcome.OK, n)
+    return done
+
+
+def observe_response_time(server, time_ms, now_ms):
+    """Lets a server's last answer have taken so long."""
+    server.response_time_ms = time_ms
+    server.response_time_at_ms = now_ms
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -63,7 +63,7 @@
         self.agg = Aggregator(replace(SETTINGS, **changes), seed)
         self.now, self.next_id, self.number = 1000.0, 100, 0
         self.sent, self.log, self.due = {}, [], []
-        self.tries = {}
+        self.attempts = {}
         lines = [line(10 + c, c) for c in range(4)] if lines is None else lines
         self.do(api.EndpointUpdate(api.UpdateKind.CACHED, tuple(lines)))
 
@@ -76,8 +76,8 @@
                 gone = api.Outcome.CANCELLED
                 self.due.append(api.AttemptCompleted(a.part, a.attempt, node, gone, self.now - sent, ()))
             if isinstance(a, api.Send):
-                n = self.tries.get(a.part, 0)
-                self.tries[a.part] = n + 1
+                n = self.attempts.get(a.part, 0)
+                self.attempts[a.part] = n + 1
                 self.sent[a.part, n] = (a.node, self.now)
         self.log += acts
         return acts
--- a/tests/test_little_traffic.py
+++ b/tests/test_decisions_little_traffic.py
@@ -1,4 +1,4 @@
-"""What a broker that sees little of each server goes by: proven servers, and how cells fared."""
+"""What a broker that sees little of each server goes by: proven servers, and the success share of cells."""
 
 from collections import Counter
 
@@ -17,7 +17,7 @@
         sent += [a.node for a in sends]
         acts = b.wait(ms)
         for a in sends:
-            acts += b.finish(a.part, outcome, b.tries[a.part] - 1)
+            acts += b.finish(a.part, outcome, b.attempts[a.part] - 1)
     return sent
 
 
@@ -65,13 +65,13 @@
     assert sent[12] > 60 * 0.2 / 3
 
 
-def test_queries_that_need_all_are_let_in_by_how_their_cells_fared():
+def test_queries_that_need_all_parts_are_admitted_by_the_success_of_their_cells():
     # Two thirds of the work under a zone's loss went into queries that lost one part of ten.
     b = Bench(lines=TWO_EACH, cells_per_shard=1, retry_budget_min=1000.0, max_attempts=1)
     for _ in range(5):
         ask(b, parts=1, shard=2, outcome=Outcome.ERROR)
-    refused = sum(bool(of(api.Reject, b.query(ALL, parts=2, shard=2)[1])) for _ in range(40))
-    assert 20 < refused < 40  # now and then one is let in, or nothing would be learned
+    rejected = sum(bool(of(api.Reject, b.query(ALL, parts=2, shard=2)[1])) for _ in range(40))
+    assert 20 < rejected < 40  # now and then one is admitted, or nothing would be learned
     assert {a.reason for a in of(api.Reject, b.log)} >= {"more likely lost than answered"}
     assert not any(of(api.Reject, b.query(ALL, parts=2, shard=0)[1]) for _ in range(10))  # other cells
     assert not any(of(api.Reject, b.query(ANY, parts=4, shard=0)[1]) for _ in range(10))  # it can do without one
--- a/tests/test_random.py
+++ b/tests/test_decisions_random.py
@@ -28,8 +28,8 @@
         self.rng, self.set, self.now = random.Random(seed), settings, 1000.0
         self.agg = Aggregator(settings, seed)
         self.next_id, self.number, self.due = 1, 0, []
-        self.queries, self.parts, self.told = {}, {}, set()
-        self.tries, self.unproven = defaultdict(int), defaultdict(dict)
+        self.queries, self.parts, self.leaving = {}, {}, set()
+        self.attempts, self.unproven = defaultdict(int), defaultdict(dict)
         self.taken, self.extra = [], []
         self.step([api.EndpointUpdate(api.UpdateKind.CACHED, tuple(line(10 + i, i % 4) for i in range(8)))])
 
@@ -47,8 +47,8 @@
             part = self.parts[a.part]
             q = self.queries[part["query"]]
             assert q["open"] and self.now < q["end"]
-            assert a.node not in self.told
-            n, sent = self.tries[a.part], self.unproven[a.part]
+            assert a.node not in self.leaving
+            n, sent = self.attempts[a.part], self.unproven[a.part]
             assert n < self.set.max_attempts
             if q["cls"].effect == "unsafe":
                 assert not sent
@@ -60,7 +60,7 @@
                 taken = sum(1 for t in self.taken if t > since)
                 assert len(self.extra) <= self.set.retry_budget_min + self.set.retry_budget_share * taken
             sent[n] = self.now
-            self.tries[a.part] = n + 1
+            self.attempts[a.part] = n + 1
             slow = self.rng.random() < 0.15
             ended = Outcome.OK if self.rng.random() < 0.75 else self.rng.choice(BAD)
             took = self.rng.uniform(1.0, 90.0) if not slow else self.rng.uniform(300.0, 3000.0)
@@ -83,8 +83,8 @@
                 need = 1.0 if last else q["cls"].complete_weight
                 least = q["cls"].minimum_weight if q["cls"].minimum_weight < q["cls"].complete_weight else need
                 assert share >= least - 1e-4
-                assert not a.complete or (share >= need - 1e-4 and q["whole"])
-                q["whole"] = q["whole"] and a.complete
+                assert not a.complete or (share >= need - 1e-4 and q["complete"])
+                q["complete"] = q["complete"] and a.complete
                 if q["cls"].follow_up_parts and not last:
                     q["step"], q["more"] = 2, True
                     return
@@ -102,7 +102,7 @@
             "end": self.now + left,
             "step": 1,
             "number": self.number,
-            "whole": True,
+            "complete": True,
             "more": False,
         }
         self.next_id += 1
@@ -118,14 +118,14 @@
             parts.append(api.Part(pid, self.rng.randrange(4), 1 / count, None))
         return tuple(parts)
 
-    def news(self):
+    def endpoint_update(self):
         node, state = 10 + self.rng.randrange(8), self.rng.choice(list(api.EndpointState))
         if self.rng.random() < 0.3:
             return api.EndpointUpdate(api.UpdateKind.FAILED, ())
         if state == api.EndpointState.READY:
-            self.told.discard(node)
+            self.leaving.discard(node)
         else:
-            self.told.add(node)
+            self.leaving.add(node)
         return api.EndpointUpdate(api.UpdateKind.DELTA, (line(node, (node - 10) % 4, state, self.now),))
 
     def play(self, steps):
@@ -143,7 +143,7 @@
             if self.rng.random() < 0.15:
                 events.append(self.submit())
             if self.rng.random() < 0.02:
-                events.append(self.news())
+                events.append(self.endpoint_update())
             self.step([*events, api.TimerFired(0)])
             late = [q for q in self.queries.values() if q["open"] and self.now > q["end"] + 20.0]
             assert not late
--- a/tests/test_mechanism.py
+++ b/tests/test_decisions_redundancy.py
@@ -86,7 +86,7 @@
     assert all(a.node == 10 + a.part - q - 1 for a in of(api.Send, sends))
 
 
-def test_held_part_replaces_a_failed_one_without_budget():
+def test_reserved_part_replaces_a_failed_one_without_budget():
     b = Bench(retry_budget_min=0.0, retry_budget_share=0.0)
     b.learn()
     b.agg.redundancy._chosen[2, 4] = 2
--- a/tests/test_rules.py
+++ b/tests/test_decisions_rules.py
@@ -29,11 +29,11 @@
     assert not [a for a in b.log if isinstance(a, api.Send | api.Answer | api.Reject | api.Fail)]
 
 
-def test_unsafe_part_that_may_have_run_is_not_sent_again_nor_refused():
+def test_unsafe_part_that_may_have_run_is_not_sent_again_nor_rejected():
     b = Bench()
     q, sends = b.query(ONCE, parts=1, left=800.0)
     part = of(api.Send, sends)[0].part
-    acts = b.finish(part, Outcome.RESET)  # given up on, it is told at once
+    acts = b.finish(part, Outcome.RESET)  # nothing more can be done, so it fails at once
     assert not of(api.Send, acts + b.wait(800.0))
     assert of(api.Fail, acts) == [api.Fail(q)] and not of(api.Reject, acts)
 
@@ -53,7 +53,7 @@
     assert not of(api.Send, acts + b.wait(800.0)) and of(api.Fail, b.log) == [api.Fail(q)]
 
 
-def test_unsafe_part_is_sent_again_and_refused_while_each_attempt_is_proven_not_to_have_run():
+def test_unsafe_part_is_sent_again_and_rejected_while_each_attempt_is_proven_not_to_have_run():
     # The proof was kept for a first attempt alone: a second one never made ended the part as a failure.
     b = Bench(retry_budget_min=1000.0)
     q, sends = b.query(ONCE, parts=1, left=800.0)
@@ -66,7 +66,7 @@
     assert of(api.Reject, b.log) == [api.Reject(q, 0.0)]
 
 
-def test_keyed_part_is_repeated_only_within_its_window():
+def test_idempotent_part_is_repeated_only_within_its_window():
     b = Bench()
     _, sends = b.query(KEY, parts=1)
     part = of(api.Send, sends)[0].part
@@ -80,7 +80,7 @@
     assert again.start_within_ms == 400.0 - 30.0 - 100.0 and of(api.Send, sends)[0].start_within_ms == float("inf")
 
 
-def test_a_keyed_query_is_over_with_its_window_though_its_client_would_wait():
+def test_an_idempotent_query_is_over_with_its_window_though_its_client_would_wait():
     b = Bench()
     _, sends = b.query(KEY, parts=1)
     part = of(api.Send, sends)[0].part
@@ -88,20 +88,20 @@
     assert of(api.Fail, b.finish(part, Outcome.ERROR))
 
 
-def test_nothing_goes_to_a_draining_gone_or_missing_node():
-    for news in (
+def test_nothing_goes_to_a_draining_removed_or_missing_server():
+    for update in (
         api.EndpointUpdate(api.UpdateKind.DELTA, (line(10, 0, api.EndpointState.DRAINING),)),
         api.EndpointUpdate(api.UpdateKind.DELTA, (line(10, 0, api.EndpointState.REMOVED),)),
         api.EndpointUpdate(api.UpdateKind.FULL, tuple(line(10 + c, c) for c in range(1, 4))),
     ):
         b = Bench()
-        b.do(news)
+        b.do(update)
         sends = [a for _ in range(10) for a in of(api.Send, b.query(ALL)[1])]
         assert sends and all(a.node != 10 for a in sends)
 
 
-def test_many_unequal_brokers_together_keep_a_cold_server_under_its_multiple():
-    # Sixty brokers, a few with ten times the traffic of most: what they send one cold server adds up.
+def test_many_unequal_brokers_together_keep_a_server_that_warms_up_under_its_multiple():
+    # Sixty brokers, a few with ten times the traffic of most: what they send one server that warms up adds up.
     rng = random.Random(11)
     settings = {"cell_count": 8, "broker_count": 60, "retry_budget_min": 1000.0}
     lines = [line(10 + c, c) for c in range(8)]
@@ -117,7 +117,7 @@
             b.now = now
             acts = b.do(api.TimerFired(0))
             for due, part in [x for x in out if x[0] is b]:
-                b.finish(part, Outcome.OK, b.tries[part] - 1)
+                b.finish(part, Outcome.OK, b.attempts[part] - 1)
                 out.remove((due, part))
             if rng.random() < rate:
                 acts = acts + b.query(ALL, parts=1, shard=rng.randrange(8))[1]
@@ -151,7 +151,7 @@
     assert not of(api.Answer, b.finish(part))
 
 
-def test_below_the_floor_no_answer_above_it_one_not_marked_whole():
+def test_below_the_minimum_weight_no_answer_above_it_a_partial_one():
     b = Bench()
     q, sends = b.query(FLOOR, left=900.0)
     parts = [a.part for a in of(api.Send, sends)]
@@ -164,7 +164,7 @@
     assert not of(api.Answer, acts) and of(api.Reject, acts)
 
 
-def test_second_step_is_whole_only_when_all_of_it_landed():
+def test_second_step_is_complete_only_when_all_of_it_landed():
     b = Bench()
     q, sends = b.query(TWO)
     for a in of(api.Send, sends):
@@ -187,7 +187,7 @@
         todo = of(api.Send, sends)
         while todo:
             a = todo.pop()
-            again = of(api.Send, b.finish(a.part, Outcome.REJECTED, b.tries[a.part] - 1))
+            again = of(api.Send, b.finish(a.part, Outcome.REJECTED, b.attempts[a.part] - 1))
             extra += len(again)
             todo += again
     assert 5 <= extra <= SETTINGS.retry_budget_min + SETTINGS.retry_budget_share * taken
@@ -201,4 +201,4 @@
         b.finish(part, Outcome.REJECTED, n)
         b.wait(20.0)
     b.wait(1000.0)
-    assert b.tries[part] == SETTINGS.max_attempts
+    assert b.attempts[part] == SETTINGS.max_attempts
