--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -57,32 +57,43 @@
 
 
 class Bench:
-    """Drives one aggregator by hand: events in, actions out, the clock moved by the test."""
+    """Drives one aggregator by hand: events in, actions out, the clock moved by the test.
+
+    agg: the aggregator. sent: server and time of each attempt, by part and number. attempts: how many each part had.
+    log: all actions so far. due: ends of cancelled attempts, which go in with the next step.
+    """
 
     def __init__(self, lines=None, seed=7, **changes):
         self.agg = Aggregator(replace(SETTINGS, **changes), seed)
-        self.now, self.next_id, self.number = 1000.0, 100, 0
-        self.sent, self.log, self.due = {}, [], []
+        self.now = 1000.0
+        self.next_id = 100
+        self.number = 0
+        self.sent = {}
         self.attempts = {}
+        self.log = []
+        self.due = []
         lines = [line(10 + c, c) for c in range(4)] if lines is None else lines
         self.do(api.EndpointUpdate(api.UpdateKind.CACHED, tuple(lines)))
 
     def do(self, *events):
+        """One step with these events, and with the ends of what was cancelled before."""
         acts = self.agg.step(self.now, [*self.due, *events])
         self.due = []
-        for a in acts:
-            if isinstance(a, api.Cancel):
-                node, sent = self.sent[a.part, a.attempt]
-                gone = api.Outcome.CANCELLED
-                self.due.append(api.AttemptCompleted(a.part, a.attempt, node, gone, self.now - sent, ()))
-            if isinstance(a, api.Send):
-                n = self.attempts.get(a.part, 0)
-                self.attempts[a.part] = n + 1
-                self.sent[a.part, n] = (a.node, self.now)
+        for action in acts:
+            match action:
+                case api.Cancel(part, attempt):
+                    node, sent = self.sent[part, attempt]
+                    cancelled = api.Outcome.CANCELLED
+                    self.due.append(api.AttemptCompleted(part, attempt, node, cancelled, self.now - sent, ()))
+                case api.Send(part, node):
+                    number = self.attempts.get(part, 0)
+                    self.attempts[part] = number + 1
+                    self.sent[part, number] = (node, self.now)
         self.log += acts
         return acts
 
     def query(self, cls=ALL, parts=4, left=3000.0, weights=None, cost=None, shard=0):
+        """A query arrives; its id, and the actions that follow."""
         first = self.next_id
         self.next_id += parts + 1
         self.number += 1
@@ -91,11 +102,12 @@
         return first, self.do(q)
 
     def finish(self, part, outcome=api.Outcome.OK, attempt=0):
+        """An attempt ends; the actions that follow."""
         node, sent = self.sent[part, attempt]
         return self.do(api.AttemptCompleted(part, attempt, node, outcome, self.now - sent, ()))
 
     def wait(self, ms):
-        """The clock runs on, with the alarms that were asked for."""
+        """The clock runs on, with a review each tick."""
         acts = []
         end = self.now + ms
         while self.now < end:
--- a/tests/test_decisions_outliers.py
+++ b/tests/test_decisions_outliers.py
@@ -47,9 +47,7 @@
     assert of(api.Reject, b.log) == [api.Reject(q, 0.0)]
     b.log.clear()
     b.do(api.EndpointUpdate(api.UpdateKind.DELTA, (line(10, 0, started=b.now),)))
-    q, sends = b.query(
-        ALL
-    )  # the list shows a restart: one part goes ahead, and no other when it brings down its server
+    q, sends = b.query(ALL)  # the list shows a restart: one part goes ahead, and no other when its server goes down
     assert len(of(api.Send, sends)) == 1
     assert len(break_all_connections(b, q, sends)) == 1
     b.wait(300.0)
@@ -176,7 +174,7 @@
 
 
 def test_a_restart_that_was_not_missed_sends_canaries():
-    # Processes that a poison request brings down are back before the list misses them; a broker sees few of them itself.
+    # Processes that a poison request brings down are back before the list misses them; a broker sees few itself.
     b = Bench()
     b.learn()
     b.do(api.EndpointUpdate(api.UpdateKind.DELTA, (line(10, 0, started=b.now - 500.0),)))
--- a/tests/test_decisions_replicas.py
+++ b/tests/test_decisions_replicas.py
@@ -7,8 +7,8 @@
 
 
 def test_a_hung_server_gets_few_parts_and_these_are_hedged():
-    # A fifth of the servers hung: queries must be answered within their latency objective by hedged requests, and a server
-    # that owes an answer counts as busy by the time it has owed it, without any health check or ejection.
+    # A fifth of the servers hung: hedged requests must answer queries within their latency objective, and a server that
+    # owes an answer counts as busy by the time it has owed it, without any health check or ejection.
     b = Bench()
     b.learn()
     before = len(b.sent)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -112,8 +112,8 @@
             sheets,
         )
     )
-    assert {n.id for n in link.instances[3].nodes.values() if n.ready} == {72}
-    assert {n.id for n in link.instances[4].nodes.values() if n.ready} == {82}
+    assert {n.id for n in link.instances[3].endpoints.servers.values() if n.ready} == {72}
+    assert {n.id for n in link.instances[4].endpoints.servers.values() if n.ready} == {82}
 
 
 def test_exit_then_start_in_one_batch_begins_anew():
@@ -134,7 +134,7 @@
             text + lines((0, 71, 1)),
         )
     )
-    assert link.instances[3] is not old and list(link.instances[3].nodes) == [71]
+    assert link.instances[3] is not old and list(link.instances[3].endpoints.servers) == [71]
 
 
 @pytest.mark.parametrize(
