--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -33,8 +33,8 @@
 from badgerbend.pools import ServerPools
 from badgerbend.runtime.driver import Driver
 from badgerbend.runtime.loop import now_ms
-from badgerbend.sites.tiers import Tiers
-from badgerbend.siting import Siting
+from badgerbend.site_service.service import SiteService
+from badgerbend.sites.preference import LocalityPreference
 
 if TYPE_CHECKING:
     from badgerbend.feed_subscription.subscription import FeedSubscription
@@ -57,14 +57,15 @@
 
 
 class Broker:
-    """Built and used on one running loop. Baselines put others in the place of `decisions`, `tiers` and `preference`.
+    """Built and used on one running loop. Baselines put others in the place of `decisions`, `preference_type` and
+    `preference`.
 
     folder: what files named in the settings are relative to. clock: of its duties, in seconds. Raises ValueError or
     OSError for a sites' key, BadKey for that of the duties.
     """
 
     decisions = Aggregator
-    tiers = Tiers
+    preference_type = LocalityPreference
 
     def __init__(
         self,
@@ -85,13 +86,15 @@
             PoolLimits(limits.connect_timeout_ms / 1000.0, limits.idle_ms / 1000.0, limits.max_answer_bytes),
         )
         self.watch = self._keyed_list() if listed_by_feed else self._consul_watch()
-        self.siting: Siting | None = None
+        self.site_service: SiteService | None = None
         if settings.sites is not None:
-            self.siting = Siting(settings, settings.sites, folder, self.pools.of, now_ms, self.metrics, self.tiers)
+            self.site_service = SiteService(
+                settings, settings.sites, folder, self.pools.of, now_ms, self.metrics, self.preference_type
+            )
         preference = self.preference()
         broker_budget = create_broker_budget(settings)
-        if self.siting is not None:
-            self.siting.tiers.allowance = broker_budget
+        if self.site_service is not None:
+            self.site_service.preference.use_slow_start_budget(broker_budget)
         shared = SharedResources(
             loop, self.directory, self.watch, self.pools.of, self.metrics, self.decisions, preference, broker_budget
         )
@@ -171,7 +174,7 @@
 
     def preference(self) -> api.SitePreference | None:
         """What the module prefers among sites by."""
-        return self.siting.tiers if self.siting is not None else None
+        return self.site_service.preference if self.site_service is not None else None
 
     async def start(self) -> int:
         """Listens and begins to follow the list; returns the port. Raises OSError where it cannot listen, BadKey,
@@ -182,8 +185,8 @@
         if self.lease_service is not None:
             await self.lease_service.start()
         self.watch.start()
-        if self.siting is not None:
-            self.siting.start()
+        if self.site_service is not None:
+            self.site_service.start()
         # a first event, so that the module asks for the list where that is its part, and for its first alarm
         self.driver.view(api.EndpointUpdate(api.UpdateKind.CACHED, ()))
         if self.feed_subscription is not None:
@@ -201,8 +204,8 @@
             await self.lease_service.close()  # first: others wait for what it holds
         cut = await self.server.close(self.settings.listen.stop_timeout_ms / 1000.0)
         self.watch.close()
-        if self.siting is not None:
-            self.siting.close()
+        if self.site_service is not None:
+            self.site_service.close()
         if self.knowledge_exchange is not None:
             await self.knowledge_exchange.close()
         self.pools.close()
@@ -223,8 +226,8 @@
             exchange.respond(200, msgspec.json.encode(status), b"application/json")
         elif path.startswith(b"/duties"):
             handle_duties(self.lease_service, exchange, path)
-        elif path.startswith(b"/sites") and self.siting is not None:
-            self.siting.handle(exchange)
+        elif path.startswith(b"/sites") and self.site_service is not None:
+            self.site_service.handle(exchange)
         elif path == b"/ready":
             ready = self.watch.heard_at is not None
             exchange.respond(200 if ready else 503, b"ready\n" if ready else b"no list yet\n", b"text/plain")
@@ -254,8 +257,8 @@
         m.connections.set(len(self.server.connections))
         m.handshakes.set(self.pools.opened)
         m.called_off.set(self.generations.cancelled_calls)
-        if self.siting is not None:
-            self.siting.gauges()
+        if self.site_service is not None:
+            self.site_service.update_metrics()
         if self.knowledge_exchange is not None:
             m.pulls.set(self.knowledge_exchange.pulls)
             m.learned.set(self.knowledge_exchange.servers_learned)
--- /dev/null
+++ b/badgerbend/site_service/service.py
@@ -0,0 +1,107 @@
+"""Runs a broker's preference among sites: opens connections in advance, logs changes of sites, and sets metrics."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from functools import partial
+from pathlib import Path
+
+from badgerbend.config.fleet import Sites
+from badgerbend.config.settings import Settings
+from badgerbend.log import get
+from badgerbend.metrics import Metrics
+from badgerbend.net.client import Pool
+from badgerbend.net.server import Exchange
+from badgerbend.site_service.http import SitesHandler
+from badgerbend.site_service.operator_key import read_operator_key
+from badgerbend.sites.from_settings import site_policy
+from badgerbend.sites.preference import LocalityPreference
+from badgerbend.sites.status import SiteStatus, sites_status
+
+PRECONNECT_INTERVAL_S = 0.1  # also of the log; short beside the steps of a recovery ramp
+SEED_FACTOR = 1_000_003  # a prime: gives the brokers of one seed random numbers of their own
+
+
+class SiteService:
+    """Owns the broker's `LocalityPreference`.
+
+    folder: what the key's file is relative to; pool_of: the connections to a server, None where it is not known;
+    now_ms: the decisions' clock. Raises OperatorKeyError, a ValueError, for a key that is too short, OSError for one
+    that cannot be read.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        sites: Sites,
+        folder: Path,
+        pool_of: Callable[[int], Pool | None],
+        now_ms: Callable[[], float],
+        metrics: Metrics,
+        preference_type: type[LocalityPreference] = LocalityPreference,
+    ) -> None:
+        self.settings = settings
+        self.pool_of = pool_of
+        self.now_ms = now_ms
+        self.metrics = metrics
+        seed = settings.seed * SEED_FACTOR + settings.identity.index
+        self.preference = preference_type(site_policy(settings, sites), seed)
+        self.log = get(part="sites")
+        operator_key = read_operator_key(folder, sites.key) if sites.key else None
+        self._handler = SitesHandler(self.preference, now_ms, operator_key)
+        self._timer: asyncio.TimerHandle | None = None
+
+    def start(self) -> None:
+        """Begins to open connections in advance and to log changes."""
+        self._timer = asyncio.get_running_loop().call_later(PRECONNECT_INTERVAL_S, self._run)
+
+    def close(self) -> None:
+        """Stops what `start` began."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def _run(self) -> None:
+        preconnector = self.preference.preconnector
+        for node in preconnector.servers_due(self.now_ms()):
+            pool = self.pool_of(node)
+            if pool is not None:
+                pool.open_ahead(partial(self._connection_opened, node))
+        changes = self.preference.states.changes
+        for change in changes:
+            self.log.warning("site", site=change.site, now=change.description)
+        changes.clear()
+        self.start()
+
+    def _connection_opened(self, node: int, connected: bool) -> None:
+        self.preference.preconnector.record_result(self.now_ms(), node, connected)
+
+    def handle(self, exchange: Exchange) -> None:
+        """Answers a request for `/sites` or below."""
+        self._handler.handle(exchange)
+
+    def update_metrics(self) -> None:
+        """Sets the gauges of sites and of rejections."""
+        status = sites_status(self.preference, self.now_ms())
+        for site in status.sites:
+            for what, value in _gauge_values(site).items():
+                if value is not None:
+                    self.metrics.sites.labels(site.name, what).set(value)
+        tenants = [tenant.name for tenant in self.settings.tenant]
+        for rejection in status.rejections:
+            tenant = tenants[rejection.tenant] if rejection.tenant < len(tenants) else ""
+            class_name = self.metrics.classes[rejection.class_index]
+            self.metrics.site_refusals.labels(rejection.reason, class_name, tenant).set(rejection.count)
+
+
+def _gauge_values(site: SiteStatus) -> dict[str, float | None]:
+    """The values of the gauge `badgerbend_site`, by its label `what`."""
+    return {
+        "share": site.share,
+        "sent_per_s": site.sent_per_s,
+        "spilled_per_s": site.spilled_per_s,
+        "allowed_per_s": site.allowed_per_s,
+        "room_per_s": site.capacity_per_s,
+        "used": site.utilization,
+        "turns": site.ejections,
+    }
--- /dev/null
+++ b/badgerbend/sites/decaying.py
@@ -0,0 +1,31 @@
+"""A sum that decays exponentially, from which recent rates and shares are estimated."""
+
+from __future__ import annotations
+
+import math
+
+
+class DecayingSum:
+    """A sum whose items lose half of their weight every `half_life_ms`."""
+
+    __slots__ = ("half_life_ms", "updated_ms", "value")
+
+    def __init__(self, half_life_ms: float) -> None:
+        self.half_life_ms = half_life_ms
+        self.value = 0.0  # as of updated_ms
+        self.updated_ms = -math.inf
+
+    def add(self, now_ms: float, amount: float) -> None:
+        """Adds an item of full weight."""
+        self.value = self.read(now_ms) + amount
+        self.updated_ms = max(now_ms, self.updated_ms)
+
+    def read(self, now_ms: float) -> float:
+        """The sum, with its items weighted by their age."""
+        if not self.value or now_ms <= self.updated_ms:
+            return self.value
+        return float(self.value * 2.0 ** -((now_ms - self.updated_ms) / self.half_life_ms))
+
+    def rate(self, now_ms: float) -> float:
+        """The rate, per millisecond, of a steady stream that would give the present sum."""
+        return self.read(now_ms) * math.log(2.0) / self.half_life_ms
--- a/badgerbend/sites/status.py
+++ b/badgerbend/sites/status.py
@@ -1,50 +1,100 @@
-"""What a person asks about sites: one view of it, for the command line, metrics and logs."""
+"""The status of sites, for the HTTP page, the command line and metrics. Field names of the JSON are its interface."""
 
 from __future__ import annotations
 
-from typing import Any
-
-from badgerbend.sites.presence import State
-from badgerbend.sites.rules import OWN
-from badgerbend.sites.tiers import Tiers
-
-TIERS = ("own", "near", "far")
-
-
-def status(tiers: Tiers, now_ms: float) -> dict[str, Any]:
-    """Paces are parts a second of this broker alone; shares 0 to 1; None where nothing is known."""
-    own = tiers.own
-    return {
-        "own": own.name,
-        "list_age_ms": round(now_ms - tiers.listed_at) if tiers.listed_at >= 0 else None,
-        "demand_per_s": round(tiers.demand.pace(now_ms) * 1000.0, 1),
-        "keeps": {"by_load": round(tiers.fits, 3), "by_time": round(tiers.quick, 3)},
-        "sites": [_site(tiers, i, now_ms) for i in range(len(tiers.sites))],
-        "refusals": [
-            {"reason": reason, "class": cls, "tenant": tenant, "count": n}
-            for (reason, cls, tenant), n in sorted(tiers.refusals.items())
-        ],
-    }
-
-
-def _site(tiers: Tiers, place: int, now_ms: float) -> dict[str, Any]:
-    site = tiers.sites[place]
-    room, whole = tiers.fleet.room(now_ms, place, site.seen.failing)
-    success, used = site.seen.success(now_ms), site.seen.used(now_ms)
-    free = site.tier == OWN and site.presence.state is State.IN
-    return {
-        "name": site.name,
-        "tier": TIERS[site.tier],
-        "state": site.presence.state.value,
-        "drained": site.presence.drained,
-        "share": round(min(site.presence.share, site.presence.kept), 3),
-        "turns": round(site.presence.turns.read(now_ms), 2),
-        "success": None if success is None else round(success, 3),
-        "used": None if used is None else round(used, 3),
-        "room_per_s": round(room * 1000.0, 1),
-        "whole_per_s": round(whole * 1000.0, 1),
-        "sent_per_s": round(site.seen.sends.pace(now_ms) * 1000.0, 1),
-        "spilled_per_s": round(site.spilled.pace(now_ms) * 1000.0, 1),
-        "allowed_per_s": None if free else round(site.bucket.pace * 1000.0, 1),
-        "failing": len(site.seen.failing),
-    }
+import msgspec
+
+from badgerbend.sites.availability import SiteState
+from badgerbend.sites.preference import LocalityPreference
+from badgerbend.sites.site import Site
+
+MS_PER_S = 1000.0
+
+
+class SiteStatus(msgspec.Struct, frozen=True):
+    """One site. Rates are parts a second of this broker alone; shares 0 to 1; None where nothing is known."""
+
+    name: str
+    tier: str
+    state: str
+    drained: bool
+    share: float  # of its usual work that it may be given
+    ejections: float = msgspec.field(name="turns")
+    success_rate: float | None = msgspec.field(name="success")
+    utilization: float | None = msgspec.field(name="used")
+    capacity_per_s: float = msgspec.field(name="room_per_s")
+    full_capacity_per_s: float = msgspec.field(name="whole_per_s")
+    sent_per_s: float
+    spilled_per_s: float
+    allowed_per_s: float | None  # None: no limit
+    failing_servers: int = msgspec.field(name="failing")
+
+
+class KeptShares(msgspec.Struct, frozen=True):
+    """The shares of its work that the own site keeps."""
+
+    by_utilization: float = msgspec.field(name="by_load")
+    by_latency: float = msgspec.field(name="by_time")
+
+
+class RejectionCount(msgspec.Struct, frozen=True):
+    """How many queries of a class and a tenant were rejected for a reason."""
+
+    reason: str
+    class_index: int = msgspec.field(name="class")
+    tenant: int
+    count: int
+
+
+class SitesStatus(msgspec.Struct, frozen=True):
+    """All sites as one broker sees them."""
+
+    own: str
+    list_age_ms: int | None
+    demand_per_s: float
+    keeps: KeptShares
+    sites: tuple[SiteStatus, ...]
+    rejections: tuple[RejectionCount, ...] = msgspec.field(name="refusals")
+
+
+def sites_status(preference: LocalityPreference, now_ms: float) -> SitesStatus:
+    """The present status."""
+    table = preference.table
+    load = preference.own_load
+    updated_ms = table.list_updated_ms
+    return SitesStatus(
+        own=table.own.name,
+        list_age_ms=None if updated_ms is None else round(now_ms - updated_ms),
+        demand_per_s=round(table.demand.rate(now_ms) * MS_PER_S, 1),
+        keeps=KeptShares(round(load.utilization_share, 3), round(load.latency_share, 3)),
+        sites=tuple(_site_status(preference, site, now_ms) for site in table.sites),
+        rejections=tuple(
+            RejectionCount(rejection.reason, rejection.class_index, rejection.tenant, count)
+            for rejection, count in sorted(preference.admission.rejections.items())
+        ),
+    )
+
+
+def _site_status(preference: LocalityPreference, site: Site, now_ms: float) -> SiteStatus:
+    capacity = preference.table.inventory.capacity(now_ms, site.index, site.health.failing_servers)
+    unlimited = site.is_own and site.state is SiteState.ACTIVE
+    return SiteStatus(
+        name=site.name,
+        tier=site.tier.label,
+        state=site.state.value,
+        drained=site.drain.drained,
+        share=round(min(site.availability.share, site.drain.kept_share), 3),
+        ejections=round(site.availability.ejections.read(now_ms), 2),
+        success_rate=_rounded(site.health.success_rate(now_ms)),
+        utilization=_rounded(site.health.utilization(now_ms)),
+        capacity_per_s=round(capacity.available * MS_PER_S, 1),
+        full_capacity_per_s=round(capacity.full * MS_PER_S, 1),
+        sent_per_s=round(site.health.sent.rate(now_ms) * MS_PER_S, 1),
+        spilled_per_s=round(site.spilled.rate(now_ms) * MS_PER_S, 1),
+        allowed_per_s=None if unlimited else round(site.bucket.rate * MS_PER_S, 1),
+        failing_servers=len(site.health.failing_servers),
+    )
+
+
+def _rounded(fraction: float | None) -> float | None:
+    return None if fraction is None else round(fraction, 3)
--- a/badgerbend/standin/baseline.py
+++ b/badgerbend/standin/baseline.py
@@ -19,7 +19,7 @@
 from badgerbend.config.reading import load
 from badgerbend.decisions import Aggregator
 from badgerbend.process import serve
-from badgerbend.sites.tiers import Tiers
+from badgerbend.sites.preference import LocalityPreference
 
 OVERPROVISIONING = 1.4
 PANIC = 0.5  # below this share of sound servers all count as sound
@@ -49,16 +49,16 @@
         return None
 
 
-class _Unlimited(Tiers):
-    def _limits(self) -> None:
-        super()._limits()
-        for site in self.others:
-            if site.open:
-                site.bucket.set(self.now, 1e6)
+class _Unlimited(LocalityPreference):
+    def _update_limits(self) -> None:
+        super()._update_limits()
+        for site in self.table.others:
+            if site.accepts_work:
+                site.bucket.set_rate(self.table.now_ms, 1e6)
 
 
 class Unlimited(Broker):
-    tiers = _Unlimited
+    preference_type = _Unlimited
 
 
 class Priority:
--- a/benchmarks/listing.py
+++ b/benchmarks/listing.py
@@ -23,8 +23,8 @@
 from badgerbend.config.reading import load
 from badgerbend.discovery.directory import Directory, Reading, listed
 from badgerbend.discovery.lines import consul_directory
-from badgerbend.sites.setup import rules_of
-from badgerbend.sites.tiers import Tiers
+from badgerbend.sites.from_settings import site_policy
+from badgerbend.sites.preference import LocalityPreference
 from badgerbend.standin.registry import Entry
 
 SETTINGS = load(Path(__file__).parent.parent / "examples" / "sites" / "broker.conf")
@@ -39,8 +39,8 @@
 def made() -> Aggregator:
     wide = cfg.Layout(CELLS, CELLS, 3)
     settings = module_settings(SETTINGS)
-    rules = replace(rules_of(SETTINGS, SETTINGS.sites), cell_count=CELLS, cells_per_shard=wide.reach)  # type: ignore[arg-type]
-    return Aggregator(replace(settings, cell_count=CELLS, cells_per_shard=wide.reach), 1, Tiers(rules, 1))
+    policy = replace(site_policy(SETTINGS, SETTINGS.sites), cell_count=CELLS, cells_per_shard=wide.reach)  # type: ignore[arg-type]
+    return Aggregator(replace(settings, cell_count=CELLS, cells_per_shard=wide.reach), 1, LocalityPreference(policy, 1))
 
 
 def step(module: Aggregator, now: float, view: api.EndpointUpdate, number: int) -> None:
--- a/benchmarks/sites_simulated.py
+++ b/benchmarks/sites_simulated.py
@@ -25,16 +25,16 @@
 from conftest import ALL, ANY, SETTINGS  # noqa: E402
 from simsites import PACE, World  # noqa: E402
 
-from badgerbend.sites.tiers import Tiers  # noqa: E402
+from badgerbend.sites.preference import LocalityPreference  # noqa: E402
 from badgerbend.standin.baseline import Priority, _Unlimited  # noqa: E402
 from badgerbend.standin.bysite import best  # noqa: E402
 
 LOST, BACK, END = 10, 25, 45
 WAYS = {
-    "preference": Tiers,
-    "anywhere": lambda rules, seed: None,
+    "preference": LocalityPreference,
+    "anywhere": lambda policy, seed: None,
     "unlimited": _Unlimited,
-    "priority 1.4": lambda rules, seed: Priority(rules.own.zones, seed),
+    "priority 1.4": lambda policy, seed: Priority(policy.own.zones, seed),
 }
 DAYS = {  # needed parts a second of both sites together, of 400 that one can serve; and the growth until the return
     "fits, 75% of one site": (300.0, 1.0),
@@ -70,11 +70,15 @@
         c = SETTINGS.classes[cls]
         users[int(at // 1000), world.brokers[broker].home, how == "whole"] += 1
         if how == "whole":
-            served[int(at // 1000)] += c.worth * (1.0 if took <= c.aim_ms else c.late_worth)
+            served[int(at // 1000)] += c.priority_weight * (
+                1.0 if took <= c.latency_objective_ms else c.late_value_share
+            )
     wants: dict[int, Counter[float]] = {}
     for at, cls, parts in world.asked:
         c = SETTINGS.classes[cls]
-        wants.setdefault(int(at // 1000), Counter())[c.worth / (c.need * parts)] += c.need * parts
+        wants.setdefault(int(at // 1000), Counter())[c.priority_weight / (c.complete_weight * parts)] += (
+            c.complete_weight * parts
+        )
     for second in range(END):
         at, room = first + second, 0.0
         for zone in (0, 1):
--- a/tests/simcold.py
+++ b/tests/simcold.py
@@ -26,7 +26,7 @@
         for i in self.budgets:
             self.at(self.now + self.rng.uniform(0, 250), lambda i=i: self.ask(i))
 
-    def allowance(self, index, seed):
+    def slow_start_budget(self, index, seed):
         if not self.dealt:
             return None
         self.budgets[index] = BrokerBudget(f"b{index}", "cold", LENGTHS, 1)
--- a/tests/simsites.py
+++ b/tests/simsites.py
@@ -10,20 +10,20 @@
 from badgerbend import Aggregator, api
 from badgerbend.runtime.driver import Driver
 from badgerbend.runtime.ports import PartPlan, QueryPlan
-from badgerbend.sites.rules import NEAR, OWN, Rules, SiteRule
-from badgerbend.sites.tiers import Tiers
+from badgerbend.sites.policy import LocalityTier, SitePolicy, SiteSpec
+from badgerbend.sites.preference import LocalityPreference
 
 CELLS, REACH, CORES, WORK_MS = 4, 2, 2, 40.0
 PACE = CORES / WORK_MS  # parts a millisecond of a warm server
 NAMES = ("north", "south")
 
 
-def rules(home=0, brokers=(1, 1), **changes):
+def site_policy(home=0, brokers=(1, 1), **changes):
     sites = tuple(
-        SiteRule(name, (i,), n, OWN if i == home else NEAR)
+        SiteSpec(name, (i,), n, LocalityTier.OWN if i == home else LocalityTier.NEAR)
         for i, (name, n) in enumerate(zip(NAMES, brokers, strict=True))
     )
-    base = Rules(sites, sum(brokers), CELLS, REACH, PACE, classes=SETTINGS.classes, cold_ms=5000.0)
+    base = SitePolicy(sites, sum(brokers), CELLS, REACH, PACE, classes=SETTINGS.classes, slow_start_ms=5000.0)
     return replace(base, **changes)
 
 
@@ -80,8 +80,10 @@
 
     def __init__(self, world, index, home, seed, brokers, make, **changes):
         self.world, self.index, self.home = world, index, home
-        self.tiers = make(rules(home, brokers, **changes), seed)
-        self.tiers.allowance = allowance = world.allowance(index, seed)
+        self.preference = make(site_policy(home, brokers, **changes), seed)
+        budget = world.slow_start_budget(index, seed)
+        if budget is not None:
+            self.preference.use_slow_start_budget(budget)
         settings = replace(
             SETTINGS,
             broker_index=index,
@@ -95,7 +97,7 @@
             **world.module,
         )
         self.settings, self.out, self.ends, self._wake_at = settings, {}, Counter(), float("inf")
-        module = Aggregator(settings, seed, self.tiers, allowance)
+        module = Aggregator(settings, seed, self.preference, budget)
         self.driver = Driver(settings, module, self, self, self, self)
 
     def now_ms(self):
@@ -176,11 +178,11 @@
 
 
 class World(Clock):
-    """make: what gives a broker its preference, of its rules and a seed. module: settings of the decisions."""
+    """make: creates a broker's preference, from its policy and a seed. module: settings of the decisions."""
 
     module = {"overload_factor": 3.0}  # noqa: RUF012
 
-    def __init__(self, seed=1, brokers=(1, 1), servers=8, make=Tiers, **changes):
+    def __init__(self, seed=1, brokers=(1, 1), servers=8, make=LocalityPreference, **changes):
         super().__init__()
         self.rng = random.Random(seed)
         self.servers = {
@@ -193,8 +195,8 @@
             self.brokers.append(Broker(self, i, home, seed * 100 + i, brokers, make, **changes))
         self.tell()
 
-    def allowance(self, index, seed):
-        """What a broker is dealt by others; None: nothing is dealt."""
+    def slow_start_budget(self, index, seed):
+        """A broker's share of what may go to servers that are warming up; None: brokers share out nothing."""
         return None
 
     def count(self, broker, server):
--- a/tests/test_allowance.py
+++ b/tests/test_allowance.py
@@ -15,8 +15,8 @@
     decode_peer_message,
     encode,
 )
-from badgerbend.sites.presence import State
-from badgerbend.sites.tiers import Tiers
+from badgerbend.sites.availability import SiteState
+from badgerbend.sites.preference import LocalityPreference
 from badgerbend.slow_start_budget.allocator import BudgetAllocator
 from badgerbend.slow_start_budget.broker import BrokerBudget
 from badgerbend.slow_start_budget.fair_share import RateDemand, fair_rate
@@ -24,7 +24,7 @@
 from tests.conftest import ALL, Bench, line, of
 from tests.simallowance import DUTY, LENGTHS, NODE, SERVER, START, Over, World
 from tests.simcold import release_and_shift
-from tests.simsites import rules
+from tests.simsites import site_policy
 
 
 class BelievesAtOnce(BudgetAllocator):
@@ -307,12 +307,14 @@
 
 def test_a_returning_site_of_ones_own_is_let_in_by_what_was_dealt():
     def pace(dealt):
-        tiers = Tiers(rules(brokers=(4, 4)), 1)
-        tiers.allowance = type(
-            "Dealt", (), {"recovering_site_rate": lambda self, now, name, own, wanted: dealt(own, wanted)}
-        )()
-        tiers.own.presence.state, tiers.own.presence.share, tiers.own.presence.until = State.BACK, 1.0, 1e9
-        tiers.fleet.view(
+        preference = LocalityPreference(site_policy(brokers=(4, 4)), 1)
+        budget = type("Dealt", (), {"recovering_site_rate": lambda self, now, name, own, wanted: dealt(own, wanted)})()
+        preference.use_slow_start_budget(budget)
+        availability = preference.own.availability
+        availability.state = SiteState.RECOVERING
+        availability.share = 1.0
+        availability.wait_until_ms = 1e9
+        preference.table.inventory.apply(
             0.0,
             api.EndpointUpdate(
                 api.UpdateKind.FULL,
@@ -320,9 +322,9 @@
             ),
         )
         for _ in range(1000):
-            tiers.demand.add(100.0, 1)
-        tiers.observe(200.0, [])
-        return tiers.own.bucket.pace
+            preference.table.demand.add(100.0, 1)
+        preference.observe(200.0, [])
+        return preference.own.bucket.rate
 
     asked = []
     own = pace(lambda own, wanted: asked.append((own, wanted)) or own)
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -285,19 +285,19 @@
         sites = Sites((Site("north", (0,), 1), Site("south", (1,), 0)), 1000.0)
         async with FeedStage(tmp_path, sites=sites) as s:
             s.slow(SLOW_MS)
-            tiers = s.broker.siting.tiers
+            preference = s.broker.site_service.preference
             held = asyncio.ensure_future(s.client.query(ASK))
             await until(lambda: s.generations.current.driver.queries)
             await s.in_force(replaced(PUBLISHED, "(free 5)", "(free 6)"))
             earlier, newest = s.generations.draining[0], s.generations.current
-            assert newest.driver.module.sites is earlier.driver.module.sites is tiers
+            assert newest.driver.module.sites is earlier.driver.module.sites is preference
             next_one = asyncio.ensure_future(s.client.query(ASK))
             await until(lambda: newest.driver.queries)
             assert not set(earlier.driver._owners) & set(newest.driver._owners)  # parts are told apart
             for status, answer, _ in await asyncio.gather(held, next_one):
                 assert status == 200 and len(answer["data"]["fullQuote"]) == 4
             await until(lambda: not s.generations.draining and newest.idle)
-            assert not any(site.seen.out for site in tiers.sites)
+            assert not any(site.health.in_flight for site in preference.sites)
             s.publish(with_deadline(2900))  # another class: preference among sites rests on it
             await until(lambda: s.relay.summary().refused)
             assert "broker > class: cannot change" in s.relay.summary().laggards[0].reason
--- a/tests/test_public_status.py
+++ b/tests/test_public_status.py
@@ -12,7 +12,8 @@
 from badgerbend.lease_service.status import LeaseServiceStatus
 from badgerbend.net.client import End
 from badgerbend.peering.exchange import FetchError, fetch_record
-from badgerbend.sites.status import status as sites_status
+from badgerbend.sites.admission import Rejection, RejectionReason
+from badgerbend.sites.status import sites_status
 from badgerbend.standin.rig import free_port
 from badgerbend.wal.store import create_store as create_voter_store
 from tests.interfaces import answer_seen, committed, compare, literals, struct_schema
@@ -73,8 +74,8 @@
     def members(self):
         return self.broker.knowledge_exchange.socket.swim.members.values()
 
-    def site_presences(self):
-        return [site.presence for site in self.broker.siting.tiers.sites]
+    def site_availabilities(self):
+        return [site.availability for site in self.broker.site_service.preference.sites]
 
     def raft(self):
         return self.broker.lease_service.local_voter.voter.raft
@@ -86,11 +87,13 @@
         return self.broker.knowledge_exchange.status()
 
     def sites_status(self):
-        return sites_status(self.broker.siting.tiers, self.broker.siting.now_ms())
+        service = self.broker.site_service
+        return msgspec.to_builtins(sites_status(service.preference, service.now_ms()))
 
     def refuse(self, reason):
         """Counts a query as refused for want of a site."""
-        self.broker.siting.tiers.refusals[reason, 0, 0] += 1
+        rejection = Rejection(RejectionReason(reason), 0, 0)
+        self.broker.site_service.preference.admission.rejections[rejection] += 1
 
     def peers_port(self):
         return self.broker.knowledge_exchange.membership_port
@@ -204,12 +207,12 @@
     for member.state in type(member_state):
         words["member's state"].append(state.peers_status()["members"][0]["state"])
     member.state = member_state
-    presence = state.site_presences()[0]
-    presence_state = presence.state
+    availability = state.site_availabilities()[0]
+    site_state = availability.state
     words["site's state"] = []
-    for presence.state in type(presence_state):
+    for availability.state in type(site_state):
         words["site's state"].append(state.sites_status()["sites"][0]["state"])
-    presence.state = presence_state
+    availability.state = site_state
     words["site's tier"] = [site["tier"] for site in state.sites_status()["sites"]]
     return words
 
--- a/tests/test_siting.py
+++ b/tests/test_site_service.py
@@ -103,8 +103,8 @@
                     await fetch(stage.port, path, "127.0.0.1", method, token)
             told = await fetch(stage.port, "/sites/north/drain", "127.0.0.1", "POST", KEY)
             assert told["sites"][0]["drained"]
-            tiers = stage.broker.siting.tiers
-            while tiers.own.presence.kept > 0:
+            own = stage.broker.site_service.preference.own
+            while own.drain.kept_share > 0:
                 await ask_some(stage, 4)
                 await asyncio.sleep(0.02)
             stage.records.clear()
@@ -114,7 +114,7 @@
             assert all("errors" not in a for _, a, _ in answers)
             assert arrivals(stage, 1) > arrivals(stage, 0)
             await fetch(stage.port, "/sites/north/return", "127.0.0.1", "POST", KEY)
-            while tiers.own.presence.kept < 1:
+            while own.drain.kept_share < 1:
                 await ask_some(stage, 4)
                 await asyncio.sleep(0.02)
             stage.records.clear()
@@ -138,17 +138,17 @@
             north = [s.name for s in stage.world.servers.values() if s.zone == 0]
             for name in north:
                 stage.world.crash(name)
-            tiers = stage.broker.siting.tiers
-            await until(lambda: tiers.own.presence.state.value == "out")
+            own = stage.broker.site_service.preference.own
+            await until(lambda: own.state.value == "out")
             _, answer, _ = await stage.client.query("{ fullQuote(blocks: [1, 2], amount: 9000) { id } }")
             assert "errors" not in answer
             for name in north:
                 await stage.world.restart(name)
-            await until(lambda: len(tiers.own.opened) == len(north))
-            assert stage.broker.siting.tiers.own.presence.state.value != "in"
+            await until(lambda: len(own.preconnected) == len(north))
+            assert own.state.value != "in"
 
             async def back():
-                while tiers.own.presence.state.value != "in":
+                while own.state.value != "in":
                     await ask_some(stage, 4)
                     await asyncio.sleep(0.02)
 
@@ -220,11 +220,11 @@
             assert status == 0 and "north" in out and "south" in out
             status, out, _ = await command("drain", "north", "--key", str(tmp_path / "key"))
             assert status == 0 and "drained" in out
-            assert stage.broker.siting.tiers.own.presence.drained
+            assert stage.broker.site_service.preference.own.drain.drained
             (tmp_path / "other").write_text("another key of letters")
             status, _, err = await command("return", "north", "--key", str(tmp_path / "other"))
             assert status == 3 and "403" in err
-            assert stage.broker.siting.tiers.own.presence.drained
+            assert stage.broker.site_service.preference.own.drain.drained
 
     run(main)
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""Preference by site: evidence, holds, limits and worth one by one; then two sites of brokers in simulated time."""
+"""Preference among sites: health, ejection, limits and priorities one by one; then two sites in simulated time."""
 
 import random
 from dataclasses import replace
@@ -7,16 +7,18 @@
 from conftest import ALL, ANY, KEY, SETTINGS, line
 from hypothesis import given
 from hypothesis import strategies as st
-from simsites import PACE, World, rules
+from simsites import PACE, World, site_policy
 
 from badgerbend import api
 from badgerbend.api import Outcome
-from badgerbend.sites.evidence import Evidence, missing_ms
-from badgerbend.sites.fleet import Fleet
-from badgerbend.sites.limit import Bucket, allowance
-from badgerbend.sites.presence import Presence, State
-from badgerbend.sites.tiers import NO_ROOM, NO_SITE, Tiers
-from badgerbend.sites.worth import Bands
+from badgerbend.sites.admission import RejectionReason
+from badgerbend.sites.availability import SiteAvailability, SiteObservation, SiteState
+from badgerbend.sites.health import SiteHealth
+from badgerbend.sites.inventory import SiteInventory
+from badgerbend.sites.preference import LocalityPreference
+from badgerbend.sites.priority_admission import PriorityAdmission, PriorityBand
+from badgerbend.sites.spill_limit import spill_allowance
+from badgerbend.sites.token_bucket import TokenBucket
 
 SHARES = st.floats(0.05, 0.95)
 
@@ -26,7 +28,7 @@
 def test_allowances_of_brokers_that_share_nothing_keep_the_limit_in_their_sum(share, load, spilled, room):
     own = load * room
     used = min((own + sum(spilled)) / room, 1.0)
-    allowed = [allowance(room, used, 0.0, s, share, 1, len(spilled)) for s in spilled]
+    allowed = [spill_allowance(room, used, 0.0, s, share, 1, len(spilled)) for s in spilled]
     if own + sum(spilled) <= room:  # beyond, the load says only that it is full
         assert sum(allowed) <= share * (room - own) + 1e-6
 
@@ -37,7 +39,7 @@
     spilled = [0.0] * brokers
     for _ in range(400):
         used = min(load + sum(spilled), 1.0)
-        spilled = [s + 0.1 * (allowance(wrong, used, 0.0, s, share, 1, brokers) - s) for s in spilled]
+        spilled = [s + 0.1 * (spill_allowance(wrong, used, 0.0, s, share, 1, brokers) - s) for s in spilled]
     spare = 1.0 - load
     assert sum(spilled) == pytest.approx(share * wrong / (1 - share + share * wrong) * spare, rel=0.02)
     assert sum(spilled) < spare
@@ -52,58 +54,60 @@
         return abs(spilled[0] - spilled[1])
 
     plain = apart(lambda used, s: 0.8 * ((1.0 - used) / 2 + s))
-    assert apart(lambda used, s: allowance(1.0, used, 0.0, s, 0.8, 1, 2)) < 0.7 * plain
+    assert apart(lambda used, s: spill_allowance(1.0, used, 0.0, s, 0.8, 1, 2)) < 0.7 * plain
 
 
 def test_a_bucket_lets_through_its_pace_and_a_short_burst():
-    bucket, taken = Bucket(), 0
-    bucket.set(0.0, 0.02)
+    bucket = TokenBucket()
+    taken = 0
+    bucket.set_rate(0.0, 0.02)
     for now in range(0, 10_000, 5):
-        if bucket.fill(now) >= 1.0:
+        if bucket.available(now) >= 1.0:
             bucket.take(now)
             taken += 1
     assert 180 <= taken <= 206  # of 200; five milliseconds is a coarse look
-    bucket.set(10_000, 0.0)
-    assert bucket.fill(20_000) < 1.0
+    bucket.set_rate(10_000, 0.0)
+    assert bucket.available(20_000) < 1.0
 
 
-# -- Evidence.
+# -- Health.
 def test_a_site_that_swallows_all_is_noticed_without_a_word_of_it():
-    seen = Evidence()
+    health = SiteHealth()
     for i in range(20):
-        seen.sent(i * 10.0, (i, 0), 1)
-        seen.ended(i * 10.0 + 40.0, (i, 0), Outcome.OK, 0.5, missing_ms(40.0))
-    assert seen.success(240.0) == 1.0
+        health.record_sent(i * 10.0, (i, 0), 1)
+        health.record_completed(i * 10.0 + 40.0, (i, 0), Outcome.OK, 0.5)
+    assert health.success_rate(240.0) == 1.0
     for i in range(20, 40):
-        seen.sent(240.0 + i, (i, 0), 2)
-    seen.miss(500.0, missing_ms(seen.usual_ms))
-    assert seen.success(500.0) > 0.9  # not yet
-    seen.miss(1000.0, missing_ms(seen.usual_ms))
-    assert seen.success(1000.0) < 0.5 and 2 in seen.failing
+        health.record_sent(240.0 + i, (i, 0), 2)
+    health.fail_overdue_attempts(500.0)
+    assert health.success_rate(500.0) > 0.9  # not yet
+    health.fail_overdue_attempts(1000.0)
+    assert health.success_rate(1000.0) < 0.5 and 2 in health.failing_servers
     for i in range(20, 40):  # late, but there: taken back
-        seen.ended(1100.0, (i, 0), Outcome.OK, 0.5, missing_ms(seen.usual_ms))
-    assert seen.success(1100.0) == 1.0 and not seen.failing
+        health.record_completed(1100.0, (i, 0), Outcome.OK, 0.5)
+    assert health.success_rate(1100.0) == 1.0 and not health.failing_servers
 
 
 def test_what_is_called_off_in_time_and_what_has_no_room_is_not_held_against_a_site():
-    seen = Evidence()
+    health = SiteHealth()
     for i, outcome in enumerate([Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.REJECTED] * 5):
-        seen.sent(0.0, (i, 0), 1)
-        seen.ended(30.0, (i, 0), outcome, None, 150.0)
-    assert seen.success(30.0) is None and not seen.failing
-    seen.look(30.0)
-    assert seen.used(30.0) == 1.0  # no room says that it is full
+        health.record_sent(0.0, (i, 0), 1)
+        health.record_completed(30.0, (i, 0), outcome, None)
+    assert health.success_rate(30.0) is None and not health.failing_servers
+    health.sample(30.0)
+    assert health.utilization(30.0) == 1.0  # no room says that it is full
 
 
 def test_the_load_is_over_time_however_many_reports_a_moment_brings():
-    seen, now = Evidence(), 0.0
+    health = SiteHealth()
+    now = 0.0
     for step in range(100):
         now = step * 100.0
         for i in range(1 if step % 2 else 50):
-            seen.sent(now, (step * 100 + i, 0), 1)
-            seen.ended(now, (step * 100 + i, 0), Outcome.OK, 0.2 if step % 2 else 0.8, 150.0)
-        seen.look(now)
-    assert seen.used(now) == pytest.approx(0.5, abs=0.05)
+            health.record_sent(now, (step * 100 + i, 0), 1)
+            health.record_completed(now, (step * 100 + i, 0), Outcome.OK, 0.2 if step % 2 else 0.8)
+        health.sample(now)
+    assert health.utilization(now) == pytest.approx(0.5, abs=0.05)
 
 
 # -- The list.
@@ -122,120 +126,133 @@
 
 @given(st.lists(st.tuples(st.sampled_from([api.UpdateKind.FULL, api.UpdateKind.DELTA]), LINES), max_size=6))
 def test_sums_kept_over_the_list_are_those_of_a_walk_over_it(views):
-    fleet, now = Fleet(rules()), 1000.0
+    inventory = SiteInventory(site_policy())
+    now = 1000.0
     for kind, rows in views:
         now += 1000.0
-        fleet.view(
+        inventory.apply(
             now, api.EndpointUpdate(kind, tuple(api.Endpoint(n, c, s, t, z, 0, size) for n, c, z, s, t, size in rows))
         )
         for site in (0, 1):
-            held = [s for s in fleet.servers.values() if s.site == site]
-            warm = sum(s.size * fleet.warmth(now, s) for s in held if s.ready and s.id != 3)
-            got, whole = fleet.room(now, site, [3])
-            assert got == pytest.approx(warm * PACE, abs=1e-9)
-            assert whole == pytest.approx(sum(s.size for s in held) * PACE)
-            assert fleet.listed(site) == any(s.ready for s in held)
+            held = [s for s in inventory.servers.values() if s.site == site]
+            warm = sum(s.size * inventory.warmth(now, s) for s in held if s.ready and s.id != 3)
+            capacity = inventory.capacity(now, site, [3])
+            assert capacity.available == pytest.approx(warm * PACE, abs=1e-9)
+            assert capacity.full == pytest.approx(sum(s.size for s in held) * PACE)
+            assert inventory.has_ready_servers(site) == any(s.ready for s in held)
 
 
 def test_soundness_is_of_a_shards_holders_not_of_all_servers():
-    fleet = Fleet(rules())
-    fleet.view(0.0, api.EndpointUpdate(api.UpdateKind.FULL, tuple(line(10 + i, i % 4) for i in range(8))))
+    inventory = SiteInventory(site_policy())
+    inventory.apply(0.0, api.EndpointUpdate(api.UpdateKind.FULL, tuple(line(10 + i, i % 4) for i in range(8))))
     gone = tuple(line(10 + i, i % 4, api.EndpointState.REMOVED) for i in (0, 4))
-    fleet.view(0.0, api.EndpointUpdate(api.UpdateKind.DELTA, gone))
-    assert [fleet.sound(0, shard, set()) for shard in range(4)] == [0.5, 1.0, 1.0, 0.5]
-    assert fleet.sound(0, 1, {11, 15}) == 0.5
+    inventory.apply(0.0, api.EndpointUpdate(api.UpdateKind.DELTA, gone))
+    assert [inventory.healthy_fraction(0, shard, set()) for shard in range(4)] == [0.5, 1.0, 1.0, 0.5]
+    assert inventory.healthy_fraction(0, 1, {11, 15}) == 0.5
 
 
-# -- In and out.
-def drive(presence, span, at, listed=True, success=1.0, good_pace=0.1, step=100.0):
-    """Ticks with answers coming at a pace; the states passed through."""
-    passed, good, end = [], 0.0, at + span
+# -- Availability.
+def drive(availability, span, at, ready=True, success_rate=1.0, answer_rate=0.1, step=100.0):
+    """Updates while answers come at a rate; returns the times and the states passed through."""
+    passed = []
+    successes = 0.0
+    end = at + span
     while at < end:
         at += step
-        good += good_pace * step
-        if presence.tick(at, listed, success, int(good), good):
-            passed.append((at, presence.state))
+        successes += answer_rate * step
+        if availability.update(at, SiteObservation(ready, success_rate, int(successes), successes)):
+            passed.append((at, availability.state))
     return passed
 
 
 def test_a_site_goes_out_comes_on_trial_and_returns_by_a_ramp():
-    p = Presence(rules(), random.Random(1))
-    assert drive(p, 1000, 0.0, success=0.6) == []  # bad, but not half
-    assert p.tick(1100.0, True, 0.4, 0, 0.0) and p.state is State.OUT and p.share == 0.0
-    passed = drive(p, 15_000, 1100.0)
-    assert [s for _, s in passed] == [State.TRIAL, State.BACK, State.IN]
+    availability = SiteAvailability(site_policy(), random.Random(1))
+    assert drive(availability, 1000, 0.0, success_rate=0.6) == []  # bad, but not half
+    assert availability.update(1100.0, SiteObservation(True, 0.4, 0, 0.0))
+    assert availability.state is SiteState.EJECTED and availability.share == 0.0
+    passed = drive(availability, 15_000, 1100.0)
+    assert [s for _, s in passed] == [SiteState.TRIAL, SiteState.RECOVERING, SiteState.ACTIVE]
     (trial, _), (back, _), (inside, _) = passed
     assert 1500 * 0.75 <= trial - 1100 <= 1500 * 1.25 + 100
     assert inside - back >= 7 * 500 * 0.75  # eight steps of half as much again, from a twentieth
 
 
 def test_the_ramp_holds_while_answers_fail_or_stay_away_and_ends_where_half_do():
-    p = Presence(rules(), random.Random(1))
-    p.out(0.0)
-    drive(p, 2500, 0.0)
-    assert p.state is State.BACK
-    share = p.share
-    drive(p, 5000, 2500.0, success=0.85)
-    assert p.state is State.BACK and p.share == share
-    drive(p, 5000, 7500.0, good_pace=0.0)
-    assert p.share == share
-    drive(p, 1000, 12_500.0, success=0.3)
-    assert p.state is State.OUT
+    availability = SiteAvailability(site_policy(), random.Random(1))
+    availability.eject(0.0)
+    drive(availability, 2500, 0.0)
+    assert availability.state is SiteState.RECOVERING
+    share = availability.share
+    drive(availability, 5000, 2500.0, success_rate=0.85)
+    assert availability.state is SiteState.RECOVERING and availability.share == share
+    drive(availability, 5000, 7500.0, answer_rate=0.0)
+    assert availability.share == share
+    drive(availability, 1000, 12_500.0, success_rate=0.3)
+    assert availability.state is SiteState.EJECTED
 
 
 def test_each_turn_doubles_the_hold_and_time_forgets():
-    p, now, holds = Presence(rules(), random.Random(1)), 0.0, []
+    availability = SiteAvailability(site_policy(), random.Random(1))
+    now = 0.0
+    ejection_times = []
     for _ in range(5):
-        p.state = State.IN
-        p.out(now)
-        holds.append(p.hold_ms(now))
+        availability.state = SiteState.ACTIVE
+        availability.eject(now)
+        ejection_times.append(availability.ejection_ms(now))
         now += 4000.0
-    assert all(b > 1.4 * a for a, b in zip(holds, holds[1:], strict=False)) and holds[0] == 1500.0
-    p.state = State.IN
-    p.out(now + 300_000.0)
-    assert p.hold_ms(now + 300_000.0) < 1510.0
-    p.turns.add(now + 300_000.0, 50.0)
-    assert p.hold_ms(now + 300_000.0) == 60_000.0
+    assert ejection_times[0] == 1500.0
+    assert all(b > 1.4 * a for a, b in zip(ejection_times, ejection_times[1:], strict=False))
+    availability.state = SiteState.ACTIVE
+    availability.eject(now + 300_000.0)
+    assert availability.ejection_ms(now + 300_000.0) < 1510.0
+    availability.ejections.add(now + 300_000.0, 50.0)
+    assert availability.ejection_ms(now + 300_000.0) == 60_000.0
 
 
 def test_a_trial_that_fails_is_no_turn():
-    p = Presence(rules(), random.Random(1))
-    p.out(0.0)
+    availability = SiteAvailability(site_policy(), random.Random(1))
+    availability.eject(0.0)
     for i in range(5):
-        p.state = State.TRIAL
-        p.tick(i * 10.0, True, 0.0, 0, 0.0)
-        assert p.state is State.OUT
-    assert p.turns.read(50.0) < 1.01
+        availability.state = SiteState.TRIAL
+        availability.update(i * 10.0, SiteObservation(True, 0.0, 0, 0.0))
+        assert availability.state is SiteState.EJECTED
+    assert availability.ejections.read(50.0) < 1.01
 
 
 def test_brokers_that_saw_the_same_do_not_act_in_step():
     moments = []
     for seed in range(20):
-        p = Presence(rules(), random.Random(seed))
-        p.out(0.0)
-        moments.append([at for at, _ in drive(p, 15_000, 0.0, step=10.0)])
+        availability = SiteAvailability(site_policy(), random.Random(seed))
+        availability.eject(0.0)
+        moments.append([at for at, _ in drive(availability, 15_000, 0.0, step=10.0)])
     for trial_or_in in (0, 2):
         times = sorted(m[trial_or_in] for m in moments)
         assert times[-1] - times[0] > 300.0 and len(set(times)) > 10
 
 
-# -- Worth.
+# -- Priorities.
 def test_room_goes_to_the_worthiest_first_and_by_a_smooth_count():
-    bands, let = Bands(), {"good": 0, "mean": 0, "over": 0}
+    priorities = PriorityAdmission()
+    admitted = {"good": 0, "mean": 0, "over": 0}
+    bands = (
+        ("good", PriorityBand(0, False), 2.0),
+        ("mean", PriorityBand(1, False), 1.0),
+        ("over", PriorityBand(0, True), 0.2),
+    )
     for i in range(3000):
         now = i * 5.0
-        for name, band, worth in (("good", (0, False), 2.0), ("mean", (1, False), 1.0), ("over", (0, True), 0.2)):
-            bands.ask(now, band, worth, 4, 6)
-            if bands.lets_in(now, band, 4 / 5 * 1.5):  # room for one and a half of the three
-                let[name] += i >= 2000
-    assert let["good"] == 1000 and let["over"] == 0
-    assert 450 <= let["mean"] <= 550
-    assert not bands.spares(15_000.0, 2.0) and bands.spares(15_000.0, 4.0)
+        for name, band, weight in bands:
+            priorities.record_demand(now, band, weight, 4, 6)
+            if priorities.admit(now, band, 4 / 5 * 1.5):  # capacity for one and a half of the three
+                admitted[name] += i >= 2000
+    assert admitted["good"] == 1000 and admitted["over"] == 0
+    assert 450 <= admitted["mean"] <= 550
+    assert not priorities.surplus_fits(15_000.0, 2.0) and priorities.surplus_fits(15_000.0, 4.0)
 
 
-# -- The tiers.
-def told(tiers, lines, now=1000.0):
-    tiers.observe(now, [api.EndpointUpdate(api.UpdateKind.FULL, tuple(lines))])
+# -- The preference as a whole.
+def update_endpoints(preference, lines, now=1000.0):
+    preference.observe(now, [api.EndpointUpdate(api.UpdateKind.FULL, tuple(lines))])
 
 
 def both(north=True, south=True, cells=range(4)):
@@ -252,89 +269,91 @@
 
 
 def test_parts_stay_at_home_but_for_a_trickle():
-    tiers = Tiers(rules(), 1)
-    told(tiers, both())
+    preference = LocalityPreference(site_policy(), 1)
+    update_endpoints(preference, both())
     away = 0
     for i in range(5000):
-        tiers.observe(1000.0 + i, [])
-        away += tiers.eligible(0, [0, 1, 100, 101], True)[0] >= 100
+        preference.observe(1000.0 + i, [])
+        away += preference.eligible(0, [0, 1, 100, 101], True)[0] >= 100
     assert 50 < away < 250
 
 
 def test_a_shard_that_only_the_lost_site_held_is_refused_at_once_and_others_are_not():
-    tiers = Tiers(rules(), 1)
+    preference = LocalityPreference(site_policy(), 1)
     lines = [*both(), api.Endpoint(50, 2, api.EndpointState.READY, 0.0, 0, 0, 1.0)]
     lines = [x for x in lines if not (x.zone == 1 and x.cell in (2, 3))]  # shard 2 is held in the north alone
-    told(tiers, lines)
-    assert tiers.admits(query([0, 2]), False, 2)
-    told(tiers, [replace(x, state=api.EndpointState.REMOVED) if x.zone == 0 else x for x in lines], 1100.0)
-    assert tiers.own.presence.state is State.OUT
-    assert tiers.rank(2) == 0 and not tiers.admits(query([0, 2]), False, 2)
-    assert tiers.refusals == {(NO_SITE, ALL, 0): 1}
-    assert tiers.rank(0) and tiers.admits(query([0, 1]), False, 2)
-    assert tiers.admits(query([0, 2], ANY), False, 1)  # half of its parts is enough
+    update_endpoints(preference, lines)
+    assert preference.admits(query([0, 2]), False, 2)
+    update_endpoints(
+        preference, [replace(x, state=api.EndpointState.REMOVED) if x.zone == 0 else x for x in lines], 1100.0
+    )
+    assert preference.own.state is SiteState.EJECTED
+    assert preference.rank(2) == 0 and not preference.admits(query([0, 2]), False, 2)
+    assert preference.admission.rejections == {(RejectionReason.NO_SITE, ALL, 0): 1}
+    assert preference.rank(0) and preference.admits(query([0, 1]), False, 2)
+    assert preference.admits(query([0, 2], ANY), False, 1)  # half of its parts is enough
 
 
 def test_what_the_own_site_never_held_is_no_spill():
-    tiers = Tiers(rules(), 1)
-    told(tiers, [x for x in both() if x.zone == 1 or x.cell < 2])
+    preference = LocalityPreference(site_policy(), 1)
+    update_endpoints(preference, [x for x in both() if x.zone == 1 or x.cell < 2])
     for _ in range(200):  # shard 2 is held in the south alone: far beyond any limit
-        assert set(tiers.eligible(2, [102, 103], True)) == {102, 103}
-        tiers.attempt_sent(1, 0, 102)
-    assert tiers.others[0].spilled.read(1000.0) == 0.0
+        assert set(preference.eligible(2, [102, 103], True)) == {102, 103}
+        preference.attempt_sent(1, 0, 102)
+    assert preference.table.others[0].spilled.read(1000.0) == 0.0
 
 
 def test_only_what_may_be_lost_is_sent_on_trial():
-    tiers = Tiers(rules(), 1)
-    told(tiers, both())
-    tiers.own.presence.state = State.TRIAL
-    tiers._limits()
-    tiers.own.bucket.level = 5.0
-    tiers.others[0].bucket.level = 0.0
-    assert tiers.eligible(0, [0, 1, 100], False) == []
-    assert tiers.eligible(0, [0, 1, 100], True) == [0, 1]
+    preference = LocalityPreference(site_policy(), 1)
+    update_endpoints(preference, both())
+    preference.own.availability.state = SiteState.TRIAL
+    preference._update_limits()
+    preference.own.bucket.tokens = 5.0
+    preference.table.others[0].bucket.tokens = 0.0
+    assert preference.eligible(0, [0, 1, 100], False) == []
+    assert preference.eligible(0, [0, 1, 100], True) == [0, 1]
 
 
 def test_a_site_is_not_given_up_where_no_other_does_better():
-    tiers = Tiers(rules(), 1)
-    told(tiers, both())
+    preference = LocalityPreference(site_policy(), 1)
+    update_endpoints(preference, both())
     for i in range(100):
-        for site in tiers.sites:
-            site.seen.sent(1000.0, (i, site.place), site.place * 100)
-            site.seen.ended(1001.0, (i, site.place), Outcome.RESET, None, 150.0)
-    tiers.observe(1500.0, [])
-    assert [s.presence.state for s in tiers.sites] == [State.IN, State.IN]
+        for site in preference.sites:
+            site.health.record_sent(1000.0, (i, site.index), site.index * 100)
+            site.health.record_completed(1001.0, (i, site.index), Outcome.RESET, None)
+    preference.observe(1500.0, [])
+    assert [s.state for s in preference.sites] == [SiteState.ACTIVE, SiteState.ACTIVE]
 
 
 def test_a_drain_by_hand_refuses_nothing_and_moves_what_fits():
-    tiers = Tiers(rules(), 1)
-    told(tiers, both())
-    tiers.drain(1000.0, tiers.own, True)
+    preference = LocalityPreference(site_policy(), 1)
+    update_endpoints(preference, both())
+    preference.set_drained(1000.0, preference.own, True)
     for now in range(1100, 9000, 100):
-        tiers.demand.add(float(now), 2)
-        tiers.observe(float(now), [])
-    assert tiers.own.presence.kept == 0.0
-    tiers.others[0].bucket.set(9000.0, 0.02)
-    tiers.others[0].bucket.level = 2.0
+        preference.table.demand.add(float(now), 2)
+        preference.observe(float(now), [])
+    assert preference.own.drain.kept_share == 0.0
+    preference.table.others[0].bucket.set_rate(9000.0, 0.02)
+    preference.table.others[0].bucket.tokens = 2.0
     went = []
     for _ in range(10):
-        went.append(tiers.eligible(0, [0, 100], True)[0])
-        tiers.attempt_sent(1, 0, went[-1])
-    assert went == [100, 100] + [0] * 8 and tiers.admits(query([0]), False, 1)
-    tiers.drain(9000.0, tiers.own, False)
+        went.append(preference.eligible(0, [0, 100], True)[0])
+        preference.attempt_sent(1, 0, went[-1])
+    assert went == [100, 100] + [0] * 8 and preference.admits(query([0]), False, 1)
+    preference.set_drained(9000.0, preference.own, False)
     for now in range(9100, 15_000, 100):
-        tiers.observe(float(now), [])
-    assert tiers.own.presence.kept == 1.0
+        preference.observe(float(now), [])
+    assert preference.own.drain.kept_share == 1.0
 
 
 def test_connections_are_opened_ahead_at_a_bounded_pace():
-    tiers = Tiers(rules(connection_pace=0.02), 1)
+    preference = LocalityPreference(site_policy(connection_rate=0.02), 1)
     there = [api.Endpoint(n, n % 4, api.EndpointState.READY, 0.0, 0, 0, 1.0) for n in range(40)]
-    told(tiers, [*both(north=False), *(replace(x, state=api.EndpointState.REMOVED) for x in there)])
-    tiers.ahead(4900.0)
-    told(tiers, there, 5000.0)
-    assert tiers.own.presence.state is State.TRIAL
-    opened = [(now, n) for now in range(5000, 9000, 50) for n in tiers.ahead(float(now))]
+    update_endpoints(preference, [*both(north=False), *(replace(x, state=api.EndpointState.REMOVED) for x in there)])
+    preference.preconnector.servers_due(4900.0)
+    update_endpoints(preference, there, 5000.0)
+    assert preference.own.state is SiteState.TRIAL
+    opened = [(now, n) for now in range(5000, 9000, 50) for n in preference.preconnector.servers_due(float(now))]
     assert sorted(n for _, n in opened) == list(range(40))
     for until in (5100, 5500, 6000):  # the pace, and what a quarter of a second saves up
         assert len([1 for now, _ in opened if now <= until]) <= 5 + 0.02 * (until - 4900)
@@ -365,7 +384,7 @@
     assert world.how("whole", since=9000.0) >= 0.995 * after  # over 32 seeds: none to 6 of 1600
     shares = [world.own[0, s] / LOAD / 4 for s in range(17, 29)]
     assert shares[0] < 0.4 and shares[-1] > 0.7  # from the trial to all
-    assert all(b.tiers.own.presence.state is State.IN for b in world.brokers)
+    assert all(b.preference.own.state is SiteState.ACTIVE for b in world.brokers)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -378,7 +397,9 @@
     assert south.count("whole") > 0.97 * len(south)  # whoever stands there hardly notices
     refused = [took for t, _, _, how, took in world.ends if how == "refused" and t > 8000]
     assert len(refused) > 200 and sorted(refused)[int(len(refused) * 0.9)] < 1.0  # at once
-    assert all(reason == NO_ROOM for b in world.brokers for reason, *_ in b.tiers.refusals)
+    assert all(
+        reason == RejectionReason.SPILL_LIMIT for b in world.brokers for reason, *_ in b.preference.admission.rejections
+    )
 
 
 def test_low_worth_and_over_quota_goes_first_and_spares_before_all():
@@ -406,11 +427,11 @@
         world.run(span)
         world.bring_back(0)
         world.run(span)
-    turns = [b.tiers.own.presence.turns.read(world.now) for b in world.brokers[:2]]
-    holds = [b.tiers.own.presence.hold_ms(world.now) for b in world.brokers[:2]]
-    assert min(turns) > 1.2 and min(holds) > 1700
+    ejections = [b.preference.own.availability.ejections.read(world.now) for b in world.brokers[:2]]
+    ejection_times = [b.preference.own.availability.ejection_ms(world.now) for b in world.brokers[:2]]
+    assert min(ejections) > 1.2 and min(ejection_times) > 1700
     world.run(30_000.0)
-    assert all(b.tiers.own.presence.state is State.IN for b in world.brokers)
+    assert all(b.preference.own.state is SiteState.ACTIVE for b in world.brokers)
     assert world.how("whole") / len(world.ends) > 0.97
     last = [world.spilled[1, int(world.now // 1000) - i] for i in range(1, 8)]
     assert max(last) < 0.2 * LOAD * 4  # it has come to rest
@@ -424,8 +445,8 @@
     for server in world.site(0):
         server.silent = True
     world.run(10_000.0)
-    own = world.brokers[0].tiers.own
-    assert own.presence.state in (State.OUT, State.TRIAL)
+    own = world.brokers[0].preference.own
+    assert own.state in (SiteState.EJECTED, SiteState.TRIAL)
     late = [how for t, b, _, how, _ in world.ends if b == 0 and t > 9000]
     assert late.count("whole") / len(late) > 0.9
 
@@ -442,7 +463,7 @@
     world.run(10_000.0)
     late = [how for t, _, _, how, _ in world.ends if t > 7000]
     assert late.count("whole") / len(late) > 0.98
-    assert all(b.tiers.own.presence.state is State.IN for b in world.brokers)
+    assert all(b.preference.own.state is SiteState.ACTIVE for b in world.brokers)
 
 
 def test_keyed_work_is_never_tried_on_a_site_on_trial():
@@ -457,11 +478,11 @@
         server.silent = True
     world.run(4000.0)
     tried, on_trial, sent = world.own[0, int(world.now // 1000) - 1], 0, 0
-    presence = world.brokers[0].tiers.own.presence
+    own_site = world.brokers[0].preference.own
     for _ in range(60):
-        before, state = own(), presence.state
+        before, state = own(), own_site.state
         world.run(100.0)
-        if state is presence.state is State.TRIAL:
+        if state is own_site.state is SiteState.TRIAL:
             on_trial, sent = on_trial + 1, sent + own() - before
     assert on_trial > 10 and sent == 0
-    assert tried == 0 and world.brokers[0].tiers.own.presence.state in (State.OUT, State.TRIAL)
+    assert tried == 0 and world.brokers[0].preference.own.state in (SiteState.EJECTED, SiteState.TRIAL)
