--- a/badgerbend/sites/own_site_load.py
+++ b/badgerbend/sites/own_site_load.py
@@ -10,7 +10,7 @@
 SATURATED_UTILIZATION = 0.98  # beyond this the utilization does not tell the overload: settings bound the work
 DAMPING = 0.05  # of the way to the share that would fit, each update: slower than utilization is read, or it oscillates
 OVERLOAD_DAMPING = 4 * DAMPING  # on the way down, to shed load soon
-MIN_KEPT_SHARE = 0.05  # what an own site keeps in any case, or nothing would show that it has recovered
+MIN_RETAINED_SHARE = 0.05  # what an own site keeps in any case, or nothing would show that it has recovered
 SLOW_FACTOR = 3.0  # an own site with more than this multiple of another's latency gives up work in proportion
 USUAL_UTILIZATION_WEIGHT = 0.01  # weight of an update in the usual utilization
 COMPLETE_CAPACITY = 0.9  # with this fraction of its full capacity a site shows its usual utilization
@@ -32,7 +32,7 @@
         """Whether the own site can serve all work, so that nothing need be rejected."""
         return self.table.own.state is SiteState.ACTIVE and self.servable_share > NEARLY_ALL
 
-    def kept_share(self, shard: int) -> float:
+    def retained_share(self, shard: int) -> float:
         """The share of a shard's parts that stay, while the site is active."""
         observed = 1.0 - self.table.policy.observation_share
         return min(self.utilization_share, self.latency_share, self._replica_share(shard), observed)
@@ -59,23 +59,23 @@
 
     def _update_utilization_share(self, utilization: float) -> None:
         target = self.table.policy.target_utilization
-        fitting = min(1.0, max(self.utilization_share * target / utilization, MIN_KEPT_SHARE))
+        fitting = min(1.0, max(self.utilization_share * target / utilization, MIN_RETAINED_SHARE))
         self.utilization_share += (fitting - self.utilization_share) * DAMPING
 
     def _update_latency_share(self) -> None:
         others = [s.health.usual_latency_ms for s in self.table.others if s.accepts_work and s.health.usual_latency_ms]
         latency_ms = self.table.own.health.mean_latency_ms(self.table.now_ms)
         if others and latency_ms:
-            fitting = min(1.0, max(SLOW_FACTOR * min(others) / latency_ms, MIN_KEPT_SHARE))
+            fitting = min(1.0, max(SLOW_FACTOR * min(others) / latency_ms, MIN_RETAINED_SHARE))
             self.latency_share += (fitting - self.latency_share) * DAMPING
 
     def _update_servable_share(self, utilization: float) -> None:
         own = self.table.own
-        servable = min(1.0, max(self.servable_share * FULL_UTILIZATION / utilization, MIN_KEPT_SHARE))
+        servable = min(1.0, max(self.servable_share * FULL_UTILIZATION / utilization, MIN_RETAINED_SHARE))
         demand = self.table.demand.rate(self.table.now_ms)
         if utilization > SATURATED_UTILIZATION and demand:
             bound = FULL_UTILIZATION * own.capacity / own.local_brokers / demand
-            servable = min(servable, max(bound, MIN_KEPT_SHARE))
+            servable = min(servable, max(bound, MIN_RETAINED_SHARE))
         damping = DAMPING if servable > self.servable_share else OVERLOAD_DAMPING
         self.servable_share += (servable - self.servable_share) * damping
 
--- a/badgerbend/sites/replica_filter.py
+++ b/badgerbend/sites/replica_filter.py
@@ -47,7 +47,7 @@
         own = self.table.own
         nodes_by_site = self._group_by_site(nodes)
         own_nodes = nodes_by_site.get(own.index, [])
-        if own_nodes and self._keeps_at_own_site(shard, safe):
+        if own_nodes and self._stays_at_own_site(shard, safe):
             return own_nodes
         target = self._spill_target(nodes_by_site, shard, safe)
         if target is not None:
@@ -81,15 +81,15 @@
         """Whether a shard's work belongs to the own site: one never held there belongs where it is held."""
         return self.table.has_replicas(self.table.own, shard)
 
-    def _keeps_at_own_site(self, shard: int, safe: bool) -> bool:
+    def _stays_at_own_site(self, shard: int, safe: bool) -> bool:
         """Whether a part with replicas at the own site goes there."""
         own = self.table.own
-        kept_share = own.drain.kept_share
-        if kept_share < 1.0 and self.rng.random() >= kept_share:
+        retained_share = own.drain.retained_share
+        if retained_share < 1.0 and self.rng.random() >= retained_share:
             return False
         match own.state:
             case SiteState.ACTIVE:
-                return self.rng.random() < self.own_load.kept_share(shard)
+                return self.rng.random() < self.own_load.retained_share(shard)
             case SiteState.EJECTED:
                 return False
             case SiteState.TRIAL | SiteState.RECOVERING:
--- a/badgerbend/sites/status.py
+++ b/badgerbend/sites/status.py
@@ -30,7 +30,7 @@
     failing_servers: int = msgspec.field(name="failing")
 
 
-class KeptShares(msgspec.Struct, frozen=True):
+class RetainedShares(msgspec.Struct, frozen=True):
     """The shares of its work that the own site keeps."""
 
     by_utilization: float = msgspec.field(name="by_load")
@@ -52,7 +52,7 @@
     own: str
     list_age_ms: int | None
     demand_per_s: float
-    keeps: KeptShares
+    retained: RetainedShares = msgspec.field(name="keeps")
     sites: tuple[SiteStatus, ...]
     rejections: tuple[RejectionCount, ...] = msgspec.field(name="refusals")
 
@@ -66,7 +66,7 @@
         own=table.own.name,
         list_age_ms=None if updated_ms is None else round(now_ms - updated_ms),
         demand_per_s=round(table.demand.rate(now_ms) * MS_PER_S, 1),
-        keeps=KeptShares(round(load.utilization_share, 3), round(load.latency_share, 3)),
+        retained=RetainedShares(round(load.utilization_share, 3), round(load.latency_share, 3)),
         sites=tuple(_site_status(preference, site, now_ms) for site in table.sites),
         rejections=tuple(
             RejectionCount(rejection.reason, rejection.class_index, rejection.tenant, count)
@@ -83,7 +83,7 @@
         tier=site.tier.label,
         state=site.state.value,
         drained=site.drain.drained,
-        share=round(min(site.availability.share, site.drain.kept_share), 3),
+        share=round(min(site.availability.share, site.drain.retained_share), 3),
         ejections=round(site.availability.ejections.read(now_ms), 2),
         success_rate=_rounded(site.health.success_rate(now_ms)),
         utilization=_rounded(site.health.utilization(now_ms)),
--- a/benchmarks/sites_simulated.py
+++ b/benchmarks/sites_simulated.py
@@ -23,7 +23,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
 from conftest import ALL, ANY, SETTINGS  # noqa: E402
-from simsites import PACE, World  # noqa: E402
+from simsites import SERVER_RATE, World  # noqa: E402
 
 from badgerbend.sites.preference import LocalityPreference  # noqa: E402
 from badgerbend.standin.baseline import Priority, _Unlimited  # noqa: E402
@@ -48,16 +48,16 @@
     needed, growth = DAYS[day]
     world = World(seed, brokers=(2, 2), make=WAYS[way])
     for home in (0, 1):
-        world.load(home, needed / 2 / 6, ALL)
-        world.load(home, needed / 2 / 6, ANY)
+        world.add_load(home, needed / 2 / 6, ALL)
+        world.add_load(home, needed / 2 / 6, ANY)
     began = world.now
     for second in range(END):
         if second == LOST:
-            world.lose(0)
+            world.crash_site(0)
         if second == BACK:
-            world.bring_back(0)
+            world.restart_site(0)
         grown = min(max(second - 5, 0) / 10, 1.0) if second < BACK else 0.0
-        world.rate = 1.0 + (growth - 1.0) * grown
+        world.rate_factor = 1.0 + (growth - 1.0) * grown
         world.run(1000.0)
     return seconds(world, began)
 
@@ -74,7 +74,7 @@
                 1.0 if took <= c.latency_objective_ms else c.late_value_share
             )
     wants: dict[int, Counter[float]] = {}
-    for at, cls, parts in world.asked:
+    for at, cls, parts in world.queries:
         c = SETTINGS.classes[cls]
         wants.setdefault(int(at // 1000), Counter())[c.priority_weight / (c.complete_weight * parts)] += (
             c.complete_weight * parts
@@ -85,17 +85,17 @@
             up = 0.0 if zone == 0 and LOST <= second < BACK else 1.0
             cold = zone == 0 and BACK <= second < BACK + 5
             warm = 0.25 + 0.75 * (second + 0.5 - BACK) / 5 if cold else 1.0
-            room += up * warm * len(world.site(zone)) * PACE * 1000
+            room += up * warm * len(world.site_servers(zone)) * SERVER_RATE * 1000
         want = wants.get(at, Counter())
         out.append(
             {
                 "served": served[at],
                 "best": best(want, room),
                 "needed": sum(want.values()),
-                "spilled": float(world.spilled[1, at]),
-                "limit": world.limit(1, at),
-                "north": float(world.own[0, at] + world.spilled[0, at]),
-                "south": float(world.own[1, at] + world.spilled[1, at]),
+                "spilled": float(world.spilled_parts[1, at]),
+                "limit": world.spill_limit(1, at),
+                "north": float(world.own_parts[0, at] + world.spilled_parts[0, at]),
+                "south": float(world.own_parts[1, at] + world.spilled_parts[1, at]),
                 "n True": float(users[at, 0, True]),
                 "n False": float(users[at, 0, False]),
                 "s True": float(users[at, 1, True]),
--- a/tests/simcold.py
+++ b/tests/simcold.py
@@ -5,7 +5,7 @@
 from badgerbend.slow_start_budget.allocator import BudgetAllocator
 from badgerbend.slow_start_budget.broker import BrokerBudget
 from badgerbend.slow_start_budget.timing import BudgetTiming
-from tests.simsites import PACE, World
+from tests.simsites import SERVER_RATE, World
 
 LENGTHS = BudgetTiming(1000.0, 0.01)
 FACTOR, COLD_FROM, FALL_MS, COLD_MS = 2.0, 0.25, 1000.0, 5000.0  # a server that bears little while it is cold
@@ -15,7 +15,7 @@
 class ColdWorld(World):
     """dealt: whether brokers deal cold allowance among them; `hold(False)` leaves them without a dealer."""
 
-    module = {"overload_factor": FACTOR, "slow_start_from": COLD_FROM}  # noqa: RUF012
+    settings = {"overload_factor": FACTOR, "slow_start_from": COLD_FROM}  # noqa: RUF012
 
     def __init__(self, seed, dealt=True, brokers=(12, 4), servers=16, **changes):
         self.budgets, self.dealt, self.arrivals = {}, dealt, defaultdict(list)
@@ -71,7 +71,7 @@
                     first += 1
                 warmth = min(1.0, COLD_FROM + (1 - COLD_FROM) * (t - server.started) / COLD_MS)
                 if warmth < 1.0:
-                    most = max(most, (n - first + 1) / (FACTOR * warmth * PACE * FALL_MS))
+                    most = max(most, (n - first + 1) / (FACTOR * warmth * SERVER_RATE * FALL_MS))
         return most
 
 
@@ -94,12 +94,12 @@
     """A site is lost and back, and some of its brokers have most of its clients."""
     world = ColdWorld(seed, dealt)
     world.hold(held)
-    world.load(0, 140.0, weights=[1.0 / (1 + i) ** skew for i in range(12)])
-    world.load(1, 40.0)
+    world.add_load(0, 140.0, weights=[1.0 / (1 + i) ** skew for i in range(12)])
+    world.add_load(1, 40.0)
     world.run(12_000)
-    world.lose(0)
+    world.crash_site(0)
     world.run(6_000)
-    world.bring_back(0)
+    world.restart_site(0)
     back = world.now
     world.run(8_000)
     return fared(world, back)
@@ -110,13 +110,13 @@
     world = ColdWorld(seed, dealt, brokers=(12, 1))
     world.hold(held)
     weights = [1.0] * 10 + [0.2] * 2
-    world.load(0, 110.0, weights=weights)
+    world.add_load(0, 110.0, weights=weights)
     world.run(12_000)
     weights[:] = [0.1] * 10 + [4.0] * 2
-    for server in world.site(0):
+    for server in world.site_servers(0):
         server.crash()
-        server.up, server.started = True, world.now
-    world.tell()
+        server.restart()
+    world.publish_endpoints()
     since = world.now
     world.run(8_000)
     return fared(world, since)
--- a/tests/simsites.py
+++ b/tests/simsites.py
@@ -1,8 +1,10 @@
 """Two sites in simulated time: brokers with the real driver, module and preference, servers with cores and a queue."""
 
+import math
 import random
 from collections import Counter, deque
 from dataclasses import replace
+from typing import NamedTuple
 
 from clock import Clock
 from conftest import SETTINGS
@@ -13,73 +15,126 @@
 from badgerbend.sites.policy import LocalityTier, SitePolicy, SiteSpec
 from badgerbend.sites.preference import LocalityPreference
 
-CELLS, REACH, CORES, WORK_MS = 4, 2, 2, 40.0
-PACE = CORES / WORK_MS  # parts a millisecond of a warm server
-NAMES = ("north", "south")
+CELL_COUNT = 4
+CELLS_PER_SHARD = 2
+CORES = 2
+WORK_MS = 40.0  # of a part on a warm core
+SERVER_RATE = CORES / WORK_MS  # parts a millisecond of a warm server
+NETWORK_DELAY_MS = 0.5  # one way
+DETECTION_DELAY_MS = 300.0  # until the endpoint list shows that a site is lost
+SLOW_START_MS = 5000.0
+SLOW_START_FROM = 0.25  # share of its rate that a server has at its start
+SITE_NAMES = ("north", "south")
 
 
 def site_policy(home=0, brokers=(1, 1), **changes):
     sites = tuple(
         SiteSpec(name, (i,), n, LocalityTier.OWN if i == home else LocalityTier.NEAR)
-        for i, (name, n) in enumerate(zip(NAMES, brokers, strict=True))
+        for i, (name, n) in enumerate(zip(SITE_NAMES, brokers, strict=True))
+    )
+    base = SitePolicy(
+        sites,
+        sum(brokers),
+        CELL_COUNT,
+        CELLS_PER_SHARD,
+        SERVER_RATE,
+        classes=SETTINGS.classes,
+        slow_start_ms=SLOW_START_MS,
     )
-    base = SitePolicy(sites, sum(brokers), CELLS, REACH, PACE, classes=SETTINGS.classes, slow_start_ms=5000.0)
     return replace(base, **changes)
 
 
+class QueryEnd(NamedTuple):
+    """How a query ended: "whole" (a complete answer), "part", "refused" or "failed"."""
+
+    at_ms: float
+    broker: int
+    class_index: int
+    outcome: str
+    elapsed_ms: float
+
+
+class SubmittedQuery(NamedTuple):
+    at_ms: float
+    class_index: int
+    parts: int
+
+
 class Server:
+    """A server with cores, a queue and slow start. silent: it accepts all and answers nothing."""
+
     def __init__(self, world, node, cell, zone):
-        self.world, self.node, self.cell, self.zone = world, node, cell, zone
-        self.up, self.silent, self.started = True, False, 0.0
-        self.busy, self.queue = 0, deque()
+        self.world = world
+        self.node = node
+        self.cell = cell
+        self.zone = zone
+        self.up = True
+        self.silent = False
+        self.started = 0.0
+        self.busy_cores = 0
+        self.queue = deque()
 
     def warmth(self):
         if not self.started:
             return 1.0
-        return min(1.0, 0.25 + 0.75 * (self.world.now - self.started) / 5000.0)
-
-    def begin(self, job):
-        self.busy += 1
-        took = WORK_MS * self.world.rng.uniform(0.7, 1.3) / self.warmth()
-        self.world.at(self.world.now + took, lambda: self.end(job))
+        elapsed_ms = self.world.now - self.started
+        return min(1.0, SLOW_START_FROM + (1.0 - SLOW_START_FROM) * elapsed_ms / SLOW_START_MS)
 
-    def arrive(self, job):
+    def receive(self, job):
         if self.silent:
             return
-        if self.busy < CORES:
-            self.begin(job)
+        if self.busy_cores < CORES:
+            self._start(job)
         else:
             self.queue.append(job)
 
-    def end(self, job):
+    def _start(self, job):
+        self.busy_cores += 1
+        work_ms = WORK_MS * self.world.rng.uniform(0.7, 1.3) / self.warmth()
+        self.world.at(self.world.now + work_ms, lambda: self._finish(job))
+
+    def _finish(self, job):
         if not self.up:
             return
-        self.busy -= 1
-        while self.queue and self.busy < CORES:
+        self.busy_cores -= 1
+        while self.queue and self.busy_cores < CORES:
             following = self.queue.popleft()
-            if not following.over:
-                self.begin(following)
-        if not job.over:
-            job.broker.reply(job, api.Outcome.OK, (self.busy / CORES, 0.0))
+            if not following.ended:
+                self._start(following)
+        if not job.ended:
+            job.broker.complete(job, api.Outcome.OK, (self.busy_cores / CORES, 0.0))
 
     def crash(self):
-        self.up, self.busy = False, 0
+        self.up = False
+        self.busy_cores = 0
         self.queue.clear()
         for broker in self.world.brokers:
-            for job in [j for j in broker.out.values() if j.attempt.node == self.node]:
-                broker.reply(job, api.Outcome.RESET)
+            for job in [j for j in broker.jobs.values() if j.attempt.node == self.node]:
+                broker.complete(job, api.Outcome.RESET)
+
+    def restart(self):
+        self.up = True
+        self.started = self.world.now
 
 
 class Job:
+    """An attempt on its way, at a server or back."""
+
     def __init__(self, broker, attempt):
-        self.broker, self.attempt, self.over = broker, attempt, False
+        self.broker = broker
+        self.attempt = attempt
+        self.ended = False
 
 
 class Broker:
     """Schedule, transport, list and observer of one driver."""
 
     def __init__(self, world, index, home, seed, brokers, make, **changes):
-        self.world, self.index, self.home = world, index, home
+        self.world = world
+        self.index = index
+        self.home = home
+        self.jobs = {}  # in flight, by part and number of the attempt
+        self._wake_at = math.inf
         self.preference = make(site_policy(home, brokers, **changes), seed)
         budget = world.slow_start_budget(index, seed)
         if budget is not None:
@@ -89,17 +144,36 @@
             broker_index=index,
             broker_count=sum(brokers),
             zone=home,
-            cell_count=CELLS,
-            cells_per_shard=REACH,
-            slow_start_ms=5000.0,
+            cell_count=CELL_COUNT,
+            cells_per_shard=CELLS_PER_SHARD,
+            slow_start_ms=SLOW_START_MS,
             retry_after=True,
             max_attempts=4,
-            **world.module,
+            **world.settings,
         )
-        self.settings, self.out, self.ends, self._wake_at = settings, {}, Counter(), float("inf")
         module = Aggregator(settings, seed, self.preference, budget)
         self.driver = Driver(settings, module, self, self, self, self)
 
+    def submit(self, class_index, parts, tenant=0, left_ms=3000.0):
+        """A client's query of that many parts, of consecutive shards."""
+        first = self.world.rng.randrange(CELL_COUNT)
+        plans = [PartPlan((first + i) % CELL_COUNT, 1 / parts, None, None) for i in range(parts)]
+        submitted_ms = self.world.now
+
+        def on_end(outcome):
+            elapsed_ms = self.world.now - submitted_ms
+            self.world.ends.append(QueryEnd(self.world.now, self.index, class_index, outcome, elapsed_ms))
+
+        self.driver.submit(QueryPlan(class_index, tenant, 0, left_ms, False, None, plans), _Sink(on_end))
+
+    def complete(self, job, outcome, report=()):
+        if not job.ended:
+            job.ended = True
+            self.jobs.pop((job.attempt.part_id, job.attempt.number), None)
+            self.driver.ended(job.attempt, outcome, None, report)
+
+    # -- what the driver calls
+
     def now_ms(self):
         return self.world.now
 
@@ -111,31 +185,27 @@
 
     def _turn(self, at):
         if at == self._wake_at:
-            self._wake_at = float("inf")
+            self._wake_at = math.inf
             self.driver.turn()
 
     def send(self, node, attempts):
         server = self.world.servers[node]
-        for a in attempts:
-            job = self.out[a.part_id, a.number] = Job(self, a)
+        for attempt in attempts:
+            job = Job(self, attempt)
+            self.jobs[attempt.part_id, attempt.number] = job
             self.world.count(self, server)
-            if not server.up:
-                self.world.at(self.world.now + 0.5, lambda job=job: self.reply(job, api.Outcome.CONNECT_FAILED))
+            arrival_ms = self.world.now + NETWORK_DELAY_MS
+            if server.up:
+                self.world.at(arrival_ms, lambda job=job: server.receive(job))
             else:
-                self.world.at(self.world.now + 0.5, lambda job=job: server.arrive(job))
-
-    def reply(self, job, outcome, report=()):
-        if not job.over:
-            job.over = True
-            self.out.pop((job.attempt.part_id, job.attempt.number), None)
-            self.driver.ended(job.attempt, outcome, None, report)
+                self.world.at(arrival_ms, lambda job=job: self.complete(job, api.Outcome.CONNECT_FAILED))
 
     def cancel(self, attempt):
-        job = self.out.pop((attempt.part_id, attempt.number), None)
+        job = self.jobs.pop((attempt.part_id, attempt.number), None)
         if job is not None:
-            job.over = True
+            job.ended = True
 
-    def begun(self, a):
+    def begun(self, attempt):
         return True
 
     def close_idle(self, node): ...
@@ -148,107 +218,110 @@
     def trouble(self, what, detail):
         assert what != "step failed", detail
 
-    def ask(self, cls, parts, tenant=0, left_ms=3000.0):
-        first = self.world.rng.randrange(CELLS)
-        plans = [PartPlan((first + i) % CELLS, 1 / parts, None, None) for i in range(parts)]
-        asked = self.world.now
-        sink = _Sink(lambda how: self._ended(cls, how, asked))
-        self.driver.submit(QueryPlan(cls, tenant, 0, left_ms, False, None, plans), sink)
-
-    def _ended(self, cls, how, asked):
-        self.ends[how] += 1
-        self.world.ends.append((self.world.now, self.index, cls, how, self.world.now - asked))
-
 
 class _Sink:
-    def __init__(self, done):
-        self.done = done
+    def __init__(self, on_end):
+        self.on_end = on_end
 
     def more(self, results):
         return ()
 
     def answered(self, results, whole):
-        self.done("whole" if whole else "part")
+        self.on_end("whole" if whole else "part")
 
     def refused(self, retry_after_ms):
-        self.done("refused")
+        self.on_end("refused")
 
     def failed(self):
-        self.done("failed")
+        self.on_end("failed")
 
 
 class World(Clock):
-    """make: creates a broker's preference, from its policy and a seed. module: settings of the decisions."""
+    """Two sites with their brokers and servers.
 
-    module = {"overload_factor": 3.0}  # noqa: RUF012
+    make: creates a broker's preference, from its policy and a seed; changes: to that policy.
+    """
+
+    settings = {"overload_factor": 3.0}  # noqa: RUF012
 
     def __init__(self, seed=1, brokers=(1, 1), servers=8, make=LocalityPreference, **changes):
         super().__init__()
         self.rng = random.Random(seed)
-        self.servers = {
-            100 * zone + i: Server(self, 100 * zone + i, i % CELLS, zone) for zone in (0, 1) for i in range(servers)
-        }
-        self.own, self.spilled = Counter(), Counter()  # parts by site and second
-        self.ends, self.asked, self.brokers, self.rate = [], [], [], 1.0
+        self.servers = {}
+        for zone in (0, 1):
+            for i in range(servers):
+                node = 100 * zone + i
+                self.servers[node] = Server(self, node, i % CELL_COUNT, zone)
+        self.own_parts = Counter()  # sent by brokers of the same site, by site and second
+        self.spilled_parts = Counter()  # sent by others
+        self.queries = []
+        self.ends = []
+        self.rate_factor = 1.0  # on the rates of all loads
+        self.brokers = []
         homes = [0] * brokers[0] + [1] * brokers[1]
         for i, home in enumerate(homes):
             self.brokers.append(Broker(self, i, home, seed * 100 + i, brokers, make, **changes))
-        self.tell()
+        self.publish_endpoints()
 
     def slow_start_budget(self, index, seed):
         """A broker's share of what may go to servers that are warming up; None: brokers share out nothing."""
         return None
 
     def count(self, broker, server):
-        which = self.own if broker.home == server.zone else self.spilled
-        which[server.zone, int(self.now // 1000)] += 1
+        parts = self.own_parts if broker.home == server.zone else self.spilled_parts
+        parts[server.zone, int(self.now // 1000)] += 1
 
-    def tell(self):
-        """The list, to all brokers."""
-        lines = tuple(
+    def publish_endpoints(self):
+        """Sends the endpoint list to all brokers."""
+        endpoints = tuple(
             api.Endpoint(
-                s.node,
-                s.cell,
-                api.EndpointState.READY if s.up else api.EndpointState.REMOVED,
-                s.started,
-                s.zone,
+                server.node,
+                server.cell,
+                api.EndpointState.READY if server.up else api.EndpointState.REMOVED,
+                server.started,
+                server.zone,
                 0,
                 1.0,
             )
-            for s in self.servers.values()
+            for server in self.servers.values()
         )
         for broker in self.brokers:
-            broker.driver.view(api.EndpointUpdate(api.UpdateKind.FULL, lines))
+            broker.driver.view(api.EndpointUpdate(api.UpdateKind.FULL, endpoints))
 
-    def site(self, zone):
-        return [s for s in self.servers.values() if s.zone == zone]
+    def site_servers(self, zone):
+        return [server for server in self.servers.values() if server.zone == zone]
 
-    def lose(self, zone, told=True):
-        for server in self.site(zone):
+    def crash_site(self, zone):
+        """All servers of a site crash; the endpoint list shows it a moment later."""
+        for server in self.site_servers(zone):
             server.crash()
-        if told:
-            self.at(self.now + 300.0, self.tell)
+        self.at(self.now + DETECTION_DELAY_MS, self.publish_endpoints)
+
+    def restart_site(self, zone):
+        """All servers of a site are back, and cold."""
+        for server in self.site_servers(zone):
+            server.restart()
+        self.publish_endpoints()
 
-    def bring_back(self, zone):
-        for server in self.site(zone):
-            server.up, server.started = True, self.now
-        self.tell()
+    def add_load(self, home, queries_per_s, class_index=0, parts=4, weights=None):
+        """Queries to the brokers of a site at random times, so many a second together.
 
-    def load(self, home, pace_s, cls=0, parts=4, weights=None):
-        """Queries to the brokers of a site, so many a second together; times `rate`, which may be changed. weights:
-        how much of them each gets, if not all the same."""
-        brokers = [b for b in self.brokers if b.home == home]
+        weights: how much of them each broker gets, if not all the same.
+        """
+        brokers = [broker for broker in self.brokers if broker.home == home]
 
-        def one():
-            self.asked.append((self.now, cls, parts))
-            self.rng.choices(brokers, weights)[0].ask(cls, parts)
-            self.at(self.now + self.rng.expovariate(self.rate * pace_s / 1000.0), one)
+        def submit():
+            self.queries.append(SubmittedQuery(self.now, class_index, parts))
+            self.rng.choices(brokers, weights)[0].submit(class_index, parts)
+            pause_ms = self.rng.expovariate(self.rate_factor * queries_per_s / 1000.0)
+            self.at(self.now + pause_ms, submit)
 
-        self.at(self.now, one)
+        self.at(self.now, submit)
 
-    def limit(self, zone, second, share=0.8):
-        room = len(self.site(zone)) * PACE * 1000.0
-        return share * max(room - self.own[zone, second], 0.0)
+    def spill_limit(self, zone, second, share=0.8):
+        """The most parts that may spill to a site in a second."""
+        capacity = len(self.site_servers(zone)) * SERVER_RATE * 1000.0
+        return share * max(capacity - self.own_parts[zone, second], 0.0)
 
-    def how(self, *kinds, since=0.0):
-        return sum(1 for t, _, _, how, _ in self.ends if how in kinds and t >= since)
+    def count_ends(self, *outcomes, since=0.0):
+        return sum(1 for end in self.ends if end.outcome in outcomes and end.at_ms >= since)
--- a/tests/test_planted_defects.py
+++ b/tests/test_planted_defects.py
@@ -35,7 +35,7 @@
     "tests/modelvoters.py": {"new": {"__dict__"}},
     "tests/mutants.py": {"CountsTwice": {"heard"}},
     "tests/test_feed_faults.py": {"LyingRelay": {"lie"}},
-    "tests/test_site_service.py": {"Keyed": {"folder"}},
+    "tests/test_site_service.py": {"BrokerInFolder": {"folder"}},
 }
 
 UNCHECKED = {"tests/replacing.py": ["text.replace(old, new)"]}  # after its own check
--- a/tests/test_site_service.py
+++ b/tests/test_site_service.py
@@ -1,4 +1,4 @@
-"""Sites on sockets: a short day judged from the records, work moved by hand, and what settings are refused."""
+"""Sites on sockets: a short day judged from its records, drains by operators, and which settings are rejected."""
 
 import asyncio
 import sys
@@ -39,7 +39,7 @@
     assert load(EXAMPLES / "broker.conf").sites is not None
 
 
-def test_a_short_day_without_a_site_keeps_the_rules_and_its_limit(tmp_path):
+def test_a_short_day_without_a_site_keeps_the_rules_and_the_spill_limit(tmp_path):
     """Two sites, four brokers as processes; the north is lost for 3 s and comes back cold.
 
     Brokers keep back more of a client's time than usual: CI machines stall.
@@ -65,33 +65,33 @@
     }
 
 
-class Keyed(Broker):
+class BrokerInFolder(Broker):
     folder = Path()
 
     def __init__(self, settings, graph):
         super().__init__(settings, graph, self.folder)
 
 
-async def ask_some(stage, count=40):
+async def send_queries(stage, count=40):
     text = "{ rateCompare(blocks: [1, 2, 3, 4], amount: 9000) { id } }"
     await asyncio.gather(*(stage.client.query(text) for _ in range(count)))
 
 
-def arrivals(stage, zone):
+def parts_received(stage, zone):
     names = {s.name for s in stage.world.servers.values() if s.zone == zone}
     return sum(len(r["parts"]) for r in stage.seen("arrive") if r["server"] in names)
 
 
-def test_a_site_is_drained_and_returned_by_hand_by_those_who_have_the_key(tmp_path):
+def test_a_site_is_drained_and_returned_by_operators_who_have_the_key(tmp_path):
     (tmp_path / "key").write_text(KEY + "\n")
 
-    class Here(Keyed):
+    class Here(BrokerInFolder):
         folder = tmp_path
 
     async def main():
         async with Stage(count=24, broker=Here, sites=SITES) as stage:
-            await ask_some(stage)
-            assert arrivals(stage, 0) > 100 and arrivals(stage, 1) == 0
+            await send_queries(stage)
+            assert parts_received(stage, 0) > 100 and parts_received(stage, 1) == 0
             for method, path, token, says in (
                 ("POST", "/sites/north/drain", None, "403"),
                 ("POST", "/sites/north/drain", "wrong", "403"),
@@ -101,40 +101,40 @@
             ):
                 with pytest.raises(ConnectionError, match=says):
                     await fetch(stage.port, path, "127.0.0.1", method, token)
-            told = await fetch(stage.port, "/sites/north/drain", "127.0.0.1", "POST", KEY)
-            assert told["sites"][0]["drained"]
+            status = await fetch(stage.port, "/sites/north/drain", "127.0.0.1", "POST", KEY)
+            assert status["sites"][0]["drained"]
             own = stage.broker.site_service.preference.own
-            while own.drain.kept_share > 0:
-                await ask_some(stage, 4)
+            while own.drain.retained_share > 0:
+                await send_queries(stage, 4)
                 await asyncio.sleep(0.02)
             stage.records.clear()
             answers = await asyncio.gather(
                 *(stage.client.query("{ fullQuote(blocks: [1, 2], amount: 9000) { id } }") for _ in range(10))
             )
             assert all("errors" not in a for _, a, _ in answers)
-            assert arrivals(stage, 1) > arrivals(stage, 0)
+            assert parts_received(stage, 1) > parts_received(stage, 0)
             await fetch(stage.port, "/sites/north/return", "127.0.0.1", "POST", KEY)
-            while own.drain.kept_share < 1:
-                await ask_some(stage, 4)
+            while own.drain.retained_share < 1:
+                await send_queries(stage, 4)
                 await asyncio.sleep(0.02)
             stage.records.clear()
-            await ask_some(stage, 10)
-            assert arrivals(stage, 1) == 0 < arrivals(stage, 0)
+            await send_queries(stage, 10)
+            assert parts_received(stage, 1) == 0 < parts_received(stage, 0)
             stage.broker._gauges()
             assert b'badgerbend_site{site="north",what="share"} 1.0' in stage.broker.metrics.text()
 
     run(main)
 
 
-def test_a_lost_site_is_left_and_connections_are_opened_ahead_of_its_return(tmp_path):
+def test_a_lost_site_is_ejected_and_connections_are_opened_in_advance_of_its_return(tmp_path):
     (tmp_path / "key").write_text(KEY)
 
-    class Here(Keyed):
+    class Here(BrokerInFolder):
         folder = tmp_path
 
     async def main():
         async with Stage(count=24, broker=Here, sites=SITES) as stage:
-            await ask_some(stage)
+            await send_queries(stage)
             north = [s.name for s in stage.world.servers.values() if s.zone == 0]
             for name in north:
                 stage.world.crash(name)
@@ -149,7 +149,7 @@
 
             async def back():
                 while own.state.value != "in":
-                    await ask_some(stage, 4)
+                    await send_queries(stage, 4)
                     await asyncio.sleep(0.02)
 
             await back()
@@ -171,7 +171,7 @@
         ("(spill 0.8)", "(hold-ms 9000) (hold-most-ms 100)", "hold-most-ms must not be less than hold-ms"),
     ],
 )
-def test_settings_of_sites_that_do_not_fit_are_refused_with_their_place(old, new, says):
+def test_inconsistent_settings_of_sites_are_rejected_with_their_place(old, new, says):
     text = (EXAMPLES / "broker.conf").read_text()
     assert old in text
     with pytest.raises(SettingsError) as err:
@@ -179,7 +179,7 @@
     assert says in str(err.value) and str(err.value).startswith("x.conf:")
 
 
-def test_a_key_that_can_be_guessed_is_refused(tmp_path, monkeypatch):
+def test_a_key_that_can_be_guessed_is_rejected(tmp_path, monkeypatch):
     (tmp_path / "key").write_text("short")
     text = replaced((EXAMPLES / "broker.conf").read_text(), "(spill 0.8)", '(key "key")')
     schema = (EXAMPLES / "../../badgerbend/standin/rates/schema.graphql").resolve()
@@ -191,15 +191,15 @@
     assert result.exit_code == 3
 
 
-def test_sites_seen_from_the_command_line(tmp_path):
+def test_sites_are_shown_and_drained_from_the_command_line(tmp_path):
     (tmp_path / "key").write_text(KEY)
 
-    class Here(Keyed):
+    class Here(BrokerInFolder):
         folder = tmp_path
 
     async def main():
         async with Stage(count=24, broker=Here, sites=SITES) as stage:
-            await ask_some(stage, 5)
+            await send_queries(stage, 5)
 
             async def command(*args):
                 process = await asyncio.create_subprocess_exec(
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -7,7 +7,7 @@
 from conftest import ALL, ANY, KEY, SETTINGS, line
 from hypothesis import given
 from hypothesis import strategies as st
-from simsites import PACE, World, site_policy
+from simsites import SERVER_RATE, World, site_policy
 
 from badgerbend import api
 from badgerbend.api import Outcome
@@ -25,39 +25,39 @@
 
 # -- The limit.
 @given(SHARES, st.floats(0, 1), st.lists(st.floats(0, 50), min_size=1, max_size=12), st.floats(1, 100))
-def test_allowances_of_brokers_that_share_nothing_keep_the_limit_in_their_sum(share, load, spilled, room):
-    own = load * room
-    used = min((own + sum(spilled)) / room, 1.0)
-    allowed = [spill_allowance(room, used, 0.0, s, share, 1, len(spilled)) for s in spilled]
-    if own + sum(spilled) <= room:  # beyond, the load says only that it is full
-        assert sum(allowed) <= share * (room - own) + 1e-6
+def test_allowances_of_brokers_that_do_not_communicate_keep_the_limit_in_their_sum(share, load, spilled, capacity):
+    own = load * capacity
+    utilization = min((own + sum(spilled)) / capacity, 1.0)
+    allowed = [spill_allowance(capacity, utilization, 0.0, s, share, 1, len(spilled)) for s in spilled]
+    if own + sum(spilled) <= capacity:  # beyond, the utilization shows only that the site is full
+        assert sum(allowed) <= share * (capacity - own) + 1e-6
 
 
 @given(SHARES, st.floats(0, 0.9), st.integers(1, 20), st.floats(0.5, 3.0))
-def test_a_capacity_stated_wrong_never_spills_all_of_the_spare_room(share, load, brokers, wrong):
-    """The rule followed until it settles, by brokers whose settings overstate the room or understate it."""
+def test_a_misconfigured_capacity_never_spills_all_of_the_spare_capacity(share, load, brokers, wrong):
+    """The rule is followed until it settles, by brokers whose settings overstate the capacity or understate it."""
     spilled = [0.0] * brokers
     for _ in range(400):
-        used = min(load + sum(spilled), 1.0)
-        spilled = [s + 0.1 * (spill_allowance(wrong, used, 0.0, s, share, 1, brokers) - s) for s in spilled]
+        utilization = min(load + sum(spilled), 1.0)
+        spilled = [s + 0.1 * (spill_allowance(wrong, utilization, 0.0, s, share, 1, brokers) - s) for s in spilled]
     spare = 1.0 - load
     assert sum(spilled) == pytest.approx(share * wrong / (1 - share + share * wrong) * spare, rel=0.02)
     assert sum(spilled) < spare
 
 
-def test_an_uneven_split_evens_out_sooner_than_the_limit_alone_would_have_it():
+def test_an_uneven_split_evens_out_sooner_than_by_the_limit_alone():
     def apart(rule):
         spilled = [0.4, 0.0]
         for _ in range(50):
-            used = 0.5 + sum(spilled)
-            spilled = [s + 0.1 * (rule(used, s) - s) for s in spilled]
+            utilization = 0.5 + sum(spilled)
+            spilled = [s + 0.1 * (rule(utilization, s) - s) for s in spilled]
         return abs(spilled[0] - spilled[1])
 
-    plain = apart(lambda used, s: 0.8 * ((1.0 - used) / 2 + s))
-    assert apart(lambda used, s: spill_allowance(1.0, used, 0.0, s, 0.8, 1, 2)) < 0.7 * plain
+    plain = apart(lambda utilization, s: 0.8 * ((1.0 - utilization) / 2 + s))
+    assert apart(lambda utilization, s: spill_allowance(1.0, utilization, 0.0, s, 0.8, 1, 2)) < 0.7 * plain
 
 
-def test_a_bucket_lets_through_its_pace_and_a_short_burst():
+def test_a_token_bucket_allows_its_rate_and_a_short_burst():
     bucket = TokenBucket()
     taken = 0
     bucket.set_rate(0.0, 0.02)
@@ -71,7 +71,7 @@
 
 
 # -- Health.
-def test_a_site_that_swallows_all_is_noticed_without_a_word_of_it():
+def test_a_site_that_drops_everything_is_detected_without_errors():
     health = SiteHealth()
     for i in range(20):
         health.record_sent(i * 10.0, (i, 0), 1)
@@ -83,22 +83,22 @@
     assert health.success_rate(500.0) > 0.9  # not yet
     health.fail_overdue_attempts(1000.0)
     assert health.success_rate(1000.0) < 0.5 and 2 in health.failing_servers
-    for i in range(20, 40):  # late, but there: taken back
+    for i in range(20, 40):  # late, but answered: no failures after all
         health.record_completed(1100.0, (i, 0), Outcome.OK, 0.5)
     assert health.success_rate(1100.0) == 1.0 and not health.failing_servers
 
 
-def test_what_is_called_off_in_time_and_what_has_no_room_is_not_held_against_a_site():
+def test_cancelled_unsent_and_rejected_attempts_are_no_failures_of_a_site():
     health = SiteHealth()
     for i, outcome in enumerate([Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.REJECTED] * 5):
         health.record_sent(0.0, (i, 0), 1)
         health.record_completed(30.0, (i, 0), outcome, None)
     assert health.success_rate(30.0) is None and not health.failing_servers
     health.sample(30.0)
-    assert health.utilization(30.0) == 1.0  # no room says that it is full
+    assert health.utilization(30.0) == 1.0  # a rejection shows that it is full
 
 
-def test_the_load_is_over_time_however_many_reports_a_moment_brings():
+def test_utilization_is_a_mean_over_time_however_many_reports_come_at_once():
     health = SiteHealth()
     now = 0.0
     for step in range(100):
@@ -125,7 +125,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from([api.UpdateKind.FULL, api.UpdateKind.DELTA]), LINES), max_size=6))
-def test_sums_kept_over_the_list_are_those_of_a_walk_over_it(views):
+def test_incremental_sums_of_the_inventory_equal_those_of_a_walk_over_it(views):
     inventory = SiteInventory(site_policy())
     now = 1000.0
     for kind, rows in views:
@@ -137,12 +137,12 @@
             held = [s for s in inventory.servers.values() if s.site == site]
             warm = sum(s.size * inventory.warmth(now, s) for s in held if s.ready and s.id != 3)
             capacity = inventory.capacity(now, site, [3])
-            assert capacity.available == pytest.approx(warm * PACE, abs=1e-9)
-            assert capacity.full == pytest.approx(sum(s.size for s in held) * PACE)
+            assert capacity.available == pytest.approx(warm * SERVER_RATE, abs=1e-9)
+            assert capacity.full == pytest.approx(sum(s.size for s in held) * SERVER_RATE)
             assert inventory.has_ready_servers(site) == any(s.ready for s in held)
 
 
-def test_soundness_is_of_a_shards_holders_not_of_all_servers():
+def test_the_healthy_fraction_is_of_a_shards_replicas_not_of_all_servers():
     inventory = SiteInventory(site_policy())
     inventory.apply(0.0, api.EndpointUpdate(api.UpdateKind.FULL, tuple(line(10 + i, i % 4) for i in range(8))))
     gone = tuple(line(10 + i, i % 4, api.EndpointState.REMOVED) for i in (0, 4))
@@ -165,19 +165,19 @@
     return passed
 
 
-def test_a_site_goes_out_comes_on_trial_and_returns_by_a_ramp():
+def test_a_site_is_ejected_tried_and_recovers_by_a_ramp():
     availability = SiteAvailability(site_policy(), random.Random(1))
     assert drive(availability, 1000, 0.0, success_rate=0.6) == []  # bad, but not half
     assert availability.update(1100.0, SiteObservation(True, 0.4, 0, 0.0))
     assert availability.state is SiteState.EJECTED and availability.share == 0.0
     passed = drive(availability, 15_000, 1100.0)
     assert [s for _, s in passed] == [SiteState.TRIAL, SiteState.RECOVERING, SiteState.ACTIVE]
-    (trial, _), (back, _), (inside, _) = passed
+    (trial, _), (recovering, _), (active, _) = passed
     assert 1500 * 0.75 <= trial - 1100 <= 1500 * 1.25 + 100
-    assert inside - back >= 7 * 500 * 0.75  # eight steps of half as much again, from a twentieth
+    assert active - recovering >= 7 * 500 * 0.75  # eight steps of half as much again, from a twentieth
 
 
-def test_the_ramp_holds_while_answers_fail_or_stay_away_and_ends_where_half_do():
+def test_the_ramp_stands_still_on_failures_or_silence_and_ends_where_half_fail():
     availability = SiteAvailability(site_policy(), random.Random(1))
     availability.eject(0.0)
     drive(availability, 2500, 0.0)
@@ -191,7 +191,7 @@
     assert availability.state is SiteState.EJECTED
 
 
-def test_each_turn_doubles_the_hold_and_time_forgets():
+def test_each_ejection_doubles_the_ejection_time_and_the_count_decays():
     availability = SiteAvailability(site_policy(), random.Random(1))
     now = 0.0
     ejection_times = []
@@ -209,7 +209,7 @@
     assert availability.ejection_ms(now + 300_000.0) == 60_000.0
 
 
-def test_a_trial_that_fails_is_no_turn():
+def test_a_trial_that_fails_counts_as_no_further_ejection():
     availability = SiteAvailability(site_policy(), random.Random(1))
     availability.eject(0.0)
     for i in range(5):
@@ -219,19 +219,19 @@
     assert availability.ejections.read(50.0) < 1.01
 
 
-def test_brokers_that_saw_the_same_do_not_act_in_step():
+def test_brokers_that_observed_the_same_do_not_act_in_lockstep():
     moments = []
     for seed in range(20):
         availability = SiteAvailability(site_policy(), random.Random(seed))
         availability.eject(0.0)
         moments.append([at for at, _ in drive(availability, 15_000, 0.0, step=10.0)])
-    for trial_or_in in (0, 2):
-        times = sorted(m[trial_or_in] for m in moments)
+    for trial_or_active in (0, 2):
+        times = sorted(m[trial_or_active] for m in moments)
         assert times[-1] - times[0] > 300.0 and len(set(times)) > 10
 
 
 # -- Priorities.
-def test_room_goes_to_the_worthiest_first_and_by_a_smooth_count():
+def test_capacity_goes_to_the_highest_priority_first_and_smoothly():
     priorities = PriorityAdmission()
     admitted = {"good": 0, "mean": 0, "over": 0}
     bands = (
@@ -268,7 +268,7 @@
     return api.Query(1, 1, cls, tenant, 0, 3000.0, False, None, parts)
 
 
-def test_parts_stay_at_home_but_for_a_trickle():
+def test_parts_stay_at_the_own_site_but_for_an_observed_share():
     preference = LocalityPreference(site_policy(), 1)
     update_endpoints(preference, both())
     away = 0
@@ -278,7 +278,7 @@
     assert 50 < away < 250
 
 
-def test_a_shard_that_only_the_lost_site_held_is_refused_at_once_and_others_are_not():
+def test_a_shard_held_only_by_an_ejected_site_is_rejected_at_once_and_others_are_not():
     preference = LocalityPreference(site_policy(), 1)
     lines = [*both(), api.Endpoint(50, 2, api.EndpointState.READY, 0.0, 0, 0, 1.0)]
     lines = [x for x in lines if not (x.zone == 1 and x.cell in (2, 3))]  # shard 2 is held in the north alone
@@ -294,7 +294,7 @@
     assert preference.admits(query([0, 2], ANY), False, 1)  # half of its parts is enough
 
 
-def test_what_the_own_site_never_held_is_no_spill():
+def test_a_shard_without_replicas_at_the_own_site_is_no_spill():
     preference = LocalityPreference(site_policy(), 1)
     update_endpoints(preference, [x for x in both() if x.zone == 1 or x.cell < 2])
     for _ in range(200):  # shard 2 is held in the south alone: far beyond any limit
@@ -303,7 +303,7 @@
     assert preference.table.others[0].spilled.read(1000.0) == 0.0
 
 
-def test_only_what_may_be_lost_is_sent_on_trial():
+def test_only_safe_parts_are_sent_to_a_site_on_trial():
     preference = LocalityPreference(site_policy(), 1)
     update_endpoints(preference, both())
     preference.own.availability.state = SiteState.TRIAL
@@ -314,7 +314,7 @@
     assert preference.eligible(0, [0, 1, 100], True) == [0, 1]
 
 
-def test_a_site_is_not_given_up_where_no_other_does_better():
+def test_a_site_is_not_ejected_where_no_other_is_healthier():
     preference = LocalityPreference(site_policy(), 1)
     update_endpoints(preference, both())
     for i in range(100):
@@ -325,14 +325,14 @@
     assert [s.state for s in preference.sites] == [SiteState.ACTIVE, SiteState.ACTIVE]
 
 
-def test_a_drain_by_hand_refuses_nothing_and_moves_what_fits():
+def test_a_drain_rejects_nothing_and_moves_what_fits():
     preference = LocalityPreference(site_policy(), 1)
     update_endpoints(preference, both())
     preference.set_drained(1000.0, preference.own, True)
     for now in range(1100, 9000, 100):
         preference.table.demand.add(float(now), 2)
         preference.observe(float(now), [])
-    assert preference.own.drain.kept_share == 0.0
+    assert preference.own.drain.retained_share == 0.0
     preference.table.others[0].bucket.set_rate(9000.0, 0.02)
     preference.table.others[0].bucket.tokens = 2.0
     went = []
@@ -343,10 +343,10 @@
     preference.set_drained(9000.0, preference.own, False)
     for now in range(9100, 15_000, 100):
         preference.observe(float(now), [])
-    assert preference.own.drain.kept_share == 1.0
+    assert preference.own.drain.retained_share == 1.0
 
 
-def test_connections_are_opened_ahead_at_a_bounded_pace():
+def test_connections_are_opened_in_advance_at_a_bounded_rate():
     preference = LocalityPreference(site_policy(connection_rate=0.02), 1)
     there = [api.Endpoint(n, n % 4, api.EndpointState.READY, 0.0, 0, 0, 1.0) for n in range(40)]
     update_endpoints(preference, [*both(north=False), *(replace(x, state=api.EndpointState.REMOVED) for x in there)])
@@ -355,7 +355,7 @@
     assert preference.own.state is SiteState.TRIAL
     opened = [(now, n) for now in range(5000, 9000, 50) for n in preference.preconnector.servers_due(float(now))]
     assert sorted(n for _, n in opened) == list(range(40))
-    for until in (5100, 5500, 6000):  # the pace, and what a quarter of a second saves up
+    for until in (5100, 5500, 6000):  # the rate, and the burst of a quarter of a second
         assert len([1 for now, _ in opened if now <= until]) <= 5 + 0.02 * (until - 4900)
 
 
@@ -363,121 +363,123 @@
 LOAD = 40  # queries of 4 parts a second at each site: 160 parts of the 400 that 8 servers can serve
 
 
-def lost_and_back(seed, pace=LOAD, **changes):
+def crashed_and_restarted(seed, load=LOAD, **changes):
     world = World(seed, brokers=(2, 2), **changes)
-    world.load(0, pace)
-    world.load(1, pace)
+    world.add_load(0, load)
+    world.add_load(1, load)
     world.run(6000.0)
-    world.lose(0)
+    world.crash_site(0)
     world.run(10_000.0)
-    world.bring_back(0)
+    world.restart_site(0)
     return world
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_loss_of_a_site_is_carried_by_the_other_and_its_return_ramps(seed):
-    world = lost_and_back(seed)
+    world = crashed_and_restarted(seed)
     world.run(12_000.0)
-    total, answered = len(world.ends), world.how("whole")
+    total, answered = len(world.ends), world.count_ends("whole")
     assert answered / total > 0.97
-    after = world.how("whole", "refused", "failed", "part", since=9000.0)
-    assert world.how("whole", since=9000.0) >= 0.995 * after  # over 32 seeds: none to 6 of 1600
-    shares = [world.own[0, s] / LOAD / 4 for s in range(17, 29)]
+    after = world.count_ends("whole", "refused", "failed", "part", since=9000.0)
+    assert world.count_ends("whole", since=9000.0) >= 0.995 * after  # over 32 seeds: none to 6 of 1600
+    shares = [world.own_parts[0, s] / LOAD / 4 for s in range(17, 29)]
     assert shares[0] < 0.4 and shares[-1] > 0.7  # from the trial to all
     assert all(b.preference.own.state is SiteState.ACTIVE for b in world.brokers)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_spill_keeps_its_limit_where_both_sites_work_does_not_fit_into_one(seed):
-    world = lost_and_back(seed, pace=75)  # 300 parts each of 400: 80 may spill, of 300
-    spilled = sum(world.spilled[1, s] for s in range(9, 16))
-    limit = sum(world.limit(1, s) for s in range(9, 16))
+    world = crashed_and_restarted(seed, load=75)  # 300 parts each of 400: 80 may spill, of 300
+    spilled = sum(world.spilled_parts[1, s] for s in range(9, 16))
+    limit = sum(world.spill_limit(1, s) for s in range(9, 16))
     assert 0.6 * limit < spilled < 1.2 * limit
-    south = [how for _, b, _, how, _ in world.ends if b >= 2]
-    assert south.count("whole") > 0.97 * len(south)  # whoever stands there hardly notices
-    refused = [took for t, _, _, how, took in world.ends if how == "refused" and t > 8000]
-    assert len(refused) > 200 and sorted(refused)[int(len(refused) * 0.9)] < 1.0  # at once
+    south = [end.outcome for end in world.ends if end.broker >= 2]
+    assert south.count("whole") > 0.97 * len(south)  # clients of the other site are hardly affected
+    rejected = [end.elapsed_ms for end in world.ends if end.outcome == "refused" and end.at_ms > 8000]
+    assert len(rejected) > 200 and sorted(rejected)[int(len(rejected) * 0.9)] < 1.0  # at once
     assert all(
-        reason == RejectionReason.SPILL_LIMIT for b in world.brokers for reason, *_ in b.preference.admission.rejections
+        rejection.reason is RejectionReason.SPILL_LIMIT
+        for broker in world.brokers
+        for rejection in broker.preference.admission.rejections
     )
 
 
-def test_low_worth_and_over_quota_goes_first_and_spares_before_all():
+def test_low_priority_and_over_quota_queries_are_shed_first_and_surplus_parts_before_all():
     cheap = replace(SETTINGS.classes[ANY], priority_weight=0.2)
     classes = tuple(cheap if i == ANY else c for i, c in enumerate(SETTINGS.classes))
     world = World(5, brokers=(2, 2), classes=classes)
     for home in (0, 1):
-        world.load(home, 35, ALL)
-        world.load(home, 35, ANY)
+        world.add_load(home, 35, ALL)
+        world.add_load(home, 35, ANY)
     world.run(4000.0)
-    world.lose(0)
+    world.crash_site(0)
     world.run(7000.0)
-    ends = [(cls, how) for t, b, cls, how, _ in world.ends if b < 2 and t > 7000]
+    ends = [(end.class_index, end.outcome) for end in world.ends if end.broker < 2 and end.at_ms > 7000]
     share = {c: sum(1 for x in ends if x == (c, "whole")) / sum(1 for x in ends if x[0] == c) for c in (ALL, ANY)}
     assert share[ALL] > 0.85 and share[ANY] < 0.6
 
 
-def test_a_site_that_flaps_is_used_the_less_and_service_has_no_swing_of_its_own():
+def test_a_flapping_site_is_used_less_and_the_service_does_not_oscillate():
     world = World(4, brokers=(2, 2))
-    world.load(0, LOAD)
-    world.load(1, LOAD)
+    world.add_load(0, LOAD)
+    world.add_load(1, LOAD)
     world.run(4000.0)
     for span in (2000, 3000, 2000, 4000, 2500, 3000):
-        world.lose(0)
+        world.crash_site(0)
         world.run(span)
-        world.bring_back(0)
+        world.restart_site(0)
         world.run(span)
     ejections = [b.preference.own.availability.ejections.read(world.now) for b in world.brokers[:2]]
     ejection_times = [b.preference.own.availability.ejection_ms(world.now) for b in world.brokers[:2]]
     assert min(ejections) > 1.2 and min(ejection_times) > 1700
     world.run(30_000.0)
     assert all(b.preference.own.state is SiteState.ACTIVE for b in world.brokers)
-    assert world.how("whole") / len(world.ends) > 0.97
-    last = [world.spilled[1, int(world.now // 1000) - i] for i in range(1, 8)]
+    assert world.count_ends("whole") / len(world.ends) > 0.97
+    last = [world.spilled_parts[1, int(world.now // 1000) - i] for i in range(1, 8)]
     assert max(last) < 0.2 * LOAD * 4  # it has come to rest
 
 
-def test_a_site_that_swallows_everything_is_left_though_its_list_calls_it_ready():
+def test_a_site_that_drops_everything_is_ejected_though_its_servers_are_listed_as_ready():
     world = World(6, brokers=(1, 1))
-    world.load(0, 30)
-    world.load(1, 30)
+    world.add_load(0, 30)
+    world.add_load(1, 30)
     world.run(5000.0)
-    for server in world.site(0):
+    for server in world.site_servers(0):
         server.silent = True
     world.run(10_000.0)
     own = world.brokers[0].preference.own
     assert own.state in (SiteState.EJECTED, SiteState.TRIAL)
-    late = [how for t, b, _, how, _ in world.ends if b == 0 and t > 9000]
+    late = [end.outcome for end in world.ends if end.broker == 0 and end.at_ms > 9000]
     assert late.count("whole") / len(late) > 0.9
 
 
-def test_half_of_both_sites_gone_leaves_service_where_the_rest_can_carry_it():
+def test_with_half_of_both_sites_lost_the_rest_serves_what_it_can_carry():
     world = World(7, brokers=(1, 1))
-    world.load(0, 20)
-    world.load(1, 20)
+    world.add_load(0, 20)
+    world.add_load(1, 20)
     world.run(5000.0)
     for zone in (0, 1):
-        for server in world.site(zone)[4:]:  # one holder of each cell stays
+        for server in world.site_servers(zone)[4:]:  # one holder of each cell stays
             server.crash()
-    world.at(world.now + 300.0, world.tell)
+    world.at(world.now + 300.0, world.publish_endpoints)
     world.run(10_000.0)
-    late = [how for t, _, _, how, _ in world.ends if t > 7000]
+    late = [end.outcome for end in world.ends if end.at_ms > 7000]
     assert late.count("whole") / len(late) > 0.98
     assert all(b.preference.own.state is SiteState.ACTIVE for b in world.brokers)
 
 
-def test_keyed_work_is_never_tried_on_a_site_on_trial():
+def test_keyed_parts_are_never_sent_to_a_site_on_trial():
     def own():
-        return sum(n for (zone, _), n in world.own.items() if zone == 0)
+        return sum(n for (zone, _), n in world.own_parts.items() if zone == 0)
 
     world = World(1, brokers=(1, 1))
-    world.load(0, 20, KEY, parts=1)
-    world.load(1, 20)
+    world.add_load(0, 20, KEY, parts=1)
+    world.add_load(1, 20)
     world.run(4000.0)
-    for server in world.site(0):
+    for server in world.site_servers(0):
         server.silent = True
     world.run(4000.0)
-    tried, on_trial, sent = world.own[0, int(world.now // 1000) - 1], 0, 0
+    tried, on_trial, sent = world.own_parts[0, int(world.now // 1000) - 1], 0, 0
     own_site = world.brokers[0].preference.own
     for _ in range(60):
         before, state = own(), own_site.state
