--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1,7 +1,11 @@
 """Defects that the checks must catch, each by its name: what `tests/simvoters.py` and its like are worth."""
 
+import msgspec
+
 from badgerbend.consensus import messages as voting
+from badgerbend.consensus.election import Election
 from badgerbend.consensus.raft import Raft, ReadConfirmed, Role
+from badgerbend.consensus.replication import Replication
 from badgerbend.leases.fencing import FencingGuard
 from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.manager import LeaseManager
@@ -10,43 +14,54 @@
 from tests.simvoters import Chaos
 
 
-class CountsTwice(Raft):
-    def _vote_for_me(self, now, name):
+class CountsTwice(Election):
+    def count_vote(self, now, voter):
         if not self.votes:
             self.heard = []
-        self.votes.add(name)
-        self.heard.append(name)
-        if 2 * len(self.heard) > len(self.voters):
-            self._stand(now) if self.role is Role.PRE_CANDIDATE else self._lead(now)
+        self.votes.add(voter)
+        self.heard.append(voter)
+        if 2 * len(self.heard) <= len(self.replica.voters):
+            return False
+        if self.replica.role is Role.PRE_CANDIDATE:
+            self.campaign(now)
+            return False
+        return True
 
 
 class VotesBeforeTheDisk(Raft):
-    def _send(self, to, message, after):
-        super()._send(to, message, 0 if isinstance(message, voting.RequestVoteReply) else after)
+    def send(self, to, message, after=0):
+        super().send(to, message, 0 if isinstance(message, voting.RequestVoteReply) else after)
 
 
 class AcknowledgesBeforeTheDisk(Raft):
-    def _send(self, to, message, after):
-        super()._send(to, message, 0 if isinstance(message, voting.AppendEntriesReply) else after)
+    def send(self, to, message, after=0):
+        super().send(to, message, 0 if isinstance(message, voting.AppendEntriesReply) else after)
 
 
-class CountsOwnBeforeTheDisk(Raft):
-    def _advance(self, now):
-        kept, self.disk.durable = self.disk.durable, self.log.last_index
-        super()._advance(now)
-        self.disk.durable = kept
+class CountsOwnBeforeTheDisk(Replication):
+    def committable_index(self):
+        durability = self.replica.durability
+        persisted_index = durability.persisted_index
+        durability.persisted_index = self.replica.log.last_index
+        index = super().committable_index()
+        durability.persisted_index = persisted_index
+        return index
 
 
-class CommitsAnEarlierTerm(Raft):
-    def _countable(self, index):
+class CommitsByCounting(Replication):
+    def may_commit(self, index):
         return True
 
 
-class TakesAnyLog(Raft):
+class CommitsAnEarlierTerm(Raft):
+    replication_class = CommitsByCounting
+
+
+class TakesAnyLog(Election):
     """Votes for a candidate that has less than itself."""
 
-    def _asked(self, now, m):
-        super()._asked(now, voting.RequestVote(m.term, m.source, 1 << 40, 1 << 40, m.pre_vote, m.leadership_transfer))
+    def answer(self, now, request):
+        super().answer(now, msgspec.structs.replace(request, last_index=1 << 40, last_term=1 << 40))
 
 
 class ReadsWithoutARound(Raft):
@@ -56,20 +71,24 @@
         return self.is_established_leader
 
 
-class HoldsTheWholeLease(LeaseHolder):
+class HolderIgnoresClockDrift(LeaseHolder):
+    """Counts on the full duration of a lease, as if its clock were right."""
+
     def _lease_length(self):
         return self.timing.lease_duration_s
 
 
-class CountsFromTheAnswer(LeaseHolder):
+class CountsFromTheReply(LeaseHolder):
+    """Counts a lease from when the reply came, not from when the request was sent."""
+
     def receive_reply(self, now, reply):
         if reply.seq in self._sent_at:
             self._sent_at[reply.seq] = now
         super().receive_reply(now, reply)
 
 
-class NoticesNoStall(LeaseHolder):
-    """Acts by the time of its last look at the clock."""
+class IgnoresStalls(LeaseHolder):
+    """Decides by the time of its last tick whether it may act."""
 
     def _check_stall(self, now):
         pass
@@ -82,15 +101,17 @@
         return super().may_act(self._last_run_at, duty)
 
 
-class TakesBackWhatItGave(LeaseHolder):
+class AcceptsReturnedLeases(LeaseHolder):
+    """Takes a lease over again that it has returned."""
+
     def _apply_lease_state(self, now, state, sent_at):
         if state.duty in self.duties:
             self.duties[state.duty].returned_epoch = 0
         super()._apply_lease_state(now, state, sent_at)
 
 
-class WaitsForNobody(LeaseManager):
-    """A new leader ends leases as if it had renewed none, though the last one did."""
+class NewLeaderDoesNotWait(LeaseManager):
+    """Ends leases at once when it becomes leader, though the last leader may have renewed them."""
 
     def become_leader(self, now):
         super().become_leader(now)
@@ -98,12 +119,16 @@
             clock.expires_at = now
 
 
-class WaitsNoLonger(LeaseManager):
+class LeaderIgnoresClockDrift(LeaseManager):
+    """Ends a lease after its nominal duration, as if its clock were right."""
+
     def _lease_length(self):
         return self.timing.lease_duration_s
 
 
-class RenewsWhatEnds(LeaseManager):
+class RenewsReleasedLeases(LeaseManager):
+    """Renews a lease although the command that ends it is on its way."""
+
     def renew(self, received_at, request):
         for clock in self.lease_clocks.values():
             clock.is_releasing = False
@@ -111,43 +136,56 @@
 
 
 class LosesALease(LeaseTable):
+    """Leaves one lease out of its snapshots."""
+
     def dump(self):
-        gone = LeaseTable()
-        gone.leases, gone.facts = dict(list(self.leases.items())[:-1]), self.facts
-        return LeaseTable.dump(gone)
+        incomplete = LeaseTable()
+        incomplete.leases = dict(list(self.leases.items())[:-1])
+        incomplete.facts = self.facts
+        return LeaseTable.dump(incomplete)
 
 
-class AdmitsAll(FencingGuard):
+class AdmitsAnyEpoch(FencingGuard):
+    """Admits acts whatever their epoch is."""
+
     def admits(self, duty, epoch):
         return True
 
 
+def raft(election=Election, replication=Replication):
+    return type("Mutant", (Raft,), {"election_class": election, "replication_class": replication})
+
+
 def voter(raft=Raft, manager=LeaseManager):
     return type("Mutant", (Voter,), {"raft_class": raft, "manager_class": manager})
 
 
-DRIFT = Chaos(rate=0.1, rate_claimed=0.1)
-FIVE = Chaos(voters=5, brokers=2, duplicates=0.3, loss=0.15, every_s=0.3)
-DISKS = Chaos(sync=(0.01, 0.3), slow_sync=0.2, every_s=0.25, brokers=2)
-NETS = Chaos(voters=5, brokers=2, loss=0.2, late=0.2, every_s=0.25)
-STALLS = Chaos(every_s=0.25, troubles=("stall", "cut", "oneway"))
-LATE = Chaos(late=0.4, late_s=0.6, every_s=0.3, troubles=("fail", "fail", "fail", "stall"))
+DRIFT = Chaos(clock_drift=0.1, claimed_clock_drift=0.1)
+FIVE = Chaos(voters=5, brokers=2, duplicates=0.3, loss=0.15, fault_interval_s=0.3)
+DISKS = Chaos(sync=(0.01, 0.3), slow_sync=0.2, fault_interval_s=0.25, brokers=2)
+NETS = Chaos(voters=5, brokers=2, loss=0.2, late=0.2, fault_interval_s=0.25)
+STALLS = Chaos(fault_interval_s=0.25, faults=("stall", "cut", "cut one way"))
+LATE = Chaos(late=0.4, late_s=0.6, fault_interval_s=0.3, faults=("fail", "fail", "fail", "stall"))
 
 # name: what replaces the product's classes, the chaos in which it shows, and a seed that shows it
 MUTANTS = {
-    "a vote counted twice": ({"voter": voter(CountsTwice)}, FIVE, 37),
+    "a vote counted twice": ({"voter": voter(raft(election=CountsTwice))}, FIVE, 37),
     "entries not synced": ({"voter": voter(AcknowledgesBeforeTheDisk)}, DISKS, 19),
-    "own entries not synced": ({"voter": voter(CountsOwnBeforeTheDisk)}, DISKS, 102),
-    "a vote for a shorter log": ({"voter": voter(TakesAnyLog)}, NETS, 5),
+    "own entries not synced": ({"voter": voter(raft(replication=CountsOwnBeforeTheDisk))}, DISKS, 102),
+    "a vote for a shorter log": ({"voter": voter(raft(election=TakesAnyLog))}, NETS, 5),
     "a lease not shortened by drift": (
-        {"holder": HoldsTheWholeLease, "voter": voter(manager=WaitsNoLonger)},
+        {"holder": HolderIgnoresClockDrift, "voter": voter(manager=LeaderIgnoresClockDrift)},
         DRIFT,
         23,
     ),
-    "a lease counted from its answer": ({"holder": CountsFromTheAnswer}, Chaos(late=0.2, every_s=0.3), 104),
-    "a stall not noticed": ({"holder": NoticesNoStall}, STALLS, 2),
-    "a lease taken back after it was given": ({"holder": TakesBackWhatItGave}, LATE, 73),
-    "a new leader that does not wait": ({"voter": voter(manager=WaitsForNobody)}, Chaos(every_s=0.4), 101),
-    "a lease renewed while it ends": ({"voter": voter(manager=RenewsWhatEnds)}, STALLS, 24),
-    "an epoch not checked": ({"fence": AdmitsAll}, Chaos(), 1),
+    "a lease counted from its answer": ({"holder": CountsFromTheReply}, Chaos(late=0.2, fault_interval_s=0.3), 104),
+    "a stall not noticed": ({"holder": IgnoresStalls}, STALLS, 2),
+    "a lease taken back after it was given": ({"holder": AcceptsReturnedLeases}, LATE, 73),
+    "a new leader that does not wait": (
+        {"voter": voter(manager=NewLeaderDoesNotWait)},
+        Chaos(fault_interval_s=0.4),
+        101,
+    ),
+    "a lease renewed while it ends": ({"voter": voter(manager=RenewsReleasedLeases)}, STALLS, 24),
+    "an epoch not checked": ({"guard": AdmitsAnyEpoch}, Chaos(), 1),
 }
