--- a/badgerbend/sites/own_site_load.py
+++ b/badgerbend/sites/own_site_load.py
@@ -83,11 +83,11 @@
         table = self.table
         own = table.own
         sent = sum(site.health.sent.rate(table.now_ms) for site in table.sites)
-        kept = own.health.sent.rate(table.now_ms) / sent if sent else 1.0
+        own_fraction = own.health.sent.rate(table.now_ms) / sent if sent else 1.0
         complete = own.full_capacity and own.capacity >= COMPLETE_CAPACITY * own.full_capacity
-        if own.state is not SiteState.ACTIVE or not complete or kept <= MIN_REPRESENTATIVE_SHARE:
+        if own.state is not SiteState.ACTIVE or not complete or own_fraction <= MIN_REPRESENTATIVE_SHARE:
             return
-        usual = utilization * own.capacity / own.full_capacity / kept
+        usual = utilization * own.capacity / own.full_capacity / own_fraction
         if self.usual_utilization is None:
             self.usual_utilization = usual
         else:
--- a/badgerbend/sites/policy.py
+++ b/badgerbend/sites/policy.py
@@ -24,6 +24,14 @@
 _TIER_LABELS = {LocalityTier.OWN: "own", LocalityTier.NEAR: "near", LocalityTier.FAR: "far"}
 
 
+class SitePolicyError(ValueError):
+    """Not exactly one site of a policy is the broker's own. own_sites: their names."""
+
+    def __init__(self, own_sites: tuple[str, ...]) -> None:
+        super().__init__(f"a broker has one site of its own, not {len(own_sites)}")
+        self.own_sites = own_sites
+
+
 @dataclass(frozen=True, slots=True)
 class SiteSpec:
     """A site. zones: those of its servers; brokers: how many brokers stand there."""
@@ -38,7 +46,7 @@
 class SitePolicy:
     """What `config.fleet.Sites` sets, which explains the values. Times in milliseconds, rates per millisecond.
 
-    Raises ValueError where not exactly one site is the broker's own.
+    Raises SitePolicyError where not exactly one site is the broker's own.
     """
 
     sites: tuple[SiteSpec, ...]
@@ -64,9 +72,9 @@
     classes: tuple[api.QueryClass, ...] = field(default=())
 
     def __post_init__(self) -> None:
-        own_sites = [site.name for site in self.sites if site.tier is LocalityTier.OWN]
+        own_sites = tuple(site.name for site in self.sites if site.tier is LocalityTier.OWN)
         if len(own_sites) != 1:
-            raise ValueError(f"a broker has one site of its own, not {len(own_sites)}")
+            raise SitePolicyError(own_sites)
 
     @property
     def own(self) -> SiteSpec:
