--- a/tests/test_decisions_redundancy.py
+++ b/tests/test_decisions_redundancy.py
@@ -5,6 +5,7 @@
 from badgerbend import api
 from badgerbend.api import Outcome
 from badgerbend.decisions.latency import LatencyDistribution
+from badgerbend.decisions.redundancy import fastest_redundancy
 
 
 def ready(values, brokers=2, queries=0):
@@ -113,3 +114,17 @@
     q, sends = b.query(ALL, parts=2, left=500.0)
     assert len(of(api.Send, sends)) == 1
     assert of(api.Reject, b.wait(500.0)) == [api.Reject(q, 0.0)]
+
+
+def test_without_load_the_largest_r_of_equal_latency_and_cost_is_taken():
+    assert fastest_redundancy(2, 4, [[100.0] * 4] * 10, rate=0.0, servers=10.0) == 4
+
+
+def test_an_r_that_costs_more_than_all_parts_is_not_taken():
+    # C(1) is 32.5 and C(3) is 30, although T(1) is 77 and T(3) 85; two parts would leave no spare capacity.
+    resamples = [[25.0, 25.0, 0.0]] * 9 + [[100.0, 100.0, 100.0]]
+    assert fastest_redundancy(1, 3, resamples, rate=0.02, servers=1.0) == 3
+
+
+def test_without_spare_capacity_for_any_r_it_is_m():
+    assert fastest_redundancy(2, 4, [[100.0] * 4] * 10, rate=1.0, servers=10.0) == 2
