--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -3,9 +3,11 @@
 import subprocess
 import sys
 from dataclasses import replace
+from types import SimpleNamespace
 
 import pytest
 
+from badgerbend import api
 from badgerbend.config.fleet import Duties, VoterAt
 from badgerbend.config.reading import parse
 from badgerbend.config.sexpr import SettingsError
@@ -13,12 +15,23 @@
 from badgerbend.discovery.members import parse_address
 from badgerbend.lease_service import wire
 from badgerbend.lease_service.commands import AddVoter, HandOver, RemoveVoter, parse_command
+from badgerbend.lease_service.health_check_duty import HealthCheckDuty
 from badgerbend.lease_service.messenger import LeaseMessenger
 from badgerbend.lease_service.setup import lease_timing
 from badgerbend.lease_service.timers import RepeatingTimer
+from badgerbend.leases.fencing import FencingGuard
 from badgerbend.leases.holder import LeaseHolder
-from badgerbend.leases.messages import LeaseReply, LeaseReturn, ReleaseLease, SuspicionReport, encode
+from badgerbend.leases.messages import (
+    LeaseReply,
+    LeaseReturn,
+    ProbeReport,
+    ProbeResult,
+    ReleaseLease,
+    SuspicionReport,
+    encode,
+)
 from badgerbend.leases.timing import LeaseTiming
+from badgerbend.net.client import End
 from tests.sockets import EXAMPLE
 
 
@@ -211,3 +224,100 @@
     messenger.close()
     socket.loop.run_next()
     assert replies == [REPLY]
+
+
+# -- health checks
+
+
+class Pool:
+    """Connections to one server; a test answers the request or leaves it."""
+
+    host, port = "127.0.0.1", 9000
+
+    def __init__(self):
+        self.replies, self.aborted = [], 0
+
+    def request(self, data, on_reply):
+        assert data.startswith(b"POST /graphql HTTP/1.1\r\nhost: 127.0.0.1:9000\r\nuser-agent: badgerbend/probe\r\n")
+        self.replies.append(on_reply)
+        return self
+
+    def abort(self):
+        self.aborted += 1
+
+
+class HealthCheckStage:
+    """A duty whose lease this broker holds under epoch 7, and one server that another broker suspects."""
+
+    def __init__(self):
+        self.loop, self.own, self.now, self.epoch = Loop(), ("127.0.0.1", 7000), 0.0, 7
+        self.sent, self.learned, self.pool = [], [], Pool()
+        directory = SimpleNamespace(known={"s1": SimpleNamespace(number=4)}, names={4: "s1"})
+        self.duty = HealthCheckDuty(
+            self, Duties(("k",), THREE), "probe", "broker-0", FencingGuard(), self, directory, self.pool_of, self.clock
+        )
+        holder = LeaseHolder("broker-0", "127.0.0.1:7000", {"probe": True}, tuple(VOTERS), LeaseTiming(), 1, 0.0)
+        self.duty.start(holder)
+        self.duty.handle_suspicion(SuspicionReport("broker-1", "probe", ("s1",)), ("127.0.0.1", 7001))
+        while not self.pool.replies:
+            self.loop.run_next()
+
+    def clock(self):
+        return self.now
+
+    def pool_of(self, number):
+        assert number == 4
+        return self.pool
+
+    def may_act(self, duty):
+        return self.epoch
+
+    def send(self, address, body, still):
+        if still():
+            self.sent.append((address, wire.decode(body)))
+
+    def known(self):
+        return api.Observations((), ())
+
+    def learn(self, observations):
+        self.learned.append(observations)
+
+
+ANSWER = SimpleNamespace(end=End.ANSWER, status=200)
+
+
+def test_the_result_of_a_check_goes_to_the_broker_that_suspects_the_server_once():
+    stage = HealthCheckStage()
+    stage.now = 0.02
+    stage.pool.replies[0](ANSWER)
+    stage.pool.replies[0](ANSWER)
+    ((address, report),) = stage.sent
+    assert address == ("127.0.0.1", 7001)
+    assert report == ProbeReport("broker-0", "probe", 7, (ProbeResult("s1", True, 20.0, 20.0),))
+    assert stage.duty.reports_sent == 1
+
+
+def test_checks_in_flight_are_cancelled_when_the_duty_closes_and_report_nothing():
+    stage = HealthCheckStage()
+    stage.duty.close()
+    assert stage.pool.aborted == 1
+    assert all(handle.cancelled for handle in stage.loop.scheduled)
+    stage.pool.replies[0](ANSWER)
+    assert stage.sent == []
+
+
+def test_a_result_is_not_sent_once_the_lease_is_lost():
+    stage = HealthCheckStage()
+    stage.epoch = None
+    stage.pool.replies[0](ANSWER)
+    assert stage.sent == []
+    assert stage.duty.reports_sent == 0
+
+
+def test_a_report_under_an_older_epoch_than_was_seen_is_not_learned():
+    stage = HealthCheckStage()
+    results = (ProbeResult("s1", False, 1000.0, 50.0), ProbeResult("unknown", True, 1.0, 1.0))
+    stage.duty.handle_report(ProbeReport("broker-1", "probe", 8, results))
+    stage.duty.handle_report(ProbeReport("broker-2", "probe", 7, results))
+    assert stage.learned == [api.Observations((api.EndpointObservation(4, 1000.0, 50.0, True),), ())]
+    assert stage.duty.results_received == 2
