--- a/badgerbend/feed/control.py
+++ b/badgerbend/feed/control.py
@@ -76,7 +76,7 @@
         publisher: Publisher,
         relay: Relay,
         now: float,
-        tuning: ControlTuning = ControlTuning(),  # noqa: B008 - frozen
+        tuning: ControlTuning = ControlTuning(),
     ) -> None:
         self.name = voter.name
         self.voter, self.holder, self.machine = voter, holder, machine
