--- a/badgerbend/feed_subscription/subscription.py
+++ b/badgerbend/feed_subscription/subscription.py
@@ -30,7 +30,7 @@
     """The owner of a broker's follower, see `feed_service.follower.FollowerOwner`. Used on the broker's loop alone.
 
     folder: what the path of the public key's file is relative to. endpoint_list: receives the rows of servers, where
-    the feed brings the endpoint list. Raises OSError or ValueError if the public key cannot be read.
+    the feed brings the endpoint list. Raises OSError or PublicKeyError if the public key cannot be read.
     """
 
     def __init__(
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -20,7 +20,7 @@
 from badgerbend.feed.relay import Relay
 from badgerbend.feed.relay_types import RelayTuning
 from badgerbend.feed_service.relay import RelayServer
-from badgerbend.feed_subscription.public_key import read_public_key
+from badgerbend.feed_subscription.public_key import PublicKeyError, read_public_key
 from badgerbend.feed_subscription.subscription import WAITING_FOR_CAPACITY
 from badgerbend.generations import manager
 from badgerbend.publication_validation.changes import validate_change
@@ -474,7 +474,7 @@
     assert read_public_key(file) == SIGNER.public_key()
     for text, says in (("zz", "is not hexadecimal"), ("00ff", "has 2 bytes and not 32"), ("\u00e9", "not hexadecimal")):
         file.write_text(text)
-        with pytest.raises(ValueError, match=says):
+        with pytest.raises(PublicKeyError, match=says):
             read_public_key(file)
 
 
