--- a/badgerbend/feed/commands.py
+++ b/badgerbend/feed/commands.py
@@ -1,6 +1,6 @@
-"""Commands of the agreed log that publish: a publication in parts, since an entry of the log is small.
+"""Commands of the agreed log that publish. A publication is split into parts, since an entry of the log is small.
 
-Parts may reach the log's leader in any order and more than once, as datagrams do.
+Parts may reach the log's leader in any order and more than once, as datagrams do. Pure.
 """
 
 from __future__ import annotations
@@ -14,14 +14,15 @@
 from badgerbend.feed.errors import PublicationTooLargeError
 from badgerbend.feed.messages import MAX_CHANGES, Number, Publication, decode_with
 
-MAX_PART_BYTES = MAX_COMMAND_BYTES - 60  # of a publication's bytes in one entry: the rest is the command's head
+COMMAND_HEAD_BYTES = 60  # of an encoded part, beside its data
+MAX_PART_BYTES = MAX_COMMAND_BYTES - COMMAND_HEAD_BYTES  # of a publication's bytes in one entry
 MAX_PARTS = 400
-PUBLICATION_ID_BYTES = 8  # of the hash that tells two publications of one revision apart
-MAX_PUBLICATION_BYTES = MAX_PART_BYTES * MAX_PARTS  # bytes of an encoded publication
+PUBLICATION_ID_BYTES = 8  # of the hash that distinguishes publications of the same revision
+MAX_PUBLICATION_BYTES = MAX_PART_BYTES * MAX_PARTS  # of an encoded publication
 
 
 class PublishPart(msgspec.Struct, array_like=True, frozen=True, tag="publish"):
-    """One part of a publication, which takes effect once all of its parts are there. whole: tells it from others."""
+    """One part of a publication, which takes effect once all of its parts are there."""
 
     epoch: Number
     revision: Number
@@ -37,20 +38,21 @@
 
 
 def split_publication(publication: Publication) -> list[bytes]:
-    """The commands that publish it, in order. Raises TooLarge."""
+    """Encode a publication as commands, in order. Raises PublicationTooLargeError."""
     data = _encoder.encode(publication)
     if len(data) > MAX_PUBLICATION_BYTES or len(publication.changes) > MAX_CHANGES:
         raise PublicationTooLargeError(len(data), MAX_PUBLICATION_BYTES)
-    pieces = [data[at : at + MAX_PART_BYTES] for at in range(0, len(data), MAX_PART_BYTES)]
-    checkpoint, whole = publication.checkpoint, hash_bytes(data)[:PUBLICATION_ID_BYTES]
+    pieces = [data[start : start + MAX_PART_BYTES] for start in range(0, len(data), MAX_PART_BYTES)]
+    checkpoint = publication.checkpoint
+    publication_id = hash_bytes(data)[:PUBLICATION_ID_BYTES]
     return [
-        _encoder.encode(PublishPart(checkpoint.epoch, checkpoint.revision, whole, place, len(pieces), piece))
-        for place, piece in enumerate(pieces)
+        _encoder.encode(PublishPart(checkpoint.epoch, checkpoint.revision, publication_id, index, len(pieces), piece))
+        for index, piece in enumerate(pieces)
     ]
 
 
 def decode_part(data: bytes) -> PublishPart | None:
-    """The part, or None where the command is another's."""
+    """Decode a part; None for a command of another kind."""
     try:
         return _part_decoder.decode(data)
     except msgspec.MsgspecError:
@@ -58,5 +60,5 @@
 
 
 def decode_publication(data: bytes) -> Publication:
-    """Raises Malformed."""
+    """Decode the joined parts of a publication. Raises MalformedMessageError."""
     return decode_with(_publication_decoder, data)
--- a/badgerbend/feed/configuration.py
+++ b/badgerbend/feed/configuration.py
@@ -1,6 +1,6 @@
-"""The configuration in force in one process: checked when it comes, put in force between two turns of the loop. Pure.
+"""The active configuration of one process: validated when it arrives, activated between two turns of the loop. Pure.
 
-What has begun under a configuration ends under it: it holds its generation until it is done.
+Work that began under a configuration ends under it: it holds its generation until it is done.
 """
 
 from __future__ import annotations
@@ -24,29 +24,38 @@
     settings: Settings
 
 
+@dataclass(frozen=True, slots=True)
+class RejectedConfiguration:
+    """The revision of a configuration that cannot be used, and why."""
+
+    revision: int
+    reason: str
+
+
 class ActiveConfiguration(Generic[Settings]):
-    """`read` makes settings of a configuration's bytes and raises UnusableConfiguration."""
+    """The generation in use. `read` makes settings of bytes and raises UnusableConfigurationError."""
 
     def __init__(self, read: Callable[[bytes], Settings], first: Settings) -> None:
         self.read = read
         self.current = Generation(0, first)
-        self.rejected: tuple[int, str] | None = None  # the last revision that was not usable, and why
-        self._next: Generation[Settings] | None = None
+        self.rejected: RejectedConfiguration | None = None  # the newest configuration, if it cannot be used
+        self._staged: Generation[Settings] | None = None
 
     def stage(self, revision: int, data: bytes) -> str:
-        """Checks a configuration; what is wrong with it, or nothing. It is in force after the next `activate`."""
+        """Validate a configuration for the next `activate`; return what is wrong with it, or nothing."""
         try:
             settings = self.read(data)
         except UnusableConfigurationError as error:
-            self.rejected = (revision, str(error))
+            self.rejected = RejectedConfiguration(revision, str(error))
             return str(error)
         self.rejected = None
-        self._next = Generation(revision, settings)
+        self._staged = Generation(revision, settings)
         return ""
 
     def activate(self) -> bool:
-        """Between two turns of the loop: whether another generation is in force now."""
-        if self._next is None:
+        """Use what was staged, between two turns of the loop; whether there was anything."""
+        if self._staged is None:
             return False
-        self.current, self._next = self._next, None
+        self.current = self._staged
+        self._staged = None
         return True
--- a/badgerbend/feed/control.py
+++ b/badgerbend/feed/control.py
@@ -1,7 +1,9 @@
-"""One control machine's part in publishing: voter, lease, publisher and relay joined. Pure.
+"""One control machine's part in publishing: it connects voter, lease holder, publisher and relay. Pure.
 
-Each control machine has a vote, a relay of its own replica of the agreed log, and a publisher that works only while it
-holds the lease on publishing. The parts' own calls stay their owner's; after each of them it calls `synchronize`.
+Each control machine has a vote, a relay of its own replica of the agreed log, and a publisher that works only while the
+machine holds the lease on publishing. Their owner calls them directly, and `synchronize` after each call.
+
+Times are seconds on any clock that does not go backwards; it is read by the caller only.
 """
 
 from __future__ import annotations
@@ -19,29 +21,26 @@
 from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.voter import Voter
 
-MAX_SUMMARY_BYTES = 1200  # bytes: within one datagram, with its seal and head
+MAX_SUMMARY_BYTES = 1200  # leaves room for a datagram's seal and head
 
 
 @dataclass(frozen=True, slots=True)
 class ControlTuning:
-    """Times in seconds. confirm_interval: how often a leader has its lead confirmed, which ages rest on.
+    """Intervals of a control machine, in seconds.
 
-    proposal_burst, proposal_interval: a large publication goes to the leader in bursts that a datagram socket's buffer
-    holds. Without them the same parts of it would be lost at each repeat.
+    A large publication goes to the leader in bursts that fit into a datagram socket's buffer; otherwise the same parts
+    of it would be lost at each retry.
     """
 
-    confirm_interval: float = 0.5
+    confirm_interval: float = 0.5  # between confirmations of a leader's lead, which ages rest on
     summary_interval: float = 1.0
-    proposal_burst: int = 32
-    proposal_interval: float = 0.01
-
-
-# -- what a control machine wants done, in this order
+    proposal_burst: int = 32  # commands
+    proposal_interval: float = 0.01  # between bursts
 
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """A command for the agreed log, to be sent to its leader."""
+    """Send a command for the agreed log to its leader."""
 
     leader: str
     command: bytes
@@ -49,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportSummary:
-    """The relay's summary, for the machine that publishes."""
+    """Send the relay's summary to the machine that publishes."""
 
     publisher: str
     summary: Summary
@@ -66,7 +65,7 @@
 
 
 class ControlNode:
-    """`take_actions` what it wants done after each call."""
+    """Connects the parts of one control machine; the caller carries out `take_actions` after each call."""
 
     def __init__(
         self,
@@ -79,55 +78,63 @@
         tuning: ControlTuning = ControlTuning(),  # noqa: B008 - frozen
     ) -> None:
         self.name = voter.name
-        self.voter, self.holder, self.machine = voter, holder, machine
-        self.publisher, self.relay, self.tuning = publisher, relay, tuning
-        self.log_changed = True  # the log has changed since the publisher and the relay were told
-        self._confirm_at = self._summary_at = now
+        self.voter = voter
+        self.holder = holder
+        self.machine = machine
+        self.publisher = publisher
+        self.relay = relay
+        self.tuning = tuning
+        self.log_changed = True  # since the publisher and the relay were notified
+        self._confirm_at = now
+        self._summary_at = now
         self._proposals: deque[bytes] = deque()  # commands that wait for their burst
         self._propose_at = now
         self._actions: list[Action] = []
-        machine.on_log_change = self._changed
+        machine.on_log_change = self._note_log_change
+
+    @property
+    def next_at(self) -> float:
+        """When `tick`, and `synchronize` after it, have something to do."""
+        propose_at = self._propose_at if self._proposals else math.inf
+        return min(self._confirm_at, self._summary_at, self.publisher.next_at, propose_at)
 
     def synchronize(self, now: float) -> bool:
-        """After each call of a part: the others learn of what it led to. Whether the log has changed."""
-        grown, self.log_changed = self.log_changed, False
-        if grown:
+        """Notify the parts of what a call of one of them led to; whether the log has changed."""
+        has_changed = self.log_changed
+        self.log_changed = False
+        if has_changed:
             self.relay.log_advanced(now)
             self.publisher.log_advanced(now)
         self.relay.mark_current(now, self.voter.confirmed_at)
         self._follow_lease(now)
         self._propose(now)
-        return grown
+        return has_changed
 
     def tick(self, now: float) -> None:
-        """What is due by now, beside the parts' own."""
+        """Do what is due by now, beside the ticks of voter, lease holder and relay."""
         if now >= self._confirm_at:
             self._confirm_at = now + self.tuning.confirm_interval
             self.voter.confirm(now)
         if now >= self._summary_at:
             self._summary_at = now + self.tuning.summary_interval
-            self._report(now)
+            self._report_summary(now)
         if now >= self.publisher.next_at:
             self.publisher.tick(now)
 
-    @property
-    def next_at(self) -> float:
-        """When `tick`, and `synchronize` after it, have something to do."""
-        propose_at = self._propose_at if self._proposals else math.inf
-        return min(self._confirm_at, self._summary_at, self.publisher.next_at, propose_at)
-
     def take_actions(self) -> list[Action]:
-        """What is to be done, in this order, since the last call."""
-        actions, self._actions = self._actions, []
+        """Return the actions since the last call, to be carried out in this order."""
+        actions = self._actions
+        self._actions = []
         return actions
 
-    # -- inside
-    def _changed(self) -> None:
+    def _note_log_change(self) -> None:
         self.log_changed = True
 
     def _follow_lease(self, now: float) -> None:
-        """Publishes under the lease's epoch alone, and once the own replica has seen the grant: it then holds all that
-        was published before."""
+        """Publish under the epoch of the own lease only.
+
+        The publisher starts once the own replica has applied the grant: it then holds all that was published before.
+        """
         epoch = self.holder.may_act(now, PUBLISH_LEASE)
         if self.publisher.epoch and self.publisher.epoch != epoch:
             abandoned = self.publisher.lease_lost()
@@ -135,25 +142,30 @@
             if abandoned:
                 self._actions.append(ChangesAbandoned(abandoned))
         lease = self.machine.table.lease(PUBLISH_LEASE)
-        granted = epoch is not None and (lease.holder, lease.epoch) == (self.name, epoch)
-        if granted and not self.publisher.epoch:
+        is_granted = epoch is not None and (lease.holder, lease.epoch) == (self.name, epoch)
+        if is_granted and not self.publisher.epoch:
             self.publisher.lease_granted(now, lease.epoch)
 
     def _propose(self, now: float) -> None:
-        """The next burst, to the leader as far as it is known; what is lost is proposed again by the publisher."""
+        """Send the next burst to the leader, if it is known; the publisher retries what is lost."""
         self._proposals.extend(self.publisher.take_commands())
         if not self._proposals or now < self._propose_at:
             return
-        leader = self.name if self.voter.is_leader else self.voter.raft.leader or self.holder.leader
+        leader = self._known_leader()
         self._propose_at = now + self.tuning.proposal_interval
-        left = self.tuning.proposal_burst
-        while self._proposals and left:
+        remaining = self.tuning.proposal_burst
+        while self._proposals and remaining:
             command = self._proposals.popleft()
             if leader and self.machine.needs_part(command):
                 self._actions.append(Propose(leader, command))
-                left -= 1
+                remaining -= 1
+
+    def _known_leader(self) -> str:
+        if self.voter.is_leader:
+            return self.name
+        return self.voter.raft.leader or self.holder.leader
 
-    def _report(self, now: float) -> None:
+    def _report_summary(self, now: float) -> None:
         lease = self.machine.table.lease(PUBLISH_LEASE)
         summary = fit_to_datagram(self.relay.summary())
         if lease.holder == self.name:
@@ -163,7 +175,7 @@
 
 
 def fit_to_datagram(summary: Summary) -> Summary:
-    """The summary with as many of its laggards as a datagram holds, the furthest behind first."""
+    """Drop laggards, the most advanced first, until the summary fits into a datagram."""
     while summary.laggards and len(encode(summary)) > MAX_SUMMARY_BYTES:
         summary = msgspec.structs.replace(summary, laggards=summary.laggards[:-1])
     return summary
--- a/badgerbend/feed/framing.py
+++ b/badgerbend/feed/framing.py
@@ -1,4 +1,4 @@
-"""Messages on a stream of bytes: length, checksum, message. A frame that is cut short or damaged is no message."""
+"""Framing of messages on a stream of bytes: length, checksum, message. Pure."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from badgerbend.feed.errors import MalformedMessageError
 from badgerbend.feed.messages import MAX_FRAME_BYTES, Message, decode, encode
 
-FRAME_HEADER = struct.Struct(">II")  # length and CRC-32 of the message's bytes
+FRAME_HEADER = struct.Struct(">II")  # length and CRC-32 of the encoded message
 
 
 def encode_frame(message: Message) -> bytes:
-    """The message as it goes onto the stream."""
+    """Encode a message with its frame header."""
     data = encode(message)
     return FRAME_HEADER.pack(len(data), zlib.crc32(data)) + data
 
 
 class FrameReader:
-    """Takes bytes as they come and gives whole messages. Once it has raised, the stream is of no more use."""
+    """Decodes messages from chunks of any size. Once it has raised, the stream cannot be used any more."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """The messages that are whole by now. Raises Malformed."""
+        """Iterate over the messages that are complete by now. Raises MalformedMessageError."""
         self._buffer += data
         start = 0
         try:
--- a/badgerbend/feed/log.py
+++ b/badgerbend/feed/log.py
@@ -1,6 +1,6 @@
-"""The log of publications: the content at the last revision, and the latest publications for those a little behind.
+"""The log of publications: the content at the last revision, and the latest publications for replicas a little behind.
 
-Compaction drops the oldest publications by number and by bytes; who is behind them gets a snapshot.
+Compaction drops the oldest publications by number and by bytes; a replica behind them needs a snapshot. Pure.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
     encode_changes,
 )
 
-# Nothing was published yet: an empty content at revision 0 that nobody signed.
+# Of an empty content at revision 0, before anything is published; nobody signs it.
 EMPTY_CHECKPOINT = Checkpoint(0, 0, Content().digest(), bytes(DIGEST_BYTES), bytes(SIGNATURE_BYTES))
 
 
 @dataclass(frozen=True, slots=True)
 class Retention:
-    """How much of the past a log keeps. A follower keeps nothing; a relay enough for minutes of an outage."""
+    """How many publications a log retains, and how many bytes of them. The default lasts for minutes of an outage."""
 
     publications: int = 4096
     bytes: int = 16 * 1024 * 1024
@@ -37,7 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RetainedPublication:
-    """A publication as it goes to followers, encoded once for all of them. end_offset: bytes of all frames so far."""
+    """A publication as sent to followers, encoded once for all of them.
+
+    end_offset: bytes of all frames of the log up to the end of this one.
+    """
 
     checkpoint: Checkpoint
     frame: bytes
@@ -45,37 +48,42 @@
 
 
 def changes_digest(changes: tuple[Change, ...]) -> bytes:
-    """What a checkpoint says of the changes that led to it."""
+    """Return the digest by which a checkpoint identifies the changes that led to it."""
     return hash_bytes(encode_changes(changes))
 
 
 class PublicationLog:
-    """A replica with its recent past. Whether a signature is the publisher's, others check."""
+    """Content with its recent publications. Digests are checked here, signatures by `feed.replica`."""
 
     def __init__(self, retention: Retention = NO_RETENTION) -> None:
         self.retention = retention
         self.content = Content()
         self.checkpoint = EMPTY_CHECKPOINT
         self._retained: deque[RetainedPublication] = deque()
-        self._bytes = 0  # of the frames retained
-        self._bytes_ever = 0  # of all frames so far
+        self._bytes = 0  # of all retained frames
+        self._end_offset = 0  # bytes of all frames so far
         self._before = EMPTY_CHECKPOINT  # the checkpoint before the oldest publication retained
 
     @property
     def revision(self) -> int:
+        """The last revision."""
         return self.checkpoint.revision
 
     @property
     def epoch(self) -> int:
+        """The epoch of the publisher of the last revision."""
         return self.checkpoint.epoch
 
     @property
     def oldest_revision(self) -> int:
-        """The earliest revision from which the publications retained lead on."""
+        """The earliest revision that the retained publications continue from."""
         return self._before.revision
 
     def append(self, publication: Publication) -> None:
-        """Raises RevisionGap, OldEpoch, TamperedChanges or DigestMismatch; then nothing has changed."""
+        """Append the publication that follows.
+
+        Raises RevisionGapError, StaleEpochError, TamperedChangesError or DigestMismatchError without any change.
+        """
         checkpoint = publication.checkpoint
         if checkpoint.revision != self.revision + 1:
             raise RevisionGapError(checkpoint.revision, self.revision)
@@ -91,35 +99,37 @@
         self._retain(publication)
 
     def install_snapshot(self, content: Content, checkpoint: Checkpoint) -> None:
-        """Takes over a whole snapshot. Raises DigestMismatch; then nothing has changed."""
+        """Replace the content by that of a complete snapshot. Raises DigestMismatchError without any change."""
         if content.digest() != checkpoint.content_digest:
             raise DigestMismatchError(checkpoint.revision, of_snapshot=True)
-        self.content, self.checkpoint, self._before = content, checkpoint, checkpoint
+        self.content = content
+        self.checkpoint = checkpoint
+        self._before = checkpoint
         self._retained.clear()
         self._bytes = 0
 
     def next_after(self, revision: int) -> RetainedPublication | None:
-        """The publication that follows this revision, which is `oldest_revision` or later."""
-        at = revision - self.oldest_revision
-        return self._retained[at] if at < len(self._retained) else None
+        """Return the publication that follows a revision, which must be `oldest_revision` or later."""
+        index = revision - self.oldest_revision
+        return self._retained[index] if index < len(self._retained) else None
 
     def bytes_after(self, revision: int) -> int:
-        """Bytes of the publications that follow this revision, which is `oldest_revision` or later."""
-        at = revision - self.oldest_revision
-        if at >= len(self._retained):
+        """Return the bytes of the publications that follow a revision, which must be `oldest_revision` or later."""
+        index = revision - self.oldest_revision
+        if index >= len(self._retained):
             return 0
-        following = self._retained[at]
-        return self._bytes_ever - following.end_offset + len(following.frame)
+        following = self._retained[index]
+        return self._end_offset - following.end_offset + len(following.frame)
 
     def checkpoint_at(self, revision: int) -> Checkpoint | None:
-        """The checkpoint of a revision that is retained, None for others."""
+        """Return the checkpoint of a retained revision, None for others."""
         if revision == self.oldest_revision:
             return self._before
-        at = revision - self.oldest_revision - 1
-        return self._retained[at].checkpoint if 0 <= at < len(self._retained) else None
+        index = revision - self.oldest_revision - 1
+        return self._retained[index].checkpoint if 0 <= index < len(self._retained) else None
 
     def digest_at(self, revision: int) -> bytes | None:
-        """The content's digest at a revision that is retained, None for others."""
+        """Return the content's digest at a retained revision, None for others."""
         checkpoint = self.checkpoint_at(revision)
         return None if checkpoint is None else checkpoint.content_digest
 
@@ -129,8 +139,8 @@
             return
         data = encode_frame(publication)
         self._bytes += len(data)
-        self._bytes_ever += len(data)
-        self._retained.append(RetainedPublication(publication.checkpoint, data, self._bytes_ever))
+        self._end_offset += len(data)
+        self._retained.append(RetainedPublication(publication.checkpoint, data, self._end_offset))
         while len(self._retained) > self.retention.publications or self._bytes > self.retention.bytes:
             dropped = self._retained.popleft()
             self._bytes -= len(dropped.frame)
--- a/badgerbend/feed/machine.py
+++ b/badgerbend/feed/machine.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
 import msgspec
 
@@ -17,17 +18,28 @@
 from badgerbend.feed.messages import Change, Checkpoint, Publication
 from badgerbend.leases.table import LeaseTable
 
-PUBLISH_LEASE = "publish"  # the duty whose holder publishes
+PUBLISH_LEASE = "publish"  # name of the lease whose holder publishes
+
+
+@dataclass(frozen=True, slots=True)
+class PublicationKey:
+    """Distinguishes the publications whose parts arrive."""
+
+    epoch: int = 0
+    revision: int = 0
+    publication_id: bytes = b""
 
 
 class _Dump(msgspec.Struct, array_like=True):
+    """The stored state: a positional array, so that only the order of its fields matters."""
+
     table: bytes
     checkpoint: Checkpoint
     entries: list[tuple[str, bytes]]
     pending_epoch: int
     pending_revision: int
-    pending_whole: bytes
-    pending: list[tuple[int, bytes]]
+    pending_publication_id: bytes
+    pending_parts: list[tuple[int, bytes]]
 
 
 class FeedStateMachine:
@@ -37,12 +49,12 @@
         self.table = LeaseTable()
         self.log = PublicationLog(retention)
         self.on_log_change = on_log_change
-        self.last_error: FeedError | None = None  # why the last publication that did not stand did not
-        self._pending_of = (0, 0, b"")  # epoch, revision and hash of the publication whose parts are coming
-        self._pending: dict[int, bytes] = {}
+        self.last_error: FeedError | None = None  # why the last rejected publication was rejected
+        self._pending_key = PublicationKey()  # of the publication whose parts arrive
+        self._pending_parts: dict[int, bytes] = {}
 
     def apply(self, index: int, data: bytes) -> None:
-        """A command of the log."""
+        """Apply a committed command."""
         part = decode_part(data)
         if part is None:
             self.table.apply(index, data)
@@ -50,65 +62,69 @@
             self._add(part)
 
     def needs_part(self, command: bytes) -> bool:
-        """Whether a command is a part that would bring its publication on: not one that is there already."""
+        """Whether a command is worth proposing: false for a part that is there already."""
         part = decode_part(command)
         if part is None:
             return True
-        same = (part.epoch, part.revision, part.publication_id) == self._pending_of
-        return not (same and part.part_index in self._pending)
+        return _key_of(part) != self._pending_key or part.part_index not in self._pending_parts
 
     def is_current_epoch(self, epoch: int) -> bool:
-        """Whether this is the epoch of the lease on publishing."""
+        """Whether this is the epoch of a lease on publishing that is held now."""
         lease = self.table.lease(PUBLISH_LEASE)
         return bool(lease.holder) and lease.epoch == epoch
 
     def dump(self) -> bytes:
-        epoch, revision, whole = self._pending_of
+        """Encode the state for a snapshot of the replicated log."""
         state = _Dump(
             self.table.dump(),
             self.log.checkpoint,
             sorted(self.log.content.items()),
-            epoch,
-            revision,
-            whole,
-            sorted(self._pending.items()),
+            self._pending_key.epoch,
+            self._pending_key.revision,
+            self._pending_key.publication_id,
+            sorted(self._pending_parts.items()),
         )
         return msgspec.msgpack.encode(state)
 
     def load(self, state: bytes) -> None:
-        """Raises msgspec.MsgspecError or DigestMismatch for what `dump` never wrote."""
-        found = msgspec.msgpack.decode(state, type=_Dump)
+        """Replace the state. Raises msgspec.MsgspecError or DigestMismatchError for what `dump` never wrote."""
+        dump = msgspec.msgpack.decode(state, type=_Dump)
         content = Content()
-        content.apply(Change(key, value) for key, value in found.entries)
-        self.table.load(found.table)
-        self.log.install_snapshot(content, found.checkpoint)
-        self._pending_of = (found.pending_epoch, found.pending_revision, found.pending_whole)
-        self._pending = dict(found.pending)
+        content.apply(Change(key, value) for key, value in dump.entries)
+        self.table.load(dump.table)
+        self.log.install_snapshot(content, dump.checkpoint)
+        self._pending_key = PublicationKey(dump.pending_epoch, dump.pending_revision, dump.pending_publication_id)
+        self._pending_parts = dict(dump.pending_parts)
         self.on_log_change()
 
     def _add(self, part: PublishPart) -> None:
-        """Puts parts together, in whatever order they come; those of another publication end what had begun."""
-        which = (part.epoch, part.revision, part.publication_id)
-        if which != self._pending_of:
-            self._pending_of, self._pending = which, {}
-        self._pending[part.part_index] = part.data
-        if len(self._pending) == part.part_count:
-            data = b"".join(piece for _, piece in sorted(self._pending.items()))
-            self._pending = {}
+        """Collect parts in any order; a part of another publication discards those collected so far."""
+        key = _key_of(part)
+        if key != self._pending_key:
+            self._pending_key = key
+            self._pending_parts = {}
+        self._pending_parts[part.part_index] = part.data
+        if len(self._pending_parts) == part.part_count:
+            data = b"".join(piece for _, piece in sorted(self._pending_parts.items()))
+            self._pending_parts = {}
             self._publish(part, data)
 
     def _publish(self, part: PublishPart, data: bytes) -> None:
         try:
             publication = decode_publication(data)
-            self._check_head(part, publication)
+            self._check_position(part, publication)
             self.log.append(publication)
         except FeedError as error:
             self.last_error = error
             return
         self.on_log_change()
 
-    def _check_head(self, part: PublishPart, publication: Publication) -> None:
-        """The epoch that was checked is the one that is signed."""
+    def _check_position(self, part: PublishPart, publication: Publication) -> None:
+        """The epoch that was compared with the lease must be the signed one."""
         checkpoint = publication.checkpoint
         if (checkpoint.epoch, checkpoint.revision) != (part.epoch, part.revision):
             raise PartMismatchError(part.epoch, part.revision)
+
+
+def _key_of(part: PublishPart) -> PublicationKey:
+    return PublicationKey(part.epoch, part.revision, part.publication_id)
--- a/badgerbend/feed/messages.py
+++ b/badgerbend/feed/messages.py
@@ -1,4 +1,4 @@
-"""What relays and followers say to each other; typed arrays in MessagePack, bounded before they are believed."""
+"""Messages between relays, followers and the publisher: typed MessagePack arrays, bounded when decoded. Pure."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 from badgerbend.feed.errors import MalformedMessageError
 
-MAX_FRAME_BYTES = 512 * 1024  # bytes of one message: a publication or a piece of a snapshot, with room
+MAX_FRAME_BYTES = 512 * 1024  # of one message: a publication or a piece of a snapshot
 MAX_CHANGES = 8192  # of one publication
 MAX_VALUE_BYTES = 256 * 1024  # bytes of one value
-MAX_PIECE_BYTES = 256 * 1024  # bytes of a snapshot's piece once it is unpacked
+MAX_PIECE_BYTES = 256 * 1024  # of a snapshot's piece after decompression
 MAX_LAGGARDS = 16  # followers that a summary names
 DIGEST_BYTES = 16
 SIGNATURE_BYTES = 64
@@ -28,14 +28,17 @@
 
 
 class Change(msgspec.Struct, array_like=True, frozen=True):
-    """One key's new value; None takes the key away."""
+    """One key's new value; None removes the key."""
 
     key: Key
     value: Value | None
 
 
 class Checkpoint(msgspec.Struct, array_like=True, frozen=True):
-    """The content at a revision, as the publisher signed it. changes: the digest of the publication that led there."""
+    """The content at a revision, as the publisher signed it.
+
+    changes_digest: of the changes that led there from the revision before.
+    """
 
     epoch: Number
     revision: Number
@@ -44,13 +47,19 @@
     signature: Signature
 
     def signed_bytes(self) -> bytes:
-        """What the signature is over."""
+        """Return the payload of the signature."""
         return signed_bytes(self.epoch, self.revision, self.content_digest, self.changes_digest)
 
 
-def signed_bytes(epoch: int, revision: int, content: bytes, changes: bytes) -> bytes:
-    """The text that a publisher signs: fixed length, so that no two checkpoints share one."""
-    return b"badgerbend feed 1\0" + epoch.to_bytes(8, "big") + revision.to_bytes(8, "big") + content + changes
+def signed_bytes(epoch: int, revision: int, content_digest: bytes, changes_digest: bytes) -> bytes:
+    """Return the payload that a publisher signs; of fixed length, so that no two checkpoints share one."""
+    return (
+        b"badgerbend feed 1\0"
+        + epoch.to_bytes(8, "big")
+        + revision.to_bytes(8, "big")
+        + content_digest
+        + changes_digest
+    )
 
 
 # -- relay to follower
@@ -64,8 +73,10 @@
 
 
 class Heartbeat(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """The relay lives. revision: what it holds; age_ms: since it last knew that nothing newer was agreed on. To a
-    follower that waits for its snapshot it announces no more than that holds, of unknown age."""
+    """The relay's position, and the age of its log: the time since it knew that nothing newer was agreed on.
+
+    snapshot_pending: to a follower that waits for its snapshot; then the position is the follower's own.
+    """
 
     epoch: Number
     revision: Number
@@ -74,14 +85,14 @@
 
 
 class SnapshotBegin(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """A whole snapshot follows, in so many pieces."""
+    """A snapshot follows, in so many pieces."""
 
     checkpoint: Checkpoint
     piece_count: Annotated[int, msgspec.Meta(ge=0, le=65536)]
 
 
 class SnapshotPiece(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """A piece of a snapshot: entries as a MessagePack array of changes, deflated."""
+    """A piece of a snapshot: a MessagePack array of changes, compressed by zlib."""
 
     index: Number
     compressed: Annotated[bytes, msgspec.Meta(max_length=MAX_FRAME_BYTES)]
@@ -91,7 +102,7 @@
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """A follower begins. It holds this revision with this digest, unless it wants all of it anew."""
+    """A follower's first message: the position and digest of its replica, or that it needs a snapshot in any case."""
 
     name: Name
     epoch: Number
@@ -101,7 +112,7 @@
 
 
 class Status(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """What a follower has in force. refused: the newest revision whose configuration it could not use, 0 for none."""
+    """What a follower has applied. rejected_revision: of the newest configuration that it cannot use, 0 for none."""
 
     applied_revision: Number
     rejected_revision: Number
@@ -113,7 +124,7 @@
 
 
 class Laggard(msgspec.Struct, array_like=True, frozen=True):
-    """A follower that has not got the newest revision in force."""
+    """A follower that has not applied the newest revision."""
 
     name: Name
     applied_revision: Number
@@ -122,7 +133,10 @@
 
 
 class Summary(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """A relay's followers in a message of bounded size: how many have `revision` in force, and some that have not."""
+    """A relay's followers in a message of bounded size: how many have applied `revision`, and some that have not.
+
+    rejected: followers that cannot use the configuration; oldest_applied: the lowest revision that one has applied.
+    """
 
     relay: Name
     revision: Number
@@ -141,27 +155,28 @@
 
 
 def encode(message: Message) -> bytes:
-    """The message's bytes, without a frame around them."""
+    """Encode a message, without a frame."""
     return _encoder.encode(message)
 
 
 def decode_with(decoder: msgspec.msgpack.Decoder[MessageType], data: bytes) -> MessageType:
-    """What a decoder makes of bytes from elsewhere. Raises Malformed."""
+    """Decode untrusted bytes. Raises MalformedMessageError."""
     try:
         return decoder.decode(data)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as err:
-        raise MalformedMessageError(str(err)) from err
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise MalformedMessageError(str(error)) from error
 
 
 def decode(data: bytes) -> Message:
-    """Raises Malformed."""
+    """Decode a message. Raises MalformedMessageError."""
     return decode_with(_decoder, data)
 
 
 def encode_changes(changes: tuple[Change, ...]) -> bytes:
+    """Encode changes, for digests and for pieces of snapshots."""
     return _encoder.encode(changes)
 
 
 def decode_changes(data: bytes) -> tuple[Change, ...]:
-    """Raises Malformed."""
+    """Decode changes. Raises MalformedMessageError."""
     return decode_with(_changes_decoder, data)
--- a/badgerbend/feed/publisher.py
+++ b/badgerbend/feed/publisher.py
@@ -1,7 +1,7 @@
-"""The publisher: it checks changes, batches them, signs what they lead to and has the agreed log order them. Pure.
+"""The publisher: it validates changes, batches them, signs what they lead to and proposes them to the agreed log. Pure.
 
-One publication is on its way at a time, since the next one's digest builds on it. One that did not come about is
-proposed again; the log takes each revision once, so that a repeat does no harm.
+One publication is in flight at a time, since the digest of the next one builds on it. One that is not committed in time
+is proposed again; the log accepts each revision once, so that proposals are idempotent.
 
 Times are seconds on any clock that does not go backwards; it is read by the caller only.
 """
@@ -15,191 +15,177 @@
 
 from badgerbend.feed.commands import MAX_PUBLICATION_BYTES, split_publication
 from badgerbend.feed.log import PublicationLog, changes_digest
-from badgerbend.feed.messages import MAX_CHANGES, Change, Checkpoint, Laggard, Publication, Summary, signed_bytes
+from badgerbend.feed.messages import MAX_CHANGES, Change, Checkpoint, Publication, Summary, signed_bytes
+from badgerbend.feed.rollout import RolloutProgress, SummaryTable
 from badgerbend.feed.signature import Signer
 
-HEAD_BYTES = 400  # of an encoded publication: all but its changes
-MAX_BACKOFF_DOUBLINGS = 20  # of a pause, before its limit is looked at
-CHANGE_BYTES = 16  # what a change takes beside its key and value, at most
+PUBLICATION_OVERHEAD_BYTES = 400  # upper bound of an encoded publication without its changes
+CHANGE_OVERHEAD_BYTES = 16  # upper bound of what encoding adds to a change's key and value
+MAX_CHANGES_BYTES = MAX_PUBLICATION_BYTES - PUBLICATION_OVERHEAD_BYTES  # of the changes of one publication
+MAX_BACKOFF_DOUBLINGS = 20  # keeps the power finite; `max_retry_interval` is reached long before
 
 
 @dataclass(frozen=True, slots=True)
 class PublisherTuning:
-    """Times in seconds."""
+    """Intervals of a publisher, in seconds."""
 
-    batch_window: float = 0.05  # changes that come within this go out together
-    retry_interval: float = 1.0  # a proposal that has not come about is made again; each further pause doubles
-    summary_ttl: float = 5.0  # a relay's summary counts so long
-    max_retry_interval: float = (
-        16.0  # the longest pause: repeats of a large publication would fill the log before it stands
-    )
+    batch_window: float = 0.05  # changes that arrive within this are published together
+    retry_interval: float = 1.0  # before the first retry of a proposal; each further one doubles
+    summary_ttl: float = 5.0  # a relay's summary counts for so long
+    max_retry_interval: float = 16.0  # retries of a large publication would fill the log before one is complete
 
 
 @dataclass(frozen=True, slots=True)
 class RejectedChange:
-    """Why a change is refused; the text names the line and the field where there are any."""
+    """Why a change is rejected; the text names the line and the field where there are any."""
 
     key: str
     reason: str
 
 
-ChangeCheck = Callable[[Change], str]  # what is wrong with a change, or nothing
-
-
-@dataclass(frozen=True, slots=True)
-class RolloutProgress:
-    """How far a revision has come: followers known, those that have it in force, and some that have not."""
-
-    revision: int
-    followers: int
-    applied: int
-    rejected: int
-    laggards: tuple[Laggard, ...]
-    silent_relays: tuple[str, ...]
+ChangeCheck = Callable[[Change], str]  # returns what is wrong with a change, or nothing
 
 
 class Publisher:
     """Publishes while it holds the lease. `log` is a replica of the agreed log's publications."""
 
     def __init__(self, log: PublicationLog, check: ChangeCheck, signer: Signer, tuning: PublisherTuning) -> None:
-        self.log, self.check, self.signer, self.tuning = log, check, signer, tuning
-        self.epoch = 0  # of the lease, 0 while it is another's
+        self.log = log
+        self.check = check
+        self.signer = signer
+        self.tuning = tuning
+        self.epoch = 0  # of the own lease, 0 without one
         self.proposals = 0
-        self._waiting: deque[Change] = deque()
-        self._waiting_since = math.inf
-        self._flying: Publication | None = None
-        self._again_at = math.inf
-        self._repeats = 0  # of the publication on its way
-        self._out: list[bytes] = []
-        self._summaries: dict[str, tuple[float, Summary]] = {}
-
-    # -- the lease
+        self._queue: deque[Change] = deque()
+        self._queued_since = math.inf
+        self._in_flight: Publication | None = None
+        self._retry_at = math.inf
+        self._retries = 0  # of the publication in flight
+        self._commands: list[bytes] = []
+        self._summaries = SummaryTable()
+
+    @property
+    def next_at(self) -> float:
+        """When `tick` has something to do."""
+        if not self.epoch:
+            return math.inf
+        return self._retry_at if self._in_flight is not None else self._queued_since + self.tuning.batch_window
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether nothing is queued or in flight."""
+        return self._in_flight is None and not self._queue
+
     def lease_granted(self, now: float, epoch: int) -> None:
-        """The lease was granted; the log holds all that was published before it."""
-        self.epoch, self._flying, self._again_at = epoch, None, math.inf
+        """Begin to publish: the log holds all that was published under earlier leases."""
+        self.epoch = epoch
+        self._in_flight = None
+        self._retry_at = math.inf
         self._propose_next(now)
 
     def lease_lost(self) -> tuple[Change, ...]:
-        """The lease is over. Changes that are not known to be published are given back: their submitter looks at the
-        feed and submits what is missing to whoever publishes next, since a later value may stand by then."""
-        flying = self._flying.changes if self._flying is not None else ()
-        abandoned = (*flying, *self._waiting)
-        self.epoch, self._flying = 0, None
-        self._waiting.clear()
-        self._out.clear()
-        self._waiting_since = self._again_at = math.inf
+        """Stop publishing; return the changes that are not known to be published.
+
+        Their submitter compares them with the feed and submits what is missing to the next publisher, since a later
+        value may have been published by then.
+        """
+        in_flight = self._in_flight.changes if self._in_flight is not None else ()
+        abandoned = (*in_flight, *self._queue)
+        self.epoch = 0
+        self._in_flight = None
+        self._queue.clear()
+        self._commands.clear()
+        self._queued_since = math.inf
+        self._retry_at = math.inf
         return abandoned
 
-    # -- changes
     def submit(self, now: float, changes: Iterable[Change]) -> tuple[RejectedChange, ...]:
-        """Takes all of these changes, or none of them and says why."""
+        """Queue all of these changes, or none of them and return why."""
         batch = tuple(changes)
-        problems = tuple(RejectedChange(change.key, reason) for change in batch if (reason := self._wrong(change)))
-        if not problems:
-            self._waiting.extend(batch)
-            self._waiting_since = min(self._waiting_since, now)
-        return problems
+        rejected = tuple(RejectedChange(change.key, reason) for change in batch if (reason := self._fault_of(change)))
+        if not rejected:
+            self._queue.extend(batch)
+            self._queued_since = min(self._queued_since, now)
+        return rejected
 
     def log_advanced(self, now: float) -> None:
         """The log has grown."""
-        flying = self._flying
-        if flying is None or self.log.revision < flying.checkpoint.revision:
+        publication = self._in_flight
+        if publication is None or self.log.revision < publication.checkpoint.revision:
             return
-        if self.log.checkpoint_at(flying.checkpoint.revision) != flying.checkpoint:
-            # Another publication took its revision, or it is not known: one proposed before this lease was lost and
-            # found again, or a later publisher's. The changes go out again on top of what stands.
-            self._waiting.extendleft(reversed(flying.changes))
-            self._waiting_since = min(self._waiting_since, now)
-        self._flying, self._again_at = None, math.inf
+        if self.log.checkpoint_at(publication.checkpoint.revision) != publication.checkpoint:
+            # Another publication has this revision, or it is not known which one: one proposed before this lease was
+            # lost and regained, or a later publisher's. The changes are published again on top of it.
+            self._queue.extendleft(reversed(publication.changes))
+            self._queued_since = min(self._queued_since, now)
+        self._in_flight = None
+        self._retry_at = math.inf
         self._propose_next(now)
 
     def tick(self, now: float) -> None:
-        """What is due by now."""
-        if self._flying is not None and now >= self._again_at:
-            self._repeats += 1
-            self._propose(now, self._flying)
-        elif self._flying is None:
+        """Do what is due by now."""
+        if self._in_flight is None:
             self._propose_next(now)
-
-    @property
-    def next_at(self) -> float:
-        """When `tick` has something to do."""
-        if not self.epoch:
-            return math.inf
-        return self._again_at if self._flying is not None else self._waiting_since + self.tuning.batch_window
+        elif now >= self._retry_at:
+            self._retries += 1
+            self._propose(now, self._in_flight)
 
     def take_commands(self) -> list[bytes]:
-        """Commands for the agreed log, in this order, since the last call."""
-        out, self._out = self._out, []
-        return out
+        """Return the commands for the agreed log since the last call, in their order."""
+        commands = self._commands
+        self._commands = []
+        return commands
 
-    # -- progress
     def record_summary(self, now: float, summary: Summary) -> None:
-        """A relay's summary."""
-        self._summaries[summary.relay] = (now, summary)
+        """Keep a relay's latest summary."""
+        self._summaries.record(now, summary)
 
     def progress(self, now: float, revision: int) -> RolloutProgress:
-        """Who has this revision in force, by the relays' last summaries."""
-        fresh, silent = [], []
-        for relay, (heard_at, summary) in sorted(self._summaries.items()):
-            if now - heard_at <= self.tuning.summary_ttl:
-                fresh.append(summary)
-            else:
-                silent.append(relay)
-        return RolloutProgress(
-            revision,
-            sum(summary.followers for summary in fresh),
-            sum(_applied(summary, revision) for summary in fresh),
-            sum(summary.rejected for summary in fresh),
-            tuple(laggard for summary in fresh for laggard in summary.laggards),
-            tuple(silent),
-        )
-
-    # -- inside
-    def _wrong(self, change: Change) -> str:
-        size = _size_of(change)
-        if size + HEAD_BYTES > MAX_PUBLICATION_BYTES:
-            return f"{size} bytes; {MAX_PUBLICATION_BYTES - HEAD_BYTES} at most"
+        """How many followers have applied a revision, by the relays' latest summaries."""
+        return self._summaries.progress(now, revision, self.tuning.summary_ttl)
+
+    def _fault_of(self, change: Change) -> str:
+        size = _encoded_size(change)
+        if size > MAX_CHANGES_BYTES:
+            return f"{size} bytes; {MAX_CHANGES_BYTES} at most"
         return self.check(change)
 
     def _propose_next(self, now: float) -> None:
-        """The next batch, once its first change has waited for others or the batch is full."""
-        if not self.epoch or not self._waiting or now < self._waiting_since + self.tuning.batch_window:
+        """Propose the next batch, once the batch window of its first change is over."""
+        if not self.epoch or not self._queue or now < self._queued_since + self.tuning.batch_window:
             return
         changes = self._next_batch()
-        self._waiting_since = now if self._waiting else math.inf
-        content, digest = self.log.content.digest_after(changes), changes_digest(changes)
-        revision = self.log.revision + 1
-        signature = self.signer.sign(signed_bytes(self.epoch, revision, content, digest))
-        checkpoint = Checkpoint(self.epoch, revision, content, digest, signature)
-        self._flying, self._repeats = Publication(checkpoint, changes), 0
-        self._propose(now, self._flying)
+        self._queued_since = now if self._queue else math.inf
+        self._in_flight = self._sign(changes)
+        self._retries = 0
+        self._propose(now, self._in_flight)
 
     def _next_batch(self) -> tuple[Change, ...]:
-        """As many changes as one publication holds, in their order."""
+        """Dequeue as many changes as one publication holds, in their order."""
         changes: list[Change] = []
-        room = MAX_PUBLICATION_BYTES - HEAD_BYTES
-        while self._waiting and len(changes) < MAX_CHANGES:
-            room -= _size_of(self._waiting[0])
-            if room < 0:
+        capacity = MAX_CHANGES_BYTES
+        while self._queue and len(changes) < MAX_CHANGES:
+            capacity -= _encoded_size(self._queue[0])
+            if capacity < 0:
                 break
-            changes.append(self._waiting.popleft())
+            changes.append(self._queue.popleft())
         return tuple(changes)
 
+    def _sign(self, changes: tuple[Change, ...]) -> Publication:
+        """Make the publication that follows the log's last revision."""
+        revision = self.log.revision + 1
+        content_digest = self.log.content.digest_after(changes)
+        digest = changes_digest(changes)
+        signature = self.signer.sign(signed_bytes(self.epoch, revision, content_digest, digest))
+        return Publication(Checkpoint(self.epoch, revision, content_digest, digest, signature), changes)
+
     def _propose(self, now: float, publication: Publication) -> None:
-        pause = self.tuning.retry_interval * 2.0 ** min(self._repeats, MAX_BACKOFF_DOUBLINGS)
-        self._again_at = now + min(pause, self.tuning.max_retry_interval)
+        pause = self.tuning.retry_interval * 2.0 ** min(self._retries, MAX_BACKOFF_DOUBLINGS)
+        self._retry_at = now + min(pause, self.tuning.max_retry_interval)
         self.proposals += 1
-        self._out += split_publication(publication)
-
-
-def _size_of(change: Change) -> int:
-    """Bytes of a change, encoded; never less than it takes."""
-    return len(change.key.encode()) + len(change.value or b"") + CHANGE_BYTES
+        self._commands += split_publication(publication)
 
 
-def _applied(summary: Summary, revision: int) -> int:
-    """Followers that surely have the revision: all of the relay's if none is older, else those at its own revision."""
-    if summary.oldest_applied >= revision:
-        return summary.followers
-    return summary.applied if summary.revision >= revision else 0
+def _encoded_size(change: Change) -> int:
+    """Upper bound of the bytes of an encoded change."""
+    return len(change.key.encode()) + len(change.value or b"") + CHANGE_OVERHEAD_BYTES
--- a/badgerbend/feed/signature.py
+++ b/badgerbend/feed/signature.py
@@ -1,4 +1,4 @@
-"""The publisher's signature on checkpoints: Ed25519 from the cryptography library. Relays have no part in it."""
+"""The publisher's signature on checkpoints: Ed25519 from the cryptography library. Relays neither sign nor verify."""
 
 from __future__ import annotations
 
@@ -11,35 +11,42 @@
 class Signer(Protocol):
     """Signs as the publisher."""
 
-    def sign(self, payload: bytes) -> bytes: ...
+    def sign(self, payload: bytes) -> bytes:
+        """Return the signature of a payload."""
+        ...
 
 
 class Verifier(Protocol):
-    """Tells whether the publisher signed."""
+    """Verifies the publisher's signatures."""
 
-    def verify(self, payload: bytes, signature: bytes) -> bool: ...
+    def verify(self, payload: bytes, signature: bytes) -> bool:
+        """Whether the publisher signed this payload."""
+        ...
 
 
 class Ed25519Signer:
-    """`Signer` with a private key of 32 bytes."""
+    """A `Signer` with a private key of 32 bytes."""
 
     def __init__(self, private_key: bytes) -> None:
         self._key = Ed25519PrivateKey.from_private_bytes(private_key)
 
     def sign(self, payload: bytes) -> bytes:
+        """Return the signature of a payload, 64 bytes."""
         return self._key.sign(payload)
 
     def public_key(self) -> bytes:
+        """Return the public key, 32 bytes."""
         return self._key.public_key().public_bytes_raw()
 
 
 class Ed25519Verifier:
-    """`Verifier` with the public key of 32 bytes."""
+    """A `Verifier` with the public key of 32 bytes."""
 
     def __init__(self, public_key: bytes) -> None:
         self._key = Ed25519PublicKey.from_public_bytes(public_key)
 
     def verify(self, payload: bytes, signature: bytes) -> bool:
+        """Whether the holder of the private key signed this payload."""
         try:
             self._key.verify(signature, payload)
         except InvalidSignature:
--- a/badgerbend/feed/snapshot.py
+++ b/badgerbend/feed/snapshot.py
@@ -1,4 +1,4 @@
-"""A snapshot in pieces: packed once by a relay for all who need it, and put together again by a follower."""
+"""Snapshots in pieces: compressed once by a relay for all its followers, and assembled by a follower. Pure."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     encode_changes,
 )
 
-PIECE_TARGET_BYTES = 64 * 1024  # of keys and values before they are packed; one larger value makes a piece of its own
-ENTRY_BYTES = 16  # what an entry's place in the message takes at most, beside its key and value
+PIECE_TARGET_BYTES = 64 * 1024  # of entries before compression; a larger value makes a piece of its own
+ENTRY_OVERHEAD_BYTES = 16  # upper bound of what encoding adds to a key and its value
 assert MAX_VALUE_BYTES + PIECE_TARGET_BYTES <= 2 * MAX_PIECE_BYTES
 
 
 class SnapshotImage:
-    """The content at one revision, frozen, as frames. A piece is packed when it is first asked for."""
+    """The content at one revision, frozen, as frames. A piece is compressed when it is first asked for."""
 
     def __init__(self, content: Content, checkpoint: Checkpoint) -> None:
         self.checkpoint = checkpoint
@@ -35,27 +35,30 @@
 
     @property
     def piece_count(self) -> int:
+        """The number of pieces, without the first frame."""
         return len(self._groups)
 
     def piece_frame(self, index: int) -> bytes:
-        """The frame of a piece."""
-        found = self._frames[index]
-        if found is None:
-            packed = zlib.compress(encode_changes(self._groups[index]))
-            found = self._frames[index] = encode_frame(SnapshotPiece(index, packed))
+        """Return the frame of a piece."""
+        piece = self._frames[index]
+        if piece is None:
+            compressed = zlib.compress(encode_changes(self._groups[index]))
+            piece = encode_frame(SnapshotPiece(index, compressed))
+            self._frames[index] = piece
             self._groups[index] = ()
-        return found
+        return piece
 
 
 def _grouped(content: Content) -> Iterator[tuple[Change, ...]]:
-    """Entries in groups of about PIECE_TARGET_BYTES."""
+    """Group entries to about PIECE_TARGET_BYTES."""
     group: list[Change] = []
     size = 0
     for key, value in content.items():
-        entry = len(key.encode()) + len(value) + ENTRY_BYTES
+        entry = len(key.encode()) + len(value) + ENTRY_OVERHEAD_BYTES
         if group and size + entry > PIECE_TARGET_BYTES:
             yield tuple(group)
-            group, size = [], 0
+            group = []
+            size = 0
         group.append(Change(key, value))
         size += entry
     if group:
@@ -63,7 +66,7 @@
 
 
 class SnapshotAssembly:
-    """The pieces of one snapshot as they come, kept apart from what is in force until all of them are there."""
+    """The pieces of one snapshot as they arrive, kept apart from the replica until all of them are there."""
 
     def __init__(self, begin: SnapshotBegin) -> None:
         self.checkpoint = begin.checkpoint
@@ -73,24 +76,25 @@
 
     @property
     def complete(self) -> bool:
+        """Whether all pieces are there."""
         return self._next == self._piece_count
 
     def add(self, piece: SnapshotPiece) -> None:
-        """Raises OutOfSequence or Malformed."""
+        """Add the next piece. Raises OutOfSequenceError or MalformedMessageError."""
         if piece.index != self._next or self.complete:
             text = f"piece {piece.index} of a snapshot, {self._next} was due"
             raise OutOfSequenceError(text, received=piece.index, expected=self._next)
-        self.content.apply(decode_changes(_unpacked(piece.compressed)))
+        self.content.apply(decode_changes(_decompress(piece.compressed)))
         self._next += 1
 
 
-def _unpacked(packed: bytes) -> bytes:
-    """Raises Malformed for what would unpack to more than a piece may hold."""
-    unpacker = zlib.decompressobj()
+def _decompress(compressed: bytes) -> bytes:
+    """Raises MalformedMessageError, also for what would take more memory than a piece may."""
+    decompressor = zlib.decompressobj()
     try:
-        data = unpacker.decompress(packed, 2 * MAX_PIECE_BYTES)
-    except zlib.error as err:
-        raise MalformedMessageError(f"a piece that does not unpack: {err}") from err
-    if not unpacker.eof:
+        data = decompressor.decompress(compressed, 2 * MAX_PIECE_BYTES)
+    except zlib.error as error:
+        raise MalformedMessageError(f"a piece that does not unpack: {error}") from error
+    if not decompressor.eof:
         raise MalformedMessageError(f"a piece that is cut short or larger than {2 * MAX_PIECE_BYTES} bytes")
     return data
--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -13,9 +13,10 @@
 from badgerbend.feed.log import Retention
 from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
 from badgerbend.feed.messages import Change, Summary
-from badgerbend.feed.publisher import ChangeCheck, Publisher, PublisherTuning, RejectedChange, RolloutProgress
+from badgerbend.feed.publisher import ChangeCheck, Publisher, PublisherTuning, RejectedChange
 from badgerbend.feed.relay import Relay
 from badgerbend.feed.relay_types import RelayTuning
+from badgerbend.feed.rollout import RolloutProgress
 from badgerbend.feed.signature import Signer
 from badgerbend.feed_service import control_wire
 from badgerbend.feed_service.control_wire import Proposal
--- a/badgerbend/feed_subscription/subscription.py
+++ b/badgerbend/feed_subscription/subscription.py
@@ -88,7 +88,7 @@
             if change.key == self.feed.configuration:
                 self._receive_configuration(revision, change.value)
         if self.in_force.rejected is not None:
-            return self.in_force.rejected[1]
+            return self.in_force.rejected.reason
         return WAITING_FOR_CAPACITY if self._waiting_for_capacity else ""
 
     def rejected(self, relay: str, error: FeedError) -> None:
--- a/tests/feed_mutants.py
+++ b/tests/feed_mutants.py
@@ -9,7 +9,7 @@
 from badgerbend.feed.publisher import Publisher
 from badgerbend.feed.relay import Relay
 from badgerbend.feed.replica import Replica
-from badgerbend.feed.snapshot import SnapshotAssembly, _unpacked
+from badgerbend.feed.snapshot import SnapshotAssembly, _decompress
 from badgerbend.feed.snapshot_transfers import SnapshotTransfers
 from badgerbend.feed.staleness import StalenessTracker
 from badgerbend.leases.voter import Voter
@@ -90,14 +90,14 @@
     def _add_snapshot_piece(self, message):
         assembly = self.replica.assembly
         if assembly is not None and message.index == assembly._next:
-            changes = decode_changes(_unpacked(message.compressed))
+            changes = decode_changes(_decompress(message.compressed))
             self._actions.append(Install(assembly.checkpoint.revision, changes))
         super()._add_snapshot_piece(message)
 
 
 class _UnorderedAssembly(SnapshotAssembly):
     def add(self, piece):
-        self.content.apply(decode_changes(_unpacked(piece.compressed)))
+        self.content.apply(decode_changes(_decompress(piece.compressed)))
         self._next += 1
 
 
@@ -221,7 +221,7 @@
     def _publish(self, part, data):
         before = self.log.revision
         super()._publish(part, data)
-        if self.log.revision == before and self._pending_of[1] == before:
+        if self.log.revision == before and self._pending_key.revision == before:
             publication = self.log._retained[-1] if self.log._retained else None
             if publication is not None:
                 checkpoint = self.log.checkpoint
@@ -266,26 +266,26 @@
     """Signs what a batch leads to from an empty content."""
 
     def _propose_next(self, now):
-        before = self._flying
+        before = self._in_flight
         super()._propose_next(now)
-        flying = self._flying
+        flying = self._in_flight
         if flying is not None and flying is not before and self.log.revision % 5 == 4:
             old = flying.checkpoint
             content = type(self.log.content)().digest_after(flying.changes)
             signature = self.signer.sign(signed_bytes(old.epoch, old.revision, content, old.changes_digest))
-            self._flying = Publication(
+            self._in_flight = Publication(
                 Checkpoint(old.epoch, old.revision, content, old.changes_digest, signature), flying.changes
             )
-            self._out.clear()
-            self._propose(now, self._flying)
+            self._commands.clear()
+            self._propose(now, self._in_flight)
 
 
 class TakesAnyGrowthForItsOwn(Publisher):
     """Drops a batch when the log has reached its revision, whosever publication that is."""
 
     def log_advanced(self, now):
-        if self._flying is not None and self.log.revision >= self._flying.checkpoint.revision:
-            self._flying, self._again_at = None, float("inf")
+        if self._in_flight is not None and self.log.revision >= self._in_flight.checkpoint.revision:
+            self._in_flight, self._retry_at = None, float("inf")
             self._propose_next(now)
 
 
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -727,7 +727,7 @@
         if len(publishers) != 1:
             return f"{len(publishers)} publishers"
         publisher = publishers[0].publisher
-        if publisher._flying is not None or publisher._waiting:
+        if not publisher.is_idle:
             return "a publication is on its way"
         behind = [h.name for h in self.hosts.values() if h.log.revision != newest]
         if behind:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -110,6 +110,7 @@
     "feed/relay_summary.py",
     "feed/relay_types.py",
     "feed/replica.py",
+    "feed/rollout.py",
     "feed/session.py",
     "feed/signature.py",
     "feed/snapshot.py",
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -10,7 +10,7 @@
 from badgerbend.consensus.messages import Snapshot
 from badgerbend.consensus.raft import RaftConfig
 from badgerbend.feed.commands import split_publication
-from badgerbend.feed.configuration import ActiveConfiguration, UnusableConfigurationError
+from badgerbend.feed.configuration import ActiveConfiguration, RejectedConfiguration, UnusableConfigurationError
 from badgerbend.feed.content import Content
 from badgerbend.feed.control import ControlNode, ControlTuning, Propose
 from badgerbend.feed.errors import (
@@ -822,7 +822,11 @@
     assert (held.current.revision, held.current.settings) == (4, "second")
     assert began_under.settings == "first"
     assert held.stage(5, b"bad") == "line 2: field `wait`"
-    assert not held.activate() and held.current.revision == 4 and held.rejected == (5, "line 2: field `wait`")
+    assert (
+        not held.activate()
+        and held.current.revision == 4
+        and held.rejected == RejectedConfiguration(5, "line 2: field `wait`")
+    )
 
 
 # -- the choice of relays
