--- a/benchmarks/scale/dutyfleet.py
+++ b/benchmarks/scale/dutyfleet.py
@@ -15,11 +15,12 @@
 from typing import cast
 
 from badgerbend.consensus import messages as voting
-from badgerbend.consensus.log import Log, PersistentState
+from badgerbend.consensus.log import Log
+from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.consensus.raft import RaftConfig
 from badgerbend.lease_service import wire
 from badgerbend.lease_service.budget_exchange import SLOW_START_DUTY
-from badgerbend.lease_service.probing import PROBING_DUTY
+from badgerbend.lease_service.health_check_duty import HEALTH_CHECK_DUTY
 from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import LeaseReply, LeaseRequest, LeaseReturn
 from badgerbend.leases.timing import LeaseTiming
@@ -72,7 +73,7 @@
 
 def duties_of(number: int) -> dict[str, bool]:
     """What the broker of this number stands for: probing in its own region, and dealing."""
-    return {f"{PROBING_DUTY}:region-{number % REGIONS}": True, SLOW_START_DUTY: True}
+    return {f"{HEALTH_CHECK_DUTY}:region-{number % REGIONS}": True, SLOW_START_DUTY: True}
 
 
 class DutyFleet:
@@ -141,7 +142,7 @@
     def _looking(self, name: str) -> LeaseHolder:
         """A broker's side, whose loop has run: the product's looks at its duties 20 times a second."""
         holder = self.processes[name].holder
-        holder._alive_at = self.now
+        holder._last_run_at = self.now
         return holder
 
     def crash(self, name: str) -> None:
@@ -196,7 +197,7 @@
         bodies = [(to, wire.encode_consensus_message(message)) for to, message in out.to_voters]
         bodies += [(to, wire.encode_lease_message(told)) for to, told in out.to_brokers]
         process.voter_use.messages_s += time.process_time() - began
-        for seq, _ in out.writes:
+        for seq, _ in out.records:
             self._at(self.rng.uniform(*DISK_S), lambda seq=seq: self._saved(name, seq))  # type: ignore[misc]
         for to, body in bodies:
             self._send(process.voter_use, to, body)
@@ -212,7 +213,7 @@
         if not process.up:
             return
         began = time.process_time()
-        self.voter(name).saved(self.now, seq)
+        self.voter(name).persisted(self.now, seq)
         process.voter_use.messages_s += time.process_time() - began
         self._send_voter(name)
 
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -262,7 +262,7 @@
         host.machine = self.kinds.machine(RETENTION)
         host.machine.apply = self._seen_by_judge(host.machine.apply)
         tuning = replace(TUNING, compact_after_entries=self.chaos.compact)
-        kept = self.disks[host.name].kept()
+        kept = self.disks[host.name].persistent_state()
         host.voter = self.kinds.voter(host.name, kept, tuning, TERMS, seed, local, host.machine)
         host.holder = LeaseHolder(host.name, host.name, {PUBLISH_LEASE: True}, self.voters, TERMS, seed + 1, local)
         host.log = host.machine.log
@@ -367,7 +367,7 @@
     def _collect_voter(self, host):
         out = host.voter.drain_output()
         disk = self.disks[host.name]
-        for seq, record in out.writes:
+        for seq, record in out.records:
             disk.records.append(voting.encode(record))
             self.at(self.rng.uniform(*self.chaos.sync), self._synced, host, host.life, seq, len(disk.records))
         for to, message in out.to_voters:
@@ -403,9 +403,9 @@
         if host.life != life or not host.running:
             return
         disk = self.disks[host.name]
-        disk.sure = max(disk.sure, length)
+        disk.synced = max(disk.synced, length)
         if self.when_running(host, self._synced, host, life, seq, length):
-            host.voter.saved(host.local(), seq)
+            host.voter.persisted(host.local(), seq)
             self.collect(host)
 
     def _collect_follower(self, host):
