--- a/tests/feed_stage.py
+++ b/tests/feed_stage.py
@@ -12,9 +12,9 @@
     Send,
 )
 from badgerbend.feed.framing import FrameReader
-from badgerbend.feed.log import Retention
+from badgerbend.feed.log import Retention, changes_digest
 from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
-from badgerbend.feed.messages import Change
+from badgerbend.feed.messages import Change, Checkpoint, Publication, signed_bytes
 from badgerbend.feed.publisher import Publisher, PublisherTuning
 from badgerbend.feed.relay import Relay
 from badgerbend.feed.relay_types import Close, RelayTuning, SendTo
@@ -25,6 +25,7 @@
 VERIFIER = Ed25519Verifier(SIGNER.public_key())
 RETENTION, AT_ONCE, RELAY = Retention(), PublisherTuning(batch_window=0.0), RelayTuning()
 ADDRESS = RelayAddress("relay-1", "north", "127.0.0.1", 1)
+MANY = 3000  # nodes of a full stage
 
 
 def change(key, value):
@@ -32,6 +33,20 @@
     return Change(key, None if value is None else value.encode())
 
 
+def entries(log):
+    """Keys and values of a log's content."""
+    return dict(log.content.items())
+
+
+def signed(log, epoch, *changes, revision=None):
+    """A publication as the publisher would make it on top of a log."""
+    revision = log.revision + 1 if revision is None else revision
+    content_digest = log.content.digest_after(changes)
+    digest = changes_digest(changes)
+    signature = SIGNER.sign(signed_bytes(epoch, revision, content_digest, digest))
+    return Publication(Checkpoint(epoch, revision, content_digest, digest, signature), changes)
+
+
 class Control:
     """One control machine without agreement: commands are applied as they come."""
 
@@ -189,3 +204,21 @@
         except FeedError as error:
             follower.protocol_error(self.now, attempt, error)
         self.relay.drained(self.now, number)
+
+
+def new_stage(**tuning):
+    """A relay whose publisher has the lease; `tuning` of the relay."""
+    control = Control()
+    control.grant()
+    return Stage(control, RelayTuning(**tuning))
+
+
+def full_stage(retention=RETENTION, **tuning):
+    """A stage whose feed holds a list of many nodes."""
+    control = Control(retention)
+    control.grant()
+    rows = [change(f"node/{i}", f"ready at 10.0.{i // 256}.{i % 256}:80 " + "x" * 40) for i in range(MANY)]
+    stage = Stage(control, RelayTuning(**tuning))
+    stage.publish(*rows[: MANY // 2])
+    stage.publish(*rows[MANY // 2 :])
+    return stage
--- /dev/null
+++ b/tests/test_feed_faulty_relays.py
@@ -0,0 +1,144 @@
+"""Relays that lie, send half, fall silent or are stale, as a follower sees them."""
+
+import zlib
+
+import pytest
+
+from badgerbend.feed.errors import (
+    MalformedMessageError,
+    NoProgressError,
+    OutOfSequenceError,
+    SignatureError,
+    TamperedChangesError,
+)
+from badgerbend.feed.follower import Follower
+from badgerbend.feed.follower_types import Connect, Disconnect, FollowerTuning, RelayAddress
+from badgerbend.feed.framing import FrameReader, encode_frame
+from badgerbend.feed.log import PublicationLog
+from badgerbend.feed.messages import (
+    Checkpoint,
+    Heartbeat,
+    Publication,
+    SnapshotBegin,
+    SnapshotPiece,
+    encode_changes,
+)
+from tests.feed_stage import ADDRESS, VERIFIER, change, entries, new_stage, signed
+
+
+@pytest.mark.parametrize("lie", ["changes", "checkpoint", "frame"])
+def test_a_lying_relay_is_left_and_changes_nothing(lie):
+    stage = new_stage()
+    follower = stage.follower("a")
+    stage.publish(change("node/1", "ready"))
+    before = entries(follower.log)
+    reader = FrameReader()
+
+    def damage(data):
+        (message,) = reader.feed(data)
+        if not isinstance(message, Publication):
+            return data
+        if lie == "changes":
+            return encode_frame(Publication(message.checkpoint, (change("node/1", "gone"),)))
+        if lie == "checkpoint":
+            forged = signed(PublicationLog(), 1, change("node/1", "gone")).checkpoint
+            c = message.checkpoint
+            return encode_frame(
+                Publication(
+                    Checkpoint(c.epoch, c.revision, forged.content_digest, c.changes_digest, c.signature),
+                    message.changes,
+                )
+            )
+        return data[:-1] + bytes([data[-1] ^ 1])
+
+    stage.damage = damage
+    stage.publish(change("node/1", "draining"))
+    expected = {"changes": TamperedChangesError, "checkpoint": SignatureError, "frame": MalformedMessageError}[lie]
+    assert [type(error) for error in stage.rejected["a"]] == [expected]
+    assert entries(follower.log) == before and follower.log.revision == 1
+    stage.damage = None
+    stage.pass_time(1.0)
+    assert entries(follower.log) == {"node/1": b"draining"}  # it was the only relay there is
+
+
+def test_half_a_frame_and_silence_lead_to_a_retry():
+    stage = new_stage()
+    follower = stage.follower("a", progress_timeout=2.0)
+    stage.damage = lambda data: data[: len(data) // 2]
+    stage.publish(change("node/1", "ready"))
+    stage.damage = lambda data: b""
+    stage.pass_time(4.5)
+    stage.damage = None
+    stage.pass_time(8.0)
+    assert follower.log.checkpoint == stage.relay.log.checkpoint
+    assert follower.attempt > 1
+
+
+def test_a_relay_whose_snapshot_is_not_the_signed_one_is_quarantined():
+    stage = new_stage()
+    stage.publish(change("a", "1"))
+    relays = [ADDRESS, RelayAddress("relay-2", "north", "127.0.0.1", 2)]
+    follower = Follower("a", "north", relays, VERIFIER, FollowerTuning(start_jitter=0.0), 1)
+    follower.start(0.0)
+    follower.tick(0.0)
+    (first,) = follower.take_actions()
+    follower.connected(0.0, first.attempt)
+    altered = zlib.compress(encode_changes((change("a", "2"),)))
+    follower.received(0.0, first.attempt, SnapshotBegin(stage.relay.log.checkpoint, 1))
+    follower.received(0.0, first.attempt, SnapshotPiece(0, altered))
+    assert follower.log.revision == 0
+    for second in range(1, 50):
+        follower.take_actions()
+        follower.tick(float(second))
+        assert all(a.relay != first.relay for a in follower.take_actions() if isinstance(a, Connect))
+        follower.closed(float(second), follower.attempt)
+
+
+def test_a_piece_without_a_snapshot_is_rejected():
+    stage = new_stage()
+    follower = stage.follower("a")
+    stage.publish(change("a", "1"))
+    follower.received(stage.now, follower.attempt, SnapshotPiece(0, b""))
+    stage.settle()
+    assert [type(error) for error in stage.rejected["a"]] == [OutOfSequenceError]
+
+
+def test_a_suspended_follower_ignores_the_heartbeats_that_waited():
+    stage = new_stage()
+    follower = stage.follower("a")
+    stage.publish(change("a", "1"))
+    stage.pass_time(1.0)
+    late = stage.now + follower.tuning.heartbeat_timeout + 1.0
+    age_s = follower.age_s(late)
+    checkpoint = follower.log.checkpoint
+    follower.received(late, follower.attempt, Heartbeat(checkpoint.epoch, checkpoint.revision, 0))
+    assert follower.age_s(late) == age_s
+    assert [type(action) for action in follower.take_actions()] == [Disconnect]
+
+
+def test_a_relay_without_progress_is_left():
+    stage = new_stage()
+    follower = stage.follower("a", progress_timeout=5.0)
+    reader = FrameReader()
+
+    def withhold(data):
+        (message,) = reader.feed(data)
+        return data if isinstance(message, Heartbeat) else b""
+
+    stage.damage = withhold
+    stage.publish(change("a", "1"))
+    stage.pass_time(8.0)
+    assert [type(error) for error in stage.rejected["a"]] == [NoProgressError]
+    assert follower.log.revision == 0
+
+
+def test_the_age_grows_while_nothing_is_confirmed():
+    stage = new_stage()
+    follower = stage.follower("a")
+    stage.pass_time(2.0)
+    assert follower.age_s(stage.now) <= 1.0
+    for _ in range(20):  # the relay beats on but hears of no leader
+        stage.now += 0.5
+        stage.relay.tick(stage.now)
+        stage.settle()
+    assert 9.0 <= follower.age_s(stage.now) <= 12.0
