--- a/tests/feed_liar.py
+++ b/tests/feed_liar.py
@@ -21,7 +21,7 @@
 
 
 class Liar:
-    """One lie, told to every follower it has."""
+    """Tells one kind of lie to all followers of a relay."""
 
     def __init__(self, rng):
         self.rng = rng
@@ -30,8 +30,8 @@
         self.snapshots = {}  # session: the frames of the snapshot on its way
         self.whole = []
 
-    def told(self, data, session):
-        """What goes out in place of a frame."""
+    def frames_in_place_of(self, data, session):
+        """The frames that are sent in place of a frame."""
         (message,) = FrameReader().feed(data)
         if isinstance(message, Heartbeat):
             return self._instead_of_heartbeat(data)
--- a/tests/feed_mutants.py
+++ b/tests/feed_mutants.py
@@ -13,7 +13,7 @@
 from badgerbend.feed.snapshot_transfers import SnapshotTransfers
 from badgerbend.feed.staleness import StalenessTracker
 from badgerbend.leases.voter import Voter
-from tests.simfeed import Chaos, Kinds
+from tests.simfeed_settings import Chaos, Kinds
 
 # -- followers
 
--- /dev/null
+++ b/tests/simfeed_connections.py
@@ -0,0 +1,47 @@
+"""Connections of followers to relays in simulated time."""
+
+from tests.simstreams import Stream
+
+
+class Connections:
+    """Opens connections, which `tests.simstreams` plays."""
+
+    def __init__(self, world):
+        self.world = world
+
+    def connect(self, host, attempt, relay):
+        """Open a connection; it may be refused, or nothing may come back."""
+        if self.world.network.is_cut(host, relay) or not relay.running:
+            if self.world.rng.random() < 0.5 and not relay.running:  # refused; otherwise there is no answer
+                self.world.at(self.world.network.latency(host, relay), self._refused, host, host.life, attempt)
+            return
+        number = next(self.world.numbers)
+        stream = Stream(self.world, number, host, attempt, relay)
+        self.world.streams[number] = stream
+        delay = self.world.network.latency(host, relay)
+        self.world.at(delay, self._opened, stream)
+        self.world.at(2 * delay, self._connected, stream)
+
+    def _refused(self, host, life, attempt):
+        if host.life == life and self.world.when_running(host, self._refused, host, life, attempt):
+            host.follower.closed(host.local(), attempt)
+            self.world.runner.collect(host)
+
+    def _opened(self, stream):
+        is_open = stream.alive(stream.relay) and stream.down.open
+        if is_open and self.world.when_running(stream.relay, self._opened, stream):
+            stream.relay.relay.opened(stream.relay.local(), stream.number)
+            self.world.runner.collect(stream.relay)
+
+    def _connected(self, stream):
+        host = stream.follower
+        if stream.alive(host) and stream.down.open and self.world.when_running(host, self._connected, stream):
+            host.follower.connected(host.local(), stream.attempt)
+            self.world.runner.collect(host)
+
+    def stream_of(self, host, attempt):
+        """The open connection of a follower's attempt, if there is one."""
+        for stream in self.world.streams.values():
+            if stream.follower is host and stream.attempt == attempt and stream.lives[0] == host.life:
+                return stream
+        return None
--- /dev/null
+++ b/tests/simfeed_faults.py
@@ -0,0 +1,129 @@
+"""Faults that are injected into the simulated feed, all chosen by the random source of the world."""
+
+from badgerbend.feed.messages import Change
+from tests.feed_liar import Liar
+from tests.simfeed_settings import REGIONS
+
+
+class FaultInjector:
+    """Injects one fault at a time."""
+
+    def __init__(self, world):
+        self.world = world
+
+    def inject(self):
+        """Choose a fault and inject it, as long as the world is not healed."""
+        world = self.world
+        if world.healed:
+            return
+        kind = self._choice(world.chaos.troubles)
+        name = self._choice(list(world.hosts))
+        control = world.hosts[self._choice(world.voters)]
+        world.count(kind)
+        match kind:
+            case "crash":
+                world.crash(name, self._choice((0.05, 1.0, 6.0)) * world.rng.random())
+            case "crash leader":
+                self._crash_leaders()
+            case "crash mid-snapshot":
+                self._crash_mid_snapshot()
+            case "damage":
+                self._damage(self._choice(world.brokers()))
+            case "burst":
+                self._burst(world.rng.randint(5, 40))
+            case "lie":
+                self._lie(world.hosts[self._choice(world.relays).name])
+            case "zone back":
+                self._restart_zone()
+            case "give back" if control.running:
+                control.holder.release(control.local())
+            case "cede" if control.running and world.now >= control.stopped_until:
+                control.voter.raft.transfer_leadership(control.local())
+                world.runner.collect(control)
+            case _:
+                self._inject_interruption(kind, control)
+
+    def _inject_interruption(self, kind, control):
+        """Suspend processes, cut the network, or break connections."""
+        world = self.world
+        match kind:
+            case "stop relay":
+                self._suspend(world.hosts[self._choice(world.relays).name], world.chaos.stop_s)
+            case "stop followers":
+                for host in world.brokers():
+                    if world.rng.random() < 0.2:
+                        self._suspend(host, world.chaos.follower_stop_s)
+            case "cut region":
+                region = self._choice(REGIONS)
+                self._partition([host for host in world.hosts.values() if host.region == region])
+            case "cut control":
+                self._partition([control], one_way=world.rng.random() < 0.3)
+            case "break":
+                for stream in list(world.streams.values()):
+                    if world.rng.random() < 0.1:
+                        stream.breaks(world.rng.random() < 0.8, world.rng.random() < 0.8)
+
+    def _choice(self, options):
+        return self.world.rng.choice(options)
+
+    def _crash_leaders(self):
+        for leader in [host.name for host in self.world.running_controls() if host.voter.is_leader]:
+            self.world.crash(leader, self.world.rng.random() * 4.0)
+
+    def _crash_mid_snapshot(self):
+        """Crash a relay that sends snapshots."""
+        running = [host for host in self.world.hosts.values() if host.running and host.relay is not None]
+        sending = [host for host in running if host.relay.transfers.active]
+        for host in sending[:1]:
+            self.world.crash(host.name, self.world.rng.random() * 2.0)
+
+    def _restart_zone(self):
+        """All brokers of a region crash and return together; changes follow while their snapshots are on their way."""
+        region = self._choice(REGIONS)
+        back_s = self.world.rng.random() * 3.0
+        for host in self.world.brokers():
+            if host.region == region:
+                self.world.crash(host.name, back_s)
+        self.world.at(back_s + 0.3, self._burst, 10)
+
+    def _lie(self, host):
+        """A relay lies for a while."""
+        host.liar = Liar(self.world.rng)
+        self.world.at(1.0 + self.world.rng.random() * 4.0, self._stop_lying, host)
+
+    def _damage(self, host):
+        """Alter a replica in memory and break its connection: the next relay must notice."""
+        stream = self.world.connections.stream_of(host, host.follower.attempt) if host.running else None
+        if stream is None or not len(host.log.content):
+            return
+        key, _ = self.world.rng.choice(sorted(host.log.content.items()))
+        host.log.content.apply([Change(key, b"damaged")])
+        self.world.judge.followers[host.name].damaged = True
+        stream.breaks(True, True)
+
+    def _burst(self, left):
+        """Publish faster than slow followers receive."""
+        for host in self.world.running_controls():
+            if host.publisher.epoch:
+                self.world.changes.submit_to(host, 2)
+        if left and not self.world.healed:
+            self.world.at(0.07, self._burst, left - 1)
+
+    def _suspend(self, host, max_s):
+        """The process does not run for a while."""
+        if host.running:
+            host.stopped_until = max(host.stopped_until, self.world.now + max_s * self.world.rng.random())
+            self.world.wake(host)
+
+    def _partition(self, hosts, one_way=False):
+        """Lose everything between these hosts and all others."""
+        until = self.world.now + self.world.rng.choice(self.world.chaos.cut_s) * self.world.rng.uniform(0.5, 1.0)
+        inside = {host.name for host in hosts}
+        for name in inside:
+            for other in self.world.hosts.keys() - inside:
+                self.world.network.cuts[name, other] = until
+                if not one_way:
+                    self.world.network.cuts[other, name] = until
+
+    def _stop_lying(self, host):
+        host.liar = None
--- /dev/null
+++ b/tests/simfeed_settings.py
@@ -0,0 +1,135 @@
+"""Settings of the simulated feed: chances, tunings, and the classes that planted defects replace."""
+
+import hmac
+from dataclasses import dataclass
+
+from badgerbend.consensus.raft import RaftConfig
+from badgerbend.feed.control import ControlTuning
+from badgerbend.feed.follower import Follower
+from badgerbend.feed.follower_types import (
+    FollowerTuning,
+)
+from badgerbend.feed.log import Retention
+from badgerbend.feed.machine import FeedStateMachine
+from badgerbend.feed.publisher import Publisher, PublisherTuning
+from badgerbend.feed.relay import Relay
+from badgerbend.feed.relay_types import RelayTuning
+from badgerbend.leases.timing import LeaseTiming
+from badgerbend.leases.voter import Voter
+
+REGIONS = ("north", "south", "west")
+PIECE_BYTES = 1500  # of a snapshot: several pieces, though the content is small
+KEY = b"the publisher's"
+SLACK_S = 0.2  # for delays of the network and clocks that run off
+WATCH_S = 0.5  # between looks at ages and memory
+SUMMARY_S = 0.7
+UNCHANGED_LOOKS = 0.05  # part of the turns in which a replica is compared with what is in force
+KEYS = 60
+
+
+class KeyedHash:
+    """`Signer` and `Verifier` by a keyed hash: as hard to forge here as Ed25519, and cheap enough for many seeds."""
+
+    def sign(self, payload):
+        return hmac.digest(KEY, payload, "sha512")
+
+    def verify(self, payload, signature):
+        return hmac.compare_digest(self.sign(payload), signature)
+
+
+@dataclass(frozen=True)
+class Kinds:
+    """Classes in the place of the product's, for mutants."""
+
+    machine: type = FeedStateMachine
+    publisher: type = Publisher
+    relay: type = Relay
+    follower: type = Follower
+    voter: type = Voter
+
+
+PRODUCT = Kinds()
+TROUBLES = (
+    "crash",
+    "crash",
+    "crash leader",
+    "stop relay",
+    "stop followers",
+    "stop followers",
+    "cut region",
+    "cut region",
+    "cut control",
+    "zone back",
+    "lie",
+    "lie",
+    "break",
+    "break",
+    "break",
+    "burst",
+    "burst",
+    "give back",
+    "cede",
+    "damage",
+    "crash mid-snapshot",
+)
+
+
+@dataclass(frozen=True)
+class Chaos:
+    """Chances and sizes; times are seconds. late: of datagrams, delayed by up to late_s."""
+
+    followers: tuple = (20, 32)
+    edges: bool = True  # two relays that follow relays
+    loss: float = 0.03
+    late: float = 0.03
+    late_s: float = 1.0
+    delay: tuple = (0.001, 0.02)
+    sync: tuple = (0.0005, 0.01)
+    rate: float = 0.01
+    every_s: float = 0.8  # between troubles
+    submit_s: float = 0.25
+    stop_s: float = 3.0  # a process stands still for at most so long
+    follower_stop_s: float = 8.0
+    cut_s: tuple = (2.0, 5.0, 20.0)
+    bytes_per_second: tuple = (4_000, 30_000, 1_000_000)
+    troubles: tuple = TROUBLES
+    compact: int = 60
+    caught: float = 0.03  # chance that a leader crashes between a publication and its fan-out
+
+
+TUNING = RaftConfig(election_timeout_s=0.4, heartbeat_interval_s=0.1)
+TERMS = LeaseTiming(
+    lease_duration_s=1.2,
+    clock_drift_bound=0.01,
+    candidacy_interval_s=0.4,
+    reply_timeout_s=0.15,
+    stall_threshold_s=0.3,
+)
+PUBLISHER = PublisherTuning(batch_window=0.05, retry_interval=0.5, summary_ttl=2.0, max_retry_interval=4.0)
+RELAY = RelayTuning(
+    heartbeat_interval=0.4,
+    send_window=3000,
+    stall_timeout=3.0,
+    hello_timeout=2.0,
+    idle_timeout=4.0,
+    max_concurrent_snapshots=3,
+    snapshot_bytes_per_second=64 * 1024,
+    snapshot_burst_bytes=8 * 1024,
+    max_image_lag=6,
+)
+FOLLOWER = FollowerTuning(
+    start_jitter=0.3,
+    backoff_base=0.1,
+    backoff_max=1.5,
+    connect_timeout=1.0,
+    heartbeat_timeout=2.0,
+    quarantine=4.0,
+    progress_timeout=4.0,
+    staleness_limit=2.0,
+    stale_retry_interval=6.0,
+    failback_interval=8.0,
+    status_min_interval=0.3,
+    status_max_interval=1.5,
+)
+CONTROL = ControlTuning(confirm_interval=0.4, summary_interval=SUMMARY_S)
+RETENTION, EDGE_RETENTION = Retention(14, 12_000), Retention(8, 8_000)
--- a/tests/simstreams.py
+++ b/tests/simstreams.py
@@ -45,7 +45,7 @@
         self._busy = False
         if not self.open or not self.waiting:
             return
-        if self.world.is_cut(self.sender, self.receiver) or self._unread >= RECEIVE_BUFFER:
+        if self.world.network.is_cut(self.sender, self.receiver) or self._unread >= RECEIVE_BUFFER:
             self._busy = True
             self.world.at(RETRY_S, self._move)
             return
@@ -54,7 +54,9 @@
         del self.waiting[:size]
         self._unread += len(chunk)
         took = len(chunk) / self.bytes_per_second
-        self._arrives_at = max(self._arrives_at, self.world.now + took + self.world.latency(self.sender, self.receiver))
+        self._arrives_at = max(
+            self._arrives_at, self.world.now + took + self.world.network.latency(self.sender, self.receiver)
+        )
         self.world.at_time(self._arrives_at, self._arrive, chunk)
         self._busy = True
         self.world.at(took, self._moved)
@@ -128,14 +130,14 @@
             host.follower.closed(host.local(), self.attempt)
         else:
             host.relay.closed(host.local(), self.number)
-        self.world.collect(host)
+        self.world.runner.collect(host)
 
     def _taken(self):
         if self.down.waiting or not self.alive(self.relay):  # written to again before a stopped relay heard of it
             return
         if self.world.when_running(self.relay, self._taken):
             self.relay.relay.drained(self.relay.local(), self.number)
-            self.world.collect(self.relay)
+            self.world.runner.collect(self.relay)
 
     def _to_follower(self, chunk):
         host = self.follower
@@ -146,7 +148,7 @@
                 self._received(host, message)
         except FeedError as error:
             host.follower.protocol_error(host.local(), self.attempt, error)
-        self.world.collect(host)
+        self.world.runner.collect(host)
 
     def _received(self, host, message):
         written_at, bound_s = self.down.frame_read()
@@ -155,7 +157,7 @@
         if host.follower.age_s(host.local()) < before:
             late_s = min(self.world.now - written_at, self.world.stream_bound_s())
             host.age_bound_s = bound_s + late_s + SLACK_S
-        self.world.collect(host)
+        self.world.runner.collect(host)
 
     def _to_relay(self, chunk):
         host = self.relay
@@ -166,4 +168,4 @@
                 host.relay.received(host.local(), self.number, message)
         except FeedError as error:
             host.relay.protocol_error(host.local(), self.number, error)
-        self.world.collect(host)
+        self.world.runner.collect(host)
--- a/tests/test_feed_simulated.py
+++ b/tests/test_feed_simulated.py
@@ -3,7 +3,8 @@
 import pytest
 
 from tests.feed_mutants import MUTANTS
-from tests.simfeed import SLACK_S, TUNING, Chaos, World, play
+from tests.simfeed import World, play
+from tests.simfeed_settings import SLACK_S, TUNING, Chaos
 from tests.simvoters import Broken
 
 CUTS_ALONE = Chaos(
