--- a/tests/feed_judge.py
+++ b/tests/feed_judge.py
@@ -1,7 +1,7 @@
-"""What must always hold of the feed, judged from outside: from the agreed log's entries and from what is in force.
+"""Invariants of the feed, checked from outside: from the entries of the agreed log and from what followers install.
 
-It shares no decision with the cores: it reads the log's entries as bare MessagePack, follows the lease itself, puts
-publications together itself and keeps its own copy of every published state. `Broken` is raised where something fails.
+The judge shares no decision with the product: it decodes the log's entries as bare MessagePack, follows the lease,
+joins the parts of publications and keeps a copy of every published state of its own. It raises `Broken`.
 """
 
 from dataclasses import dataclass, field
@@ -27,7 +27,7 @@
 
 
 def content_digest(entries):
-    """The digest of keys and values, by the protocol's text alone."""
+    """The digest of keys and values, by the definition of the protocol."""
     buckets = [[] for _ in range(BUCKETS)]
     for key, value in sorted(entries.items()):
         name = key.encode()
@@ -36,7 +36,7 @@
 
 
 def applied_to(entries, changes):
-    """The entries after changes; the later of two of one key stands."""
+    """The entries after changes; the later of two changes of one key wins."""
     after = dict(entries)
     for key, value in changes:
         if value is None:
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Published:
-    """A state that was agreed on."""
+    """A published state."""
 
     epoch: int
     entries: dict
@@ -57,55 +57,65 @@
 
 
 class AgreedLog:
-    """The publications that the entries of the agreed log make, in their order."""
+    """The publications that the entries of the agreed log lead to, in their order."""
 
     def __init__(self):
         self.chosen = {}  # index: the command applied there
         self.published = [Published(0, {}, 0.0)]  # by revision
-        self.values = set()  # keys and values that ever stood
+        self.values = set()  # (key, value) that were ever published
         self._last = 0
-        self._holder, self._epoch = "", 0
-        self._which, self._parts = None, {}
+        self._holder = ""
+        self._epoch = 0
+        self._pending_key = None  # of the publication whose parts arrive
+        self._parts = {}
 
     @property
     def newest(self):
         return len(self.published) - 1
 
     def applied(self, now, index, data):
-        """A voter applies a command. Whoever is the first to apply one has applied all before it, or had them from
-        somebody who did, so that commands come here in the log's order."""
+        """A voter applies a command.
+
+        The first voter to apply one has applied all before it, or has loaded a snapshot of a voter that did: new
+        commands arrive here in the log's order.
+        """
         if self.chosen.get(index, data) != data:
             raise Broken(f"another command {index} was applied than was chosen")
         if index in self.chosen:
             return
         if index < self._last:
             raise Broken(f"command {index} was chosen after {self._last}")
-        self.chosen[index], self._last = data, index
+        self.chosen[index] = data
+        self._last = index
         self._command(now, index, msgspec.msgpack.decode(data))
 
     def _command(self, now, index, command):
         if command[0] == GRANT and command[1] == PUBLISH:
             if not self._holder and self._epoch == command[3]:
-                self._holder, self._epoch = command[2], index
+                self._holder = command[2]
+                self._epoch = index
         elif command[0] == FREE and command[1] == PUBLISH:
             if self._epoch == command[2]:
                 self._holder = ""
         elif command[0] == "publish":
             self._part(now, *command[1:])
 
-    def _part(self, now, epoch, revision, whole, part, parts, data):
+    def _part(self, now, epoch, revision, publication_id, part_index, part_count, data):
         if not self._holder or epoch != self._epoch:
             return  # of a lease that is over
-        if self._which != (epoch, revision, whole):
-            self._which, self._parts = (epoch, revision, whole), {}
-        self._parts[part] = data
-        if len(self._parts) == parts:
-            text, self._parts = b"".join(self._parts[place] for place in range(parts)), {}
-            self._publication(now, epoch, revision, text)
-
-    def _publication(self, now, epoch, revision, whole):
+        key = (epoch, revision, publication_id)
+        if self._pending_key != key:
+            self._pending_key = key
+            self._parts = {}
+        self._parts[part_index] = data
+        if len(self._parts) == part_count:
+            joined = b"".join(self._parts[index] for index in range(part_count))
+            self._parts = {}
+            self._publication(now, epoch, revision, joined)
+
+    def _publication(self, now, epoch, revision, data):
         try:
-            _, (signed_epoch, signed_revision, content, digest, _), changes = msgspec.msgpack.decode(whole)
+            _, (signed_epoch, signed_revision, content, digest, _), changes = msgspec.msgpack.decode(data)
         except (msgspec.MsgspecError, ValueError, TypeError):
             return  # parts of two publications
         if (signed_epoch, signed_revision) != (epoch, revision) or revision != self.newest + 1:
@@ -121,21 +131,21 @@
 
 @dataclass
 class Watched:
-    """What the judge holds of one follower's life."""
+    """What the judge knows of one follower's process."""
 
-    in_force: dict = field(default_factory=dict)
+    installed: dict = field(default_factory=dict)
     revision: int = 0
-    damaged: bool = False  # its replica was changed under it, until the next install
+    damaged: bool = False  # its replica was altered in memory, until the next install
 
 
 class Judge:
-    """clock_rate: by how much clocks may differ, as a part of their times."""
+    """clock_rate: by how much clocks may differ, as a fraction of elapsed time."""
 
     def __init__(self, clock_rate):
         self.agreed = AgreedLog()
         self.clock_rate = clock_rate
         self.followers = {}  # name: Watched
-        self.voters = {}  # (name, life): the revision last seen
+        self.voters = {}  # (name, incarnation): the revision last seen
         self.accepted = {}  # publisher: the values accepted in its present lease
         self.installs = 0
         self.lowest_margin = float("inf")
@@ -143,13 +153,13 @@
         self.oldest_seen = 0.0
 
     # -- voters
-    def voter(self, name, life, log):
+    def voter(self, name, incarnation, log):
         """A voter's log of publications after it applied something."""
         revision, epoch = log.revision, log.epoch
-        before = self.voters.get((name, life), 0)
+        before = self.voters.get((name, incarnation), 0)
         if revision < before:
             raise Broken(f"{name} went back from revision {before} to {revision}")
-        self.voters[name, life] = revision
+        self.voters[name, incarnation] = revision
         if revision > self.agreed.newest:
             raise Broken(f"{name} holds revision {revision}; {self.agreed.newest} are agreed on")
         state = self.agreed.published[revision]
@@ -160,38 +170,39 @@
 
     # -- publishers
     def submitted(self, publisher, changes):
+        """A publisher accepted changes."""
         self.accepted.setdefault(publisher, set()).update((c.key, c.value) for c in changes if c.value is not None)
 
-    def rested(self, publisher, abandoned):
-        """What a publisher does not give back is published."""
-        kept = self.accepted.pop(publisher, set()) - {(c.key, c.value) for c in abandoned}
-        self._all_published(publisher, kept)
+    def lease_lost(self, publisher, abandoned):
+        """A publisher stops: what it does not return must be published."""
+        retained = self.accepted.pop(publisher, set()) - {(c.key, c.value) for c in abandoned}
+        self._check_published(publisher, retained)
 
-    def quiet(self):
-        """No publisher has anything on its way."""
+    def settled(self):
+        """No publisher has anything queued or in flight."""
         for publisher, values in self.accepted.items():
-            self._all_published(publisher, values)
+            self._check_published(publisher, values)
 
-    def _all_published(self, publisher, values):
+    def _check_published(self, publisher, values):
         lost = values - self.agreed.values
         if lost:
             raise Broken(f"{publisher} accepted changes that are neither published nor given back: {len(lost)}")
 
     # -- followers
     def began(self, name):
-        """A follower's process began with nothing."""
+        """A follower's process started with an empty replica."""
         self.followers[name] = Watched()
 
     def installed(self, name, action, log):
-        """A follower puts changes in force. log: its replica at this moment."""
+        """A follower installs changes. log: its replica at this moment."""
         watched = self.followers[name]
         if action.revision < watched.revision:
             raise Broken(f"{name} went back from revision {watched.revision} to {action.revision}")
         if action.revision > self.agreed.newest:
             raise Broken(f"{name} installs revision {action.revision}, which is not agreed on")
         state = self.agreed.published[action.revision].entries
-        watched.in_force = applied_to(watched.in_force, [(c.key, c.value) for c in action.changes])
-        if watched.in_force != state:
+        watched.installed = applied_to(watched.installed, [(c.key, c.value) for c in action.changes])
+        if watched.installed != state:
             raise Broken(f"{name}: in force at revision {action.revision} is not what was published")
         if log.revision != action.revision or dict(log.content.items()) != state:
             raise Broken(f"{name}: the replica at revision {action.revision} is not what was published")
@@ -202,22 +213,23 @@
         self.installs += 1
 
     def unchanged(self, name, log):
-        """Between installs the replica is what is in force."""
+        """Between installs the replica equals what was installed."""
         watched = self.followers[name]
         if watched.damaged:
             return
-        if log.revision != watched.revision or dict(log.content.items()) != watched.in_force:
+        if log.revision != watched.revision or dict(log.content.items()) != watched.installed:
             raise Broken(f"{name}: the replica at revision {log.revision} changed without an install")
 
     def rejected(self, name, error, lied_to):
-        """A follower refused what came. From a relay that did not lie nothing comes that is to be refused; it may only
-        be slow, when many wait for snapshots."""
+        """A follower rejected a message. An honest relay sends nothing invalid; it may only be slow."""
         if not lied_to and not isinstance(error, NoProgressError):
             raise Broken(f"{name} refused what an honest relay sent: {type(error).__name__}: {error}")
 
     def age(self, now, name, revision, age_s, bound_s):
-        """A follower or a relay that is at a revision claims an age. bound_s: by how much that may be too low; the
-        world states it, which knows how late the last word was that the age rests on."""
+        """A follower or a relay at a revision claims an age.
+
+        bound_s: by how much that may be too low, given the delay of the message that the age rests on.
+        """
         if revision >= self.agreed.newest:
             return
         truth = now - self.agreed.published[revision + 1].at
@@ -231,12 +243,12 @@
 
     # -- a relay's memory
     def in_flight(self, name, session, size, allowed):
-        """Bytes that a relay has sent and a connection has not taken; allowed: the window and one frame."""
+        """Bytes that a relay has sent and a connection has not taken. allowed: the window and one frame."""
         if size > allowed:
             raise Broken(f"{name}: {size} bytes on the way to session {session}, {allowed} allowed")
 
     def relay(self, name, images, loading, most_loading):
-        """Images of snapshots alive, and snapshots on their way."""
+        """Images of snapshots in memory, and transfers under way."""
         if loading > most_loading:
             raise Broken(f"{name}: {loading} snapshots at once, {most_loading} allowed")
         if images > most_loading + 1:
--- a/tests/feed_liar.py
+++ b/tests/feed_liar.py
@@ -1,6 +1,6 @@
-"""A relay that lies: what it makes of the frames that it should send.
+"""A relay that lies: it alters, forges, cuts, withholds or replays the frames that it should send.
 
-Heartbeats are left alone: nobody signs them, so that a relay that claims a false age is believed.
+Heartbeats are left alone: they are not signed, so that a relay that claims a false age is believed.
 """
 
 import zlib
@@ -16,7 +16,7 @@
     encode_changes,
 )
 
-KEPT = 40  # frames that it can replay
+MAX_REPLAYED = 40  # frames that it can replay
 LIES = ("alter", "forge", "cut", "replay", "replay snapshot", "withhold", "repeat piece", "forge content", "go back")
 
 
@@ -26,16 +26,16 @@
     def __init__(self, rng):
         self.rng = rng
         self.lie = rng.choice(LIES)
-        self.said = []  # publications, and whole snapshots, as they went out
-        self.snapshots = {}  # session: the frames of the snapshot on its way
-        self.whole = []
+        self.sent = []  # frames of publications
+        self.snapshots = {}  # session: pieces and frames of the snapshot on its way
+        self.complete = []  # the frames of complete snapshots
 
     def frames_in_place_of(self, data, session):
         """The frames that are sent in place of a frame."""
         (message,) = FrameReader().feed(data)
         if isinstance(message, Heartbeat):
             return self._instead_of_heartbeat(data)
-        self._keep(data, message, session)
+        self._record(data, message, session)
         match self.lie, message:
             case "alter", Publication() if message.changes:
                 return [encode_frame(Publication(message.checkpoint, self._altered(message.changes)))]
@@ -53,27 +53,27 @@
                 return []
             case "repeat piece", SnapshotPiece():
                 return [data, data]
-            case "replay", Publication() if self.said:
-                return [self.rng.choice(self.said), data]
+            case "replay", Publication() if self.sent:
+                return [self.rng.choice(self.sent), data]
         return [data]
 
     def _instead_of_heartbeat(self, data):
-        if self.lie in ("replay snapshot", "go back") and self.whole and self.rng.random() < 0.5:
-            return [*self.rng.choice(self.whole), data]
-        if self.lie == "replay" and self.said and self.rng.random() < 0.5:
-            return [self.rng.choice(self.said), data]
+        if self.lie in ("replay snapshot", "go back") and self.complete and self.rng.random() < 0.5:
+            return [*self.rng.choice(self.complete), data]
+        if self.lie == "replay" and self.sent and self.rng.random() < 0.5:
+            return [self.rng.choice(self.sent), data]
         return [data]
 
-    def _keep(self, data, message, session):
+    def _record(self, data, message, session):
         if isinstance(message, Publication):
-            self.said = [*self.said[-KEPT:], data]
+            self.sent = [*self.sent[-MAX_REPLAYED:], data]
         elif isinstance(message, SnapshotBegin):
             self.snapshots[session] = (message.piece_count, [data])
         elif session in self.snapshots:
             pieces, frames = self.snapshots[session]
             frames.append(data)
             if len(frames) == pieces + 1:
-                self.whole = [*self.whole[-3:], frames]
+                self.complete = [*self.complete[-3:], frames]
 
     def _altered(self, changes):
         place = self.rng.randrange(len(changes))
@@ -84,7 +84,7 @@
         return zlib.compress(encode_changes((Change("node/0", b"altered"),)))
 
     def _forged(self, message):
-        """The liar's own checkpoint: the digests fit what it sends, the signature cannot."""
+        """A checkpoint of the liar's own, whose signature cannot be valid."""
         old = message.checkpoint
         digests = (old.content_digest, old.changes_digest)
         if isinstance(message, SnapshotBegin):
--- a/tests/feed_lines.py
+++ b/tests/feed_lines.py
@@ -1,4 +1,4 @@
-"""What a test and the processes that `tests.feed_processes` starts say to each other: JSON lines, typed."""
+"""Messages between a test and the processes that `tests.feed_processes` starts: typed JSON lines."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 
 
 class RelaySetup(msgspec.Struct, frozen=True, tag=True):
-    """A relay. Without an upstream it publishes what it is told to; with one it re-publishes what that one sends."""
+    """A relay. Without an upstream it publishes what the test sends; with one it relays what that one publishes."""
 
     name: str = "core"
     region: str = "north"
@@ -21,7 +21,7 @@
 
 
 class FollowersSetup(msgspec.Struct, frozen=True, tag=True):
-    """So many followers in one process."""
+    """Several followers in one process."""
 
     count: int
     region: str
@@ -61,7 +61,7 @@
 
 
 class Report(msgspec.Struct, frozen=True, tag=True):
-    """Say how it stands."""
+    """Ask for a report."""
 
 
 Command = Publish | Fill | Report
--- a/tests/feed_mutants.py
+++ b/tests/feed_mutants.py
@@ -1,4 +1,4 @@
-"""Defects of the feed that the judge must catch, each by its name: what `tests/simfeed.py` is worth."""
+"""Defects planted in the feed that the judge must find, by name: they show what `tests/simfeed.py` can detect."""
 
 from dataclasses import dataclass
 
@@ -24,7 +24,7 @@
 
 
 class AppliesBeforeTheDigests(Follower):
-    """Puts a signed publication's changes in force before it looks at their digests."""
+    """Installs a signed publication's changes before it checks their digests."""
 
     def _apply_publication(self, publication):
         replica = self.replica
@@ -75,7 +75,7 @@
 
 
 class KeepsHalfASnapshot(Replica):
-    """Goes on with a half-loaded snapshot's pieces under the next connection."""
+    """Applies the pieces of an incomplete snapshot when the connection ends."""
 
     def discard_assembly(self):
         half = self.assembly
@@ -85,7 +85,7 @@
 
 
 class LoadsInPlace(Follower):
-    """Puts each piece of a snapshot in force as it comes."""
+    """Installs each piece of a snapshot as it arrives."""
 
     def _add_snapshot_piece(self, message):
         assembly = self.replica.assembly
@@ -127,18 +127,18 @@
     staleness_type = TakesAgeOfAnyRelay
 
 
-class LooksNotAtItself(Follower):
-    """Says of its replica what the checkpoint says, and not what it is."""
+class ReportsDigestOfCheckpoint(Follower):
+    """Reports the digest of its checkpoint, whatever its content is."""
 
     def connected(self, now, attempt):
         replica = self.replica
         damaged, replica.is_damaged = replica.is_damaged, False
-        content, self.log.content = self.log.content, _SaysItIsWhole(self.log)
+        content, self.log.content = self.log.content, _ClaimsIntegrity(self.log)
         super().connected(now, attempt)
         self.log.content, replica.is_damaged = content, damaged
 
 
-class _SaysItIsWhole:
+class _ClaimsIntegrity:
     def __init__(self, log):
         self.checkpoint = log.checkpoint
 
@@ -160,7 +160,7 @@
 
 
 class SkipsOnCatchUp(Relay):
-    """A follower that is more than one behind does not get the first that it lacks."""
+    """Skips the first publication for a follower that is more than one behind."""
 
     def catch_up(self, now, session):
         if self.log.oldest_revision <= session.position < self.log.revision - 1:
@@ -169,7 +169,7 @@
 
 
 class GoesOnAfterCompaction(Relay):
-    """Sends the oldest publication retained to one who is behind it, in place of a snapshot."""
+    """Sends the oldest retained publication to a follower behind it, in place of a snapshot."""
 
     def catch_up(self, now, session):
         if session.position < self.log.oldest_revision:
@@ -184,7 +184,7 @@
 
 
 class AgeOfItsOwn(Relay):
-    """Says that it is up to date whatever was confirmed."""
+    """Claims to be up to date whatever was confirmed."""
 
     def age_s(self, now):
         return 0.0
@@ -321,7 +321,9 @@
     "the first of two changes of a key": Mutant(Kinds(follower=ForgetsTheFirstOfTwo)),
     "a publication skipped on catch-up": Mutant(Kinds(relay=SkipsOnCatchUp)),
     "the wrong place after compaction": Mutant(Kinds(relay=GoesOnAfterCompaction), 1, STOPS),
-    "digests not compared on resumption": Mutant(Kinds(relay=ComparesNoDigests, follower=LooksNotAtItself), 0, DAMAGE),
+    "digests not compared on resumption": Mutant(
+        Kinds(relay=ComparesNoDigests, follower=ReportsDigestOfCheckpoint), 0, DAMAGE
+    ),
     "an age whatever was confirmed": Mutant(Kinds(relay=AgeOfItsOwn), 0, CUTS),
     "a window not kept": Mutant(Kinds(relay=SendsPastTheWindow), 0, STOPS),
     "snapshots without number": Mutant(Kinds(relay=BeginsEverySnapshot), 0, ZONES),
--- a/tests/feed_stage.py
+++ b/tests/feed_stage.py
@@ -1,4 +1,4 @@
-"""A relay and followers joined without a network: every action is carried out at once, on a clock of the test's."""
+"""A relay and followers connected without a network: actions are carried out at once, on a clock of the test's own."""
 
 from badgerbend.feed.errors import FeedError
 from badgerbend.feed.follower import Follower
@@ -23,13 +23,15 @@
 
 SIGNER = Ed25519Signer(bytes(range(32)))
 VERIFIER = Ed25519Verifier(SIGNER.public_key())
-RETENTION, AT_ONCE, RELAY = Retention(), PublisherTuning(batch_window=0.0), RelayTuning()
+RETENTION = Retention()
+AT_ONCE = PublisherTuning(batch_window=0.0)
+RELAY = RelayTuning()
 ADDRESS = RelayAddress("relay-1", "north", "127.0.0.1", 1)
 MANY = 3000  # nodes of a full stage
 
 
 def change(key, value):
-    """A change with text for its value, or none."""
+    """A change with text as its value; None removes the key."""
     return Change(key, None if value is None else value.encode())
 
 
@@ -48,7 +50,7 @@
 
 
 class Control:
-    """One control machine without agreement: commands are applied as they come."""
+    """One control machine without consensus: commands are applied as they come."""
 
     def __init__(self, retention=RETENTION, tuning=AT_ONCE, check=lambda change: ""):
         self.machine = FeedStateMachine(retention)
@@ -56,13 +58,14 @@
         self.publisher = Publisher(self.machine.log, check, SIGNER, tuning)
 
     def command(self, data):
+        """Apply a command; whether it published something."""
         self.index += 1
         before = self.machine.log.revision
         self.machine.apply(self.index, data)
         return self.machine.log.revision > before
 
     def grant(self, now=0.0, holder="control-1"):
-        """Gives the lease on publishing to a holder, from whoever has it; its epoch."""
+        """Grant the lease on publishing, releasing it first where somebody has it; return its epoch."""
         lease = self.machine.table.lease(PUBLISH_LEASE)
         if lease.holder:
             self.command(encode(ReleaseLease(PUBLISH_LEASE, lease.epoch)))
@@ -72,12 +75,13 @@
         return epoch
 
     def publish(self, now, *changes):
-        """Has one batch agreed on; what was wrong with it."""
-        problems = self.publisher.submit(now, changes)
+        """Submit and commit one batch; return the changes that were rejected."""
+        rejected = self.publisher.submit(now, changes)
         self.pump(now)
-        return problems
+        return rejected
 
     def pump(self, now):
+        """Commit all that the publisher proposes."""
         while True:
             self.publisher.tick(now)
             commands = self.publisher.take_commands()
@@ -89,31 +93,39 @@
 
 
 class Stage:
-    """One relay and its followers. `hold`: followers whose connection takes nothing for now."""
+    """One relay and its followers. `stalled`: followers whose connection takes nothing for now."""
 
     def __init__(self, control, relay_tuning=RELAY):
         self.now = 0.0
         self.control = control
         self.relay = Relay(ADDRESS.name, control.machine.log, relay_tuning)
         self.relay.mark_current(self.now)
-        self.followers, self.installed, self.rejected, self.closed = {}, {}, {}, []
-        self.sessions, self.readers, self.numbers = {}, {}, 0
-        self.hold, self.held = set(), {}
-        self.sent_bytes = {}
+        self.followers = {}  # by name
+        self.installed = {}  # name: Install actions
+        self.rejected = {}  # name: errors of messages that were not used
+        self.closed = []  # (name, reason)
+        self.sessions = {}  # number: name
+        self.readers = {}  # number: FrameReader
+        self.numbers = 0
+        self.stalled = set()  # names
+        self.buffered = {}  # name: (session, frame) that wait
+        self.sent_bytes = {}  # by name
         self.damage = None  # what a lying relay makes of a frame
 
     def follower(self, name, start=True, **tuning):
-        made = Follower(
-            name, "north", [ADDRESS], VERIFIER, FollowerTuning(start_jitter=0.0, **tuning), len(self.followers)
-        )
-        self.followers[name], self.installed[name], self.rejected[name] = made, [], []
+        """Add a follower, with these fields of its tuning."""
+        follower_tuning = FollowerTuning(start_jitter=0.0, **tuning)
+        follower = Follower(name, "north", [ADDRESS], VERIFIER, follower_tuning, len(self.followers))
+        self.followers[name] = follower
+        self.installed[name] = []
+        self.rejected[name] = []
         if start:
-            made.start(self.now)
+            follower.start(self.now)
             self.settle()
-        return made
+        return follower
 
     def settle(self):
-        """Carries actions out until there are none."""
+        """Carry out actions until there are none."""
         busy = True
         while busy:
             busy = False
@@ -127,6 +139,7 @@
                 self._relay_action(action)
 
     def pass_time(self, seconds, step=0.25):
+        """Let time pass, with the relay's log confirmed as current."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(self.now + step, end)
@@ -135,22 +148,23 @@
             self.settle()
 
     def publish(self, *changes):
-        problems = self.control.publish(self.now, *changes)
+        """Publish one batch; return the changes that were rejected."""
+        rejected = self.control.publish(self.now, *changes)
         self.relay.log_advanced(self.now)
         self.settle()
-        return problems
+        return rejected
 
     def disconnect(self, name):
-        """The connection breaks."""
+        """Break a follower's connection."""
         number = next(n for n, who in self.sessions.items() if who == name)
         del self.sessions[number]
         self.relay.closed(self.now, number)
         self.followers[name].closed(self.now, self.followers[name].attempt)
 
-    def release(self, name):
-        """The follower's connection takes what was held back."""
-        self.hold.discard(name)
-        for number, data in self.held.pop(name, []):
+    def resume(self, name):
+        """The follower's connection takes what was buffered, and what comes."""
+        self.stalled.discard(name)
+        for number, data in self.buffered.pop(name, []):
             if number in self.sessions:
                 self._deliver(number, name, data)
         self.settle()
@@ -159,7 +173,8 @@
         match action:
             case Connect():
                 self.numbers += 1
-                self.sessions[self.numbers], self.readers[self.numbers] = name, FrameReader()
+                self.sessions[self.numbers] = name
+                self.readers[self.numbers] = FrameReader()
                 self.relay.opened(self.now, self.numbers)
                 follower.connected(self.now, action.attempt)
             case Send():
@@ -184,8 +199,8 @@
         match action:
             case SendTo():
                 self.sent_bytes[name] = self.sent_bytes.get(name, 0) + len(action.frame)
-                if name in self.hold:
-                    self.held.setdefault(name, []).append((action.session, action.frame))
+                if name in self.stalled:
+                    self.buffered.setdefault(name, []).append((action.session, action.frame))
                 else:
                     self._deliver(action.session, name, action.frame)
             case Close():
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -275,7 +275,7 @@
             if self.now >= end:
                 return wrong
             self.run(0.5)
-        self.judge.quiet()
+        self.judge.settled()
         return ""
 
 
--- a/tests/simfeed_runner.py
+++ b/tests/simfeed_runner.py
@@ -79,7 +79,7 @@
             case ReportSummary(publisher, summary):
                 network.send(host, publisher, network.deliver_summary, summary)
             case ChangesAbandoned(changes):
-                self.world.judge.rested(host.name, changes)
+                self.world.judge.lease_lost(host.name, changes)
 
     def _synced(self, host, life, number, length):
         """A record has reached the disk."""
--- a/tests/test_feed_backpressure.py
+++ b/tests/test_feed_backpressure.py
@@ -9,15 +9,15 @@
     stage = new_stage(send_window=10_000, stall_timeout=3.0)
     stage.follower("slow", heartbeat_timeout=20.0)
     fast = stage.follower("fast")
-    stage.hold.add("slow")
+    stage.stalled.add("slow")
     for value in range(100):
         stage.publish(change("a", str(value) * 500))
-    held = sum(len(data) for _, data in stage.held["slow"])
+    held = sum(len(data) for _, data in stage.buffered["slow"])
     assert held < 10_000 + 3_000
     assert fast.log.checkpoint == stage.relay.log.checkpoint
     stage.pass_time(5.0)
     assert ("slow", "takes nothing") in stage.closed
-    stage.release("slow")
+    stage.resume("slow")
     stage.pass_time(3.0)
     assert stage.followers["slow"].log.checkpoint == stage.relay.log.checkpoint
 
@@ -31,11 +31,11 @@
     size = stage.sent_bytes["a"] - before
     stage.relay.tuning = RelayTuning(send_window=2 * size + 1)  # the third frame of this size is the last that fits
     stage.sent_bytes.clear()
-    stage.hold.add("a")
+    stage.stalled.add("a")
     for value in range(10):
         stage.publish(change("node/1", "x" * 999 + str(value)))
     assert stage.sent_bytes["a"] == 3 * size
-    stage.release("a")
+    stage.resume("a")
     stage.pass_time(1.0)
     assert stage.followers["a"].log.checkpoint == stage.relay.log.checkpoint
     assert stage.relay.snapshots_started == 1
@@ -54,10 +54,10 @@
 def test_a_slow_follower_gets_all_publications_in_order():
     stage = new_stage(send_window=2_000)
     slow = stage.follower("slow")
-    stage.hold.add("slow")
+    stage.stalled.add("slow")
     for value in range(40):
         stage.publish(change("a", str(value) * 100))
-    stage.release("slow")
+    stage.resume("slow")
     assert [i.revision for i in stage.installed["slow"]] == list(range(1, 41))
     assert slow.log.checkpoint == stage.relay.log.checkpoint
 
@@ -66,13 +66,13 @@
     stage = full_stage(retention=Retention(publications=1), max_concurrent_snapshots=3)
     images = set()
     for number in range(10):
-        stage.hold.add(f"f{number}")
+        stage.stalled.add(f"f{number}")
         stage.follower(f"f{number}")
     images = {id(s.image) for s in stage.relay.sessions.values() if s.image is not None}
     assert stage.relay.snapshots_started <= 3 + sum(s.image is None for s in stage.relay.sessions.values())
     assert len(images) <= 1
     for number in range(10):
-        stage.release(f"f{number}")
+        stage.resume(f"f{number}")
     stage.pass_time(1.0)
     assert all(f.log.checkpoint == stage.relay.log.checkpoint for f in stage.followers.values())
 
--- a/tests/test_feed_replication.py
+++ b/tests/test_feed_replication.py
@@ -59,11 +59,11 @@
 
 def test_a_later_change_wins_over_a_snapshot_of_earlier_content():
     stage = full_stage(retention=Retention(publications=100), send_window=60_000)
-    stage.hold.add("a")
+    stage.stalled.add("a")
     follower = stage.follower("a")
     stage.publish(change("node/5", "draining"))
     assert follower.log.revision == 0
-    stage.release("a")
+    stage.resume("a")
     assert follower.log.content.get("node/5") == b"draining"
     stage.publish(change("node/6", "draining"))
     assert follower.log.checkpoint == stage.relay.log.checkpoint
--- a/tests/test_feed_rollout.py
+++ b/tests/test_feed_rollout.py
@@ -15,7 +15,7 @@
     progress = publisher.progress(stage.now, 1)
     assert (progress.followers, progress.applied, progress.laggards) == (30, 30, ())
     for number in range(20):
-        stage.hold.add(f"f{number}")
+        stage.stalled.add(f"f{number}")
     stage.publish(change("a", "2"))
     stage.followers["f25"].rejected(stage.now, 2, "line 4: field `port`")
     stage.pass_time(1.5)
