--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -13,8 +13,9 @@
 from badgerbend.feed.control import Action, ChangesAbandoned, ControlNode, Propose, ReportSummary
 from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
 from badgerbend.feed.messages import Change, Summary
-from badgerbend.feed.publisher import ChangeCheck, Publisher, RejectedChange, RolloutProgress
+from badgerbend.feed.publisher import ChangeCheck, Publisher, RejectedChange
 from badgerbend.feed.relay import Relay
+from badgerbend.feed.rollout import RolloutProgress
 from badgerbend.feed.signature import Signer
 from badgerbend.feed_service import control_wire
 from badgerbend.feed_service.control_settings import ControlSettings
--- a/tests/feed_mutants.py
+++ b/tests/feed_mutants.py
@@ -1,4 +1,4 @@
-"""Defects of the feed that the judge must catch, each by its name: what `tests/simfeed.py` is worth."""
+"""Defects planted in the feed that the judge must find, by name: they show what `tests/simfeed.py` can detect."""
 
 from dataclasses import dataclass
 
@@ -9,11 +9,11 @@
 from badgerbend.feed.publisher import Publisher
 from badgerbend.feed.relay import Relay
 from badgerbend.feed.replica import Replica
-from badgerbend.feed.snapshot import SnapshotAssembly, _unpacked
+from badgerbend.feed.snapshot import SnapshotAssembly, _decompress
 from badgerbend.feed.snapshot_transfers import SnapshotTransfers
 from badgerbend.feed.staleness import StalenessTracker
 from badgerbend.leases.voter import Voter
-from tests.simfeed import Chaos, Kinds
+from tests.simfeed_settings import Chaos, Kinds
 
 # -- followers
 
@@ -24,7 +24,7 @@
 
 
 class AppliesBeforeTheDigests(Follower):
-    """Puts a signed publication's changes in force before it looks at their digests."""
+    """Installs a signed publication's changes before it checks their digests."""
 
     def _apply_publication(self, publication):
         replica = self.replica
@@ -75,7 +75,7 @@
 
 
 class KeepsHalfASnapshot(Replica):
-    """Goes on with a half-loaded snapshot's pieces under the next connection."""
+    """Applies the pieces of an incomplete snapshot when the connection ends."""
 
     def discard_assembly(self):
         half = self.assembly
@@ -85,19 +85,19 @@
 
 
 class LoadsInPlace(Follower):
-    """Puts each piece of a snapshot in force as it comes."""
+    """Installs each piece of a snapshot as it arrives."""
 
     def _add_snapshot_piece(self, message):
         assembly = self.replica.assembly
         if assembly is not None and message.index == assembly._next:
-            changes = decode_changes(_unpacked(message.compressed))
+            changes = decode_changes(_decompress(message.compressed))
             self._actions.append(Install(assembly.checkpoint.revision, changes))
         super()._add_snapshot_piece(message)
 
 
 class _UnorderedAssembly(SnapshotAssembly):
     def add(self, piece):
-        self.content.apply(decode_changes(_unpacked(piece.compressed)))
+        self.content.apply(decode_changes(_decompress(piece.compressed)))
         self._next += 1
 
 
@@ -127,18 +127,18 @@
     staleness_type = TakesAgeOfAnyRelay
 
 
-class LooksNotAtItself(Follower):
-    """Says of its replica what the checkpoint says, and not what it is."""
+class ReportsDigestOfCheckpoint(Follower):
+    """Reports the digest of its checkpoint, whatever its content is."""
 
     def connected(self, now, attempt):
         replica = self.replica
         damaged, replica.is_damaged = replica.is_damaged, False
-        content, self.log.content = self.log.content, _SaysItIsWhole(self.log)
+        content, self.log.content = self.log.content, _ClaimsIntegrity(self.log)
         super().connected(now, attempt)
         self.log.content, replica.is_damaged = content, damaged
 
 
-class _SaysItIsWhole:
+class _ClaimsIntegrity:
     def __init__(self, log):
         self.checkpoint = log.checkpoint
 
@@ -160,7 +160,7 @@
 
 
 class SkipsOnCatchUp(Relay):
-    """A follower that is more than one behind does not get the first that it lacks."""
+    """Skips the first publication for a follower that is more than one behind."""
 
     def catch_up(self, now, session):
         if self.log.oldest_revision <= session.position < self.log.revision - 1:
@@ -169,7 +169,7 @@
 
 
 class GoesOnAfterCompaction(Relay):
-    """Sends the oldest publication retained to one who is behind it, in place of a snapshot."""
+    """Sends the oldest retained publication to a follower behind it, in place of a snapshot."""
 
     def catch_up(self, now, session):
         if session.position < self.log.oldest_revision:
@@ -184,7 +184,7 @@
 
 
 class AgeOfItsOwn(Relay):
-    """Says that it is up to date whatever was confirmed."""
+    """Claims to be up to date whatever was confirmed."""
 
     def age_s(self, now):
         return 0.0
@@ -221,7 +221,7 @@
     def _publish(self, part, data):
         before = self.log.revision
         super()._publish(part, data)
-        if self.log.revision == before and self._pending_of[1] == before:
+        if self.log.revision == before and self._pending_key.revision == before:
             publication = self.log._retained[-1] if self.log._retained else None
             if publication is not None:
                 checkpoint = self.log.checkpoint
@@ -266,26 +266,26 @@
     """Signs what a batch leads to from an empty content."""
 
     def _propose_next(self, now):
-        before = self._flying
+        before = self._in_flight
         super()._propose_next(now)
-        flying = self._flying
+        flying = self._in_flight
         if flying is not None and flying is not before and self.log.revision % 5 == 4:
             old = flying.checkpoint
             content = type(self.log.content)().digest_after(flying.changes)
             signature = self.signer.sign(signed_bytes(old.epoch, old.revision, content, old.changes_digest))
-            self._flying = Publication(
+            self._in_flight = Publication(
                 Checkpoint(old.epoch, old.revision, content, old.changes_digest, signature), flying.changes
             )
-            self._out.clear()
-            self._propose(now, self._flying)
+            self._commands.clear()
+            self._propose(now, self._in_flight)
 
 
 class TakesAnyGrowthForItsOwn(Publisher):
     """Drops a batch when the log has reached its revision, whosever publication that is."""
 
     def log_advanced(self, now):
-        if self._flying is not None and self.log.revision >= self._flying.checkpoint.revision:
-            self._flying, self._again_at = None, float("inf")
+        if self._in_flight is not None and self.log.revision >= self._in_flight.checkpoint.revision:
+            self._in_flight, self._retry_at = None, float("inf")
             self._propose_next(now)
 
 
@@ -321,7 +321,9 @@
     "the first of two changes of a key": Mutant(Kinds(follower=ForgetsTheFirstOfTwo)),
     "a publication skipped on catch-up": Mutant(Kinds(relay=SkipsOnCatchUp)),
     "the wrong place after compaction": Mutant(Kinds(relay=GoesOnAfterCompaction), 1, STOPS),
-    "digests not compared on resumption": Mutant(Kinds(relay=ComparesNoDigests, follower=LooksNotAtItself), 0, DAMAGE),
+    "digests not compared on resumption": Mutant(
+        Kinds(relay=ComparesNoDigests, follower=ReportsDigestOfCheckpoint), 0, DAMAGE
+    ),
     "an age whatever was confirmed": Mutant(Kinds(relay=AgeOfItsOwn), 0, CUTS),
     "a window not kept": Mutant(Kinds(relay=SendsPastTheWindow), 0, STOPS),
     "snapshots without number": Mutant(Kinds(relay=BeginsEverySnapshot), 0, ZONES),
--- a/tests/feed_stage.py
+++ b/tests/feed_stage.py
@@ -1,4 +1,4 @@
-"""A relay and followers joined without a network: every action is carried out at once, on a clock of the test's."""
+"""A relay and followers connected without a network: actions are carried out at once, on a clock of the test's own."""
 
 from badgerbend.feed.errors import FeedError
 from badgerbend.feed.follower import Follower
@@ -12,9 +12,9 @@
     Send,
 )
 from badgerbend.feed.framing import FrameReader
-from badgerbend.feed.log import Retention
+from badgerbend.feed.log import Retention, changes_digest
 from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
-from badgerbend.feed.messages import Change
+from badgerbend.feed.messages import Change, Checkpoint, Publication, signed_bytes
 from badgerbend.feed.publisher import Publisher, PublisherTuning
 from badgerbend.feed.relay import Relay
 from badgerbend.feed.relay_types import Close, RelayTuning, SendTo
@@ -23,17 +23,34 @@
 
 SIGNER = Ed25519Signer(bytes(range(32)))
 VERIFIER = Ed25519Verifier(SIGNER.public_key())
-RETENTION, AT_ONCE, RELAY = Retention(), PublisherTuning(batch_window=0.0), RelayTuning()
+RETENTION = Retention()
+AT_ONCE = PublisherTuning(batch_window=0.0)
+RELAY = RelayTuning()
 ADDRESS = RelayAddress("relay-1", "north", "127.0.0.1", 1)
+MANY = 3000  # nodes of a full stage
 
 
 def change(key, value):
-    """A change with text for its value, or none."""
+    """A change with text as its value; None removes the key."""
     return Change(key, None if value is None else value.encode())
 
 
+def entries(log):
+    """Keys and values of a log's content."""
+    return dict(log.content.items())
+
+
+def signed(log, epoch, *changes, revision=None):
+    """A publication as the publisher would make it on top of a log."""
+    revision = log.revision + 1 if revision is None else revision
+    content_digest = log.content.digest_after(changes)
+    digest = changes_digest(changes)
+    signature = SIGNER.sign(signed_bytes(epoch, revision, content_digest, digest))
+    return Publication(Checkpoint(epoch, revision, content_digest, digest, signature), changes)
+
+
 class Control:
-    """One control machine without agreement: commands are applied as they come."""
+    """One control machine without consensus: commands are applied as they come."""
 
     def __init__(self, retention=RETENTION, tuning=AT_ONCE, check=lambda change: ""):
         self.machine = FeedStateMachine(retention)
@@ -41,13 +58,14 @@
         self.publisher = Publisher(self.machine.log, check, SIGNER, tuning)
 
     def command(self, data):
+        """Apply a command; whether it published something."""
         self.index += 1
         before = self.machine.log.revision
         self.machine.apply(self.index, data)
         return self.machine.log.revision > before
 
     def grant(self, now=0.0, holder="control-1"):
-        """Gives the lease on publishing to a holder, from whoever has it; its epoch."""
+        """Grant the lease on publishing, releasing it first where somebody has it; return its epoch."""
         lease = self.machine.table.lease(PUBLISH_LEASE)
         if lease.holder:
             self.command(encode(ReleaseLease(PUBLISH_LEASE, lease.epoch)))
@@ -57,12 +75,13 @@
         return epoch
 
     def publish(self, now, *changes):
-        """Has one batch agreed on; what was wrong with it."""
-        problems = self.publisher.submit(now, changes)
+        """Submit and commit one batch; return the changes that were rejected."""
+        rejected = self.publisher.submit(now, changes)
         self.pump(now)
-        return problems
+        return rejected
 
     def pump(self, now):
+        """Commit all that the publisher proposes."""
         while True:
             self.publisher.tick(now)
             commands = self.publisher.take_commands()
@@ -74,31 +93,39 @@
 
 
 class Stage:
-    """One relay and its followers. `hold`: followers whose connection takes nothing for now."""
+    """One relay and its followers. `stalled`: followers whose connection takes nothing for now."""
 
     def __init__(self, control, relay_tuning=RELAY):
         self.now = 0.0
         self.control = control
         self.relay = Relay(ADDRESS.name, control.machine.log, relay_tuning)
         self.relay.mark_current(self.now)
-        self.followers, self.installed, self.rejected, self.closed = {}, {}, {}, []
-        self.sessions, self.readers, self.numbers = {}, {}, 0
-        self.hold, self.held = set(), {}
-        self.sent_bytes = {}
+        self.followers = {}  # by name
+        self.installed = {}  # name: Install actions
+        self.rejected = {}  # name: errors of messages that were not used
+        self.closed = []  # (name, reason)
+        self.sessions = {}  # number: name
+        self.readers = {}  # number: FrameReader
+        self.numbers = 0
+        self.stalled = set()  # names
+        self.buffered = {}  # name: (session, frame) that wait
+        self.sent_bytes = {}  # by name
         self.damage = None  # what a lying relay makes of a frame
 
     def follower(self, name, start=True, **tuning):
-        made = Follower(
-            name, "north", [ADDRESS], VERIFIER, FollowerTuning(start_jitter=0.0, **tuning), len(self.followers)
-        )
-        self.followers[name], self.installed[name], self.rejected[name] = made, [], []
+        """Add a follower, with these fields of its tuning."""
+        follower_tuning = FollowerTuning(start_jitter=0.0, **tuning)
+        follower = Follower(name, "north", [ADDRESS], VERIFIER, follower_tuning, len(self.followers))
+        self.followers[name] = follower
+        self.installed[name] = []
+        self.rejected[name] = []
         if start:
-            made.start(self.now)
+            follower.start(self.now)
             self.settle()
-        return made
+        return follower
 
     def settle(self):
-        """Carries actions out until there are none."""
+        """Carry out actions until there are none."""
         busy = True
         while busy:
             busy = False
@@ -112,6 +139,7 @@
                 self._relay_action(action)
 
     def pass_time(self, seconds, step=0.25):
+        """Let time pass, with the relay's log confirmed as current."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(self.now + step, end)
@@ -120,22 +148,23 @@
             self.settle()
 
     def publish(self, *changes):
-        problems = self.control.publish(self.now, *changes)
+        """Publish one batch; return the changes that were rejected."""
+        rejected = self.control.publish(self.now, *changes)
         self.relay.log_advanced(self.now)
         self.settle()
-        return problems
+        return rejected
 
     def disconnect(self, name):
-        """The connection breaks."""
+        """Break a follower's connection."""
         number = next(n for n, who in self.sessions.items() if who == name)
         del self.sessions[number]
         self.relay.closed(self.now, number)
         self.followers[name].closed(self.now, self.followers[name].attempt)
 
-    def release(self, name):
-        """The follower's connection takes what was held back."""
-        self.hold.discard(name)
-        for number, data in self.held.pop(name, []):
+    def resume(self, name):
+        """The follower's connection takes what was buffered, and what comes."""
+        self.stalled.discard(name)
+        for number, data in self.buffered.pop(name, []):
             if number in self.sessions:
                 self._deliver(number, name, data)
         self.settle()
@@ -144,7 +173,8 @@
         match action:
             case Connect():
                 self.numbers += 1
-                self.sessions[self.numbers], self.readers[self.numbers] = name, FrameReader()
+                self.sessions[self.numbers] = name
+                self.readers[self.numbers] = FrameReader()
                 self.relay.opened(self.now, self.numbers)
                 follower.connected(self.now, action.attempt)
             case Send():
@@ -169,8 +199,8 @@
         match action:
             case SendTo():
                 self.sent_bytes[name] = self.sent_bytes.get(name, 0) + len(action.frame)
-                if name in self.hold:
-                    self.held.setdefault(name, []).append((action.session, action.frame))
+                if name in self.stalled:
+                    self.buffered.setdefault(name, []).append((action.session, action.frame))
                 else:
                     self._deliver(action.session, name, action.frame)
             case Close():
@@ -189,3 +219,21 @@
         except FeedError as error:
             follower.protocol_error(self.now, attempt, error)
         self.relay.drained(self.now, number)
+
+
+def new_stage(**tuning):
+    """A relay whose publisher has the lease; `tuning` of the relay."""
+    control = Control()
+    control.grant()
+    return Stage(control, RelayTuning(**tuning))
+
+
+def full_stage(retention=RETENTION, **tuning):
+    """A stage whose feed holds a list of many nodes."""
+    control = Control(retention)
+    control.grant()
+    rows = [change(f"node/{i}", f"ready at 10.0.{i // 256}.{i % 256}:80 " + "x" * 40) for i in range(MANY)]
+    stage = Stage(control, RelayTuning(**tuning))
+    stage.publish(*rows[: MANY // 2])
+    stage.publish(*rows[MANY // 2 :])
+    return stage
