--- a/badgerbend/decisions/endpoints.py
+++ b/badgerbend/decisions/endpoints.py
@@ -17,6 +17,9 @@
 FIRST_BACKOFF_DIVISOR = 8.0
 """The first backoff is the poll interval divided by this."""
 
+BACKOFF_DOUBLINGS = 3
+"""Failed polls after which the backoff has grown from an eighth of the poll interval to all of it."""
+
 BACKOFF_NOTIFICATION_SHARE = 1 / 3
 """Largest backoff, as a share of the longest notification delay; the call before and the answer after take as much."""
 
@@ -54,7 +57,8 @@
 
     def poll_failed(self, now_ms: float) -> None:
         """Backs off after a failed poll, or after a watch that broke."""
-        backoff_ms = self._settings.max_poll_interval_ms * min(1.0, 2.0**self._failed_polls / FIRST_BACKOFF_DIVISOR)
+        doublings = min(self._failed_polls, BACKOFF_DOUBLINGS)
+        backoff_ms = self._settings.max_poll_interval_ms * 2.0**doublings / FIRST_BACKOFF_DIVISOR
         backoff_ms = min(backoff_ms, self._settings.max_notification_delay_ms * BACKOFF_NOTIFICATION_SHARE)
         self._poll_at_ms = now_ms + backoff_ms * self._random.uniform(0.5, 1.0)
         self._failed_polls += 1
--- a/tests/test_decisions_endpoints.py
+++ b/tests/test_decisions_endpoints.py
@@ -48,6 +48,16 @@
     assert len(of(api.FollowEndpointList, b.log)) == 2
 
 
+def test_polls_go_on_however_often_they_failed():
+    # 2.0 to the number of failed polls overflowed after 1,024 of them, half an hour or more without discovery.
+    b = Bench(polls_endpoint_list=True)
+    for _ in range(1100):
+        b.do(api.EndpointUpdate(api.UpdateKind.FAILED, ()))
+    b.log.clear()
+    b.wait(10_000.0)  # the longest backoff
+    assert of(api.FollowEndpointList, b.log)
+
+
 def test_servers_that_left_are_forgotten():
     # Releases bring new ids: what was known of old ones was kept for ever.
     b = Bench()
