--- a/tests/crossing_days.py
+++ b/tests/crossing_days.py
@@ -87,7 +87,7 @@
         for reader in self.readers:
             reader.cancel()
         await until(lambda: not self.stage.service.driver.queries and not self.stage.service.driver._out)
-        if self.stage.service.driver.module.attempts:
+        if self.stage.service.driver.module.queries.attempts:
             self.broken.append(("an attempt that was never made", 0.0))
 
     # -- what happens
