--- a/benchmarks/feed_seeds.py
+++ b/benchmarks/feed_seeds.py
@@ -17,7 +17,7 @@
 sys.path[:0] = [str(Path(__file__).parent.parent)]
 
 from tests.feed_mutants import MUTANTS  # noqa: E402
-from tests.simfeed import TROUBLED_S, World, play  # noqa: E402
+from tests.simfeed import FAULTS_S, World, play  # noqa: E402
 from tests.simvoters import Broken  # noqa: E402
 
 MOST_PROCESSES = 4
@@ -71,7 +71,7 @@
     publications = sum(outcome.publications for outcome in outcomes)
     installs = sum(outcome.installs for outcome in outcomes)
     understated_s = max(outcome.understated_s for outcome in outcomes)
-    settled_s = max(outcome.simulated_s - TROUBLED_S for outcome in outcomes)
+    settled_s = max(outcome.simulated_s - FAULTS_S for outcome in outcomes)
     margin_s = min(outcome.margin_s for outcome in outcomes)
     print(f"{simulated_s:.0f} simulated s, {publications} publications, {installs} installs")
     print(f"all was settled within {settled_s:.1f} s of the last trouble, where it settled")
--- a/tests/feed_mutants.py
+++ b/tests/feed_mutants.py
@@ -298,14 +298,32 @@
     chaos: Chaos = Chaos()
 
 
-LIES = Chaos(troubles=("lie", "lie", "lie", "break", "break", "zone back"), every_s=0.7)
-CUTS = Chaos(troubles=("cut region", "cut control", "burst"), every_s=2.0, cut_s=(20.0,))
-ZONES = Chaos(troubles=("zone back", "break"), every_s=1.0)
-DAMAGE = Chaos(troubles=("damage", "damage", "break", "burst"), every_s=0.8)
-STOPS = Chaos(troubles=("stop followers", "burst", "break"), every_s=0.4)
-LEASES = Chaos(troubles=("give back", "cede", "crash leader", "stop relay", "burst"), late=0.2, late_s=3.0, every_s=0.6)
-
-STALLS = Chaos(troubles=("stop relay", "stop relay", "cut control"), late=0.3, late_s=2.0, every_s=0.2, stop_s=0.9)
+LIES = Chaos(
+    faults=("lying relay", "lying relay", "lying relay", "broken connections", "broken connections", "zone restart"),
+    fault_interval_s=0.7,
+)
+CUTS = Chaos(
+    faults=("partitioned region", "partitioned control", "burst of changes"), fault_interval_s=2.0, partition_s=(20.0,)
+)
+ZONES = Chaos(faults=("zone restart", "broken connections"), fault_interval_s=1.0)
+DAMAGE = Chaos(
+    faults=("damaged replica", "damaged replica", "broken connections", "burst of changes"), fault_interval_s=0.8
+)
+STOPS = Chaos(faults=("suspended followers", "burst of changes", "broken connections"), fault_interval_s=0.4)
+LEASES = Chaos(
+    faults=("lease release", "leadership transfer", "crash leader", "suspended relay", "burst of changes"),
+    late=0.2,
+    late_s=3.0,
+    fault_interval_s=0.6,
+)
+
+STALLS = Chaos(
+    faults=("suspended relay", "suspended relay", "partitioned control"),
+    late=0.3,
+    late_s=2.0,
+    fault_interval_s=0.2,
+    max_suspension_s=0.9,
+)
 
 MUTANTS = {
     "changes in force before their digest is checked": Mutant(Kinds(follower=AppliesBeforeTheDigests), 1, LIES),
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -29,16 +29,16 @@
     CONTROL,
     EDGE_RETENTION,
     FOLLOWER,
+    LEASE_TIMING,
     PIECE_BYTES,
     PRODUCT,
     PUBLISHER,
+    RAFT_CONFIG,
     REGIONS,
     RELAY,
     RETENTION,
     SLACK_S,
-    TERMS,
-    TUNING,
-    WATCH_S,
+    WATCH_INTERVAL_S,
     Chaos,
     KeyedHash,
 )
@@ -54,9 +54,9 @@
     name: str
     region: str
     clock: Clock
-    life: int = 0
+    incarnation: int = 0
     running: bool = False
-    stopped_until: float = 0.0
+    suspended_until: float = 0.0
     tick_at: float = 0.0
     voter: object = None
     machine: object = None
@@ -80,7 +80,8 @@
     """All hosts and their time: call `run`, then `heal` and `settles`."""
 
     def __init__(self, seed, chaos=None, kinds=PRODUCT):
-        self.chaos, self.kinds = chaos or Chaos(), kinds
+        self.chaos = chaos or Chaos()
+        self.kinds = kinds
         self.rng = random.Random(seed)
         self.network = Network(self)
         self.connections = Connections(self)
@@ -88,12 +89,16 @@
         self.faults = FaultInjector(self)
         self.changes = ChangeSource(self)
         self.watcher = Watcher(self)
-        self.now, self.order, self.due = 0.0, count(), []
+        self.now = 0.0
+        self.order = count()
+        self.due = []  # a heap of (time, order, function, arguments)
         self.signature = KeyedHash()
         self.judge = Judge(3 * self.chaos.rate)
         self.voters = tuple(f"v{i}" for i in range(5))
         self.disks = {name: Disk(self.voters) for name in self.voters}
-        self.hosts, self.streams, self.numbers = {}, {}, count(1)
+        self.hosts = {}  # by name
+        self.streams = {}  # by number
+        self.numbers = count(1)
         self.values = count()
         self.healed = False
         self.counts = {}
@@ -102,17 +107,18 @@
             self._add_host(f"f{place}", REGIONS[place % 3])
         for name in self.hosts:
             self.boot(name)
-        self.repeat_forever(WATCH_S, self.watcher.watch)
-        self.repeat_forever(self.chaos.submit_s, self.changes.submit)
-        self.repeat_forever(self.chaos.every_s, self.faults.inject)
+        self.repeat_forever(WATCH_INTERVAL_S, self.watcher.watch)
+        self.repeat_forever(self.chaos.submit_interval_s, self.changes.submit)
+        self.repeat_forever(self.chaos.fault_interval_s, self.faults.inject)
 
     def voter_bound_s(self):
-        """By how much a voter that follows may take its content for too fresh, beside its leader's message's way.
+        """By how much a following voter may understate the age of its content, beside the delay of a message.
 
-        A leader cut off from the majority speaks on for 2 * election_timeout_s, counted from answers of the majority
-        that were late (late_s) or that waited in a leader that stood still (stop_s). The rest is for delays and clocks.
+        A leader that is partitioned from the majority sends heartbeats for 2 * election_timeout_s, counted from replies
+        of the majority that were late (late_s) or that waited in a suspended leader (max_suspension_s). The slack is
+        for other delays and for clocks.
         """
-        return 2 * TUNING.election_timeout_s + self.chaos.late_s + self.chaos.stop_s + SLACK_S
+        return 2 * RAFT_CONFIG.election_timeout_s + self.chaos.late_s + self.chaos.max_suspension_s + SLACK_S
 
     def stream_bound_s(self):
         """By how much a heartbeat may be late and still count.
@@ -135,8 +141,10 @@
     def boot(self, name):
         """Start a process on a host, with what its disk holds."""
         host = self.hosts[name]
-        host.life += 1
-        host.running, host.stopped_until, host.tick_at = True, 0.0, 0.0
+        host.incarnation += 1
+        host.running = True
+        host.suspended_until = 0.0
+        host.tick_at = 0.0
         host.age_bound_s = 0.0
         host.follower = host.voter = host.relay = host.publisher = host.holder = host.machine = host.control = None
         if name in self.voters:
@@ -153,13 +161,16 @@
         self.runner.collect(host)
 
     def _boot_control(self, host):
-        local, seed = host.local(), self.rng.getrandbits(32)
+        local = host.local()
+        seed = self.rng.getrandbits(32)
         host.machine = self.kinds.machine(RETENTION)
         host.machine.apply = self._seen_by_judge(host.machine.apply)
-        tuning = replace(TUNING, compact_after_entries=self.chaos.compact)
-        kept = self.disks[host.name].persistent_state()
-        host.voter = self.kinds.voter(host.name, kept, tuning, TERMS, seed, local, host.machine)
-        host.holder = LeaseHolder(host.name, host.name, {PUBLISH_LEASE: True}, self.voters, TERMS, seed + 1, local)
+        tuning = replace(RAFT_CONFIG, compact_after_entries=self.chaos.compact_after_entries)
+        state = self.disks[host.name].persistent_state()
+        host.voter = self.kinds.voter(host.name, state, tuning, LEASE_TIMING, seed, local, host.machine)
+        host.holder = LeaseHolder(
+            host.name, host.name, {PUBLISH_LEASE: True}, self.voters, LEASE_TIMING, seed + 1, local
+        )
         host.log = host.machine.log
         host.publisher = self.kinds.publisher(host.log, lambda change: "", self.signature, PUBLISHER)
 
@@ -194,29 +205,29 @@
             stream.breaks(resets, resets)
         self.at(back_s, self.boot, name)
 
-    def when_running(self, host, what, *args):
+    def when_running(self, host, action, *args):
         """Whether the host runs now. A suspended one is called later, in order; one that is down never."""
         if not host.running:
             return False
-        if self.now < host.stopped_until:
-            self.at_time(host.stopped_until, what, *args)
+        if self.now < host.suspended_until:
+            self.at_time(host.suspended_until, action, *args)
             return False
         return True
 
-    def at(self, after, what, *args):
+    def at(self, after, action, *args):
         """Call a function after so many seconds."""
-        self.at_time(self.now + max(after, 0.0), what, *args)
+        self.at_time(self.now + max(after, 0.0), action, *args)
 
-    def at_time(self, at, what, *args):
+    def at_time(self, at, action, *args):
         """Call a function at a time; calls of the same time keep the order in which they were scheduled."""
-        heapq.heappush(self.due, (at, next(self.order), what, args))
+        heapq.heappush(self.due, (at, next(self.order), action, args))
 
-    def repeat_forever(self, mean_s, what):
+    def repeat_forever(self, mean_s, action):
         """Call a function at random intervals with this mean."""
 
         def again():
             self.at(self.rng.uniform(0.3, 1.7) * mean_s, again)
-            what()
+            action()
 
         self.at(self.rng.random() * mean_s, again)
 
@@ -225,23 +236,23 @@
         end = self.now + seconds
         with patch.object(snapshot, "PIECE_TARGET_BYTES", PIECE_BYTES):
             while self.due and self.due[0][0] <= end:
-                self.now, _, what, args = heapq.heappop(self.due)
-                what(*args)
+                self.now, _, action, args = heapq.heappop(self.due)
+                action(*args)
         self.now = end
 
     def wake(self, host):
         """Schedule the next tick of a host's parts."""
         earliest = min(part.next_at for part in host.parts)
-        at = max(host.clock.true(earliest), self.now + 0.001, host.stopped_until)
+        at = max(host.clock.true(earliest), self.now + 0.001, host.suspended_until)
         if host.tick_at <= self.now or at < host.tick_at:
             host.tick_at = at
-            self.at(at - self.now, self._tick, host, host.life, at)
+            self.at(at - self.now, self._tick, host, host.incarnation, at)
 
-    def _tick(self, host, life, at):
-        if host.life != life or host.tick_at != at or not host.running:
+    def _tick(self, host, incarnation, at):
+        if host.incarnation != incarnation or host.tick_at != at or not host.running:
             return
         host.tick_at = 0.0
-        if self.now < host.stopped_until:
+        if self.now < host.suspended_until:
             self.wake(host)
             return
         for part in host.parts:
@@ -250,15 +261,15 @@
 
     def running_controls(self):
         """Control machines that run and are not suspended."""
-        return [h for h in map(self.hosts.get, self.voters) if h.running and self.now >= h.stopped_until]
+        return [h for h in map(self.hosts.get, self.voters) if h.running and self.now >= h.suspended_until]
 
     def brokers(self):
         """Hosts with a follower and no relay."""
         return [h for h in self.hosts.values() if h.name.startswith("f")]
 
-    def count(self, what):
+    def count(self, event):
         """Count an event for the report of many seeds."""
-        self.counts[what] = self.counts.get(what, 0) + 1
+        self.counts[event] = self.counts.get(event, 0) + 1
 
     def heal(self):
         """Inject no more faults; the network is healthy from here on."""
@@ -279,11 +290,12 @@
         return ""
 
 
-TROUBLED_S, QUIET_S = 25.0, 60.0
+FAULTS_S = 25.0
+QUIET_S = 60.0
 
 
 def play(world):
     """Run a world with faults and then without; return what has not settled, or nothing. Raises `Broken`."""
-    world.run(TROUBLED_S)
+    world.run(FAULTS_S)
     world.heal()
     return world.settles(QUIET_S)
--- a/tests/simfeed_changes.py
+++ b/tests/simfeed_changes.py
@@ -14,7 +14,12 @@
         """Submit a few changes to each publisher that runs."""
         for name in self.world.voters:
             host = self.world.hosts[name]
-            if host.running and self.world.now >= host.stopped_until and host.publisher.epoch and not self.world.healed:
+            if (
+                host.running
+                and self.world.now >= host.suspended_until
+                and host.publisher.epoch
+                and not self.world.healed
+            ):
                 self.submit_to(host, self.world.rng.randint(1, 4))
 
     def submit_to(self, host, number):
--- a/tests/simfeed_connections.py
+++ b/tests/simfeed_connections.py
@@ -13,7 +13,7 @@
         """Open a connection; it may be refused, or nothing may come back."""
         if self.world.network.is_cut(host, relay) or not relay.running:
             if self.world.rng.random() < 0.5 and not relay.running:  # refused; otherwise there is no answer
-                self.world.at(self.world.network.latency(host, relay), self._refused, host, host.life, attempt)
+                self.world.at(self.world.network.latency(host, relay), self._refused, host, host.incarnation, attempt)
             return
         number = next(self.world.numbers)
         stream = Stream(self.world, number, host, attempt, relay)
@@ -22,8 +22,8 @@
         self.world.at(delay, self._opened, stream)
         self.world.at(2 * delay, self._connected, stream)
 
-    def _refused(self, host, life, attempt):
-        if host.life == life and self.world.when_running(host, self._refused, host, life, attempt):
+    def _refused(self, host, incarnation, attempt):
+        if host.incarnation == incarnation and self.world.when_running(host, self._refused, host, incarnation, attempt):
             host.follower.closed(host.local(), attempt)
             self.world.runner.collect(host)
 
@@ -42,6 +42,6 @@
     def stream_of(self, host, attempt):
         """The open connection of a follower's attempt, if there is one."""
         for stream in self.world.streams.values():
-            if stream.follower is host and stream.attempt == attempt and stream.lives[0] == host.life:
+            if stream.follower is host and stream.attempt == attempt and stream.incarnations[0] == host.incarnation:
                 return stream
         return None
--- a/tests/simfeed_faults.py
+++ b/tests/simfeed_faults.py
@@ -16,7 +16,7 @@
         world = self.world
         if world.healed:
             return
-        kind = self._choice(world.chaos.troubles)
+        kind = self._choice(world.chaos.faults)
         name = self._choice(list(world.hosts))
         control = world.hosts[self._choice(world.voters)]
         world.count(kind)
@@ -27,17 +27,17 @@
                 self._crash_leaders()
             case "crash mid-snapshot":
                 self._crash_mid_snapshot()
-            case "damage":
+            case "damaged replica":
                 self._damage(self._choice(world.brokers()))
-            case "burst":
+            case "burst of changes":
                 self._burst(world.rng.randint(5, 40))
-            case "lie":
+            case "lying relay":
                 self._lie(world.hosts[self._choice(world.relays).name])
-            case "zone back":
+            case "zone restart":
                 self._restart_zone()
-            case "give back" if control.running:
+            case "lease release" if control.running:
                 control.holder.release(control.local())
-            case "cede" if control.running and world.now >= control.stopped_until:
+            case "leadership transfer" if control.running and world.now >= control.suspended_until:
                 control.voter.raft.transfer_leadership(control.local())
                 world.runner.collect(control)
             case _:
@@ -47,18 +47,18 @@
         """Suspend processes, cut the network, or break connections."""
         world = self.world
         match kind:
-            case "stop relay":
-                self._suspend(world.hosts[self._choice(world.relays).name], world.chaos.stop_s)
-            case "stop followers":
+            case "suspended relay":
+                self._suspend(world.hosts[self._choice(world.relays).name], world.chaos.max_suspension_s)
+            case "suspended followers":
                 for host in world.brokers():
                     if world.rng.random() < 0.2:
-                        self._suspend(host, world.chaos.follower_stop_s)
-            case "cut region":
+                        self._suspend(host, world.chaos.max_follower_suspension_s)
+            case "partitioned region":
                 region = self._choice(REGIONS)
                 self._partition([host for host in world.hosts.values() if host.region == region])
-            case "cut control":
+            case "partitioned control":
                 self._partition([control], one_way=world.rng.random() < 0.3)
-            case "break":
+            case "broken connections":
                 for stream in list(world.streams.values()):
                     if world.rng.random() < 0.1:
                         stream.breaks(world.rng.random() < 0.8, world.rng.random() < 0.8)
@@ -112,12 +112,12 @@
     def _suspend(self, host, max_s):
         """The process does not run for a while."""
         if host.running:
-            host.stopped_until = max(host.stopped_until, self.world.now + max_s * self.world.rng.random())
+            host.suspended_until = max(host.suspended_until, self.world.now + max_s * self.world.rng.random())
             self.world.wake(host)
 
     def _partition(self, hosts, one_way=False):
         """Lose everything between these hosts and all others."""
-        until = self.world.now + self.world.rng.choice(self.world.chaos.cut_s) * self.world.rng.uniform(0.5, 1.0)
+        until = self.world.now + self.world.rng.choice(self.world.chaos.partition_s) * self.world.rng.uniform(0.5, 1.0)
         inside = {host.name for host in hosts}
         for name in inside:
             for other in self.world.hosts.keys() - inside:
--- a/tests/simfeed_runner.py
+++ b/tests/simfeed_runner.py
@@ -11,7 +11,7 @@
 )
 from badgerbend.feed.relay_types import Close, SendTo
 from badgerbend.leases import messages as lease_messages
-from tests.simfeed_settings import SUMMARY_S, UNCHANGED_LOOKS
+from tests.simfeed_settings import SUMMARY_INTERVAL_S, UNCHANGED_CHECK_SHARE
 
 
 class ActionRunner:
@@ -22,7 +22,7 @@
 
     def collect(self, host):
         """Carry out the actions of a host's parts, as long as it runs."""
-        if not host.running or self.world.now < host.stopped_until:
+        if not host.running or self.world.now < host.suspended_until:
             return
         if host.voter is not None:
             self._collect_voter(host)
@@ -43,7 +43,7 @@
             return
         epoch_before = host.publisher.epoch
         if host.control.synchronize(host.local()):
-            self.world.judge.voter(host.name, host.life, host.machine.log)
+            self.world.judge.voter(host.name, host.incarnation, host.machine.log)
         if host.publisher.epoch not in (0, epoch_before):
             self.world.count("lease")
         for action in host.control.take_actions():
@@ -57,7 +57,7 @@
         for number, record in output.records:
             disk.records.append(voting.encode(record))
             delay = world.rng.uniform(*world.chaos.sync)
-            world.at(delay, self._synced, host, host.life, number, len(disk.records))
+            world.at(delay, self._synced, host, host.incarnation, number, len(disk.records))
         for name, message in output.to_voters:
             network.send(host, name, network.deliver_voter_message, (world.now, voting.encode(message)))
         for name, reply in output.to_brokers:
@@ -69,7 +69,7 @@
         """Whether a leader crashes between the commit of a publication and its fan-out."""
         if not host.control.log_changed or not host.voter.is_leader or self.world.healed:
             return False
-        return self.world.rng.random() < self.world.chaos.caught
+        return self.world.rng.random() < self.world.chaos.crash_before_fan_out
 
     def _carry_out_control_action(self, host, action):
         network = self.world.network
@@ -81,13 +81,13 @@
             case ChangesAbandoned(changes):
                 self.world.judge.lease_lost(host.name, changes)
 
-    def _synced(self, host, life, number, length):
+    def _synced(self, host, incarnation, number, length):
         """A record has reached the disk."""
-        if host.life != life or not host.running:
+        if host.incarnation != incarnation or not host.running:
             return
         disk = self.world.disks[host.name]
         disk.synced = max(disk.synced, length)
-        if self.world.when_running(host, self._synced, host, life, number, length):
+        if self.world.when_running(host, self._synced, host, incarnation, number, length):
             host.voter.persisted(host.local(), number)
             self.collect(host)
 
@@ -96,7 +96,7 @@
         local = host.local()
         for action in host.follower.take_actions():
             self._carry_out_follower_action(host, action, local)
-        if world.rng.random() < UNCHANGED_LOOKS:
+        if world.rng.random() < UNCHANGED_CHECK_SHARE:
             world.judge.unchanged(host.name, host.log)
         if host.relay is not None:
             host.relay.mark_current(local, local - host.follower.age_s(local))
@@ -123,7 +123,7 @@
             case MessageRejected(_, error):
                 world.count(type(error).__name__)
                 stream = world.connections.stream_of(host, host.follower.attempt)
-                world.judge.rejected(host.name, error, stream is None or stream.lied_to)
+                world.judge.rejected(host.name, error, stream is None or stream.was_lied_to)
 
     def _collect_relay(self, host):
         world = self.world
@@ -132,7 +132,7 @@
             if stream is not None and stream.relay is host:
                 self._carry_out_relay_action(host, action, stream)
         if host.control is None and world.now >= host.summary_at:
-            host.summary_at = world.now + SUMMARY_S
+            host.summary_at = world.now + SUMMARY_INTERVAL_S
             summary = host.relay.summary()
             for name in world.voters:
                 world.network.send(host, name, world.network.deliver_summary, summary)
@@ -141,7 +141,7 @@
         match action:
             case SendTo(_, data):
                 frames = [data] if host.liar is None else host.liar.frames_in_place_of(data, action.session)
-                stream.lied_to = stream.lied_to or frames != [data]
+                stream.was_lied_to = stream.was_lied_to or frames != [data]
                 for frame in frames:
                     stream.send_down(frame)
                 self.world.watcher.watch_stream(host, stream)
--- a/tests/simfeed_settings.py
+++ b/tests/simfeed_settings.py
@@ -21,14 +21,14 @@
 PIECE_BYTES = 1500  # of a snapshot: several pieces, though the content is small
 KEY = b"the publisher's"
 SLACK_S = 0.2  # for delays of the network and clocks that run off
-WATCH_S = 0.5  # between looks at ages and memory
-SUMMARY_S = 0.7
-UNCHANGED_LOOKS = 0.05  # part of the turns in which a replica is compared with what is in force
+WATCH_INTERVAL_S = 0.5  # between looks at ages and memory
+SUMMARY_INTERVAL_S = 0.7
+UNCHANGED_CHECK_SHARE = 0.05  # of the turns in which a replica is compared with what was installed
 KEYS = 60
 
 
 class KeyedHash:
-    """`Signer` and `Verifier` by a keyed hash: as hard to forge here as Ed25519, and cheap enough for many seeds."""
+    """A `Signer` and `Verifier` by a keyed hash: as hard to forge here as Ed25519, and fast enough for many seeds."""
 
     def sign(self, payload):
         return hmac.digest(KEY, payload, "sha512")
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Kinds:
-    """Classes in the place of the product's, for mutants."""
+    """Classes in place of the product's, for planted defects."""
 
     machine: type = FeedStateMachine
     publisher: type = Publisher
@@ -49,34 +49,34 @@
 
 
 PRODUCT = Kinds()
-TROUBLES = (
+FAULTS = (
     "crash",
     "crash",
     "crash leader",
-    "stop relay",
-    "stop followers",
-    "stop followers",
-    "cut region",
-    "cut region",
-    "cut control",
-    "zone back",
-    "lie",
-    "lie",
-    "break",
-    "break",
-    "break",
-    "burst",
-    "burst",
-    "give back",
-    "cede",
-    "damage",
+    "suspended relay",
+    "suspended followers",
+    "suspended followers",
+    "partitioned region",
+    "partitioned region",
+    "partitioned control",
+    "zone restart",
+    "lying relay",
+    "lying relay",
+    "broken connections",
+    "broken connections",
+    "broken connections",
+    "burst of changes",
+    "burst of changes",
+    "lease release",
+    "leadership transfer",
+    "damaged replica",
     "crash mid-snapshot",
 )
 
 
 @dataclass(frozen=True)
 class Chaos:
-    """Chances and sizes; times are seconds. late: of datagrams, delayed by up to late_s."""
+    """Probabilities and sizes; times are in seconds. late: of datagrams, which are delayed by up to late_s."""
 
     followers: tuple = (20, 32)
     edges: bool = True  # two relays that follow relays
@@ -86,19 +86,19 @@
     delay: tuple = (0.001, 0.02)
     sync: tuple = (0.0005, 0.01)
     rate: float = 0.01
-    every_s: float = 0.8  # between troubles
-    submit_s: float = 0.25
-    stop_s: float = 3.0  # a process stands still for at most so long
-    follower_stop_s: float = 8.0
-    cut_s: tuple = (2.0, 5.0, 20.0)
+    fault_interval_s: float = 0.8  # between faults, on average
+    submit_interval_s: float = 0.25
+    max_suspension_s: float = 3.0
+    max_follower_suspension_s: float = 8.0
+    partition_s: tuple = (2.0, 5.0, 20.0)
     bytes_per_second: tuple = (4_000, 30_000, 1_000_000)
-    troubles: tuple = TROUBLES
-    compact: int = 60
-    caught: float = 0.03  # chance that a leader crashes between a publication and its fan-out
+    faults: tuple = FAULTS
+    compact_after_entries: int = 60
+    crash_before_fan_out: float = 0.03  # chance that a leader crashes between a publication and its fan-out
 
 
-TUNING = RaftConfig(election_timeout_s=0.4, heartbeat_interval_s=0.1)
-TERMS = LeaseTiming(
+RAFT_CONFIG = RaftConfig(election_timeout_s=0.4, heartbeat_interval_s=0.1)
+LEASE_TIMING = LeaseTiming(
     lease_duration_s=1.2,
     clock_drift_bound=0.01,
     candidacy_interval_s=0.4,
@@ -131,5 +131,6 @@
     status_min_interval=0.3,
     status_max_interval=1.5,
 )
-CONTROL = ControlTuning(confirm_interval=0.4, summary_interval=SUMMARY_S)
-RETENTION, EDGE_RETENTION = Retention(14, 12_000), Retention(8, 8_000)
+CONTROL = ControlTuning(confirm_interval=0.4, summary_interval=SUMMARY_INTERVAL_S)
+RETENTION = Retention(14, 12_000)
+EDGE_RETENTION = Retention(8, 8_000)
--- a/tests/simfeed_watcher.py
+++ b/tests/simfeed_watcher.py
@@ -14,7 +14,7 @@
         for host in self.world.hosts.values():
             if not host.running:
                 continue
-            if host.voter is not None and self.world.now >= host.stopped_until:
+            if host.voter is not None and self.world.now >= host.suspended_until:
                 self.world.runner.collect(host)
             if host.follower is not None:
                 self._watch_age(host, host.follower)
@@ -25,7 +25,7 @@
 
     def watch_stream(self, host, stream):
         """Look at the bytes in flight of a connection."""
-        if not stream.lied_to:
+        if not stream.was_lied_to:
             allowed = RELAY.send_window + stream.largest_frame
             self.world.judge.in_flight(host.name, stream.number, len(stream.down.waiting), allowed)
 
--- a/tests/simstreams.py
+++ b/tests/simstreams.py
@@ -79,7 +79,7 @@
         """The receiver reads what has arrived, once it runs."""
         if not self.open or not self._arrived or not self.world.when_running(self.receiver, self._read):
             return
-        while self.open and self._arrived and self.world.now >= self.receiver.stopped_until:
+        while self.open and self._arrived and self.world.now >= self.receiver.suspended_until:
             chunk = self._arrived.popleft()
             self._unread -= len(chunk)
             self.deliver(chunk)
@@ -91,13 +91,13 @@
     def __init__(self, world, number, follower, attempt, relay):
         self.world, self.number, self.attempt = world, number, attempt
         self.follower, self.relay = follower, relay  # hosts
-        self.lives = follower.life, relay.life
+        self.incarnations = follower.incarnation, relay.incarnation
         speed = world.rng.choice(world.chaos.bytes_per_second)
         self.down = Pipe(world, relay, follower, speed, self._to_follower, self._taken)
         self.up = Pipe(world, follower, relay, speed, self._to_relay)
         self._down_frames, self._up_frames = FrameReader(), FrameReader()
         self.largest_frame = 0
-        self.lied_to = False  # it was sent other frames than its relay's core sent
+        self.was_lied_to = False  # it was sent other frames than its relay's core sent
 
     def send_down(self, data):
         self.largest_frame = max(self.largest_frame, len(data))
@@ -105,7 +105,7 @@
 
     def alive(self, host):
         """Whether the host's process is still the one that has this connection."""
-        return host.running and host.life == self.lives[host is self.relay]
+        return host.running and host.incarnation == self.incarnations[host is self.relay]
 
     def end(self, host, heard_after):
         """One end closes; the other hears of it later, or never (None)."""
--- a/tests/test_feed_simulated.py
+++ b/tests/test_feed_simulated.py
@@ -4,18 +4,18 @@
 
 from tests.feed_mutants import MUTANTS
 from tests.simfeed import World, play
-from tests.simfeed_settings import SLACK_S, TUNING, Chaos
+from tests.simfeed_settings import RAFT_CONFIG, SLACK_S, Chaos
 from tests.simvoters import Broken
 
 ONLY_PARTITIONS = Chaos(
-    troubles=("cut region", "cut control", "cut control"),
-    every_s=2.5,
-    cut_s=(3.0, 8.0),
+    faults=("partitioned region", "partitioned control", "partitioned control"),
+    fault_interval_s=2.5,
+    partition_s=(3.0, 8.0),
     loss=0.0,
     late=0.0,
     late_s=0.0,
-    stop_s=0.0,
-    caught=0.0,
+    max_suspension_s=0.0,
+    crash_before_fan_out=0.0,
 )
 
 
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_a_partitioned_leader_understates_ages_no_longer_than_check_quorum_allows(seed):
     world = World(seed, ONLY_PARTITIONS)
-    assert world.voter_bound_s() == 2 * TUNING.election_timeout_s + SLACK_S
+    assert world.voter_bound_s() == 2 * RAFT_CONFIG.election_timeout_s + SLACK_S
     assert play(world) == ""
     assert world.judge.oldest_seen > 2.0 and world.judge.lowest_margin < 1.0
 
