--- a/tests/simslowstart.py
+++ b/tests/simslowstart.py
@@ -6,7 +6,7 @@
 from badgerbend.slow_start_budget.broker import BrokerBudget
 from badgerbend.slow_start_budget.resources import ResourceKey
 from badgerbend.slow_start_budget.timing import BudgetTiming
-from tests.simsites import PACE, World
+from tests.simsites import SERVER_RATE, World
 
 TIMING = BudgetTiming(1000.0, 0.01)
 OVERLOAD_FACTOR = 2.0
@@ -19,7 +19,7 @@
 class SlowStartWorld(World):
     """shares_budget: whether brokers share it; `set_allocating(False)` leaves them without an allocator."""
 
-    module = {"overload_factor": OVERLOAD_FACTOR, "slow_start_from": SLOW_START_FROM}  # noqa: RUF012
+    settings = {"overload_factor": OVERLOAD_FACTOR, "slow_start_from": SLOW_START_FROM}  # noqa: RUF012
 
     def __init__(self, seed, dealt=True, brokers=(12, 4), servers=16, **changes):
         self.budgets = {}
@@ -32,7 +32,7 @@
         for i in self.budgets:
             self.at(self.now + self.rng.uniform(0, 250), lambda i=i: self.send_requests(i))
 
-    def allowance(self, index, seed):
+    def slow_start_budget(self, index, seed):
         if not self.shares_budget:
             return None
         self.budgets[index] = BrokerBudget(f"b{index}", "cold", TIMING, 1)
@@ -77,7 +77,7 @@
                     first += 1
                 warmth = min(1.0, SLOW_START_FROM + (1 - SLOW_START_FROM) * (t - server.started) / SLOW_START_MS)
                 if warmth < 1.0:
-                    most = max(most, (n - first + 1) / (OVERLOAD_FACTOR * warmth * PACE * OVERLOAD_WINDOW_MS))
+                    most = max(most, (n - first + 1) / (OVERLOAD_FACTOR * warmth * SERVER_RATE * OVERLOAD_WINDOW_MS))
         return most
 
 
@@ -100,12 +100,12 @@
     """A site is lost and back, and some of its brokers have most of its clients."""
     world = SlowStartWorld(seed, dealt)
     world.set_allocating(held)
-    world.load(0, 140.0, weights=[1.0 / (1 + i) ** skew for i in range(12)])
-    world.load(1, 40.0)
+    world.add_load(0, 140.0, weights=[1.0 / (1 + i) ** skew for i in range(12)])
+    world.add_load(1, 40.0)
     world.run(12_000)
-    world.lose(0)
+    world.crash_site(0)
     world.run(6_000)
-    world.bring_back(0)
+    world.restart_site(0)
     back = world.now
     world.run(8_000)
     return fared(world, back)
@@ -116,13 +116,13 @@
     world = SlowStartWorld(seed, dealt, brokers=(12, 1))
     world.set_allocating(held)
     weights = [1.0] * 10 + [0.2] * 2
-    world.load(0, 110.0, weights=weights)
+    world.add_load(0, 110.0, weights=weights)
     world.run(12_000)
     weights[:] = [0.1] * 10 + [4.0] * 2
-    for server in world.site(0):
+    for server in world.site_servers(0):
         server.crash()
-        server.up, server.started = True, world.now
-    world.tell()
+        server.restart()
+    world.publish_endpoints()
     since = world.now
     world.run(8_000)
     return fared(world, since)
--- a/tests/test_planted_defects.py
+++ b/tests/test_planted_defects.py
@@ -29,13 +29,13 @@
             "snapshot_bytes",
         },
         "ReportingClient": {"publications"},
-        "ReportingControl": {"told"},
+        "ReportingControl": {"reported_revision"},
     },
     "tests/known_red.py": {"report": {"longrepr"}},  # of pytest
     "tests/modelvoters.py": {"new": {"__dict__"}},
     "tests/mutants.py": {"CountsVotesTwice": {"counted"}},
     "tests/test_feed_faults.py": {"LyingRelay": {"lie"}},
-    "tests/test_siting.py": {"Keyed": {"folder"}},
+    "tests/test_site_service.py": {"BrokerInFolder": {"folder"}},
 }
 
 UNCHECKED = {"tests/replacing.py": ["text.replace(old, new)"]}  # after its own check
