--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -5,6 +5,7 @@
 import signal
 import subprocess
 import sys
+import tempfile
 import tomllib
 from pathlib import Path
 
@@ -42,21 +43,33 @@
     assert done.returncode == -signal.SIGSYS, done.stderr
 
 
-def test_run_serves_reloads_and_ends_under_the_filter(tmp_path):
+@pytest.fixture
+def readable_directory():
+    """A directory that any user may read, outside `tmp_path`.
+
+    Each pytest session takes the root of all `tmp_path` back to its owner alone when it starts, also while a test of
+    another session runs.
+    """
+    with tempfile.TemporaryDirectory() as name:
+        os.chmod(name, 0o755)
+        yield Path(name)
+
+
+def test_run_serves_reloads_and_ends_under_the_filter(readable_directory):
     """As an ordinary user where the test may become one. Anything refused, and the process is gone by SIGSYS."""
 
     async def main():
         agent, node = await surroundings()
         port = free_port()
-        config = tmp_path / "config.json"
+        config = readable_directory / "config.json"
         config.write_bytes(file_of(agent.http.address[1], listen=port))
-        for folder in (config, *tmp_path.parents[:2], tmp_path):
-            os.chmod(folder, 0o755)
+        os.chmod(config, 0o644)
         env = {"PATH": os.environ["PATH"], "ROUTER_CONFIG": str(config)}
         process = subprocess.Popen([sys.executable, CONFINED], env=env, stderr=subprocess.PIPE)
         pool = Pool("127.0.0.1", port, LIMITS)
         try:
             first = [await asyncio.to_thread(process.stderr.readline) for _ in range(2)]
+            assert all(line.startswith(b"{") for line in first), first  # otherwise an error in words, shown as it is
             assert [msgspec.json.decode(line)["what"] for line in first] == ["list", "listening"], first
             await until(lambda: agent.waiting)  # the list was read, and is watched
             body = query((1, 2, 3))
