--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -4,8 +4,9 @@
 
 The voter `broker-0` runs the other checkout, `broker-1` and `broker-2` run this one. The lease is handed over in both
 directions and each version leads once; then the versions are swapped, so that each store is read by the version that
-did not write it. What passed between the processes is judged as in `badgerbend.standin.scene`. Exit status 1 where a
-rule was broken or a step did not come about.
+did not write it. Last, a broker of this version starts on the snapshot of observations that one of the other version
+wrote. What passed between the processes is judged as in `badgerbend.standin.scene`. Exit status 1 where a rule was
+broken or a step did not come about.
 """
 
 from __future__ import annotations
@@ -14,15 +15,25 @@
 import asyncio
 import contextlib
 import os
+import re
 import sys
 import tempfile
 import time
 from collections.abc import Callable
 from pathlib import Path
 
+import msgspec
+
+from badgerbend.config import decode
+from badgerbend.config.reading import load
+from badgerbend.config.settings import Snapshot
 from badgerbend.standin.acts import judge
+from badgerbend.standin.client import Client
 from badgerbend.standin.processes import BrokerProcess
-from badgerbend.standin.scene import DOUBTER, Scene, Stage
+from badgerbend.standin.rig import free_port
+from badgerbend.standin.scene import DOUBTER, RATES, Scene, Stage
+from badgerbend.standin.work import Model
+from badgerbend.standin.world import World
 
 HERE = Path(__file__).resolve().parents[1]
 MAX_TURNS = 30  # hand-overs tried until both directions were seen: the next holder is drawn at random
@@ -37,18 +48,19 @@
 
     async def launch(self) -> None:
         """Starts it in its checkout, whose package goes before the installed one."""
-        before_folder = Path.cwd()
-        before_path = os.environ.get("PYTHONPATH")
-        os.chdir(self.checkout)
-        os.environ["PYTHONPATH"] = str(self.checkout)
-        try:
-            await super().launch()
-        finally:
-            os.chdir(before_folder)
-            if before_path is None:
-                del os.environ["PYTHONPATH"]
-            else:
-                os.environ["PYTHONPATH"] = before_path
+        self.conf.write_text(f"(broker\n{decode.show(self.settings, 1)}\n)\n", encoding="utf-8")
+        with open(self.conf.with_suffix(".log"), "ab") as log:
+            self.process = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                *self.before,
+                str(self.conf),
+                *self.after,
+                stderr=log,
+                stdout=log,
+                cwd=self.checkout,
+                env=os.environ | {"PYTHONPATH": str(self.checkout)},
+            )
 
 
 class MixedStage(Stage):
@@ -128,6 +140,50 @@
     await until(lambda: any(stage.acted_since(name, since) for name in stage.names))
 
 
+async def take_up_snapshot(old: Path, folder: Path) -> int:
+    """Starts a broker on a snapshot that the other version wrote; of how many servers it took estimates from there."""
+    base = load(RATES)
+    world = World(base.layout.shards, base.layout.cells, base.layout.reach, 1, lambda line: None)
+    await world.start(3, 1, Model(part_ms=1.0, call_ms=0.2))
+    settings = msgspec.structs.replace(
+        base,
+        schema=str((RATES.parent / base.schema).resolve()),
+        listen=msgspec.structs.replace(base.listen, port=free_port()),
+        discovery=msgspec.structs.replace(base.discovery, port=world.registry.http.address[1]),
+        snapshot=Snapshot(str(folder / "snapshot")),
+    )
+    process = VersionedProcess(settings, folder / "snapshot.conf", ["badgerbend", "run"])
+    process.checkout = old
+    try:
+        await process.start()
+        client = Client(settings.listen.port)
+        for block in range(base.layout.shards):
+            await client.query(f"{{ fullQuote(blocks: [{block}], amount: 5) {{ id }} }}")
+        client.close()
+        if await process.ended() != 0:
+            raise RuntimeError("the broker that wrote the snapshot ended with a failure")
+        process.checkout = HERE
+        await process.start()
+        return await servers_learned(settings.listen.port)
+    finally:
+        await process.ended()
+        await world.close()
+
+
+async def servers_learned(port: int) -> int:
+    """What the metrics of a broker say, once it has taken estimates from others. Raises TimeoutError."""
+    async with asyncio.timeout(WAIT_S):
+        while True:
+            reader, writer = await asyncio.open_connection("127.0.0.1", port)
+            writer.write(b"GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
+            text = (await reader.read()).decode()
+            writer.close()
+            found = re.search(r"^badgerbend_knowledge_servers_learned (\S+)$", text, re.MULTILINE)
+            if found is not None and float(found[1]) > 0:
+                return int(float(found[1]))
+            await asyncio.sleep(POLL_S)
+
+
 async def run(old: Path, folder: Path) -> int:
     """Plays the whole scene and prints what was seen; the exit status."""
     stage = MixedStage(folder, {"broker-0": old, "broker-1": HERE, "broker-2": HERE})
@@ -138,10 +194,12 @@
         await swap_versions(stage, old)
     finally:
         ends = await stage.stop()
+    learned = await take_up_snapshot(old, folder)
     judged = judge(stage.lines)
     broken = [(finding.name, len(finding.cases)) for finding in judged.findings if finding.cases]
     print(f"hand-overs and leads: {seen}")
     print(f"each store read by the version that did not write it; holdings: {len(judged.holdings)}; ends: {ends}")
+    print(f"a snapshot of the other version was taken up: estimates of {learned} servers")
     print(f"rules broken: {broken or 'none'}; {time.monotonic() - began:.1f} s")
     return 0 if not broken and all(seen.values()) and not any(ends) else 1
 
