--- a/badgerbend/api.py
+++ b/badgerbend/api.py
@@ -234,12 +234,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointObservation:
-    """What was observed of a server: what a usual part took there, and how long ago that was seen."""
+    """What a broker has observed of one server."""
 
     node: int
-    time_ms: float
-    age_ms: float
-    dead: bool  # it refused or broke connections since it last answered
+    response_time_ms: float  # of a typical part
+    age_ms: float  # time since the response time was observed
+    is_down: bool  # it has refused or broken connections since its last answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -416,12 +416,18 @@
     Without one each broker keeps to its own share. It is called within a step, and is as pure as the decisions.
     """
 
-    def server_rate(self, now_ms: float, node: int, own: float, times: float, part: int, among: int) -> float:
-        """The rate, in parts a millisecond and as if the server were warm, from which follows what it may be sent.
+    def server_rate(
+        self, now_ms: float, node: int, own_rate: float, rate_multiplier: float, part: int, replica_count: int
+    ) -> float:
+        """The rate, in parts per millisecond to a warm server, that the limit for a server warming up is derived from.
 
-        own: this broker's own rate; times: the share of it that may go there now, given how warm the server is; part:
-        one that would go there or to another of `among` servers.
+        own_rate: the rate at which this broker sends to a warm server.
+        rate_multiplier: the multiple of that rate which the server may be sent at this stage of its warm-up.
+        part: a part that would go to this server or to another of the `replica_count` replicas of its shard.
         """
 
-    def recovering_site_rate(self, now_ms: float, name: str, own: float, wanted: float) -> float:
-        """What may go to a recovering site, in parts a millisecond. wanted: what this broker would send."""
+    def recovering_site_rate(self, now_ms: float, name: str, own_rate: float, demand_rate: float) -> float:
+        """The rate, in parts per millisecond, at which this broker may send to a site that is recovering.
+
+        own_rate: the limit without a shared budget; demand_rate: the rate at which this broker would send.
+        """
--- a/badgerbend/decisions/observations.py
+++ b/badgerbend/decisions/observations.py
@@ -57,7 +57,7 @@
         has_own = not server.peer_observed and server.response_time_at_ms > -inf
         if has_own or at_ms <= max(server.response_time_at_ms, server.warming_since_ms):
             return
-        self._latency.import_observation(server, observed.time_ms, at_ms)
+        self._latency.import_observation(server, observed.response_time_ms, at_ms)
 
     def _own_samples(self) -> list[LatencySample]:
         return [sample for sample in self._latency.samples if sample.at_ms > self._imported_ms]
--- a/badgerbend/knowledge/record.py
+++ b/badgerbend/knowledge/record.py
@@ -127,9 +127,9 @@
     servers = tuple(
         ServerObservation(
             names[observation.node],
-            min(observation.time_ms, MAX_MS),
+            min(observation.response_time_ms, MAX_MS),
             min(observation.age_ms, MAX_MS),
-            observation.dead,
+            observation.is_down,
         )
         for observation in latest
         if observation.node in names
--- a/badgerbend/knowledge/trust.py
+++ b/badgerbend/knowledge/trust.py
@@ -157,7 +157,7 @@
             continue  # most peers state nothing of it: a liar may have invented it
         slowdown = lower_median([statement.slowdown for statement in statements])
         age_ms = upper_median([statement.age_ms for statement in statements])
-        nodes.append(api.EndpointObservation(node, max(slowdown, 1.0) * usual_ms, age_ms, dead=False))
+        nodes.append(api.EndpointObservation(node, max(slowdown, 1.0) * usual_ms, age_ms, is_down=False))
     return tuple(nodes)
 
 
--- a/badgerbend/leases/health_checks.py
+++ b/badgerbend/leases/health_checks.py
@@ -24,14 +24,14 @@
 
     names: of the servers by number; a server without a name is left out.
     """
-    times_ms = sorted(server.time_ms for server in observed.nodes)
+    times_ms = sorted(server.response_time_ms for server in observed.nodes)
     median_ms = times_ms[len(times_ms) // 2] if times_ms else 0.0
     suspects = [
         server
         for server in observed.nodes
-        if server.node in names and (server.dead or server.time_ms > SLOW_FACTOR * median_ms)
+        if server.node in names and (server.is_down or server.response_time_ms > SLOW_FACTOR * median_ms)
     ]
-    suspects.sort(key=lambda server: (not server.dead, -server.time_ms, server.node))
+    suspects.sort(key=lambda server: (not server.is_down, -server.response_time_ms, server.node))
     return [names[server.node] for server in suspects]
 
 
--- a/badgerbend/slow_start_budget/broker.py
+++ b/badgerbend/slow_start_budget/broker.py
@@ -59,22 +59,24 @@
 
     # -- called by the decisions
 
-    def server_rate(self, now_ms: float, node: int, own: float, times: float, part: int, among: int) -> float:
+    def server_rate(
+        self, now_ms: float, node: int, own_rate: float, rate_multiplier: float, part: int, replica_count: int
+    ) -> float:
         """See `api.SlowStartBudget`."""
         server = self.servers.get(node)
         if server is None:
-            return own
+            return own_rate
         if part not in server.counted_parts and len(server.counted_parts) < MAX_COUNTED_PARTS:
             server.counted_parts.add(part)
-            server.demand_parts += 1.0 / (max(among, 1) * max(times, MIN_RATE_MULTIPLIER))
-        return self._usable_rate(server, now_ms, own)
+            server.demand_parts += 1.0 / (max(replica_count, 1) * max(rate_multiplier, MIN_RATE_MULTIPLIER))
+        return self._usable_rate(server, now_ms, own_rate)
 
-    def recovering_site_rate(self, now_ms: float, name: str, own: float, wanted: float) -> float:
+    def recovering_site_rate(self, now_ms: float, name: str, own_rate: float, demand_rate: float) -> float:
         """See `api.SlowStartBudget`."""
         resource_name = f"site {name}"
         site = self.sites.setdefault(resource_name, ResourceBudget(ResourceKey(resource_name, 0.0)))
-        site.demand_rate = wanted
-        return self._usable_rate(site, now_ms, own)
+        site.demand_rate = demand_rate
+        return self._usable_rate(site, now_ms, own_rate)
 
     def _usable_rate(self, resource: ResourceBudget, now_ms: float, own_rate: float) -> float:
         resource.own_rate = own_rate
--- a/benchmarks/scale/records.py
+++ b/benchmarks/scale/records.py
@@ -57,7 +57,7 @@
 def unbounded(nodes: int, seed: int) -> KnowledgeRecord:
     """The record as it would be if it told of all nodes."""
     seen, by_number = known(nodes, seed), names(nodes)
-    servers = tuple(ServerObservation(by_number[s.node], s.time_ms, s.age_ms, s.dead) for s in seen.nodes)
+    servers = tuple(ServerObservation(by_number[s.node], s.response_time_ms, s.age_ms, s.is_down) for s in seen.nodes)
     return KnowledgeRecord(records.VERSION, seed, seed % ZONES, 40, servers, export(nodes, seed).answers)
 
 
--- a/tests/knowledge_records.py
+++ b/tests/knowledge_records.py
@@ -14,4 +14,4 @@
 
 
 def slow(prior):
-    return {s.node for s in prior.nodes if s.time_ms > 30.0}
+    return {s.node for s in prior.nodes if s.response_time_ms > 30.0}
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -112,7 +112,7 @@
     for s in trust.combine(records, NAMES, 0.0).nodes:
         name = f"s{s.node}"
         low, high = sorted((first[name], second[name]))
-        assert min(low, 20.0) - 1e-6 <= s.time_ms <= max(high, 20.0) + 1e-6
+        assert min(low, 20.0) - 1e-6 <= s.response_time_ms <= max(high, 20.0) + 1e-6
         assert s.age_ms >= 500.0 - 1e-6 or age < 500.0
 
 
--- a/tests/test_learned_prior.py
+++ b/tests/test_learned_prior.py
@@ -68,7 +68,7 @@
     bench.wait(1000.0)
     known = bench.agg.observations()
     assert known.nodes
-    assert all(s.age_ms >= 999.0 and not s.dead for s in known.nodes)
+    assert all(s.age_ms >= 999.0 and not s.is_down for s in known.nodes)
     assert all(ms >= 29.0 and age >= 999.0 for age, ms, _ in known.answers)
 
 
