--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,21 +8,25 @@
 
 pytest_plugins = ["pytester", "tests.known_red", "tests.suite_size"]
 
-# the same examples each time, so that a verdict does not change without a change; explore with --hypothesis-profile
+# The default profile generates the same examples in every run, so that a verdict changes only with the code.
+# `--hypothesis-profile=explore` generates new ones.
 hypothesis_settings.register_profile("same", derandomize=True, database=None)
 hypothesis_settings.register_profile("explore", max_examples=1000, deadline=None)
 hypothesis_settings.load_profile("same")
 
-SAFE_ALL = api.QueryClass(1000.0, 3000.0, "safe", 0.0, 0.3, 1.0, 1.0, 1.0, 0.9, 0)
-SAFE_ANY = api.QueryClass(1000.0, 3000.0, "safe", 0.0, 0.3, 1.0, 0.5, 0.5, 0.9, 0)
-KEYED = api.QueryClass(1000.0, 3000.0, "keyed", 400.0, 0.3, 1.0, 1.0, 1.0, 0.9, 0)
-UNSAFE = api.QueryClass(1000.0, 3000.0, "unsafe", 0.0, 0.3, 1.0, 1.0, 1.0, 0.9, 0)
-TWO_STEP = api.QueryClass(1000.0, 3000.0, "safe", 0.0, 0.3, 1.0, 1.0, 1.0, 0.9, 2)
-PARTIAL = api.QueryClass(1000.0, 3000.0, "safe", 0.0, 0.3, 1.0, 1.0, 0.5, 0.9, 0)
-ALL, ANY, KEY, ONCE, TWO, FLOOR = range(6)
+ALL_CLASS = api.QueryClass(1000.0, 3000.0, "safe", 0.0, 0.3, 1.0, 1.0, 1.0, 0.9, 0)
+ANY_CLASS = api.QueryClass(1000.0, 3000.0, "safe", 0.0, 0.3, 1.0, 0.5, 0.5, 0.9, 0)
+KEYED_CLASS = api.QueryClass(1000.0, 3000.0, "keyed", 400.0, 0.3, 1.0, 1.0, 1.0, 0.9, 0)
+UNSAFE_CLASS = api.QueryClass(1000.0, 3000.0, "unsafe", 0.0, 0.3, 1.0, 1.0, 1.0, 0.9, 0)
+TWO_STEP_CLASS = api.QueryClass(1000.0, 3000.0, "safe", 0.0, 0.3, 1.0, 1.0, 1.0, 0.9, 2)
+PARTIAL_CLASS = api.QueryClass(1000.0, 3000.0, "safe", 0.0, 0.3, 1.0, 1.0, 0.5, 0.9, 0)
+
+# Indices of the classes in SETTINGS. ALL needs all of its parts, ANY needs any half of them, KEYED is idempotent with
+# a key, TWO_STEP has follow-up parts, and PARTIAL may be answered partially from half of its weight.
+ALL, ANY, KEYED, UNSAFE, TWO_STEP, PARTIAL = range(6)
 
 SETTINGS = api.Settings(
-    classes=(SAFE_ALL, SAFE_ANY, KEYED, UNSAFE, TWO_STEP, PARTIAL),
+    classes=(ALL_CLASS, ANY_CLASS, KEYED_CLASS, UNSAFE_CLASS, TWO_STEP_CLASS, PARTIAL_CLASS),
     tenants=(api.Tenant(1000.0),),
     broker_index=0,
     broker_count=2,
@@ -52,79 +56,89 @@
 )
 
 
-def line(node, cell, state=api.EndpointState.READY, started=0.0):
-    return api.Endpoint(node, cell, state, started, 0, 0, 1.0)
+def endpoint(node, cell, state=api.EndpointState.READY, started_ms=0.0):
+    return api.Endpoint(node, cell, state, started_ms, 0, 0, 1.0)
 
 
-class Bench:
-    """Drives one aggregator by hand: events in, actions out, the clock moved by the test.
+class Harness:
+    """Drives one aggregator step by step: the test supplies the events and moves the clock.
 
-    agg: the aggregator. sent: server and time of each attempt, by part and number. attempts: how many each part had.
-    log: all actions so far. due: ends of cancelled attempts, which go in with the next step.
+    aggregator: the aggregator under test.
+    sent: server and send time of each attempt, by part and attempt number.
+    attempts: number of attempts sent, by part.
+    actions: all actions so far.
+    pending_completions: completions of cancelled attempts, which are delivered in the next step.
     """
 
-    def __init__(self, lines=None, seed=7, **changes):
-        self.agg = Aggregator(replace(SETTINGS, **changes), seed)
+    def __init__(self, endpoints=None, seed=7, **changes):
+        self.aggregator = Aggregator(replace(SETTINGS, **changes), seed)
         self.now = 1000.0
         self.next_id = 100
         self.number = 0
         self.sent = {}
         self.attempts = {}
-        self.log = []
-        self.due = []
-        lines = [line(10 + c, c) for c in range(4)] if lines is None else lines
-        self.do(api.EndpointUpdate(api.UpdateKind.CACHED, tuple(lines)))
-
-    def do(self, *events):
-        """One step with these events, and with the ends of what was cancelled before."""
-        acts = self.agg.step(self.now, [*self.due, *events])
-        self.due = []
-        for action in acts:
+        self.actions = []
+        self.pending_completions = []
+        endpoints = [endpoint(10 + c, c) for c in range(4)] if endpoints is None else endpoints
+        self.step(api.EndpointUpdate(api.UpdateKind.CACHED, tuple(endpoints)))
+
+    def step(self, *events):
+        """Runs one step with these events and the pending completions, and returns its actions."""
+        actions = self.aggregator.step(self.now, [*self.pending_completions, *events])
+        self.pending_completions = []
+        for action in actions:
             match action:
                 case api.Cancel(part, attempt):
                     node, sent = self.sent[part, attempt]
                     cancelled = api.Outcome.CANCELLED
-                    self.due.append(api.AttemptCompleted(part, attempt, node, cancelled, self.now - sent, ()))
+                    self.pending_completions.append(
+                        api.AttemptCompleted(part, attempt, node, cancelled, self.now - sent, ())
+                    )
                 case api.Send(part, node):
                     number = self.attempts.get(part, 0)
                     self.attempts[part] = number + 1
                     self.sent[part, number] = (node, self.now)
-        self.log += acts
-        return acts
+        self.actions += actions
+        return actions
 
-    def query(self, cls=ALL, parts=4, left=3000.0, weights=None, cost=None, shard=0):
-        """A query arrives; its id, and the actions that follow."""
-        first = self.next_id
+    def query(self, class_index=ALL, parts=4, time_left_ms=3000.0, weights=None, cost_ms=None, shard=0):
+        """Submits a query whose parts go to consecutive shards; returns its id and the actions of the step."""
+        query_id = self.next_id
         self.next_id += parts + 1
         self.number += 1
-        ps = tuple(api.Part(first + 1 + i, shard + i, weights[i] if weights else 1 / parts, cost) for i in range(parts))
-        q = api.Query(first, self.number, cls, 0, 0, left, False, None, ps)
-        return first, self.do(q)
-
-    def finish(self, part, outcome=api.Outcome.OK, attempt=0):
-        """An attempt ends; the actions that follow."""
+        query_parts = tuple(
+            api.Part(query_id + 1 + i, shard + i, weights[i] if weights else 1 / parts, cost_ms) for i in range(parts)
+        )
+        query = api.Query(query_id, self.number, class_index, 0, 0, time_left_ms, False, None, query_parts)
+        return query_id, self.step(query)
+
+    def complete(self, part, outcome=api.Outcome.OK, attempt=0):
+        """Completes an attempt with an outcome; returns the actions of the step."""
         node, sent = self.sent[part, attempt]
-        return self.do(api.AttemptCompleted(part, attempt, node, outcome, self.now - sent, ()))
+        return self.step(api.AttemptCompleted(part, attempt, node, outcome, self.now - sent, ()))
 
-    def wait(self, ms):
-        """The clock runs on, with a review each tick."""
-        acts = []
+    def advance(self, ms):
+        """Advances the clock with a timer event every 20 ms; returns all actions."""
+        actions = []
         end = self.now + ms
         while self.now < end:
             self.now = min(self.now + 20.0, end)
-            acts += self.do(api.TimerFired(0))
-        return acts
+            actions += self.step(api.TimerFired(0))
+        return actions
+
+    def learn_latency(self, latency_ms=50.0, queries=20, queries_at_once=1):
+        """Completes queries whose parts each take about `latency_ms`, so that the aggregator has latency samples.
 
-    def learn(self, ms=50.0, queries=20, at_once=1):
-        """Gives it a record of answers that each took about `ms`. at_once: so many servers of each cell are used."""
+        queries_at_once: with one, a single server of each cell is used; with more, so are other replicas.
+        """
         for i in range(queries):
-            acts = [a for _ in range(at_once) for a in self.query(ALL, parts=4)[1]]
-            self.wait(ms + i % 3)
-            for a in [a for a in acts if isinstance(a, api.Send)]:
-                self.finish(a.part)
-        self.wait(1000.0)
-        self.log.clear()
+            actions = [action for _ in range(queries_at_once) for action in self.query(ALL, parts=4)[1]]
+            self.advance(latency_ms + i % 3)
+            for send in [action for action in actions if isinstance(action, api.Send)]:
+                self.complete(send.part)
+        self.advance(1000.0)
+        self.actions.clear()
 
 
-def of(kind, acts):
-    return [a for a in acts if isinstance(a, kind)]
+def actions_of(kind, actions):
+    return [action for action in actions if isinstance(action, kind)]
--- a/tests/bench_traffic.py
+++ b/tests/harness_traffic.py
@@ -4,24 +4,28 @@
 from tests.conftest import ALL
 
 
-def run_traffic(b, silent=(), ms=3000.0, answer=50.0):
+def run_traffic(harness, silent=(), ms=3000.0, answer=50.0):
     """Traffic for a while; every server but the silent ones answers after `answer`."""
-    answered, end = set(b.sent), b.now + ms
-    while b.now < end:
-        b.query(ALL)
-        b.wait(answer)
-        for key, (node, _) in list(b.sent.items()):
+    answered, end = set(harness.sent), harness.now + ms
+    while harness.now < end:
+        harness.query(ALL)
+        harness.advance(answer)
+        for key, (node, _) in list(harness.sent.items()):
             if node not in silent and key not in answered:
                 answered.add(key)
-                b.finish(key[0], Outcome.OK, key[1])
+                harness.complete(key[0], Outcome.OK, key[1])
 
 
-def answer_all(b, silent=()):
+def answer_all(harness, silent=()):
     """Answers whatever is out, except at the silent servers; the keys answered."""
-    done = [key for key, (node, _) in b.sent.items() if key in b.agg.queries.attempts and node not in silent]
+    done = [
+        key
+        for key, (node, _) in harness.sent.items()
+        if key in harness.aggregator.queries.attempts and node not in silent
+    ]
     for part, n in done:
-        if (part, n) in b.agg.queries.attempts:
-            b.finish(part, Outcome.OK, n)
+        if (part, n) in harness.aggregator.queries.attempts:
+            harness.complete(part, Outcome.OK, n)
     return done
 
 
--- a/tests/test_decisions_latency.py
+++ b/tests/test_decisions_latency.py
@@ -1,10 +1,10 @@
 """The product-limit estimate of latencies, and the response time of a server."""
 
 import pytest
-from conftest import Bench
+from conftest import Harness
 
 from badgerbend.decisions.latency import product_limit_estimate
-from tests.bench_traffic import observe_response_time
+from tests.harness_traffic import observe_response_time
 
 
 def test_without_censored_samples_all_weigh_the_same():
@@ -31,18 +31,18 @@
 
 
 def test_a_response_time_fades_to_the_typical_one_by_its_half_life():
-    b = Bench()
-    b.agg.latency.typical_ms = 20.0
-    server = b.agg.endpoints.servers[10]
+    harness = Harness()
+    harness.aggregator.latency.typical_ms = 20.0
+    server = harness.aggregator.endpoints.servers[10]
     observe_response_time(server, 100.0, 1000.0)
-    assert b.agg.latency.response_time_ms(server, 1000.0) == 100.0
-    assert b.agg.latency.response_time_ms(server, 11_000.0) == pytest.approx(60.0)
-    assert b.agg.latency.response_time_ms(server, 21_000.0) == pytest.approx(40.0)
+    assert harness.aggregator.latency.response_time_ms(server, 1000.0) == 100.0
+    assert harness.aggregator.latency.response_time_ms(server, 11_000.0) == pytest.approx(60.0)
+    assert harness.aggregator.latency.response_time_ms(server, 21_000.0) == pytest.approx(40.0)
 
 
 def test_a_server_that_owes_an_answer_is_as_slow_as_what_it_owes_is_old():
-    b = Bench()
-    b.agg.latency.typical_ms = 20.0
-    server = b.agg.endpoints.servers[10]
+    harness = Harness()
+    harness.aggregator.latency.typical_ms = 20.0
+    server = harness.aggregator.endpoints.servers[10]
     server.in_flight = {(1, 0): 500.0, (2, 0): 900.0}
-    assert b.agg.latency.response_time_ms(server, 1000.0) == 500.0
+    assert harness.aggregator.latency.response_time_ms(server, 1000.0) == 500.0
--- a/tests/test_decisions_random.py
+++ b/tests/test_decisions_random.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import SETTINGS, line
+from conftest import SETTINGS, endpoint
 
 from badgerbend import Aggregator, api
 from badgerbend.api import Outcome
@@ -31,7 +31,7 @@
         self.queries, self.parts, self.leaving = {}, {}, set()
         self.attempts, self.unproven = defaultdict(int), defaultdict(dict)
         self.taken, self.extra = [], []
-        self.step([api.EndpointUpdate(api.UpdateKind.CACHED, tuple(line(10 + i, i % 4) for i in range(8)))])
+        self.step([api.EndpointUpdate(api.UpdateKind.CACHED, tuple(endpoint(10 + i, i % 4) for i in range(8)))])
 
     def step(self, events):
         for e in events:
@@ -128,7 +128,7 @@
             self.leaving.discard(node)
         else:
             self.leaving.add(node)
-        return api.EndpointUpdate(api.UpdateKind.DELTA, (line(node, (node - 10) % 4, state, self.now),))
+        return api.EndpointUpdate(api.UpdateKind.DELTA, (endpoint(node, (node - 10) % 4, state, self.now),))
 
     def play(self, steps):
         for _ in range(steps):
--- a/tests/test_decisions_redundancy.py
+++ b/tests/test_decisions_redundancy.py
@@ -1,6 +1,6 @@
 """The arithmetic of the mechanism, and the replica choice."""
 
-from conftest import ALL, ANY, Bench, line, of
+from conftest import ALL, ANY, Harness, actions_of, endpoint
 
 from badgerbend import api
 from badgerbend.api import Outcome
@@ -9,19 +9,19 @@
 
 
 def ready(values, brokers=2, queries=0):
-    b = Bench(broker_count=brokers)
+    harness = Harness(broker_count=brokers)
     weights = [(i + 1) / len(values) for i in range(len(values))]
-    b.agg.latency.distribution = LatencyDistribution(list(values), weights)
-    b.agg.rates.begin(b.now - 10_000)
+    harness.aggregator.latency.distribution = LatencyDistribution(list(values), weights)
+    harness.aggregator.rates.begin(harness.now - 10_000)
     for _ in range(queries):
-        b.agg.rates.queries.add(b.now)
-    return lambda m, k: b.agg.redundancy.parts_to_send(m, k, b.now)
+        harness.aggregator.rates.queries.add(harness.now)
+    return lambda m, k: harness.aggregator.redundancy.parts_to_send(m, k, harness.now)
 
 
 def test_without_samples_all_parts_are_asked():
-    b = Bench()
-    _, sends = b.query(ANY)
-    assert len(of(api.Send, sends)) == 4
+    harness = Harness()
+    _, sends = harness.query(ANY)
+    assert len(actions_of(api.Send, sends)) == 4
 
 
 def test_equal_latencies_leave_the_least_cost_only_with_r_equal_to_m():
@@ -46,13 +46,13 @@
 
 
 def test_cancelled_parts_do_not_make_the_record_fast():
-    b = Bench()
+    harness = Harness()
     for ms in (50.0,) * 10 + (400.0,) * 10:
-        b.agg.latency.add(b.now, ms, censored=False)
-    plain = b.agg.latency.estimate_distribution(b.now, [])
+        harness.aggregator.latency.add(harness.now, ms, censored=False)
+    plain = harness.aggregator.latency.estimate_distribution(harness.now, [])
     for _ in range(20):
-        b.agg.latency.add(b.now, 60.0, censored=True)
-    values, sums = b.agg.latency.estimate_distribution(b.now, [])
+        harness.aggregator.latency.add(harness.now, 60.0, censored=True)
+    values, sums = harness.aggregator.latency.estimate_distribution(harness.now, [])
     fast = sum(1 for v in values if v < 100)
     assert sums[-1] > 0.999
     assert abs(sums[fast - 1] - 0.5) < 0.3
@@ -60,42 +60,42 @@
 
 
 def test_answers_at_m_and_cancels_the_rest():
-    b = Bench()
-    q, sends = b.query(ANY)
-    parts = [a.part for a in of(api.Send, sends)]
-    b.finish(parts[0])
-    acts = b.finish(parts[1])
-    assert of(api.Answer, acts) == [api.Answer(q, True)]
-    assert {a.part for a in of(api.Cancel, acts)} == set(parts[2:])
+    harness = Harness()
+    q, sends = harness.query(ANY)
+    parts = [a.part for a in actions_of(api.Send, sends)]
+    harness.complete(parts[0])
+    actions = harness.complete(parts[1])
+    assert actions_of(api.Answer, actions) == [api.Answer(q, True)]
+    assert {a.part for a in actions_of(api.Cancel, actions)} == set(parts[2:])
 
 
 def test_each_part_goes_to_the_holder_with_fewest_out():
-    b = Bench()
-    _, sends = b.query(ALL)
-    assert sorted(a.node for a in of(api.Send, sends)) == [10, 11, 12, 13]
+    harness = Harness()
+    _, sends = harness.query(ALL)
+    assert sorted(a.node for a in actions_of(api.Send, sends)) == [10, 11, 12, 13]
 
 
 def test_parts_that_can_share_a_call_ride_together():
-    b = Bench(parts_per_call=16)
-    _, sends = b.query(ALL)
-    assert len({a.node for a in of(api.Send, sends)}) == 1
+    harness = Harness(parts_per_call=16)
+    _, sends = harness.query(ALL)
+    assert len({a.node for a in actions_of(api.Send, sends)}) == 1
 
 
 def test_only_holders_are_asked():
-    b = Bench(cells_per_shard=1)
-    _, sends = b.query(ALL)
-    q = min(a.part for a in of(api.Send, sends)) - 1
-    assert all(a.node == 10 + a.part - q - 1 for a in of(api.Send, sends))
+    harness = Harness(cells_per_shard=1)
+    _, sends = harness.query(ALL)
+    q = min(a.part for a in actions_of(api.Send, sends)) - 1
+    assert all(a.node == 10 + a.part - q - 1 for a in actions_of(api.Send, sends))
 
 
 def test_reserved_part_replaces_a_failed_one_without_budget():
-    b = Bench(retry_budget_min=0.0, retry_budget_share=0.0)
-    b.learn()
-    b.agg.redundancy._chosen[2, 4] = 2
-    q, sends = b.query(ANY)
-    first = of(api.Send, sends)
+    harness = Harness(retry_budget_min=0.0, retry_budget_share=0.0)
+    harness.learn_latency()
+    harness.aggregator.redundancy._chosen[2, 4] = 2
+    q, sends = harness.query(ANY)
+    first = actions_of(api.Send, sends)
     assert len(first) == 2
-    again = of(api.Send, b.finish(first[0].part, Outcome.ERROR))
+    again = actions_of(api.Send, harness.complete(first[0].part, Outcome.ERROR))
     assert len(again) == 1
     assert again[0].part not in {a.part for a in first}
 
@@ -103,19 +103,19 @@
 def test_same_events_same_actions():
     runs = []
     for _ in range(2):
-        b = Bench(seed=3)
-        b.learn()
-        b.query(ANY)
-        b.wait(500.0)
-        runs.append(b.log)
+        harness = Harness(seed=3)
+        harness.learn_latency()
+        harness.query(ANY)
+        harness.advance(500.0)
+        runs.append(harness.actions)
     assert runs[0] == runs[1]
 
 
 def test_a_list_with_no_holder_of_a_shard_does_not_lose_the_query():
-    b = Bench(lines=[line(10, 0)], cells_per_shard=1)
-    q, sends = b.query(ALL, parts=2, left=500.0)
-    assert len(of(api.Send, sends)) == 1
-    assert of(api.Reject, b.wait(500.0)) == [api.Reject(q, 0.0)]
+    harness = Harness(endpoints=[endpoint(10, 0)], cells_per_shard=1)
+    q, sends = harness.query(ALL, parts=2, time_left_ms=500.0)
+    assert len(actions_of(api.Send, sends)) == 1
+    assert actions_of(api.Reject, harness.advance(500.0)) == [api.Reject(q, 0.0)]
 
 
 def test_without_load_the_largest_r_of_equal_latency_and_cost_is_taken():
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -7,7 +7,7 @@
 
 import pytest
 from clock import Clock
-from conftest import ALL, ANY, KEY, ONCE, SETTINGS, TWO, line
+from conftest import ALL, ANY, KEYED, SETTINGS, TWO_STEP, UNSAFE, endpoint
 
 from badgerbend import api
 from badgerbend.decisions import Aggregator
@@ -53,7 +53,7 @@
         self.unbegun = set()  # attempts of which no byte has left
         settings = replace(SETTINGS, **changes)
         self.driver = Driver(settings, module(settings, seed), self, self, self, self)
-        lines = tuple(line(10 + i, i % 4) for i in range(8))
+        lines = tuple(endpoint(10 + i, i % 4) for i in range(8))
         self.driver.view(api.EndpointUpdate(api.UpdateKind.CACHED, lines))
         self.run(1.0)
 
@@ -143,11 +143,11 @@
 
 def test_a_second_step_is_fetched_and_answered_once():
     rig = Rig(ok())
-    sink = rig.ask(TWO, shards=(0, 1, 2))
+    sink = rig.ask(TWO_STEP, shards=(0, 1, 2))
     rig.run(200.0)
     assert len(rig.sent) == 5
     assert [how for _, how in sink.finals] == ["answered"]
-    none = rig.ask(TWO, shards=(0, 1, 2), more=0)
+    none = rig.ask(TWO_STEP, shards=(0, 1, 2), more=0)
     rig.run(200.0)
     assert [how for _, how in none.finals] == ["answered"]
     assert none.whole
@@ -211,7 +211,7 @@
 
 def test_a_repeat_that_has_not_begun_within_its_window_comes_back_and_its_query_is_over():
     rig = Rig(lambda a: (api.Outcome.RESET, 100.0) if not a.number else None)
-    sink = rig.ask(KEY, shards=(0,))
+    sink = rig.ask(KEYED, shards=(0,))
     rig.run(150.0)
     (_, first), (_, again) = rig.sent
     assert again.begin_by_ms == first.sent_ms + 400.0 - EARLY_FINISH_MS
@@ -265,8 +265,8 @@
     rig = Rig(fate, seed, max_open=60, parts_per_call=rng.choice([1, 4]))
     sinks, gone = [], set()
     for _ in range(150):
-        cls = rng.choice([ALL, ANY, KEY, ONCE, TWO])
-        shards = rng.sample(range(4), 1 if cls in (KEY, ONCE) else rng.randint(1, 4))
+        cls = rng.choice([ALL, ANY, KEYED, UNSAFE, TWO_STEP])
+        shards = rng.sample(range(4), 1 if cls in (KEYED, UNSAFE) else rng.randint(1, 4))
         sink = rig.ask(cls, shards, rng.choice([0.0, 50.0, 500.0, 2500.0]), rng.choice([0, 2]))
         sinks.append(sink)
         rig.run(rng.choice([0.0, 1.0, 30.0]))
@@ -276,7 +276,7 @@
         if rng.random() < 0.05:
             state = rng.choice(list(api.EndpointState))
             rig.driver.view(
-                api.EndpointUpdate(api.UpdateKind.DELTA, (line(10 + rng.randrange(8), rng.randrange(4), state),))
+                api.EndpointUpdate(api.UpdateKind.DELTA, (endpoint(10 + rng.randrange(8), rng.randrange(4), state),))
             )
     rig.run(20_000.0)
     for sink in sinks:
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import ALL, ANY, KEY, SETTINGS, line
+from conftest import ALL, ANY, KEYED, SETTINGS, endpoint
 from hypothesis import given
 from hypothesis import strategies as st
 from simsites import SERVER_RATE, World, site_policy
@@ -147,8 +147,8 @@
 
 def test_the_healthy_fraction_is_of_a_shards_replicas_not_of_all_servers():
     inventory = SiteInventory(site_policy())
-    inventory.apply(0.0, api.EndpointUpdate(api.UpdateKind.FULL, tuple(line(10 + i, i % 4) for i in range(8))))
-    gone = tuple(line(10 + i, i % 4, api.EndpointState.REMOVED) for i in (0, 4))
+    inventory.apply(0.0, api.EndpointUpdate(api.UpdateKind.FULL, tuple(endpoint(10 + i, i % 4) for i in range(8))))
+    gone = tuple(endpoint(10 + i, i % 4, api.EndpointState.REMOVED) for i in (0, 4))
     inventory.apply(0.0, api.EndpointUpdate(api.UpdateKind.DELTA, gone))
     assert [inventory.healthy_fraction(0, shard, set()) for shard in range(4)] == [0.5, 1.0, 1.0, 0.5]
     assert inventory.healthy_fraction(0, 1, {11, 15}) == 0.5
@@ -488,7 +488,7 @@
         return sum(n for (zone, _), n in world.own_parts.items() if zone == 0)
 
     world = World(1, brokers=(1, 1))
-    world.add_load(0, 20, KEY, parts=1)
+    world.add_load(0, 20, KEYED, parts=1)
     world.add_load(1, 20)
     world.run(4000.0)
     for server in world.site_servers(0):
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -22,7 +22,7 @@
 from badgerbend.slow_start_budget.fair_share import RateDemand, fair_rate
 from badgerbend.slow_start_budget.resources import ResourceKey
 from badgerbend.slow_start_budget.timing import BudgetTiming
-from tests.conftest import ALL, Bench, line, of
+from tests.conftest import ALL, Harness, actions_of, endpoint
 from tests.simbudget import DUTY, NODE, SERVER, START, TIMING, BudgetExceededError, World
 from tests.simsites import site_policy
 from tests.simslowstart import release_and_shift
@@ -283,18 +283,18 @@
 
 def cold_bench(allowance):
     """One server, warm while the record is made, then started anew."""
-    b = Bench(lines=[line(10, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0, max_attempts=50)
-    b.agg.slow_start.budget = allowance
-    b.learn(queries=10)
-    b.do(api.EndpointUpdate(api.UpdateKind.DELTA, (line(10, 0, started=b.now),)))
+    b = Harness(endpoints=[endpoint(10, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0, max_attempts=50)
+    b.aggregator.slow_start.budget = allowance
+    b.learn_latency(queries=10)
+    b.step(api.EndpointUpdate(api.UpdateKind.DELTA, (endpoint(10, 0, started_ms=b.now),)))
     return b
 
 
 def sent_in(b, ms):
     for _ in range(20):
         b.query(ALL, parts=1)
-    b.log.clear()
-    return len(of(api.Send, b.wait(ms)))
+    b.actions.clear()
+    return len(actions_of(api.Send, b.advance(ms)))
 
 
 def test_a_cold_server_gets_what_was_dealt_in_the_place_of_the_own_share():
@@ -308,16 +308,16 @@
 
 def test_a_server_that_died_in_own_sight_is_fed_by_the_own_share_whatever_was_dealt():
     b, much = (
-        Bench(lines=[line(10, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0, max_attempts=50),
+        Harness(endpoints=[endpoint(10, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0, max_attempts=50),
         FixedBudget(10.0),
     )
-    b.agg.slow_start.budget = much
-    b.learn(queries=10)
+    b.aggregator.slow_start.budget = much
+    b.learn_latency(queries=10)
     _, sends = b.query(ALL, parts=1)
-    b.finish(of(api.Send, sends)[0].part, api.Outcome.CONNECT_FAILED)
-    b.wait(500.0)
+    b.complete(actions_of(api.Send, sends)[0].part, api.Outcome.CONNECT_FAILED)
+    b.advance(500.0)
     assert much.asked == []
-    assert b.agg.slow_start.warmth(b.agg.endpoints.servers[10], b.now) == 0.2
+    assert b.aggregator.slow_start.warmth(b.aggregator.endpoints.servers[10], b.now) == 0.2
 
 
 def test_a_returning_site_of_ones_own_is_let_in_by_what_was_dealt():
