--- a/badgerbend/decisions/replicas.py
+++ b/badgerbend/decisions/replicas.py
@@ -67,7 +67,7 @@
         meet each bad server in its turn. A server that slow start admits, known to be new, is as good. The trade-off is
         that a server which came warm waits longer for its share; `EXPLORATION_SHARE` gives it one.
         """
-        if server.down_since_ms == inf and self._slow_start.warmth(server, now_ms) < 1.0:
+        if server.down_since_ms == inf and self._slow_start.capacity_fraction(server, now_ms) < 1.0:
             return True
         if server.peer_observed or server.response_time_at_ms <= now_ms - FADE_MS / 2:
             return False
--- a/badgerbend/decisions/slow_start.py
+++ b/badgerbend/decisions/slow_start.py
@@ -42,7 +42,7 @@
         server.tokens = self._random.random()
         server.tokens_at_ms = now_ms
 
-    def warmth(self, server: Server, now_ms: float) -> float:
+    def capacity_fraction(self, server: Server, now_ms: float) -> float:
         """The share of its capacity that a server bears; one that is down may start at any moment, unseen."""
         if server.down_since_ms < inf:
             return min(1.0, self._initial_share)
@@ -55,29 +55,29 @@
         """Whether a server may be sent a part now: it is warm, or has a token."""
         if server.warming_since_ms == -inf and server.down_since_ms == inf:
             return True
-        warmth = self.warmth(server, now_ms)
-        if warmth >= 1.0:
+        capacity_fraction = self.capacity_fraction(server, now_ms)
+        if capacity_fraction >= 1.0:
             return True
-        pace = self._pace(server, part, warmth, now_ms)
+        pace = self._pace(server, part, capacity_fraction, now_ms)
         server.tokens = min(1.0, server.tokens + pace * (now_ms - server.tokens_at_ms))
         server.tokens_at_ms = now_ms
         return server.tokens >= 1.0
 
     def take_token(self, server: Server, now_ms: float) -> None:
         """A part was sent to a server that admitted it."""
-        if self.warmth(server, now_ms) < 1.0:
+        if self.capacity_fraction(server, now_ms) < 1.0:
             server.tokens -= 1
 
     def grant_token(self, server: Server) -> None:
         """Lets one part through at once."""
         server.tokens = 1.0
 
-    def _pace(self, server: Server, part: PartState, warmth: float, now_ms: float) -> float:
+    def _pace(self, server: Server, part: PartState, capacity_fraction: float, now_ms: float) -> float:
         """Parts a millisecond that may go to a server that is warming up."""
         usual = self._rates.per_ms(self._rates.attempts, now_ms) / max(1, self._endpoints.available_count)
         if self._sites:  # after an outage in which little was sent, what the site is allowed is the measure
             usual = max(usual, self._sites.site_rate(server.id))
-        share = warmth * self._overload_factor * OVERLOAD_MARGIN
+        share = capacity_fraction * self._overload_factor * OVERLOAD_MARGIN
         if self.budget and server.down_since_ms == inf:
             replica_count = len(self._endpoints.replicas(part.shard))
             usual = self.budget.server_rate(now_ms, server.id, usual, share, part.id, replica_count)
--- a/benchmarks/coldfleet.py
+++ b/benchmarks/coldfleet.py
@@ -17,7 +17,7 @@
 
 def play(day):
     seed, processes = day
-    windows = Fleet(seed, processes, FACTORS[seed % 3], WINDOWS_MS[seed // 3 % 3]).play()
+    windows = Fleet(seed, processes, FACTORS[seed % 3], WINDOWS_MS[seed // 3 % 3]).run()
     return f"seed {seed}, {processes} processes: {len(windows)} windows, first {windows[0]}" if windows else ""
 
 
--- a/tests/simfleet.py
+++ b/tests/simfleet.py
@@ -24,7 +24,7 @@
     cell: int
     started: float = 0.0
 
-    def warmth(self, now, settings):
+    def capacity_fraction(self, now, settings):
         if not self.started:
             return 1.0
         return min(
@@ -79,7 +79,7 @@
     def at(self, when, what):
         heapq.heappush(self.heap, (when, next(self.order), what))
 
-    def play(self):
+    def run(self):
         """The windows in which a cold server got more than its budget and the chance that is allowed for."""
         for i in range(len(self.modules)):
             self.step(i, api.EndpointUpdate(api.UpdateKind.CACHED, self.lines()))
@@ -126,7 +126,7 @@
         number = self.tries[part] = self.tries.get(part, -1) + 1
         server, sent = self.by_number[node], self.now
         self.arrivals[node].append(sent)
-        took = self.rng.lognormvariate(0.0, 0.35) * self.work_ms / server.warmth(sent, self.settings)
+        took = self.rng.lognormvariate(0.0, 0.35) * self.work_ms / server.capacity_fraction(sent, self.settings)
         lost = self.rng.random() < 0.02  # so that there are further attempts and second copies
         end = (api.Outcome.ERROR, 5.0) if lost else (api.Outcome.OK, took)
 
@@ -143,7 +143,12 @@
         for n, t in enumerate(times):
             while times[first] < t - settings.overload_window_ms:
                 first += 1
-            budget = settings.overload_factor * server.warmth(t, settings) * self.capacity * settings.overload_window_ms
+            budget = (
+                settings.overload_factor
+                * server.capacity_fraction(t, settings)
+                * self.capacity
+                * settings.overload_window_ms
+            )
             got = n - first + 1
             if got > budget + 2 * sqrt(budget) + 2:
                 yield round(t - server.started), got, round(budget, 1)
--- a/tests/test_decisions_outliers.py
+++ b/tests/test_decisions_outliers.py
@@ -19,12 +19,12 @@
     harness.advance(40.0)
     assert harness.attempts[part] == 1  # by token, not at once
     node = harness.aggregator.endpoints.servers[10]
-    assert harness.aggregator.slow_start.warmth(node, harness.now) == 0.2
+    assert harness.aggregator.slow_start.capacity_fraction(node, harness.now) == 0.2
     harness.advance(1500.0)
     assert 2 <= harness.attempts[part] < 6
     harness.complete(part, Outcome.OK, harness.attempts[part] - 1)
     assert node.down_since_ms == math.inf
-    assert 0.2 < harness.aggregator.slow_start.warmth(node, harness.now) < 1.0
+    assert 0.2 < harness.aggregator.slow_start.capacity_fraction(node, harness.now) < 1.0
 
 
 def break_all_connections(harness, query, sends):
@@ -95,7 +95,7 @@
     assert harness.sent[9001, 1][1] <= node.down_since_ms + 100.0
     harness.complete(9001, Outcome.OK, 1)
     assert node.down_since_ms == math.inf
-    assert harness.aggregator.slow_start.warmth(node, harness.now) == 1.0
+    assert harness.aggregator.slow_start.capacity_fraction(node, harness.now) == 1.0
     assert harness.aggregator.outliers.poison_seen_ms == -math.inf
     _, sends = harness.query(ALL)
     assert len(actions_of(api.Send, sends)) == 4
@@ -134,7 +134,7 @@
     assert harness.sent[9001, last][1] > node.down_since_ms + 100.0
     harness.complete(9001, Outcome.OK, last)
     assert node.down_since_ms == math.inf
-    assert harness.aggregator.slow_start.warmth(node, harness.now) < 0.3
+    assert harness.aggregator.slow_start.capacity_fraction(node, harness.now) < 0.3
 
 
 def test_a_retry_sends_a_canary_and_the_rest_when_it_is_answered():
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -317,7 +317,7 @@
     b.complete(actions_of(api.Send, sends)[0].part, api.Outcome.CONNECT_FAILED)
     b.advance(500.0)
     assert much.asked == []
-    assert b.aggregator.slow_start.warmth(b.aggregator.endpoints.servers[10], b.now) == 0.2
+    assert b.aggregator.slow_start.capacity_fraction(b.aggregator.endpoints.servers[10], b.now) == 0.2
 
 
 def test_a_returning_site_of_ones_own_is_let_in_by_what_was_dealt():
