--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -26,7 +26,7 @@
 from badgerbend.lease_service.http import handle_duties
 from badgerbend.lease_service.service import LeaseService
 from badgerbend.lease_service.service_metrics import update_metrics
-from badgerbend.log import get
+from badgerbend.log import get_logger
 from badgerbend.metrics import Metrics
 from badgerbend.net.client import PoolLimits
 from badgerbend.net.server import Exchange, HttpServer, ServerLimits
@@ -77,7 +77,7 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         self.settings, self.loop = settings, loop
-        self.log = get(part="broker")
+        self.log = get_logger(part="broker")
         self.metrics = Metrics(tuple(c.name for c in settings.class_))
         listed_by_feed = settings.feed is not None and settings.feed.list
         self.directory = (keyed_directory if listed_by_feed else consul_directory)(settings.layout.cells)
--- a/badgerbend/feed_subscription/subscription.py
+++ b/badgerbend/feed_subscription/subscription.py
@@ -19,7 +19,7 @@
 from badgerbend.feed_subscription.reader import ConfigurationReader, UsableConfiguration
 from badgerbend.feed_subscription.rejections import describe_rejection
 from badgerbend.generations.manager import GenerationManager
-from badgerbend.log import get
+from badgerbend.log import get_logger
 from badgerbend.metrics import Metrics
 
 WAITING_FOR_CAPACITY = "waits for queries under earlier configurations to end"  # reported to relays
@@ -47,7 +47,7 @@
         self.generations = generations
         self.metrics = metrics
         self.endpoint_list = endpoint_list
-        self.log = get(part="feed")
+        self.log = get_logger(part="feed")
         reader = ConfigurationReader(settings, feed.configuration, generations)
         self.in_force = ActiveConfiguration(reader.read, UsableConfiguration(settings, generations.current.graph))
         follower = Follower(
--- a/badgerbend/lease_service/service.py
+++ b/badgerbend/lease_service/service.py
@@ -44,7 +44,7 @@
     ProbeReport,
     SuspicionReport,
 )
-from badgerbend.log import get
+from badgerbend.log import get_logger
 from badgerbend.net.client import Pool
 from badgerbend.net.seal import Seal, read_key
 from badgerbend.net.udp import Address, SealedSocket, address_text
@@ -83,7 +83,7 @@
         self.name = broker_name(settings)
         self.keys = tuple(read_key(folder / path) for path in duties.key)
         super().__init__(Seal(self.keys, self.incarnation))
-        self.log = get(part="duties")
+        self.log = get_logger(part="duties")
         self.timing = lease_timing(duties)
         self.voter_addresses = {voter.name: parse_address(voter.address) for voter in duties.voter}
         self.messenger = LeaseMessenger(self, self.name, self.voter_addresses, self._handle_own_reply)
--- a/badgerbend/log.py
+++ b/badgerbend/log.py
@@ -27,6 +27,6 @@
     )
 
 
-def get(**values: Any) -> Any:
+def get_logger(**values: Any) -> Any:
     """A logger with these values on every line."""
     return structlog.get_logger().bind(**values)
--- a/badgerbend/metrics.py
+++ b/badgerbend/metrics.py
@@ -7,7 +7,7 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
 from badgerbend import api
-from badgerbend.log import get
+from badgerbend.log import get_logger
 from badgerbend.runtime.ports import Attempt, Ending
 
 BUCKETS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
@@ -50,7 +50,7 @@
         self.duties = Gauge("badgerbend_duty", "What this broker knows of a duty", ["duty", "what"], registry=r)
         self.rota = Gauge("badgerbend_duties", "Its part in duties and votes, see docs/leases.md", ["what"], registry=r)
         self._outcomes = {o: self.attempts.labels(o.label.lower()) for o in api.Outcome}
-        self._log = get(part="broker")
+        self._log = get_logger(part="broker")
         self._name_classes(classes)
 
     def _name_classes(self, classes: tuple[str, ...]) -> None:
--- a/badgerbend/peering/own_snapshot.py
+++ b/badgerbend/peering/own_snapshot.py
@@ -10,7 +10,7 @@
 from badgerbend.config.settings import Snapshot
 from badgerbend.disk import write_atomically
 from badgerbend.knowledge.record import KnowledgeRecord
-from badgerbend.log import get
+from badgerbend.log import get_logger
 from badgerbend.snapshot.store import SnapshotError, encode_snapshot, read_snapshot
 
 
@@ -21,7 +21,7 @@
         self._path = Path(settings.file)
         self._interval_s = settings.every_ms / 1000.0
         self._record = record
-        self._log = get(part="learning")
+        self._log = get_logger(part="learning")
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._write_in_progress: asyncio.Future[None] | None = None
--- a/badgerbend/peering/pull.py
+++ b/badgerbend/peering/pull.py
@@ -10,7 +10,7 @@
 
 from badgerbend.config.fleet import Peers
 from badgerbend.knowledge.record import KnowledgeRecord
-from badgerbend.log import get
+from badgerbend.log import get_logger
 from badgerbend.membership.members import Member
 from badgerbend.membership.messages import MemberState
 from badgerbend.net.client import Call
@@ -45,7 +45,7 @@
     """One round: some peers are asked at once. It ends when all have answered, or after `PULL_TIMEOUT_S`."""
 
     def __init__(self, peers: Sequence[KnowledgePeer], key: bytes, on_records: RecordsCallback) -> None:
-        self._log = get(part="learning")
+        self._log = get_logger(part="learning")
         self._on_records = on_records
         self._unanswered = {peer.name for peer in peers}
         self._records: dict[str, KnowledgeRecord] = {}
--- a/badgerbend/peering/service.py
+++ b/badgerbend/peering/service.py
@@ -14,7 +14,7 @@
 from badgerbend.discovery.directory import Directory
 from badgerbend.knowledge.record import KnowledgeRecord, make_record
 from badgerbend.knowledge.trust import PeerTrust
-from badgerbend.log import get
+from badgerbend.log import get_logger
 from badgerbend.membership.members import Address, Member
 from badgerbend.membership.messages import MemberState
 from badgerbend.membership.swim import MemberChanged, Swim, SwimConfig
@@ -46,7 +46,7 @@
         self.directory = directory
         self.report_fault = report_fault
         self.trust = PeerTrust()
-        self.log = get(part="learning")
+        self.log = get_logger(part="learning")
         self.socket: MembershipSocket | None = None
         self.server: KnowledgeServer | None = None
         self.membership_port = 0
--- a/badgerbend/site_service/service.py
+++ b/badgerbend/site_service/service.py
@@ -9,7 +9,7 @@
 
 from badgerbend.config.fleet import Sites
 from badgerbend.config.settings import Settings
-from badgerbend.log import get
+from badgerbend.log import get_logger
 from badgerbend.metrics import Metrics
 from badgerbend.net.client import Pool
 from badgerbend.net.server import Exchange
@@ -47,7 +47,7 @@
         self.metrics = metrics
         seed = settings.seed * SEED_FACTOR + settings.identity.index
         self.preference = preference_type(site_policy(settings, sites), seed)
-        self.log = get(part="sites")
+        self.log = get_logger(part="sites")
         operator_key = read_operator_key(folder, sites.key) if sites.key else None
         self._handler = SitesHandler(self.preference, now_ms, operator_key)
         self._timer: asyncio.TimerHandle | None = None
