--- a/badgerbend/cli.py
+++ b/badgerbend/cli.py
@@ -23,7 +23,7 @@
 from badgerbend.graphql.schema import SchemaError, Subgraph
 from badgerbend.knowledge.record import KnowledgeRecord
 from badgerbend.net.fetch import fetch
-from badgerbend.process import BAD_SETTINGS, CANNOT_START, serve, stop
+from badgerbend.process import BAD_SETTINGS, CANNOT_START, exit_with_error, serve
 from badgerbend.snapshot.store import SnapshotError, read_snapshot
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, help="An aggregator that spreads queries over shards.")
@@ -40,9 +40,9 @@
         settings = load(config)
         return settings, read_subgraph(settings, config)
     except SettingsError as err:
-        stop(str(err), BAD_SETTINGS)
+        exit_with_error(str(err), BAD_SETTINGS)
     except (SchemaError, OSError, UnicodeDecodeError) as err:
-        stop(f"{config}: schema: {err}", BAD_SETTINGS)
+        exit_with_error(f"{config}: schema: {err}", BAD_SETTINGS)
 
 
 def _run(main: Coroutine[Any, Any, int]) -> None:
@@ -88,7 +88,7 @@
         document = Path(text[1:]).read_text(encoding="utf-8") if text.startswith("@") else text
         given = json.loads(variables)
     except (OSError, ValueError) as err:
-        stop(str(err), BAD_SETTINGS)
+        exit_with_error(str(err), BAD_SETTINGS)
 
     async def ask() -> int:
         headers = {"badgerbend-time-left-ms": str(time_left_ms)} | ({"badgerbend-tenant": tenant} if tenant else {})
@@ -115,7 +115,7 @@
     try:
         status = uvloop.run(fetch(port, "/peers", host))
     except ConnectionError as err:
-        stop(f"no answer from {host}:{port}: {err}", CANNOT_START)
+        exit_with_error(f"no answer from {host}:{port}: {err}", CANNOT_START)
     table = Table(title=f"pulls {status.get('pulls', 0)}, servers learned {status.get('learned', 0)}")
     for heading in ("name", "address", "state", "incarnation", "believed"):
         table.add_column(heading)
@@ -150,7 +150,7 @@
     try:
         return read_snapshot(file, time.time())
     except (SnapshotError, OSError) as err:
-        stop(f"{file}: {err}", BAD_SETTINGS)
+        exit_with_error(f"{file}: {err}", BAD_SETTINGS)
 
 
 sites = typer.Typer(no_args_is_help=True, help="Sites: what a broker holds of them, and work moved by hand.")
@@ -269,7 +269,7 @@
             _scene(file, report, keep)
         plan = load_day(file)
     except SettingsError as err:
-        stop(str(err), BAD_SETTINGS)
+        exit_with_error(str(err), BAD_SETTINGS)
     result = uvloop.run(play(plan, file, keep, policy))
     console = Console(width=110)
     table = Table(title=f"{file}: {plan.seconds:g} s, {plan.brokers} brokers, {plan.servers} servers (loopback)")
@@ -294,7 +294,7 @@
     try:
         scene = load_scene(file)
     except SettingsError as err:
-        stop(str(err), BAD_SETTINGS)
+        exit_with_error(str(err), BAD_SETTINGS)
     played = uvloop.run(play(scene, keep))
     console = Console(width=110)
     shown = Table(title=f"{file}: {scene.seconds:g} s, {scene.brokers} brokers, {scene.voters} voters (loopback)")
--- a/badgerbend/cli_leases.py
+++ b/badgerbend/cli_leases.py
@@ -13,7 +13,7 @@
 
 from badgerbend.net.fetch import fetch
 from badgerbend.net.seal import KeyFileError, read_key
-from badgerbend.process import BAD_SETTINGS, CANNOT_START, stop
+from badgerbend.process import BAD_SETTINGS, CANNOT_START, exit_with_error
 from badgerbend.wal.errors import StoreError
 from badgerbend.wal.identity import read_identity
 from badgerbend.wal.store import create_store, read_store
@@ -63,11 +63,13 @@
 ) -> None:
     """Makes a voter's store, once: in the same way on each of those that a fleet begins with."""
     if voter and name not in voter:
-        stop(f"{name} is none of the voters that are named; for one that joins later name none", BAD_SETTINGS)
+        exit_with_error(
+            f"{name} is none of the voters that are named; for one that joins later name none", BAD_SETTINGS
+        )
     try:
         create_store(folder, name, voter)
     except (StoreError, OSError) as err:
-        stop(str(err), BAD_SETTINGS)
+        exit_with_error(str(err), BAD_SETTINGS)
     print(f"{folder}: the store of {name}, " + (f"one of {len(voter)}" if voter else "to be added by the others"))
 
 
@@ -78,7 +80,7 @@
         identity = read_identity(folder)
         segment, state, size = read_store(folder)
     except (StoreError, OSError) as err:
-        stop(str(err), BAD_SETTINGS)
+        exit_with_error(str(err), BAD_SETTINGS)
     log = state.log
     names = ", ".join(log.configuration().voters) or "not known yet"
     print(f"{folder}: {identity.name}, term {state.term}, voted for {state.voted_for or 'nobody'}")
@@ -128,7 +130,7 @@
     try:
         return uvloop.run(fetch(port, "/duties", host))
     except ConnectionError as err:
-        stop(f"no answer from {host}:{port}: {err}", CANNOT_START)
+        exit_with_error(f"no answer from {host}:{port}: {err}", CANNOT_START)
 
 
 def _command(port: int, host: str, path: str, key: Path) -> str:
@@ -136,4 +138,4 @@
         token = read_key(key).decode("latin-1")
         return str(uvloop.run(fetch(port, f"/duties/{path}", host, "POST", token))["said"])
     except (ConnectionError, KeyFileError) as err:
-        stop(f"{host}:{port}: {err}", CANNOT_START)
+        exit_with_error(f"{host}:{port}: {err}", CANNOT_START)
--- a/badgerbend/process.py
+++ b/badgerbend/process.py
@@ -22,13 +22,13 @@
 Make = Callable[[Settings, Subgraph, Path], Broker]
 
 
-def stop(text: str, status: int) -> NoReturn:
+def exit_with_error(text: str, status: int) -> NoReturn:
     """Ends a command with one line and a status."""
     print(f"badgerbend: {text}", file=sys.stderr)
     raise typer.Exit(status)
 
 
-async def until_told() -> None:
+async def wait_for_stop_signal() -> None:
     """Until an interrupt or a request to end."""
     told = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -49,6 +49,6 @@
         print(f"badgerbend: cannot listen, or read what the settings name: {err}", file=sys.stderr)
         return CANNOT_START
     settle_memory()
-    await until_told()
+    await wait_for_stop_signal()
     await broker.stop()
     return 0
--- a/badgerbend/standin/demo.py
+++ b/badgerbend/standin/demo.py
@@ -14,7 +14,7 @@
 from badgerbend.broker import Broker, read_subgraph
 from badgerbend.config.reading import load
 from badgerbend.config.settings import Log
-from badgerbend.process import until_told
+from badgerbend.process import wait_for_stop_signal
 from badgerbend.standin.client import Client
 from badgerbend.standin.work import Model
 from badgerbend.standin.world import World
@@ -79,7 +79,7 @@
     client.close()
     if hold:
         console.print(f"\nleft up at http://127.0.0.1:{bound}/graphql until interrupted")
-        await until_told()
+        await wait_for_stop_signal()
     await broker.stop()
     await world.close()
     return 1 if wrong else 0
@@ -117,6 +117,6 @@
         print(f"cannot listen on port {port}: {err}")
         return 3
     print(f"{servers} rate servers; their list is at http://127.0.0.1:{port}/v1/health/service/rates", flush=True)
-    await until_told()
+    await wait_for_stop_signal()
     await world.close()
     return 0
