--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -50,7 +50,7 @@
     return subgraph(settings, text)
 
 
-def settle_memory() -> None:
+def tune_garbage_collector() -> None:
     """Once started: what lives on is left out of collections, which come seldom; few objects here form cycles."""
     gc.collect()
     gc.freeze()
--- a/badgerbend/process.py
+++ b/badgerbend/process.py
@@ -12,7 +12,7 @@
 import typer
 
 from badgerbend import log
-from badgerbend.broker import Broker, settle_memory
+from badgerbend.broker import Broker, tune_garbage_collector
 from badgerbend.config.settings import Settings
 from badgerbend.graphql.schema import Subgraph
 from badgerbend.net.seal import KeyFileError
@@ -48,7 +48,7 @@
     except OSError as err:
         print(f"badgerbend: cannot listen, or read what the settings name: {err}", file=sys.stderr)
         return CANNOT_START
-    settle_memory()
+    tune_garbage_collector()
     await wait_for_stop_signal()
     await broker.stop()
     return 0
--- a/benchmarks/listing.py
+++ b/benchmarks/listing.py
@@ -17,7 +17,7 @@
 from results import cell
 
 from badgerbend import Aggregator, api
-from badgerbend.broker import settle_memory
+from badgerbend.broker import tune_garbage_collector
 from badgerbend.config import settings as cfg
 from badgerbend.config.module import module_settings
 from badgerbend.config.reading import load
@@ -105,7 +105,7 @@
                 module, directory = made(), consul_directory(CELLS)
                 view, _ = directory.read(listed(first), 1000.0, 1.0)
                 module.step(1000.0, [view])
-                settle_memory()  # as a broker does once it is started
+                tune_garbage_collector()  # as a broker does once it is started
                 rows.append(list(way(module, directory, second, 2000.0)))
             longest, whole = cell([max(r) for r in rows]), cell([sum(r) for r in rows])
             print(f"| {size} | {way.__name__.replace('_', ' ')} | {len(rows[0])} | {longest} | {whole} |", flush=True)
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -25,7 +25,7 @@
 import uvloop
 
 from badgerbend import log, standin
-from badgerbend.broker import Broker, read_subgraph, settle_memory
+from badgerbend.broker import Broker, read_subgraph, tune_garbage_collector
 from badgerbend.config import settings as cfg
 from badgerbend.config.reading import load as load_settings
 from badgerbend.net.client import Pool, PoolLimits
@@ -82,7 +82,7 @@
     port = await one.start()
     while one.watch.heard_at is None:
         await asyncio.sleep(0.01)
-    settle_memory()
+    tune_garbage_collector()
     profiler = cProfile.Profile() if profile else None
     if profiler:
         profiler.enable()
