--- a/badgerbend/discovery/watch.py
+++ b/badgerbend/discovery/watch.py
@@ -15,7 +15,7 @@
 from badgerbend import api
 from badgerbend.discovery.directory import SLICE, Directory, ListError, Reading
 from badgerbend.discovery.polls import OverduePolls, Poll, Timer
-from badgerbend.net.client import End, Pool, PoolLimits, Reply
+from badgerbend.net.client import CallResult, Pool, PoolLimits, Reply
 
 # Patience is counted in turns: each lasts its share of it or, if the loop comes round later than that, one turn of the
 # loop. A connection that comes up, a question and an answer take four. Guards against a slow broker that gives up the
@@ -229,8 +229,8 @@
 
     def _read(self, poll: Poll, reply: Reply) -> tuple[int | None, Reading | None]:
         """The answer's version, and its list if there is news. Raises ListError or ValueError."""
-        if reply.end is not End.ANSWER or reply.status != 200:
-            raise ListError(f"{reply.end.name.lower()} {reply.status}")
+        if reply.result is not CallResult.ANSWER or reply.status != 200:
+            raise ListError(f"{reply.result.name.lower()} {reply.status}")
         heard = self.heard_at is not None
         return self.target.read(reply, poll.version, heard, self.directory, self.now_ms(), self.unix_s())
 
--- a/badgerbend/graphql/fetch.py
+++ b/badgerbend/graphql/fetch.py
@@ -16,11 +16,15 @@
 from badgerbend.graphql.documents import ROWS, Template
 from badgerbend.graphql.fields import Fetch
 from badgerbend.graphql.selection import MARK
-from badgerbend.net.client import Call, End, Pool, Reply
+from badgerbend.net.client import Call, CallResult, Pool, Reply
 from badgerbend.runtime.ports import Attempt
 
 NOT_RUN = b"badgerbend-not-run"  # a server's proof that it read nothing of the request
-_ENDS = {End.CONNECT_FAILED: Outcome.CONNECT_FAILED, End.RESET: Outcome.RESET, End.MALFORMED: Outcome.ERROR}
+_ENDS = {
+    CallResult.CONNECT_FAILED: Outcome.CONNECT_FAILED,
+    CallResult.RESET: Outcome.RESET,
+    CallResult.MALFORMED: Outcome.ERROR,
+}
 Ended = Callable[[Attempt, Outcome, object, tuple[float, ...]], None]
 
 
@@ -148,7 +152,7 @@
     # -- answers
     def _replied(self, flight: _Flight, reply: Reply) -> None:
         live, flight.attempts = flight.attempts, set()
-        outcome = _ENDS.get(reply.end)
+        outcome = _ENDS.get(reply.result)
         answer: dict[str, Any] = {}
         if outcome is None:
             if reply.status in (429, 503) and NOT_RUN in reply.headers:
--- a/badgerbend/lease_service/health_check_duty.py
+++ b/badgerbend/lease_service/health_check_duty.py
@@ -15,7 +15,7 @@
 from badgerbend.leases.health_checks import HealthChecker, observations_of, suspected_servers, suspicion_report
 from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import ProbeReport, SuspicionReport
-from badgerbend.net.client import End, Pool, Reply
+from badgerbend.net.client import CallResult, Pool, Reply
 from badgerbend.net.udp import Address, address_text
 from badgerbend.runtime.driver import Driver
 
@@ -185,7 +185,7 @@
         self._call.abort()
 
     def _handle_reply(self, reply: Reply) -> None:
-        self._finish(reply.end is End.ANSWER and reply.status == 200)
+        self._finish(reply.result is CallResult.ANSWER and reply.status == 200)
 
     def _finish(self, served: bool) -> None:
         if not self._finished:
--- a/badgerbend/net/client.py
+++ b/badgerbend/net/client.py
@@ -16,7 +16,7 @@
 import httptools
 
 
-class End(Enum):
+class CallResult(Enum):
     """How a request ended."""
 
     ANSWER = auto()
@@ -35,10 +35,10 @@
 
 
 class Reply:
-    __slots__ = ("body", "end", "headers", "status")
+    __slots__ = ("body", "headers", "result", "status")
 
-    def __init__(self, end: End, status: int, headers: dict[bytes, bytes], body: bytes) -> None:
-        self.end, self.status, self.headers, self.body = end, status, headers, body
+    def __init__(self, result: CallResult, status: int, headers: dict[bytes, bytes], body: bytes) -> None:
+        self.result, self.status, self.headers, self.body = result, status, headers, body
 
 
 class Call:
@@ -123,9 +123,9 @@
         late = asyncio.get_running_loop().time() > call.begin_by
         if connection is not None and late and not call.done:
             connection.free()
-            call.finish(Reply(End.CONNECT_FAILED, 0, {}, b""))
+            call.finish(Reply(CallResult.CONNECT_FAILED, 0, {}, b""))
         elif connection is None:
-            call.finish(Reply(End.CONNECT_FAILED, 0, {}, b""))
+            call.finish(Reply(CallResult.CONNECT_FAILED, 0, {}, b""))
         elif call.done or self.closed:
             connection.free()
         else:
@@ -171,7 +171,7 @@
             self.pool.idle.remove(self)
         call, self.call = self.call, None
         if call is not None:
-            call.finish(Reply(End.RESET, 0, {}, b""))
+            call.finish(Reply(CallResult.RESET, 0, {}, b""))
 
     def usable(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
@@ -194,7 +194,7 @@
             call, self.call = self.call, None
             self.abort()
             if call is not None:
-                call.finish(Reply(End.MALFORMED, 0, {}, b""))
+                call.finish(Reply(CallResult.MALFORMED, 0, {}, b""))
             return
         if self.ready is not None:  # told only now: what breaks over an answer must not pass for a bad answer
             (call, reply), self.ready = self.ready, None
@@ -221,7 +221,7 @@
             return
         call, self.call = self.call, None
         body = self.chunks[0] if len(self.chunks) == 1 else b"".join(self.chunks)
-        reply = Reply(End.ANSWER, status, self.headers, body)
+        reply = Reply(CallResult.ANSWER, status, self.headers, body)
         if self.parser.should_keep_alive():
             self.loop.call_soon(self.free)  # after the parser has seen the rest of what came
         else:
--- a/badgerbend/net/fetch.py
+++ b/badgerbend/net/fetch.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from badgerbend.net.client import End, Pool, PoolLimits, Reply
+from badgerbend.net.client import CallResult, Pool, PoolLimits, Reply
 
 LIMITS = PoolLimits(connect_timeout_s=2.0, idle_s=60.0, max_answer_bytes=64 << 20)
 
@@ -21,7 +21,7 @@
     pool.request(head.encode(), done.set_result)
     reply = await done
     pool.close()
-    if reply.end is not End.ANSWER or reply.status != 200:
-        said = reply.body.decode("utf-8", "replace").strip() if reply.end is End.ANSWER else ""
-        raise ConnectionError(f"{reply.end.name.lower()} {reply.status} {said}".strip())
+    if reply.result is not CallResult.ANSWER or reply.status != 200:
+        said = reply.body.decode("utf-8", "replace").strip() if reply.result is CallResult.ANSWER else ""
+        raise ConnectionError(f"{reply.result.name.lower()} {reply.status} {said}".strip())
     return msgspec.json.decode(reply.body)
--- a/badgerbend/peering/exchange.py
+++ b/badgerbend/peering/exchange.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from badgerbend.knowledge.record import MAX_RECORD_BYTES, KnowledgeRecord, RecordError, aged, decode, encode
-from badgerbend.net.client import Call, End, Pool, PoolLimits, Reply
+from badgerbend.net.client import Call, CallResult, Pool, PoolLimits, Reply
 from badgerbend.net.seal import sign, verify
 from badgerbend.net.server import Exchange, HttpServer, ServerLimits
 
@@ -88,8 +88,8 @@
 
 def _record_of(reply: Reply, key: bytes, nonce: bytes) -> KnowledgeRecord:
     """Check and decode an answer. Raises FetchError."""
-    if reply.end is not End.ANSWER or reply.status != 200:
-        raise FetchError(f"{reply.end.name.lower()} {reply.status}")
+    if reply.result is not CallResult.ANSWER or reply.status != 200:
+        raise FetchError(f"{reply.result.name.lower()} {reply.status}")
     if not verify(key, ANSWER_PREFIX + nonce + reply.body, _bytes_of_hex(reply.headers.get(MAC, b""))):
         raise FetchError("not signed by our key")
     try:
--- a/badgerbend/standin/client.py
+++ b/badgerbend/standin/client.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from badgerbend.net.client import Call, End, Pool, PoolLimits, Reply
+from badgerbend.net.client import Call, CallResult, Pool, PoolLimits, Reply
 
 LIMITS = PoolLimits(connect_timeout_s=2.0, idle_s=60.0, max_answer_bytes=64 << 20)
 
@@ -41,8 +41,8 @@
         named = {k.replace("_", "-"): v for k, v in headers.items()}
         self.ask(query, variables, named, lambda r: None if done.done() else done.set_result(r))
         reply = await done
-        if reply.end is not End.ANSWER:
-            raise ConnectionError(reply.end.name.lower())
+        if reply.result is not CallResult.ANSWER:
+            raise ConnectionError(reply.result.name.lower())
         answer = msgspec.json.decode(reply.body) if reply.body else {}
         return reply.status, answer, reply.headers
 
--- a/badgerbend/standin/traffic.py
+++ b/badgerbend/standin/traffic.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from badgerbend.config.kinds import Count, Name, Positive, ShareOrNone
-from badgerbend.net.client import Call, End, Reply
+from badgerbend.net.client import Call, CallResult, Reply
 from badgerbend.standin.client import Client
 from badgerbend.standin.server import Record
 
@@ -129,10 +129,10 @@
             self._ended(line, "nothing", {})
 
     def _replied(self, flow: Flow, line: dict[str, Any], reply: Reply) -> None:
-        if reply.end is End.CONNECT_FAILED:
+        if reply.result is CallResult.CONNECT_FAILED:
             self._ended(line, "unreachable", {})
             return
-        if reply.end is not End.ANSWER:
+        if reply.result is not CallResult.ANSWER:
             self._ended(line, "closed", {})
             return
         fields = _states(reply, line["fields"])
--- a/benchmarks/scale/list_rows.py
+++ b/benchmarks/scale/list_rows.py
@@ -18,7 +18,7 @@
 from badgerbend.discovery.lines import consul_directory
 from badgerbend.discovery.members import MembersTarget, form, leaving
 from badgerbend.discovery.watch import Target
-from badgerbend.net.client import End, Reply
+from badgerbend.net.client import CallResult, Reply
 from badgerbend.platform import names
 from scale.target import KIND_NAMES, ZONE_NAMES
 
@@ -84,7 +84,7 @@
 
     def whole(self, nodes: Sequence[Node], version: int) -> Reply:
         body = msgspec.json.encode([_consul_row(node, version) for node in nodes])
-        return Reply(End.ANSWER, 200, {b"x-consul-index": b"%d" % version}, body)
+        return Reply(CallResult.ANSWER, 200, {b"x-consul-index": b"%d" % version}, body)
 
     def change(self, nodes: Sequence[Node], places: Collection[int], version: int) -> Reply:
         return self.whole(nodes, version)
@@ -115,7 +115,7 @@
         fields = names.MEMBERS
         rows = [_members_row(node) for node in nodes]
         body = msgspec.json.encode({fields.version: version, fields.whole: whole, fields.rows: rows})
-        return Reply(End.ANSWER, 200, {}, body)
+        return Reply(CallResult.ANSWER, 200, {}, body)
 
 
 FORMS: tuple[ListForm, ...] = (ConsulForm(), MembersForm())
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from badgerbend.net.client import End, Pool
+from badgerbend.net.client import CallResult, Pool
 from badgerbend.platform import config
 from badgerbend.platform.service import Service
 from badgerbend.standin.agent import Agent
@@ -191,8 +191,8 @@
         done = asyncio.get_running_loop().create_future()
         self.pool.request(data, lambda r: None if done.done() else done.set_result(r))
         reply = await done
-        if reply.end is not End.ANSWER:
-            raise ConnectionError(reply.end.name.lower())
+        if reply.result is not CallResult.ANSWER:
+            raise ConnectionError(reply.result.name.lower())
         return reply
 
     def number(self, uid):
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -12,7 +12,7 @@
 from badgerbend.graphql.documents import Template
 from badgerbend.graphql.fetch import FetchTransport
 from badgerbend.graphql.fields import Asked, Fetch
-from badgerbend.net.client import End, Reply
+from badgerbend.net.client import CallResult, Reply
 from badgerbend.net.server import HttpServer, ServerLimits, _Connection
 from badgerbend.runtime.ports import Attempt, PartPlan
 from tests.sockets import Stage, run
@@ -61,7 +61,7 @@
 @given(st.binary(max_size=60) | json.map(msgspec.json.encode), st.sampled_from([200, 200, 400, 503]))
 def test_any_answer_ends_each_part_once_and_counts_only_rows(body, status):
     wire, ends = sent([1, 2, 3])
-    wire.reply(Reply(End.ANSWER, status, {}, body))
+    wire.reply(Reply(CallResult.ANSWER, status, {}, body))
     assert sorted(e[0] for e in ends) == [1, 2, 3]
     for _, outcome, rows in ends:
         if outcome == Outcome.OK:
@@ -77,7 +77,7 @@
     wire, ends = sent(list(range(len(bad))))
     rows = [None if b else {"_bb_rows": [{"id": "a"}]} for b in bad]
     errors = [{"message": "no", "path": ["g0", i, "_bb_rows"]} for i, b in enumerate(bad) if b]
-    wire.reply(Reply(End.ANSWER, 200, {}, msgspec.json.encode({"data": {"g0": rows}, "errors": errors})))
+    wire.reply(Reply(CallResult.ANSWER, 200, {}, msgspec.json.encode({"data": {"g0": rows}, "errors": errors})))
     assert [o == Outcome.ERROR for _, o, _ in sorted(ends, key=lambda e: e[0])] == bad
 
 
@@ -88,7 +88,7 @@
         (500, {b"badgerbend-not-run": b"1"}, Outcome.ERROR),
     ):
         wire, ends = sent([1])
-        wire.reply(Reply(End.ANSWER, status, headers, b""))
+        wire.reply(Reply(CallResult.ANSWER, status, headers, b""))
         assert ends[0][1] == outcome
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from badgerbend.net.client import End, Pool, PoolLimits
+from badgerbend.net.client import CallResult, Pool, PoolLimits
 from badgerbend.net.server import HttpServer, ServerLimits
 from tests.replacing import replaced
 from tests.sockets import Stage, run, until
@@ -198,13 +198,13 @@
 @pytest.mark.parametrize(
     ("answer", "end"),
     [
-        (b"", End.RESET),
-        (b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf", End.RESET),
-        (b"SSH-2.0-x\r\n", End.MALFORMED),
-        (b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\nabc", End.MALFORMED),
-        (b"HTTP/1.1 200 OK\r\ncontent-length: 9999\r\n\r\n" + b"x" * 9999, End.MALFORMED),
-        (b"HTTP/1.1 200 OK\r\nx: " + b"y" * 9999 + b"\r\n\r\n", End.MALFORMED),
-        (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok", End.ANSWER),
+        (b"", CallResult.RESET),
+        (b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf", CallResult.RESET),
+        (b"SSH-2.0-x\r\n", CallResult.MALFORMED),
+        (b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\nabc", CallResult.MALFORMED),
+        (b"HTTP/1.1 200 OK\r\ncontent-length: 9999\r\n\r\n" + b"x" * 9999, CallResult.MALFORMED),
+        (b"HTTP/1.1 200 OK\r\nx: " + b"y" * 9999 + b"\r\n\r\n", CallResult.MALFORMED),
+        (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok", CallResult.ANSWER),
     ],
 )
 def test_the_asking_side_names_how_a_call_ended(answer, end):
@@ -212,7 +212,7 @@
         server = await scripted(answer)
         pool = Pool("127.0.0.1", server.sockets[0].getsockname()[1], PoolLimits(max_answer_bytes=1000))
         ends = []
-        pool.request(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", lambda r: ends.append(r.end))
+        pool.request(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", lambda r: ends.append(r.result))
         await until(lambda: ends)
         await asyncio.sleep(0.02)
         assert ends == [end]
@@ -287,12 +287,12 @@
         pool = Pool("127.0.0.1", await server.start("127.0.0.1", 0), PoolLimits())
 
         def broken(reply):
-            ends.append(reply.end)
+            ends.append(reply.result)
             raise RuntimeError("a defect")
 
         pool.request(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", broken)
         await until(lambda: seen)
-        assert ends == [End.ANSWER]
+        assert ends == [CallResult.ANSWER]
         assert isinstance(seen[0], RuntimeError)
         pool.close()
         await server.close(0)
@@ -306,9 +306,9 @@
         server = HttpServer(lambda exchange: asked.append(exchange), ServerLimits())
         port = await server.start("127.0.0.1", 0)
         pool, ends = Pool("127.0.0.1", port, PoolLimits()), []
-        pool.request(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", lambda r: ends.append(r.end), 0.0)  # long over
+        pool.request(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", lambda r: ends.append(r.result), 0.0)  # long over
         await until(lambda: ends)
-        assert ends == [End.CONNECT_FAILED]
+        assert ends == [CallResult.CONNECT_FAILED]
         assert not asked
         assert len(pool.idle) == 1
         pool.close()
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -31,7 +31,7 @@
     encode,
 )
 from badgerbend.leases.timing import LeaseTiming
-from badgerbend.net.client import End
+from badgerbend.net.client import CallResult
 from tests.sockets import EXAMPLE
 
 
@@ -298,7 +298,7 @@
         self.learned.append(observations)
 
 
-ANSWER = SimpleNamespace(end=End.ANSWER, status=200)
+ANSWER = SimpleNamespace(result=CallResult.ANSWER, status=200)
 
 
 def test_the_result_of_a_check_goes_to_the_broker_that_suspects_the_server_once():
--- a/tests/test_public_status.py
+++ b/tests/test_public_status.py
@@ -10,7 +10,7 @@
 from badgerbend.config.fleet import Duties, Peers, Site, Sites, VoterAt
 from badgerbend.config.settings import Identity, Tenant
 from badgerbend.lease_service.status import LeaseServiceStatus, service_status
-from badgerbend.net.client import End
+from badgerbend.net.client import CallResult
 from badgerbend.peering.exchange import FetchError, fetch_record
 from badgerbend.sites.admission import Rejection, RejectionReason
 from badgerbend.sites.status import sites_status
@@ -161,7 +161,7 @@
         request = f"{method} {path} HTTP/1.1\r\nHost: x\r\n{lines}\r\n{body}".encode()
         self.client.pool.request(request, lambda reply: None if done.done() else done.set_result(reply))
         reply = await done
-        assert reply.end is End.ANSWER
+        assert reply.result is CallResult.ANSWER
         return reply
 
 
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -12,7 +12,7 @@
 from badgerbend.discovery.directory import Directory
 from badgerbend.discovery.members import MembersTarget, form
 from badgerbend.discovery.watch import Watch
-from badgerbend.net.client import End, Reply
+from badgerbend.net.client import CallResult, Reply
 from badgerbend.platform import names
 from tests.clock import Clock
 from tests.conftest import SETTINGS
@@ -57,7 +57,7 @@
         else:
             waits = min([waits, *(self.known_at(at) - now for at, _ in self.news if self.known_at(at) > now)])
         if any(a <= now <= b for a, b in self.spans) and self.refuses:
-            self.later(call, now + 0.001, 1, Reply(End.CONNECT_FAILED, 0, {}, b""), on_reply)
+            self.later(call, now + 0.001, 1, Reply(CallResult.CONNECT_FAILED, 0, {}, b""), on_reply)
             return call
         if any(a <= now + waits and now <= b for a, b in self.spans):
             return call
@@ -69,7 +69,9 @@
         if self.drips and self.drips[0] <= end < self.drips[1]:  # a byte every 10 ms, for ever
             self.later(call, end, 1_000_000, None, on_reply, 0.01)
             return call
-        self.later(call, end + 0.001 + self.late * self.steps, self.drops, Reply(End.ANSWER, 200, {}, body), on_reply)
+        self.later(
+            call, end + 0.001 + self.late * self.steps, self.drops, Reply(CallResult.ANSWER, 200, {}, body), on_reply
+        )
         return call
 
     def later(self, call, when, drops, reply, on_reply, every=0.0):
@@ -281,7 +283,7 @@
     def tell(state):
         rows = [ROW | {"uid": f"s-{i}", "state": state} for i in range(350)]
         body = msgspec.json.encode({"rev": len(replies), "all": True, "targets": rows})
-        replies[-1](Reply(End.ANSWER, 200, {}, body))
+        replies[-1](Reply(CallResult.ANSWER, 200, {}, body))
 
     watch.follow(True)
     tell("up")
