--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -34,7 +34,7 @@
     ProbeReport,
     SuspicionReport,
 )
-from badgerbend.net.seal import Seal
+from badgerbend.net.seal import DatagramSealer
 from badgerbend.net.udp import Address, SealedSocket, address_text
 
 MAX_ROUNDS = 64  # of actions at once: the parts of one machine answer each other
@@ -64,7 +64,7 @@
         clock: Clock = monotonic,
     ) -> None:
         incarnation = int(time.time() * 1000)
-        super().__init__(Seal(settings.keys, incarnation))
+        super().__init__(DatagramSealer(settings.keys, incarnation))
         self.settings = settings
         self.log_event = log_event
         self.clock = clock
--- a/badgerbend/lease_service/http.py
+++ b/badgerbend/lease_service/http.py
@@ -7,7 +7,7 @@
 from badgerbend.lease_service.commands import execute, parse_command
 from badgerbend.lease_service.service import LeaseService
 from badgerbend.lease_service.status import service_status
-from badgerbend.net.seal import bears
+from badgerbend.net.seal import has_bearer_key
 from badgerbend.net.server import Exchange
 
 JSON = b"application/json"
@@ -24,7 +24,7 @@
         exchange.respond(200, msgspec.json.encode(service_status(service)), JSON)
     elif exchange.method != b"POST":
         exchange.respond(405, b"POST it\n", TEXT, ((b"allow", b"POST"),))
-    elif not bears(exchange.headers.get(b"authorization", b""), service.keys):
+    elif not has_bearer_key(exchange.headers.get(b"authorization", b""), service.keys):
         exchange.respond(403, b"the duties' key is wanted, as a bearer token\n", TEXT)
     else:
         _handle_command(service, exchange, path.removeprefix(COMMAND_PREFIX).decode("latin-1"))
--- a/badgerbend/lease_service/service.py
+++ b/badgerbend/lease_service/service.py
@@ -46,7 +46,7 @@
 )
 from badgerbend.log import get_logger
 from badgerbend.net.client import Pool
-from badgerbend.net.seal import Seal, read_key
+from badgerbend.net.seal import DatagramSealer, read_key
 from badgerbend.net.udp import Address, SealedSocket, address_text
 from badgerbend.runtime.driver import Driver
 from badgerbend.slow_start_budget.broker import BrokerBudget
@@ -82,7 +82,7 @@
         self.incarnation = int(time.time() * 1000)
         self.name = broker_name(settings)
         self.keys = tuple(read_key(folder / path) for path in duties.key)
-        super().__init__(Seal(self.keys, self.incarnation))
+        super().__init__(DatagramSealer(self.keys, self.incarnation))
         self.log = get_logger(part="duties")
         self.timing = lease_timing(duties)
         self.voter_addresses = {voter.name: parse_address(voter.address) for voter in duties.voter}
--- a/badgerbend/net/seal.py
+++ b/badgerbend/net/seal.py
@@ -21,11 +21,11 @@
 from cryptography.hazmat.primitives import constant_time, hashes
 from cryptography.hazmat.primitives.hmac import HMAC
 
-HEAD = struct.Struct(">BQQ")
+HEADER = struct.Struct(">BQQ")
 MAC_BYTES = 16
 LEAST_KEY_BYTES = 16
 WINDOW = 1024  # counters: so far may datagrams of one sender overtake each other
-SENDERS = 8192  # whose counters are kept: a fleet's, and those of the day's replaced ones
+MAX_SENDERS = 8192  # whose counters are kept: a fleet's, and those of the day's replaced ones
 
 
 class KeyFileError(Exception):
@@ -54,7 +54,7 @@
     window: int  # bit n: counter newest - n was seen
 
 
-class Seal:
+class DatagramSealer:
     """Seals with the first key and accepts either, so that a key can be replaced while all go on."""
 
     def __init__(self, keys: tuple[bytes, ...], life: int) -> None:
@@ -64,25 +64,25 @@
         self.life, self.counter = life, 0
         self.seen: OrderedDict[bytes, _Seen] = OrderedDict()
 
-    def close(self, body: bytes, sender: bytes) -> bytes:
+    def seal(self, body: bytes, sender: bytes) -> bytes:
         """The sealed datagram. `sender` names who sends it; it is under the MAC, and not in the datagram."""
         self.counter += 1
         number, key = self.keys[0]
-        head = HEAD.pack(number, self.life, self.counter)
+        head = HEADER.pack(number, self.life, self.counter)
         return head + body + self._mac(key, head + body, sender)
 
     def open(self, data: bytes, sender: bytes) -> bytes:
         """The body. Raises Refused."""
-        if len(data) < HEAD.size + MAC_BYTES:
+        if len(data) < HEADER.size + MAC_BYTES:
             raise UnsealError("short")
-        number, life, counter = HEAD.unpack_from(data)
+        number, life, counter = HEADER.unpack_from(data)
         inner, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
         if not any(
             own == number and constant_time.bytes_eq(self._mac(key, inner, sender), mac) for own, key in self.keys
         ):
             raise UnsealError("not sealed by a key of ours")
         self._once(sender, life, counter)
-        return inner[HEAD.size :]
+        return inner[HEADER.size :]
 
     def _once(self, sender: bytes, life: int, counter: int) -> None:
         seen = self.seen.get(sender)
@@ -105,7 +105,7 @@
         """Where there are too many, the one that has been silent for longest is forgotten."""
         self.seen[sender] = seen
         self.seen.move_to_end(sender)
-        if len(self.seen) > SENDERS:
+        if len(self.seen) > MAX_SENDERS:
             self.seen.popitem(last=False)
 
     @staticmethod
@@ -113,7 +113,7 @@
         return sign(key, struct.pack(">H", len(sender)) + sender + data)[:MAC_BYTES]
 
 
-def bears(authorization: bytes, keys: Sequence[bytes]) -> bool:
+def has_bearer_key(authorization: bytes, keys: Sequence[bytes]) -> bool:
     """Whether an Authorization header's bearer token is one of the keys."""
     given = authorization.removeprefix(b"Bearer ").strip()
     return any(constant_time.bytes_eq(given, key) for key in keys)
--- a/badgerbend/net/udp.py
+++ b/badgerbend/net/udp.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from badgerbend.net.seal import Seal, UnsealError
+from badgerbend.net.seal import DatagramSealer, UnsealError
 
 Address = tuple[str, int]
 
@@ -23,8 +23,8 @@
 class SealedSocket(asyncio.DatagramProtocol):
     """`body` is called with each datagram whose seal is good. `own`: the address under which others know this one."""
 
-    def __init__(self, seal: Seal) -> None:
-        self.seal = seal
+    def __init__(self, sealer: DatagramSealer) -> None:
+        self.sealer = sealer
         self.own: Address = ("", 0)
         self.transport: asyncio.DatagramTransport | None = None
         self.loop = asyncio.get_running_loop()
@@ -42,7 +42,7 @@
         """still: asked once all else is done, so that a process that stood still in between says nothing."""
         if self.transport is None:
             return
-        data = self.seal.close(body, sender_of(self.own))
+        data = self.sealer.seal(body, sender_of(self.own))
         if still is not None and not still():
             return
         self.sent += 1
@@ -64,7 +64,7 @@
         self.received += 1
         source = (addr[0], addr[1])
         try:
-            body = self.seal.open(data, sender_of(source))
+            body = self.sealer.open(data, sender_of(source))
         except UnsealError:
             self.refused += 1
             return
--- a/badgerbend/peering/service.py
+++ b/badgerbend/peering/service.py
@@ -18,7 +18,7 @@
 from badgerbend.membership.members import Address, Member
 from badgerbend.membership.messages import MemberState
 from badgerbend.membership.swim import MemberChanged, Swim, SwimConfig
-from badgerbend.net.seal import Seal, read_key
+from badgerbend.net.seal import DatagramSealer, read_key
 from badgerbend.net.udp import address_text
 from badgerbend.peering.exchange import KnowledgeServer
 from badgerbend.peering.own_snapshot import OwnSnapshot
@@ -74,7 +74,7 @@
         started_ms = int(time.time() * 1000)
         self.server = KnowledgeServer(keys, self.own_record)
         self.knowledge_port = await self.server.http.start(peers.host, peers.knowledge_port)
-        self.socket = MembershipSocket(Seal(keys, started_ms), self._member_changed)
+        self.socket = MembershipSocket(DatagramSealer(keys, started_ms), self._member_changed)
         self.membership_port = await self.socket.open(peers.host, peers.port)
         swim = self._swim(peers, started_ms)
         self._pull_schedule = PullSchedule(peers, keys[0], self._rng, self._peers_to_ask, self._learn)
--- a/badgerbend/peering/udp.py
+++ b/badgerbend/peering/udp.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from badgerbend.membership.swim import Address, MemberChanged, Swim
-from badgerbend.net.seal import Seal
+from badgerbend.net.seal import DatagramSealer
 from badgerbend.net.udp import SealedSocket
 
 MIN_WAKEUP_S = 0.001
@@ -16,8 +16,8 @@
 class MembershipSocket(SealedSocket):
     """Drives one `Swim`, which is None before `start` and after `close`. Its events go to `on_change`."""
 
-    def __init__(self, seal: Seal, on_change: Callable[[MemberChanged], None]) -> None:
-        super().__init__(seal)
+    def __init__(self, sealer: DatagramSealer, on_change: Callable[[MemberChanged], None]) -> None:
+        super().__init__(sealer)
         self.on_change = on_change
         self.swim: Swim | None = None
         self._timer: asyncio.TimerHandle | None = None
--- a/badgerbend/site_service/http.py
+++ b/badgerbend/site_service/http.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from badgerbend.net.seal import bears
+from badgerbend.net.seal import has_bearer_key
 from badgerbend.net.server import Exchange
 from badgerbend.sites.preference import LocalityPreference
 from badgerbend.sites.status import sites_status
@@ -55,4 +55,4 @@
     def _is_authorized(self, exchange: Exchange) -> bool:
         if self.operator_key is None:
             return False
-        return bears(exchange.headers.get(b"authorization", b""), (self.operator_key,))
+        return has_bearer_key(exchange.headers.get(b"authorization", b""), (self.operator_key,))
--- a/badgerbend/standin/acts.py
+++ b/badgerbend/standin/acts.py
@@ -13,7 +13,7 @@
 
 from badgerbend.lease_service import wire
 from badgerbend.leases.messages import BudgetReply, BudgetRequest, LeaseReply, ProbeReport
-from badgerbend.net.seal import HEAD, MAC_BYTES
+from badgerbend.net.seal import HEADER, MAC_BYTES
 from badgerbend.standin.audit import Finding
 
 Line = dict[str, Any]
@@ -52,7 +52,7 @@
 def message_of(data: bytes) -> wire.Message | None:
     """What a sealed datagram says; None for what is no message of duties."""
     try:
-        return wire.decode(data[HEAD.size : -MAC_BYTES])
+        return wire.decode(data[HEADER.size : -MAC_BYTES])
     except wire.MalformedMessageError:
         return None
 
--- a/badgerbend/standin/scene.py
+++ b/badgerbend/standin/scene.py
@@ -27,7 +27,7 @@
 from badgerbend.discovery.members import parse_address
 from badgerbend.lease_service import wire
 from badgerbend.leases.messages import LeaseReply, SuspicionReport
-from badgerbend.net.seal import Seal
+from badgerbend.net.seal import DatagramSealer
 from badgerbend.net.udp import Address, SealedSocket
 from badgerbend.standin.acts import Judged, judge, message_of
 from badgerbend.standin.processes import BrokerProcess
@@ -116,7 +116,7 @@
     """Doubts the same servers again and again, to every broker: whoever holds the duty heeds it."""
 
     def __init__(self, brokers: dict[str, Address], servers: tuple[str, ...], duty: str) -> None:
-        super().__init__(Seal((KEY.strip(),), int(time.time() * 1000)))
+        super().__init__(DatagramSealer((KEY.strip(),), int(time.time() * 1000)))
         self.brokers, self.act = brokers, wire.encode_peer_message(SuspicionReport(DOUBTER, duty, servers))
         self.heard = asyncio.Event()
 
--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -16,7 +16,7 @@
 from badgerbend.membership.messages import encode as encode_datagram
 from badgerbend.membership.swim import Swim, SwimConfig
 from badgerbend.net.acceptor import BACKLOG
-from badgerbend.net.seal import SENDERS, Seal
+from badgerbend.net.seal import MAX_SENDERS, DatagramSealer
 from badgerbend.peering.exchange import SERVER_LIMITS
 from scale import records
 from scale.figures import Figure, Kind
@@ -42,10 +42,10 @@
         lambda brokers, nodes: brokers + restarts_expected(brokers, HOUR_S),
     ),
     Limit("rota.voting BROKERS", MAX_BROKER_ADDRESSES, lambda brokers, nodes: brokers),
-    Limit("net.seal SENDERS: brokers", SENDERS, lambda brokers, nodes: brokers),
+    Limit("net.seal MAX_SENDERS: brokers", MAX_SENDERS, lambda brokers, nodes: brokers),
     Limit(
-        "net.seal SENDERS: brokers, and a day's replacements at new addresses",
-        SENDERS,
+        "net.seal MAX_SENDERS: brokers, and a day's replacements at new addresses",
+        MAX_SENDERS,
         lambda brokers, nodes: brokers + restarts_expected(brokers, DAY_S),
     ),
     Limit("duties.probing ASKERS_MOST", MAX_SUBSCRIBERS, lambda brokers, nodes: brokers),
@@ -80,10 +80,10 @@
     Each broker has sent one datagram; then so many others, from addresses of their own, which replace machines. A
     broker whose window was dropped gets a new one with its next datagram, and the receiver drops another's for it.
     """
-    receiver = Seal((KEY,), 1)
+    receiver = DatagramSealer((KEY,), 1)
     senders = [f"10.123.{i // 256}.{i % 256}:7946".encode() for i in range(brokers + replaced)]
     for sender in senders:
-        receiver.open(Seal((KEY,), 2).close(b"ping", sender), sender)
+        receiver.open(DatagramSealer((KEY,), 2).seal(b"ping", sender), sender)
     return sum(sender in receiver.seen for sender in senders[:brokers]) / brokers
 
 
--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -18,7 +18,7 @@
 
 from badgerbend.membership.messages import MAX_DATAGRAM_BYTES, SEAL_BYTES, MemberState, Sync
 from badgerbend.membership.swim import Address, Member, Swim, SwimConfig, SwimOutput
-from badgerbend.net.seal import Seal
+from badgerbend.net.seal import DatagramSealer
 from badgerbend.standin.network import Network
 from scale.figures import Figure, Kind, Part
 from scale.fleetsize import BROKERS, ZONES, restarts_expected
@@ -276,11 +276,11 @@
 
 def sealing_s() -> float:
     """Processor seconds to close one full datagram and to open another."""
-    ours, theirs = Seal((KEY,), 1), Seal((KEY,), 1)
+    ours, theirs = DatagramSealer((KEY,), 1), DatagramSealer((KEY,), 1)
     body = bytes(MAX_DATAGRAM_BYTES - SEAL_BYTES)
     began = time.process_time()
     for _ in range(SEALED):
-        theirs.open(ours.close(body, SENDER), SENDER)
+        theirs.open(ours.seal(body, SENDER), SENDER)
     return (time.process_time() - began) / SEALED
 
 
--- a/tests/test_budget_exchange.py
+++ b/tests/test_budget_exchange.py
@@ -6,7 +6,7 @@
 from badgerbend.lease_service import wire
 from badgerbend.lease_service.budget_exchange import SLOW_START_DUTY
 from badgerbend.leases.messages import BudgetDemand, BudgetGrant, BudgetReply, BudgetRequest
-from badgerbend.net.seal import HEAD, MAC_BYTES
+from badgerbend.net.seal import HEADER, MAC_BYTES
 from badgerbend.standin.acts import judge_deals, message_of
 from badgerbend.standin.client import Client
 from badgerbend.standin.scene import Scene
@@ -117,7 +117,7 @@
 
 
 def line(t, source, to, message):
-    data = bytes(HEAD.size) + wire.encode_peer_message(message) + bytes(MAC_BYTES)
+    data = bytes(HEADER.size) + wire.encode_peer_message(message) + bytes(MAC_BYTES)
     return {"k": "passed", "t": t, "from": source, "to": to, "data": data}
 
 
