--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -68,7 +68,7 @@
         self.settings = settings
         self.log_event = log_event
         self.clock = clock
-        self.own = settings.voters[settings.name]
+        self.own_address = settings.voters[settings.name]
         now = clock()
         seed = incarnation << 8
         machine = FeedStateMachine(settings.retention)
@@ -106,7 +106,7 @@
     def _create_lease_holder(self, now: float, seed: int) -> LeaseHolder:
         return LeaseHolder(
             self.settings.name,
-            address_text(self.own),
+            address_text(self.own_address),
             {PUBLISH_LEASE: True},
             tuple(self.settings.voters),
             self.settings.lease_timing,
@@ -116,7 +116,7 @@
 
     async def start(self) -> int:
         """Bind both sockets; returns the relay's port. Raises OSError."""
-        await self.open(*self.own)
+        await self.open(*self.own_address)
         port = await self.relay_server.start(*self.settings.relay_address)
         self._settle()
         return port
@@ -131,7 +131,7 @@
         self._timer.cancel()
         self.local_voter.close()
         await self.relay_server.stop()
-        self.shut()
+        self.close_socket()
 
     # Publishing.
 
--- a/badgerbend/lease_service/duty_socket.py
+++ b/badgerbend/lease_service/duty_socket.py
@@ -29,7 +29,7 @@
     @property
     def own(self) -> Address:
         """The address where others reach this broker."""
-        return self._socket.own
+        return self._socket.own_address
 
     def may_act(self, duty: str) -> int | None:
         """The epoch under which this broker may act on a duty now, None if it may not."""
--- a/badgerbend/lease_service/messenger.py
+++ b/badgerbend/lease_service/messenger.py
@@ -51,7 +51,7 @@
 
     def send_reply(self, address: Address, reply: LeaseReply) -> None:
         """Sends a voter's reply to a lease candidate."""
-        if address == self.socket.own:
+        if address == self.socket.own_address:
             self.socket.loop.call_soon(self._deliver_own_reply, reply)
         else:
             self.socket.send(address, wire.encode_lease_message(reply))
@@ -61,7 +61,7 @@
         pending = holder.drain_output()
         for voter, message in pending:
             if voter == self.name and own_voter is not None:
-                own_voter.handle_lease_message(message, self.socket.own)
+                own_voter.handle_lease_message(message, self.socket.own_address)
             elif voter in self.voter_addresses:
                 self.socket.send(self.voter_addresses[voter], wire.encode_lease_message(message))
         return bool(pending)
--- a/badgerbend/lease_service/service.py
+++ b/badgerbend/lease_service/service.py
@@ -110,7 +110,7 @@
             self.local_voter = self._open_local_voter(self.folder / self.duties.store)
         port = await self.open(self.duties.host, self.duties.port)
         if self.duties.advertise is not None:
-            self.own = parse_address(self.duties.advertise)
+            self.own_address = parse_address(self.duties.advertise)
         self.holder = self._create_holder()
         self.duty_socket.holder = self.holder
         if self.duties.probing:
@@ -135,7 +135,7 @@
         if self.local_voter is not None:
             await self.local_voter.transfer_leadership_within(TRANSFER_TIMEOUT_S)
             self.local_voter.close()
-        self.shut()
+        self.close_socket()
 
     def _open_local_voter(self, store_path: Path) -> LocalVoter:
         local_voter = LocalVoter(
@@ -155,7 +155,7 @@
 
     def _create_holder(self) -> LeaseHolder:
         duties = candidacies(self.settings, self.duties, shares_budget=self.slow_start is not None)
-        address = address_text(self.own)
+        address = address_text(self.own_address)
         voters = tuple(self.voter_addresses)
         seed = random_seed(self.settings, self.incarnation, HOLDER_SEED)
         return LeaseHolder(self.name, address, duties, voters, self.timing, seed, self.clock())
--- a/badgerbend/net/udp.py
+++ b/badgerbend/net/udp.py
@@ -16,7 +16,7 @@
     return f"{address[0]}:{address[1]}"
 
 
-def sender_of(address: Address) -> bytes:
+def sender_id(address: Address) -> bytes:
     return address_text(address).encode()
 
 
@@ -25,7 +25,7 @@
 
     def __init__(self, sealer: DatagramSealer) -> None:
         self.sealer = sealer
-        self.own: Address = ("", 0)
+        self.own_address: Address = ("", 0)
         self.transport: asyncio.DatagramTransport | None = None
         self.loop = asyncio.get_running_loop()
         self.received = self.refused = self.sent = self.bytes = 0
@@ -35,14 +35,14 @@
         await self.loop.create_datagram_endpoint(lambda: self, (host, port))
         assert self.transport is not None
         bound = int(self.transport.get_extra_info("sockname")[1])
-        self.own = (host, bound)
+        self.own_address = (host, bound)
         return bound
 
     def send(self, address: Address, body: bytes, still: Callable[[], bool] | None = None) -> None:
         """still: asked once all else is done, so that a process that stood still in between says nothing."""
         if self.transport is None:
             return
-        data = self.sealer.seal(body, sender_of(self.own))
+        data = self.sealer.seal(body, sender_id(self.own_address))
         if still is not None and not still():
             return
         self.sent += 1
@@ -52,7 +52,7 @@
     def body(self, body: bytes, source: Address) -> None:
         raise NotImplementedError
 
-    def shut(self) -> None:
+    def close_socket(self) -> None:
         if self.transport is not None:
             self.transport.close()
 
@@ -64,7 +64,7 @@
         self.received += 1
         source = (addr[0], addr[1])
         try:
-            body = self.sealer.open(data, sender_of(source))
+            body = self.sealer.open(data, sender_id(source))
         except UnsealError:
             self.refused += 1
             return
--- a/badgerbend/peering/udp.py
+++ b/badgerbend/peering/udp.py
@@ -36,7 +36,7 @@
             self.swim.leave(time.monotonic())
             self._flush(self.swim)
             self.swim = None
-        self.shut()
+        self.close_socket()
 
     def body(self, body: bytes, source: Address) -> None:
         """Handle the body of a datagram whose seal is good."""
--- a/badgerbend/standin/scene.py
+++ b/badgerbend/standin/scene.py
@@ -194,7 +194,7 @@
         self.doubter = _Doubter(brokers, tuple(self.world.servers), "probe")
         port = free_port(socket.SOCK_DGRAM)
         await self.doubter.open("127.0.0.1", port)
-        self.doubter.own = parse_address(await self.rig.add(DOUBTER, port))
+        self.doubter.own_address = parse_address(await self.rig.add(DOUBTER, port))
         self.task = asyncio.ensure_future(self.doubter.run())
         async with asyncio.timeout(30.0):  # the first act: there is a holder
             await self.doubter.heard.wait()
@@ -271,7 +271,7 @@
         ends = await asyncio.gather(*(p.ended() for p in self.processes.values() if p.process is not None))
         await self.world.close()
         if self.doubter is not None:
-            self.doubter.shut()
+            self.doubter.close_socket()
         self.rig.close()
         return list(ends)
 
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -187,7 +187,7 @@
 
 class Socket:
     def __init__(self):
-        self.own, self.loop, self.sent = ("127.0.0.1", 7000), Loop(), []
+        self.own_address, self.loop, self.sent = ("127.0.0.1", 7000), Loop(), []
 
     def send(self, address, body):
         self.sent.append((address, body))
@@ -214,7 +214,7 @@
     assert messenger.send_pending_requests(holder, voter)
     ((own, source),) = voter.messages
     assert isinstance(own, LeaseReturn)
-    assert source == socket.own
+    assert source == socket.own_address
     ((address, body),) = socket.sent
     assert address == VOTERS["broker-1"]
     assert wire.decode(body) == own
@@ -226,7 +226,7 @@
 def test_replies_to_the_process_itself_come_from_the_loop_and_not_after_it_closed():
     socket, replies = Socket(), []
     messenger = LeaseMessenger(socket, "broker-0", VOTERS, replies.append)
-    messenger.send_reply(socket.own, REPLY)
+    messenger.send_reply(socket.own_address, REPLY)
     assert replies == []
     socket.loop.run_next()
     assert replies == [REPLY]
@@ -235,7 +235,7 @@
     ((address, body),) = socket.sent
     assert address == ("127.0.0.1", 7001)
     assert wire.decode(body) == REPLY
-    messenger.send_reply(socket.own, REPLY)
+    messenger.send_reply(socket.own_address, REPLY)
     messenger.close()
     socket.loop.run_next()
     assert replies == [REPLY]
--- a/tests/test_scenes.py
+++ b/tests/test_scenes.py
@@ -9,7 +9,7 @@
 from badgerbend.leases.messages import LeaseReply, LeaseReturn, ProbeReport
 from badgerbend.net.fetch import fetch
 from badgerbend.net.seal import DatagramSealer
-from badgerbend.net.udp import sender_of
+from badgerbend.net.udp import sender_id
 from badgerbend.standin.acts import judge, message_of
 from badgerbend.standin.scene import Scene, Stage
 from tests.sockets import until
@@ -138,7 +138,9 @@
         name = stage.names[0]
         target, front = stage.rig.fronts[name].real, stage.rig.fronts["doubter"].transport
         act = wire.encode_peer_message(ProbeReport("doubter", "probe", 1 << 40, ()))
-        front.sendto(DatagramSealer((b"another key, not theirs",), 1).seal(act, sender_of(stage.doubter.own)), target)
+        front.sendto(
+            DatagramSealer((b"another key, not theirs",), 1).seal(act, sender_id(stage.doubter.own_address)), target
+        )
         said = [r["data"] for r in stage.lines if (r["from"], r["to"]) == ("doubter", name)]
         front.sendto(said[-1], target)
         port = stage.processes[name].settings.listen.port
