--- a/badgerbend/graphql/front.py
+++ b/badgerbend/graphql/front.py
@@ -159,7 +159,7 @@
         self.todo = [f for f in self.prepared.fields if holds(f.conditions, coerced)]
         self.todo.reverse()
         self.front.operations.add(self)
-        self.exchange.on_gone = self.gone
+        self.exchange.on_disconnect = self.gone
         if self.prepared.mutation:
             self._next()
             return
@@ -176,7 +176,7 @@
         query.query_id = self.front.driver.submit(plan, query)
 
     def _next(self) -> None:
-        while self.todo and not self.waiting and not self.exchange.gone:
+        while self.todo and not self.waiting and not self.exchange.disconnected:
             ready: list[tuple[FieldQuery, QueryPlan]] = []
             self._plan(self.todo.pop(), ready)
             for query, plan in ready:
--- a/badgerbend/net/server.py
+++ b/badgerbend/net/server.py
@@ -2,7 +2,7 @@
 
 A handler is called with each whole request and answers by `Exchange.respond`, now or later. A connection answers
 its requests in order, one at a time. A peer that closes its connection is told to the exchange it was waiting
-for, by `on_gone`; so reading goes on while answers are waited for, and where it has to stop the socket is asked.
+for, by `on_disconnect`; so reading goes on while answers are waited for, and where it has to stop the socket is asked.
 
 The last answer on a connection is followed by a lingering close: the write side is shut, and what still comes is read
 and thrown away within bounds. A close over unread bytes would reset the connection, and the reset can overtake the
@@ -45,14 +45,24 @@
     max_body_bytes: int = 262_144
     read_timeout_s: float = 10.0  # for one request to arrive; the first counts from the connection's start
     idle_timeout_s: float = 75.0  # between requests
-    silent_timeout_s: float = 75.0  # before the first one has begun
-    max_kept: int = 10_000  # with more connections open and not lingering, each answer is the last on its own
+    first_byte_timeout_s: float = 75.0  # before the first one has begun
+    max_keep_alive: int = 10_000  # with more connections open and not lingering, each answer is the last on its own
 
 
 class Exchange:
     """One request and its one answer."""
 
-    __slots__ = ("_connection", "body", "gone", "headers", "keep_alive", "method", "on_gone", "received_at", "target")
+    __slots__ = (
+        "_connection",
+        "body",
+        "disconnected",
+        "headers",
+        "keep_alive",
+        "method",
+        "on_disconnect",
+        "received_at",
+        "target",
+    )
 
     def __init__(
         self,
@@ -67,8 +77,8 @@
         self.received_at = received_at  # when its last byte came, on the loop's clock
         self.method, self.target, self.headers, self.keep_alive = method, target, headers, keep
         self.body = b""
-        self.gone = False
-        self.on_gone: Callable[[], None] | None = None
+        self.disconnected = False
+        self.on_disconnect: Callable[[], None] | None = None
 
     @property
     def connection_key(self) -> int:
@@ -77,18 +87,18 @@
 
     def client_has_left(self) -> bool:
         """Asks the socket whether the peer has closed, though that was not read yet; if so the exchange ends soon."""
-        return self.gone or self._connection.peer_has_left()
+        return self.disconnected or self._connection.peer_has_left()
 
     def respond(self, status: int, body: bytes, content_type: bytes, extra: Headers = ()) -> bool:
         """Writes the answer. False if the peer has gone or was answered before: then nothing is written."""
-        if self.gone or self._connection.active is not self:
+        if self.disconnected or self._connection.active is not self:
             return False
         self._connection.write_answer(self, status, body, content_type, extra)
         return True
 
     def drop(self) -> None:
         """Closes the connection without an answer."""
-        if not self.gone and self._connection.active is self:
+        if not self.disconnected and self._connection.active is self:
             self._connection.abort()
 
 
@@ -102,7 +112,7 @@
         self.handler, self.limits = handler, limits
         self.connections: set[_Connection] = set()
         self.closing = False
-        self.turned_away = self.lingering = 0
+        self.rejected_connections = self.lingering = 0
         self.address = ("", 0)  # once it listens
         self._listener: Listener | None = None
         self._sweeper: asyncio.TimerHandle | None = None
@@ -162,7 +172,7 @@
         return True
 
     def crowded(self) -> bool:
-        return len(self.connections) - self.lingering > self.limits.max_kept
+        return len(self.connections) - self.lingering > self.limits.max_keep_alive
 
     def forget(self, connection: _Connection) -> None:
         self.connections.discard(connection)
@@ -222,7 +232,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
         if len(self.server.connections) >= self.server.limits.max_connections and not self.server.make_room():
-            self.server.turned_away += 1
+            self.server.rejected_connections += 1
             transport.abort()
             return
         self.server.connections.add(self)
@@ -237,9 +247,9 @@
         lost, self.active = [*([self.active] if self.active else []), *self.waiting], None
         self.waiting.clear()
         for exchange in lost:
-            exchange.gone = True
-            if exchange.on_gone is not None:
-                exchange.on_gone()
+            exchange.disconnected = True
+            if exchange.on_disconnect is not None:
+                exchange.on_disconnect()
 
     def data_received(self, data: bytes) -> None:
         if self.lingering or self.refusal is not None:
@@ -487,7 +497,7 @@
             pass  # it has its own bounds
         elif self.reading and not self.holds() and now - self.since > limits.read_timeout_s:
             self.refuse(408, b"the request took too long to arrive")
-        elif now - self.since > (limits.idle_timeout_s if self.asked else limits.silent_timeout_s):
+        elif now - self.since > (limits.idle_timeout_s if self.asked else limits.first_byte_timeout_s):
             self.close_if_idle()
 
 
--- a/badgerbend/platform/front.py
+++ b/badgerbend/platform/front.py
@@ -78,7 +78,7 @@
             exchange.respond(err.status, err.why.encode() + b"\n", TEXT)
             return
         pending = self.open[request] = _Pending(self, request, exchange)
-        exchange.on_gone = pending.gone
+        exchange.on_disconnect = pending.gone
         pending.query_id = self.driver.submit(plan, pending)
 
     def read(self, exchange: Exchange) -> tuple[bytes, QueryPlan]:
@@ -180,14 +180,14 @@
         self._end(502, b"failed; parts of it may have run\n", TEXT)
 
     def gone(self) -> None:
-        self.exchange.on_gone = None
+        self.exchange.on_disconnect = None
         self.front.open.pop(self.request, None)
         if self.query_id is not None:
             self.front.driver.gone(self.query_id)
 
     def _end(self, status: int, body: bytes, kind: bytes, extra: Headers = ()) -> None:
         self.front.open.pop(self.request, None)
-        self.exchange.on_gone = None  # it points back here: else each request waits for the garbage collector
+        self.exchange.on_disconnect = None  # it points back here: else each request waits for the garbage collector
         self.exchange.respond(status, body, kind, extra)
 
 
--- a/badgerbend/platform/service.py
+++ b/badgerbend/platform/service.py
@@ -93,11 +93,11 @@
             self.front.handle,
             ServerLimits(
                 max_connections=int(descriptors * FOR_CLIENTS),
-                max_kept=int(descriptors * FOR_KEPT),
+                max_keep_alive=int(descriptors * FOR_KEPT),
                 max_body_bytes=MAX_BODY,
                 read_timeout_s=READ_S,
                 idle_timeout_s=IDLE_S,
-                silent_timeout_s=READ_S,
+                first_byte_timeout_s=READ_S,
             ),
         )
         self.ending = False
@@ -224,7 +224,7 @@
                 nodes=self.transport.open,
                 opened=self.transport.opened,
                 rejected=self.front.rejected,
-                turned_away=self.server.turned_away,
+                turned_away=self.server.rejected_connections,
                 accepts_failed=self.server.accepts_failed,
                 overdue_polls=self.watch.overdue_polls,
             )
--- a/badgerbend/standin/registry.py
+++ b/badgerbend/standin/registry.py
@@ -93,7 +93,7 @@
             self._answer(exchange)
             return
         self.waiting[exchange] = self.loop.call_later(wait, self._answer, exchange)
-        exchange.on_gone = lambda: self._forget(exchange)
+        exchange.on_disconnect = lambda: self._forget(exchange)
 
     def _forget(self, exchange: Exchange) -> None:
         timer = self.waiting.pop(exchange, None)
--- a/badgerbend/standin/server.py
+++ b/badgerbend/standin/server.py
@@ -127,7 +127,7 @@
 
     def _admit(self, exchange: Exchange, call: dict[str, Any], text: str, variables: dict[str, Any]) -> None:
         faults, now = self.faults, self.now()
-        if exchange.gone or not self.up:
+        if exchange.disconnected or not self.up:
             return
         if faults.silent:
             self.held.add(exchange)
@@ -153,7 +153,7 @@
             self._turn_away(exchange, call)
             return
         state = _Running(self, exchange, call, job, text, variables, now, poisoned)
-        exchange.on_gone = state.gone
+        exchange.on_disconnect = state.gone
         if started:
             state.begin()
 
@@ -195,7 +195,7 @@
         self.timer = None
         server = self.server
         self._leave()
-        if not server.up or self.exchange.gone:
+        if not server.up or self.exchange.disconnected:
             return
         took = server.now() - self.arrived
         server.machine.usual_ms += (took - server.machine.usual_ms) * 0.1
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -224,7 +224,7 @@
             sending.cancel()
             sock.close()
             left = loop.time()
-            await until(lambda: first.gone)
+            await until(lambda: first.disconnected)
             assert loop.time() - left < 1.0
             assert len(peer.held) == 1
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -126,7 +126,7 @@
                     raise ConnectionError
             writer.write(post(GOOD, b"connection: close"))
             assert (await reader.read()).startswith(b"HTTP/1.1 200")
-            assert s.broker.server.turned_away == 0
+            assert s.broker.server.rejected_connections == 0
             for _, w in (*held, (reader, writer)):
                 w.close()
 
@@ -145,7 +145,7 @@
             with pytest.raises(ConnectionError):
                 if not await other.read():
                     raise ConnectionError
-            assert s.broker.server.turned_away == 1
+            assert s.broker.server.rejected_connections == 1
             assert (await reader.read()).startswith(b"HTTP/1.1 200")
             writer.close()
             second.close()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -344,7 +344,7 @@
             silent = [await asyncio.open_connection("127.0.0.1", s.port) for _ in range(most + 30)]
             assert (await s.ask())[0] == 200
             assert len(s.service.server.connections) <= most
-            assert not s.service.server.turned_away
+            assert not s.service.server.rejected_connections
             for _, writer in silent:
                 writer.close()
 
@@ -357,7 +357,7 @@
 
     async def main():
         async with Stage() as s:
-            kept = s.service.server.limits.max_kept
+            kept = s.service.server.limits.max_keep_alive
             assert kept < s.config.limits.descriptors / 3
             held, closed = [], 0
             for _ in range(kept + 20):
