--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -21,7 +21,7 @@
 from badgerbend.generations.generation import Generation, SharedResources
 from badgerbend.generations.manager import GenerationManager
 from badgerbend.graphql.front import GraphQLFront
-from badgerbend.graphql.schema import Subgraph, subgraph
+from badgerbend.graphql.schema import Subgraph, create_subgraph
 from badgerbend.lease_service.budget_exchange import create_broker_budget
 from badgerbend.lease_service.http import handle_duties
 from badgerbend.lease_service.service import LeaseService
@@ -47,7 +47,7 @@
 def read_subgraph(settings: Settings, settings_file: Path) -> Subgraph:
     """The subgraph of a settings file; the schema's path is relative to it. Raises OSError, SchemaError."""
     text = (settings_file.parent / settings.schema).read_text(encoding="utf-8")
-    return subgraph(settings, text)
+    return create_subgraph(settings, text)
 
 
 def tune_garbage_collector() -> None:
--- a/badgerbend/feed_subscription/reader.py
+++ b/badgerbend/feed_subscription/reader.py
@@ -9,7 +9,7 @@
 from badgerbend.config.sexpr import SettingsError
 from badgerbend.feed.configuration import UnusableConfigurationError
 from badgerbend.generations.manager import GenerationManager
-from badgerbend.graphql.schema import SchemaError, Subgraph, subgraph
+from badgerbend.graphql.schema import SchemaError, Subgraph, create_subgraph
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,4 +48,4 @@
         current = self.generations.current
         if (settings.field, settings.entity) == (current.settings.field, current.settings.entity):
             return current.graph
-        return subgraph(settings, current.graph.text)
+        return create_subgraph(settings, current.graph.text)
--- a/badgerbend/graphql/schema.py
+++ b/badgerbend/graphql/schema.py
@@ -77,7 +77,7 @@
     }
 
 
-def subgraph(settings: Settings, text: str) -> Subgraph:
+def create_subgraph(settings: Settings, text: str) -> Subgraph:
     """The broker's own subgraph; every root field must have its settings and these must fit the types."""
     schema, sdl = build_subgraph(text, [e.name for e in settings.entity])
     fields = {f.name: f for f in settings.field}
--- a/badgerbend/net/client.py
+++ b/badgerbend/net/client.py
@@ -75,7 +75,7 @@
         self.idle: list[_Connection] = []
         self.open: set[_Connection] = set()
         self.opened = 0
-        self.unasked = 0  # answers that came to no request
+        self.unsolicited = 0  # answers that came to no request
         self.closed = False
         self._openings: set[asyncio.Task[None]] = set()
 
@@ -95,14 +95,14 @@
         call.opening.add_done_callback(self._openings.discard)
         return call
 
-    def open_ahead(self, done: Callable[[bool], None]) -> None:
+    def preconnect(self, done: Callable[[bool], None]) -> None:
         """Opens a connection before it is needed, unless one is idle; `done` tells whether it came about."""
         if not self.idle and not self.closed:
-            opening = asyncio.get_running_loop().create_task(self._open_ahead(done))
+            opening = asyncio.get_running_loop().create_task(self._preconnect(done))
             self._openings.add(opening)
             opening.add_done_callback(self._openings.discard)
 
-    async def _open_ahead(self, done: Callable[[bool], None]) -> None:
+    async def _preconnect(self, done: Callable[[bool], None]) -> None:
         connection = await self._connection()
         if connection is not None:
             connection.free()
@@ -184,7 +184,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.call is None:  # an answer to nothing: this connection cannot be trusted
-            self.pool.unasked += 1
+            self.pool.unsolicited += 1
             self.abort()
             return
         self.call.received += len(data)
--- a/badgerbend/site_service/service.py
+++ b/badgerbend/site_service/service.py
@@ -66,7 +66,7 @@
         for node in preconnector.servers_due(self.now_ms()):
             pool = self.pool_of(node)
             if pool is not None:
-                pool.open_ahead(partial(self._connection_opened, node))
+                pool.preconnect(partial(self._connection_opened, node))
         changes = self.preference.states.changes
         for change in changes:
             self.log.warning("site", site=change.site, now=change.description)
--- a/badgerbend/standin/traffic.py
+++ b/badgerbend/standin/traffic.py
@@ -54,8 +54,8 @@
 
     def close(self) -> None:
         for broker, client in enumerate(self.clients):
-            if client.pool.unasked:
-                self._write({"k": "unasked", "broker": broker, "count": client.pool.unasked})
+            if client.pool.unsolicited:
+                self._write({"k": "unasked", "broker": broker, "count": client.pool.unsolicited})
             client.close()
 
     def _later(self, flow: Flow) -> None:
