--- a/badgerbend/generations/generation.py
+++ b/badgerbend/generations/generation.py
@@ -66,7 +66,7 @@
         module = module_settings(settings)
         seed = settings.seed * 1_000_003 + settings.identity.index
         aggregator = shared.make_aggregator(module, seed, shared.site_preference, shared.slow_start_budget)
-        self.answers = AnswerObserver(shared.metrics.of_classes(tuple(one.name for one in settings.class_)))
+        self.answers = AnswerObserver(shared.metrics.for_classes(tuple(one.name for one in settings.class_)))
         self.schedule = LoopSchedule(shared.loop)
         self.transport = FetchTransport(
             shared.pool_of,
--- a/badgerbend/lease_service/service_metrics.py
+++ b/badgerbend/lease_service/service_metrics.py
@@ -14,7 +14,7 @@
         metrics.duties.labels(lease.duty, "epoch").set(lease.epoch)
     counts = _service_counts(service) | _budget_counts(service) | _voter_counts(service)
     for name, count in counts.items():
-        metrics.rota.labels(name).set(count)
+        metrics.duty_totals.labels(name).set(count)
 
 
 def _service_counts(service: LeaseService) -> dict[str, int]:
--- a/badgerbend/metrics.py
+++ b/badgerbend/metrics.py
@@ -48,7 +48,9 @@
             registry=r,
         )
         self.duties = Gauge("badgerbend_duty", "What this broker knows of a duty", ["duty", "what"], registry=r)
-        self.rota = Gauge("badgerbend_duties", "Its part in duties and votes, see docs/leases.md", ["what"], registry=r)
+        self.duty_totals = Gauge(
+            "badgerbend_duties", "Its part in duties and votes, see docs/leases.md", ["what"], registry=r
+        )
         self._outcomes = {o: self.attempts.labels(o.label.lower()) for o in api.Outcome}
         self._log = get_logger(part="broker")
         self._name_classes(classes)
@@ -61,7 +63,7 @@
             for how in ("answered", "answered in part", "refused", "failed", "gone", "failed by the watch")
         }
 
-    def of_classes(self, classes: tuple[str, ...]) -> Metrics:
+    def for_classes(self, classes: tuple[str, ...]) -> Metrics:
         """An observer of queries of these classes that counts into the same registry."""
         other = copy(self)
         other._name_classes(classes)
