--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -27,7 +27,7 @@
     return uvloop.run(limited())
 
 
-class Stage:
+class BrokerFixture:
     """World, broker and client; an async context."""
 
     def __init__(self, count=12, model=QUICK, broker=Broker, **changes):
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -14,7 +14,7 @@
 from badgerbend.standin.traffic import Asker, Flow
 from badgerbend.standin.work import Model
 from tests.replacing import replace_attribute
-from tests.sockets import EXAMPLE, Stage, run, until
+from tests.sockets import EXAMPLE, BrokerFixture, run, until
 
 RULES = ("lost", "duplicated", "drains", "cold", "honest", "budget")
 
@@ -132,7 +132,7 @@
 
 
 async def findings(broker, flow, trouble, changes):
-    async with Stage(broker=broker, listen={"answer_allowance_ms": 500.0}, **changes) as stage:
+    async with BrokerFixture(broker=broker, listen={"answer_allowance_ms": 500.0}, **changes) as stage:
         facts = Facts(stage.settings, answer_slack_ms=500.0, wire_slack_ms=500.0)  # CI machines stall
         asker = Asker([stage.port], 24, 5, stage.records.append)
         asker.start(flow)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -15,7 +15,7 @@
 from badgerbend.net.client import CallResult, Reply
 from badgerbend.net.server import HttpServer, ServerLimits, _Connection
 from badgerbend.runtime.ports import Attempt, PartPlan
-from tests.sockets import Stage, run
+from tests.sockets import BrokerFixture, run
 
 ASKED = Asked("0" * 32, None, False)
 
@@ -165,7 +165,7 @@
 
 def test_tenants_are_asked_for_where_they_are_set():
     async def main():
-        async with Stage(tenant=(Tenant("a", 1000.0), Tenant("b", 1000.0))) as s:
+        async with BrokerFixture(tenant=(Tenant("a", 1000.0), Tenant("b", 1000.0))) as s:
             text = "{ fullQuote(blocks: [1], amount: 5) { id } }"
             assert (await s.client.query(text))[0] == 403
             assert (await s.client.query(text, badgerbend_tenant="c"))[0] == 403
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,7 +12,7 @@
 from badgerbend.discovery.lines import consul_directory
 from badgerbend.standin.registry import Entry
 from tests.replacing import replace_attribute
-from tests.sockets import Stage, run, until
+from tests.sockets import BrokerFixture, run, until
 
 READY, DRAINING, GONE = api.EndpointState.READY, api.EndpointState.DRAINING, api.EndpointState.REMOVED
 
@@ -83,7 +83,7 @@
     """The list grows to 3000 lines in one answer: the module has them all, and nothing was lost over it."""
 
     async def main():
-        async with Stage(count=24) as stage:
+        async with BrokerFixture(count=24) as stage:
             registry = stage.world.registry
             sizes = []
             tell = stage.broker.driver.view
@@ -181,7 +181,7 @@
 @pytest.mark.parametrize("mode", ["push", "ask"])
 def test_news_arrive_and_an_outage_of_the_list_loses_nothing(mode):
     async def main():
-        async with Stage(discovery={"mode": mode, "must_ask_ms": 800.0}) as s:
+        async with BrokerFixture(discovery={"mode": mode, "must_ask_ms": 800.0}) as s:
             node = next(n for n, name in s.broker.directory.names.items() if name == "rates-1")
             module = s.broker.driver.module
             await until(lambda: node in module.endpoints.servers and module.endpoints.servers[node].ready)
@@ -204,7 +204,7 @@
 
 def test_a_list_emptied_by_mistake_stops_no_service():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             s.world.registry.entries.clear()
             s.world.registry.changed()
             await until(lambda: s.broker.watch.failures)
@@ -216,7 +216,7 @@
 
 def test_a_broker_started_before_its_list_serves_once_it_is_there():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             s.world.registry.cut(True)
             other = Broker(s.settings, s.broker.front.subgraph)
             await other.start()
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -13,7 +13,7 @@
 from badgerbend.graphql.documents import DocumentCache, Rejected
 from badgerbend.graphql.front import _resolve
 from badgerbend.standin.subgraph import Subgraph
-from tests.sockets import EXAMPLE, Stage, run
+from tests.sockets import EXAMPLE, BrokerFixture, run
 
 GRAPH = read_subgraph(load(EXAMPLE), EXAMPLE)
 ONE = "fullQuote(blocks: [1], amount: 5) { id }"
@@ -75,7 +75,7 @@
 
 def test_blocks_and_arguments_out_of_range_are_the_clients_fault():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             for text in (
                 "{ fullQuote(blocks: [], amount: 5) { id } }",
                 "{ fullQuote(blocks: [24], amount: 5) { id } }",
@@ -92,7 +92,7 @@
 
 def test_variables_directives_and_introspection():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             text = """query Q($b: [Int!]! = [2], $with: Boolean!, $m: Int) {
               fullQuote(blocks: $b, amount: 5, months: $m) { id months lender @include(if: $with) }
               other: fullQuote(blocks: [1], amount: 5) @skip(if: $with) { id } }"""
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize("how", ["half", "text", "huge", "short", "types", "null", "errors"])
 def test_a_wrong_answer_does_not_count_and_another_holder_is_asked(how):
     async def main():
-        async with Stage(servers={"parts_per_call": 1}) as s:
+        async with BrokerFixture(servers={"parts_per_call": 1}) as s:
             for i in (4, 5):
                 s.world.servers[f"rates-{i}"].faults.answer = how
             for _ in range(4):
@@ -129,7 +129,7 @@
 
 def test_where_all_holders_answer_wrongly_nothing_is_made_up():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             for server in s.world.servers.values():
                 server.faults.answer = "types"
             _, answer, _ = await s.client.query("{ fullQuote(blocks: [4], amount: 5) { id monthly } }")
--- a/tests/test_federation.py
+++ b/tests/test_federation.py
@@ -6,7 +6,7 @@
 
 from badgerbend.standin.subgraph import rates
 from tests.replacing import replace_attribute
-from tests.sockets import Stage, run, until
+from tests.sockets import BrokerFixture, run, until
 
 COMPARE = """query C($b: [Int!]!, $n: Int) {
   rateCompare(blocks: $b, amount: 1000, first: $n) { id lender monthly }
@@ -22,7 +22,7 @@
 
 def test_an_all_parts_query_has_every_row():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             status, answer, _ = await s.client.query(QUOTE)
             assert status == 200
             assert "errors" not in answer
@@ -35,7 +35,7 @@
 
 def test_an_any_m_query_is_ranked_over_the_parts_it_rests_on():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             status, answer, _ = await s.client.query(COMPARE, {"b": [0, 1, 2, 3, 4, 5, 6, 7], "n": 40})
             rows = answer["data"]["rateCompare"]
             blocks = {int(r["id"].split(":")[0]) for r in rows}
@@ -52,7 +52,7 @@
 
 def test_aliases_fragments_and_two_classes_in_one_operation():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             _, answer, _ = await s.client.query(MIXED)
             assert "errors" not in answer
             assert [r["id"] for r in answer["data"]["fullQuote"]] == [f"{b}:{i}" for b in (1, 2) for i in range(4)]
@@ -69,7 +69,7 @@
     """No holder of block 9 is up: its quote is refused with advice, the compare beside it is answered."""
 
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             for cell in (9, 10, 11):
                 s.world.crash(f"rates-{cell}")
             await until(lambda: len(s.broker.directory.addresses) and not s.broker.driver._events)
@@ -91,7 +91,7 @@
 
 def test_a_second_step_brings_details_of_the_best():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             text = "{ quoteReport(blocks: [1,2,3,4], amount: 900, first: 3) { id block t: terms { fee wording } } }"
             _, answer, _ = await s.client.query(text)
             rows = answer["data"]["quoteReport"]
@@ -109,7 +109,7 @@
 
 def test_mutations_run_one_after_the_other_and_once():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             text = 'mutation { a: signLease(block: 2, rate: "2:1") { id } b: holdRate(block: 3, rate: "3:0") { rate } }'
             _, answer, _ = await s.client.query(text, idempotency_key="k1")
             assert answer["data"] == {"a": {"id": "signLease:2:1"}, "b": {"rate": "3:0"}}
@@ -122,7 +122,7 @@
 
 def test_the_broker_is_a_subgraph():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             _, answer, _ = await s.client.query("{ _service { text: sdl } }")
             assert 'type Rate @key(fields: "id")' in answer["data"]["_service"]["text"]
             assert "@link" in answer["data"]["_service"]["text"]
@@ -148,7 +148,7 @@
 
 def test_a_client_that_leaves_ends_its_query_and_the_servers_see_it():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             for server in s.world.servers.values():
                 server.machine.model.part_ms = 60_000.0
             call = s.client.ask(QUOTE, None, {}, lambda reply: None)
@@ -166,7 +166,7 @@
 
 def test_silent_servers_end_in_a_refusal_before_the_clients_time_is_up():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             for server in s.world.servers.values():
                 server.faults.silent = True
             _, answer, _ = await s.client.query(QUOTE)
@@ -177,7 +177,7 @@
 
 def test_an_answer_after_the_clients_deadline_is_not_written():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             front, clock = s.broker.front, s.broker.front.now_ms
             for server in s.world.servers.values():
                 server.machine.model.part_ms = 100.0
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -26,7 +26,7 @@
 from badgerbend.publication_validation.changes import validate_change
 from tests.feed_stage import SIGNER, Control, change
 from tests.replacing import replaced
-from tests.sockets import EXAMPLE, Stage, run, until
+from tests.sockets import EXAMPLE, BrokerFixture, run, until
 
 KEY = "configuration/broker"
 LEFT_OUT = ("(listen (port 8080))", '(discovery (port 8500) (service "rates"))')  # each broker has its own
@@ -53,7 +53,7 @@
     return configuration(f"(class full-quote (aim-ms {aim_ms}) (deadline-ms {deadline_ms}))", *forms)
 
 
-class FeedStage(Stage):
+class FeedStage(BrokerFixture):
     """A world, and a broker that follows a relay's feed. listed: the feed brings the list of servers too."""
 
     def __init__(self, tmp_path, listed=False, retention=Retention(), **changes):  # noqa: B008 - frozen
@@ -526,7 +526,7 @@
 
 def test_a_feed_whose_key_cannot_be_read_stops_the_start(tmp_path):
     async def main():
-        async with Stage() as stage:
+        async with BrokerFixture() as stage:
             feed = Feed("none.pub", "north", (RelayAt("relay-1", "north", "127.0.0.1:1"),))
             with pytest.raises(FileNotFoundError):
                 Broker(msgspec.structs.replace(stage.settings, feed=feed), stage.broker.front.subgraph, tmp_path)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,7 +8,7 @@
 from badgerbend.net.client import CallResult, Pool, PoolLimits
 from badgerbend.net.server import HttpServer, ServerLimits
 from tests.replacing import replaced
-from tests.sockets import Stage, run, until
+from tests.sockets import BrokerFixture, run, until
 
 GOOD = b'{"query":"{ fullQuote(blocks: [1], amount: 5) { id } }"}'
 
@@ -59,7 +59,7 @@
 
 def test_bad_requests_get_a_clear_answer_each():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             for name, (data, status, says) in BAD.items():
                 got = await talk(s.port, data)
                 assert got.startswith(b"HTTP/1.1 %d " % status), (name, got)
@@ -73,7 +73,7 @@
 
 def test_requests_sent_ahead_are_answered_in_order():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             one = b'{"query":"{ fullQuote(blocks: [%d], amount: 5) { id } }"}'
             data = b"".join(post(one % n) for n in range(1, 15)) + post(one % 15, b"connection: close")
             got = await talk(s.port, data, until_closed=True)
@@ -86,7 +86,7 @@
 
 def test_a_get_asks_queries_and_no_mutations():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             got = await talk(s.port, b"GET /graphql?query=%7B%20__typename%20%7D HTTP/1.1\r\nhost: x\r\n\r\n")
             assert b'{"data":{"__typename":"Query"}}' in got
             text = b"mutation%20%7B%20holdRate(block%3A1%2Crate%3A%22x%22)%20%7B%20id%20%7D%20%7D"
@@ -99,7 +99,7 @@
 
 def test_a_slow_sender_is_cut_off_and_an_idle_one_closed():
     async def main():
-        async with Stage(listen={"read_timeout_ms": 300.0, "idle_timeout_ms": 300.0}) as s:
+        async with BrokerFixture(listen={"read_timeout_ms": 300.0, "idle_timeout_ms": 300.0}) as s:
             reader, writer = await asyncio.open_connection("127.0.0.1", s.port)
             writer.write(b"POST /graphql HTTP/1.1\r\nhost: x\r\nx-")
             assert (await reader.read()).startswith(b"HTTP/1.1 408")
@@ -114,7 +114,7 @@
 
 def test_at_the_limit_the_connection_idle_longest_makes_room():
     async def main():
-        async with Stage(listen={"max_connections": 2}) as s:
+        async with BrokerFixture(listen={"max_connections": 2}) as s:
             held = []
             for n in (1, 2):
                 held.append(await asyncio.open_connection("127.0.0.1", s.port))
@@ -135,7 +135,7 @@
 
 def test_where_all_connections_hold_queries_a_new_one_is_turned_away():
     async def main():
-        async with Stage(listen={"max_connections": 1}) as s:
+        async with BrokerFixture(listen={"max_connections": 1}) as s:
             for server in s.world.servers.values():
                 server.machine.model.part_ms = 300.0
             reader, writer = await asyncio.open_connection("127.0.0.1", s.port)
@@ -155,7 +155,7 @@
 
 def test_stopping_lets_what_is_held_end():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             for server in s.world.servers.values():
                 server.machine.model.part_ms = 200.0
             asked = asyncio.ensure_future(s.client.query("{ fullQuote(blocks: [1], amount: 5) { id } }"))
@@ -244,7 +244,7 @@
 
 def test_an_answer_has_the_asked_media_type_and_status():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             for server in s.world.servers.values():
                 server.faults.silent = True
             body = msgspec.json.encode({"query": "{ nothing }"})
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -23,7 +23,7 @@
 from badgerbend.snapshot.store import encode_snapshot
 from badgerbend.standin.client import Client
 from tests.replacing import replace_attribute
-from tests.sockets import EXAMPLE, Stage, run, until
+from tests.sockets import EXAMPLE, BrokerFixture, run, until
 
 QUOTE = "{ fullQuote(blocks: %s, amount: 5) { id } }"
 
@@ -83,7 +83,7 @@
     monkeypatch.setattr(replicas, "EXPLORATION_SHARE", 1.0)
 
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             for name in ("rates-2", "rates-7"):
                 s.world.servers[name].machine.slower = 25.0
             group = Brokers(s, keys / "key")
@@ -114,7 +114,7 @@
 
 def test_a_broker_with_another_key_is_rejected(keys):
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             group = Brokers(s, keys / "key")
             await group.add(0)
             await ask_all(group.all[0], 5)
@@ -137,7 +137,7 @@
 
 def test_a_departure_is_noticed_and_a_stop_is_clean(keys):
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             group = Brokers(s, keys / "key")
             a = await group.add(0)
             b = await group.add(1)
@@ -195,7 +195,7 @@
     )
 
     async def main():
-        async with Stage(snapshot=Snapshot(str(file), 100.0)) as s:
+        async with BrokerFixture(snapshot=Snapshot(str(file), 100.0)) as s:
             module = s.broker.driver.module
             await until(lambda: any(n.peer_observed for n in module.endpoints.servers.values()))
             numbers = {name: n for n, name in s.broker.directory.names.items()}
@@ -213,7 +213,7 @@
 
     async def main():
         for file in (tmp_path / "torn", tmp_path / "no" / "such" / "folder", tmp_path):
-            async with Stage(snapshot=Snapshot(str(file), 50.0)) as s:
+            async with BrokerFixture(snapshot=Snapshot(str(file), 50.0)) as s:
                 await ask_all(s.broker, 2)
                 await asyncio.sleep(0.12)
 
@@ -222,7 +222,7 @@
 
 def test_without_settings_nothing_is_opened():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             assert s.broker.knowledge_exchange is None
 
     run(main)
--- a/tests/test_public_status.py
+++ b/tests/test_public_status.py
@@ -17,7 +17,7 @@
 from badgerbend.standin.rig import free_port
 from badgerbend.wal.store import create_store as create_voter_store
 from tests.interfaces import answer_seen, committed, compare, literals, struct_schema
-from tests.sockets import EXAMPLE, Stage, run, until
+from tests.sockets import EXAMPLE, BrokerFixture, run, until
 
 KEY = "a key of enough letters for everything"
 QUERY = "{ rateCompare(blocks: [1, 2, 3, 4], amount: 9000) { id } }"
@@ -102,7 +102,7 @@
         return self.broker.knowledge_exchange.knowledge_port
 
 
-class CompleteStage(Stage):
+class CompleteStage(BrokerFixture):
     """A broker with everything set that has a status page: sites, duties with a vote, peers, tenants."""
 
     def __init__(self, folder):
