--- a/tests/test_site_service.py
+++ b/tests/test_site_service.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 import uvloop
-from sockets import Stage, run, until
+from sockets import BrokerFixture, run, until
 
 from badgerbend.broker import Broker
 from badgerbend.cli import app
@@ -90,7 +90,7 @@
         folder = tmp_path
 
     async def main():
-        async with Stage(count=24, broker=Here, sites=SITES) as stage:
+        async with BrokerFixture(count=24, broker=Here, sites=SITES) as stage:
             await send_queries(stage)
             assert parts_received(stage, 0) > 100
             assert parts_received(stage, 1) == 0
@@ -135,7 +135,7 @@
         folder = tmp_path
 
     async def main():
-        async with Stage(count=24, broker=Here, sites=SITES) as stage:
+        async with BrokerFixture(count=24, broker=Here, sites=SITES) as stage:
             await send_queries(stage)
             north = [s.name for s in stage.world.servers.values() if s.zone == 0]
             for name in north:
@@ -201,7 +201,7 @@
         folder = tmp_path
 
     async def main():
-        async with Stage(count=24, broker=Here, sites=SITES) as stage:
+        async with BrokerFixture(count=24, broker=Here, sites=SITES) as stage:
             await send_queries(stage, 5)
 
             async def command(*args):
