--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -168,7 +168,7 @@
 
     def _follow_generation(self, generation: Generation) -> None:
         """Who learns and who shares duties does so for the newest configuration."""
-        generation.answers.knowledge_exchange = self.knowledge_exchange
+        generation.answer_observer.knowledge_exchange = self.knowledge_exchange
         for part in (self.knowledge_exchange, self.lease_service):
             if part is not None:
                 part.driver = generation.driver
--- a/badgerbend/generations/generation.py
+++ b/badgerbend/generations/generation.py
@@ -66,7 +66,7 @@
         module = module_settings(settings)
         seed = settings.seed * 1_000_003 + settings.identity.index
         aggregator = shared.make_aggregator(module, seed, shared.site_preference, shared.slow_start_budget)
-        self.answers = AnswerObserver(shared.metrics.of_classes(tuple(one.name for one in settings.class_)))
+        self.answer_observer = AnswerObserver(shared.metrics.of_classes(tuple(one.name for one in settings.class_)))
         self.schedule = LoopSchedule(shared.loop)
         self.transport = FetchTransport(
             shared.pool_of,
@@ -80,7 +80,7 @@
             self.transport,
             shared.servers,
             self.schedule,
-            self.answers,
+            self.answer_observer,
             shared.ids,
         )
         self.front = GraphQLFront(settings, graph, self.driver, self.schedule.now_ms)
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -295,7 +295,7 @@
             await stage.put_in_force(with_deadline(2900))
             newest = stage.generations.current
             assert exchange.driver is newest.driver
-            assert newest.answers.knowledge_exchange is exchange
+            assert newest.answer_observer.knowledge_exchange is exchange
             assert {one.name for one in exchange.own_record().servers} == {one.name for one in seen.servers}
 
     run(main)
