--- a/tests/knowledge_records.py
+++ b/tests/knowledge_records.py
@@ -10,8 +10,8 @@
     return KnowledgeRecord(1, broker, 0, 0, servers, tuple(AnswerLatency(age, usual, False) for _ in range(40)))
 
 
-TRUE = {f"s{i}": 20.0 for i in range(8)} | {"s8": 160.0, "s9": 160.0}
+LATENCIES_MS = {f"s{i}": 20.0 for i in range(8)} | {"s8": 160.0, "s9": 160.0}
 
 
-def slow(prior):
+def slow_nodes(prior):
     return {s.node for s in prior.nodes if s.time_ms > 30.0}
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -20,7 +20,7 @@
     make_record,
 )
 from badgerbend.knowledge.trust import PeerTrust
-from tests.knowledge_records import NAMES, TRUE, record, slow
+from tests.knowledge_records import LATENCIES_MS, NAMES, record, slow_nodes
 
 # -- records
 random_documents = st.recursive(
@@ -73,40 +73,40 @@
 # -- trust
 def test_the_median_of_three_is_what_two_honest_peers_state():
     lies = [
-        {n: 20.0 if n in ("s8", "s9") else 900.0 for n in TRUE},  # every healthy server slow, the slow ones fast
-        dict.fromkeys(TRUE, 0.0),
-        dict.fromkeys(TRUE, 1000000000.0),
+        {n: 20.0 if n in ("s8", "s9") else 900.0 for n in LATENCIES_MS},  # healthy servers slow, slow ones fast
+        dict.fromkeys(LATENCIES_MS, 0.0),
+        dict.fromkeys(LATENCIES_MS, 1000000000.0),
         {},
         {f"ghost{i}": 1.0 for i in range(2000)},
     ]
     for lie in lies:
         trust = PeerTrust()
-        records = {"a": record(TRUE), "b": record(TRUE | {"s8": 120.0}), "liar": record(lie, usual=1e8)}
-        assert slow(trust.combine(records, NAMES, 0.0)) == {8, 9}, lie
+        records = {"a": record(LATENCIES_MS), "b": record(LATENCIES_MS | {"s8": 120.0}), "liar": record(lie, usual=1e8)}
+        assert slow_nodes(trust.combine(records, NAMES, 0.0)) == {8, 9}, lie
 
 
 def test_one_liar_of_two_can_hide_a_slow_server_but_make_none_look_slow():
-    for lie in (dict.fromkeys(TRUE, 900.0), dict.fromkeys(TRUE, 1.0)):
-        prior = PeerTrust().combine({"a": record(TRUE), "liar": record(lie)}, NAMES, 0.0)
-        assert slow(prior) <= {8, 9}
+    for lie in (dict.fromkeys(LATENCIES_MS, 900.0), dict.fromkeys(LATENCIES_MS, 1.0)):
+        prior = PeerTrust().combine({"a": record(LATENCIES_MS), "liar": record(lie)}, NAMES, 0.0)
+        assert slow_nodes(prior) <= {8, 9}
 
 
 def test_a_sole_peer_may_state_few_servers_to_be_slow():
-    assert slow(PeerTrust().combine({"a": record(TRUE)}, NAMES, 0.0)) == {8, 9}
-    half = TRUE | {f"s{i}": 160.0 for i in range(5)}
-    assert len(slow(PeerTrust().combine({"a": record(half)}, NAMES, 0.0))) == 3  # of ten, though it states seven
-    assert len(slow(PeerTrust().combine({"own": record(half)}, NAMES, 0.0, is_own=True))) == 7
+    assert slow_nodes(PeerTrust().combine({"a": record(LATENCIES_MS)}, NAMES, 0.0)) == {8, 9}
+    half = LATENCIES_MS | {f"s{i}": 160.0 for i in range(5)}
+    assert len(slow_nodes(PeerTrust().combine({"a": record(half)}, NAMES, 0.0))) == 3  # of ten, though it states seven
+    assert len(slow_nodes(PeerTrust().combine({"own": record(half)}, NAMES, 0.0, is_own=True))) == 7
 
 
 @settings(max_examples=200, deadline=None)
 @given(
-    st.dictionaries(st.sampled_from(sorted(TRUE)), st.floats(0, 1e9), max_size=10),
+    st.dictionaries(st.sampled_from(sorted(LATENCIES_MS)), st.floats(0, 1e9), max_size=10),
     st.floats(0.001, 1e9),
     st.floats(0, 59_000),
 )
 def test_one_liar_in_three_gets_a_result_between_what_the_others_state(lie, usual, age):
-    first = TRUE | {"s1": 28.0}
-    second = TRUE | {"s8": 100.0}
+    first = LATENCIES_MS | {"s1": 28.0}
+    second = LATENCIES_MS | {"s8": 100.0}
     records = {"a": record(first), "b": record(second), "liar": record(lie, usual, age)}
     trust = PeerTrust()
     for s in trust.combine(records, NAMES, 0.0).nodes:
@@ -117,25 +117,25 @@
 
 
 def test_stale_observations_are_not_used():
-    prior = PeerTrust().combine({p: record(TRUE, age=300_000.0) for p in "abc"}, NAMES, 0.0)
+    prior = PeerTrust().combine({p: record(LATENCIES_MS, age=300_000.0) for p in "abc"}, NAMES, 0.0)
     assert not prior.nodes
 
 
 def test_a_peer_that_was_wrong_is_ignored_for_a_while():
     trust = PeerTrust()
     policy = TrustPolicy()
-    trust.combine({"a": record(TRUE), "b": record(TRUE | {"s1": 199.0})}, NAMES, 0.0)
+    trust.combine({"a": record(LATENCIES_MS), "b": record(LATENCIES_MS | {"s1": 199.0})}, NAMES, 0.0)
     for node in range(10):
         trust.check_answer(node, 20.0 if node < 8 else 160.0, 20.0, 100.0)
     assert trust.is_trusted("a", 100.0)
     assert trust.is_trusted("b", 100.0)
     trust = PeerTrust()
-    lie = {n: 200.0 if t == 20.0 else 20.0 for n, t in TRUE.items()}
-    trust.combine({"b": record(TRUE), "liar": record(lie)}, NAMES, 0.0)
-    lost = [p for node in range(10) for p in trust.check_answer(node, TRUE[f"s{node}"], 20.0, 100.0)]
+    lie = {n: 200.0 if t == 20.0 else 20.0 for n, t in LATENCIES_MS.items()}
+    trust.combine({"b": record(LATENCIES_MS), "liar": record(lie)}, NAMES, 0.0)
+    lost = [p for node in range(10) for p in trust.check_answer(node, LATENCIES_MS[f"s{node}"], 20.0, 100.0)]
     assert lost == ["liar"]
     assert trust.is_trusted("b", 100.0)
     over = 100.0 + policy.distrust_ms
     assert not trust.is_trusted("liar", over - 1)
     assert trust.is_trusted("liar", over)
-    assert slow(trust.combine({"b": record(TRUE), "liar": record({})}, NAMES, 200.0)) == {8, 9}
+    assert slow_nodes(trust.combine({"b": record(LATENCIES_MS), "liar": record({})}, NAMES, 200.0)) == {8, 9}
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -11,9 +11,9 @@
 
 from badgerbend.disk import write_atomically
 from badgerbend.snapshot.store import SnapshotError, decode_snapshot, encode_snapshot, read_snapshot
-from tests.knowledge_records import TRUE, record
+from tests.knowledge_records import LATENCIES_MS, record
 
-GOOD = record(TRUE)
+GOOD = record(LATENCIES_MS)
 
 
 def test_the_ages_in_a_snapshot_grow_while_it_is_stored(tmp_path):
