--- a/badgerbend/consensus/leadership.py
+++ b/badgerbend/consensus/leadership.py
@@ -77,12 +77,12 @@
         batch_s = self.replica.config.heartbeat_interval_s * READ_BATCH_FRACTION
         self.replication.hasten_heartbeat(now + batch_s)
 
-    def change_membership(self, now: float, name: str, *, votes: bool) -> MembershipRefusal | None:
+    def change_membership(self, now: float, name: str, *, add: bool) -> MembershipRefusal | None:
         """Add a voter, once it has caught up, or remove one; return why that is refused, or None."""
-        refusal = self.membership.refusal(name, votes=votes)
+        refusal = self.membership.refusal(name, add=add)
         if refusal is not None:
             return refusal
-        if votes:
+        if add:
             self.membership.learner = name
             self.replication.add_learner(now, name)
             self.broadcast_heartbeat(now)
--- a/badgerbend/consensus/membership.py
+++ b/badgerbend/consensus/membership.py
@@ -36,18 +36,18 @@
         """Forget a change that was begun, at the start and the end of a term of leadership."""
         self.learner = ""
 
-    def refusal(self, name: str, *, votes: bool) -> MembershipRefusal | None:
-        """Why a voter may not be added (`votes`) or removed now, or None where it may."""
+    def refusal(self, name: str, *, add: bool) -> MembershipRefusal | None:
+        """Why a voter may not be added (`add`) or removed now, or None where it may."""
         replica = self.replica
         if not replica.is_established_leader:
             return MembershipRefusal.NOT_LEADER
         if replica.configuration.entry_index > replica.commit_index or self.learner not in ("", name):
             return MembershipRefusal.CHANGE_PENDING
-        if votes == (name in replica.voters):
+        if add == (name in replica.voters):
             return MembershipRefusal.NOTHING_TO_CHANGE
-        if votes and len(replica.voters) >= MAX_VOTERS:
+        if add and len(replica.voters) >= MAX_VOTERS:
             return MembershipRefusal.TOO_MANY_VOTERS
-        if not votes and len(replica.voters) == 1:
+        if not add and len(replica.voters) == 1:
             return MembershipRefusal.LAST_VOTER
         return None
 
--- a/badgerbend/consensus/raft.py
+++ b/badgerbend/consensus/raft.py
@@ -134,9 +134,9 @@
         self.leadership.add_read(now, token)
         return True
 
-    def change_membership(self, now: float, name: str, *, votes: bool) -> MembershipRefusal | None:
+    def change_membership(self, now: float, name: str, *, add: bool) -> MembershipRefusal | None:
         """Add a voter, once it has caught up, or remove one; return why that is refused, or None."""
-        refusal = self.leadership.change_membership(now, name, votes=votes)
+        refusal = self.leadership.change_membership(now, name, add=add)
         self._step_down_if_removed(now)
         return refusal
 
--- a/badgerbend/lease_service/local_voter.py
+++ b/badgerbend/lease_service/local_voter.py
@@ -93,7 +93,7 @@
 
     def change_membership(self, name: str, *, add: bool) -> str | None:
         """Adds or removes a voter; why that cannot be done, None where it is under way."""
-        rejection = self.voter.raft.change_membership(self.clock(), name, votes=add)
+        rejection = self.voter.raft.change_membership(self.clock(), name, add=add)
         self.flush()
         return rejection
 
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -271,34 +271,34 @@
     assert leader.log.snapshot_index > 100
     assert len(leader.log.snapshot.state) > 4 * voting.MAX_MESSAGE_BYTES
     removed = next(n for n in NAMES if n != leader.name)
-    assert leader.change_membership(cluster.now, "d", votes=True) is None
-    assert leader.change_membership(cluster.now, removed, votes=False) == "another change is under way"
+    assert leader.change_membership(cluster.now, "d", add=True) is None
+    assert leader.change_membership(cluster.now, removed, add=False) == "another change is under way"
     cluster.run(3)
     assert cluster.rafts["d"].voters == (*NAMES, "d")
     assert len(cluster.tables["d"].facts) == 150
-    assert leader.change_membership(cluster.now, removed, votes=False) is None
+    assert leader.change_membership(cluster.now, removed, add=False) is None
     cluster.run(1)
     cluster.isolated = {removed, next(n for n in NAMES if n not in (removed, leader.name))}
     cluster.put("after")
     cluster.run(0.5)  # followers learn of the commit with the next heartbeat
     assert "after" in cluster.tables["d"].facts  # two of three: the new voter counts, the removed one does not
-    assert leader.change_membership(cluster.now, removed, votes=False) == "nothing to change"
+    assert leader.change_membership(cluster.now, removed, add=False) == "nothing to change"
 
 
 def test_leader_that_removes_itself_steps_down_once_that_is_committed():
     cluster = Cluster()
     cluster.run(5)
     old = cluster.leader()
-    assert old.change_membership(cluster.now, old.name, votes=False) is None
+    assert old.change_membership(cluster.now, old.name, add=False) is None
     cluster.run(6)
     new = cluster.leader()
     assert new is not old
     assert set(new.voters) == set(NAMES) - {old.name}
     for name in list(new.voters):
         if name != new.name:
-            assert new.change_membership(cluster.now, name, votes=False) is None
+            assert new.change_membership(cluster.now, name, add=False) is None
             cluster.run(1)
-    assert new.change_membership(cluster.now, new.name, votes=False) == "the last voter stays"
+    assert new.change_membership(cluster.now, new.name, add=False) == "the last voter stays"
 
 
 def test_single_voter_leads_and_commits_once_its_own_disk_has_the_entry():
