--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -82,11 +82,11 @@
 
 
 def model(depth: int) -> int:
-    for stand, propose, crash in ((2, 0, 1), (2, 1, 0), (3, 0, 0)):
+    for campaigns, proposals, crashes in ((2, 0, 1), (2, 1, 0), (3, 0, 0)):
         began = time.monotonic()
-        states = search(depth, stand=stand, propose=propose, crash=crash)
+        states = search(depth, campaigns=campaigns, proposals=proposals, crashes=crashes)
         took = time.monotonic() - began
-        bounds = f"{stand} candidacies, {propose} proposals, {crash} crashes"
+        bounds = f"{campaigns} candidacies, {proposals} proposals, {crashes} crashes"
         print(f"depth {depth}, {bounds}: {states} states, {took:.0f} s")
     return 0
 
--- a/tests/modelvoters.py
+++ b/tests/modelvoters.py
@@ -27,7 +27,7 @@
 class Kind(Enum):
     """What an action does. The value of those whose number is limited is the name of the limit."""
 
-    CAMPAIGN = "stand"
+    CAMPAIGN = "campaign"
     SYNC = "sync"
     PROPOSE = "propose"
     CRASH = "crash"
@@ -130,7 +130,7 @@
         """Every action that is possible now."""
         for name in NAMES:
             raft = self.rafts[name]
-            if self.limits["stand"] and raft.role is not Role.LEADER:
+            if self.limits["campaign"] and raft.role is not Role.LEADER:
                 yield Action(Kind.CAMPAIGN, name)
             if raft.durability.last_sequence > raft.durability.persisted_sequence:
                 yield Action(Kind.SYNC, name)
@@ -247,13 +247,14 @@
                 raise Broken(f"{name} committed another entry {index}")
 
 
-def search(depth, raft_class=Raft, stand=2, propose=0, crash=1, most=10**9):
-    """How many states there are up to a depth, with so many campaigns, proposals and crashes; at most `most` are seen.
+def search(depth, raft_class=Raft, campaigns=2, proposals=0, crashes=1, max_states=10**9):
+    """Return the number of distinct states up to a depth; the search ends early at `max_states`.
 
-    Raises Broken with the actions that led to a state in which an invariant does not hold.
+    campaigns, proposals, crashes: how many of these actions one path may contain. Raises Broken, with the actions that
+    led there, for a state in which an invariant does not hold.
     """
     first = State(raft_class)
-    first.limits = {"stand": stand, "propose": propose, "crash": crash}
+    first.limits = {"campaign": campaigns, "propose": proposals, "crash": crashes}
     seen = {first.key()}
     level = [(first, ())]
     for _ in range(depth):
@@ -266,7 +267,7 @@
                     continue
                 seen.add(key)
                 next_level.append((new, (*path, action)))
-                if len(seen) >= most:
+                if len(seen) >= max_states:
                     return len(seen)
         level = next_level
     return len(seen)
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -96,7 +96,7 @@
     """A leader finds an entry of an earlier term on most voters; another, who never had it, leads after it."""
     monkeypatch.setattr(replication, "MAX_MESSAGE_BYTES", replication.MESSAGE_OVERHEAD_BYTES)  # one entry a message
     state = State(kind)
-    state.limits = {"stand": 9, "propose": 0, "crash": 0}
+    state.limits = {"campaign": 9, "propose": 0, "crash": 0}
 
     def age(packet):
         message = voting.decode(packet.data)
