--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -18,7 +18,7 @@
 
 from tests.modelvoters import search  # noqa: E402
 from tests.mutants import MUTANTS  # noqa: E402
-from tests.simvoters import Broken, Chaos, World  # noqa: E402
+from tests.simvoters import Chaos, InvariantViolation, World  # noqa: E402
 
 CHAOS = (
     Chaos(),
@@ -35,7 +35,7 @@
         world.run(12)
         world.heal()
         wrong = "" if world.settles(10) else "not settled within 10 s of the last trouble"
-    except Broken as err:
+    except InvariantViolation as err:
         wrong = str(err)
     return seed, wrong, world.acts, world.rejected, world.elections, len(world.committed)
 
@@ -65,7 +65,7 @@
     for seed in range(count):
         try:
             World(seed, chaos, **kinds).run(10)
-        except Broken as err:
+        except InvariantViolation as err:
             found += 1
             if first < 0:
                 first, said = seed, str(err)
--- a/benchmarks/feed_seeds.py
+++ b/benchmarks/feed_seeds.py
@@ -18,7 +18,7 @@
 
 from tests.feed_mutants import MUTANTS  # noqa: E402
 from tests.simfeed import FAULTS_S, World, play  # noqa: E402
-from tests.simvoters import Broken  # noqa: E402
+from tests.simvoters import InvariantViolation  # noqa: E402
 
 MOST_PROCESSES = 4
 CHUNK = 5  # seeds that a process takes at once
@@ -87,7 +87,7 @@
     for seed in range(first, first + count):
         try:
             wrong = play(World(seed, mutant.chaos, mutant.kinds))
-        except Broken as err:
+        except InvariantViolation as err:
             wrong = str(err)
         if wrong:
             found += 1
--- a/tests/feed_judge.py
+++ b/tests/feed_judge.py
@@ -1,7 +1,7 @@
 """Invariants of the feed, checked from outside: from the entries of the agreed log and from what followers install.
 
 The judge shares no decision with the product: it decodes the log's entries as bare MessagePack, follows the lease,
-joins the parts of publications and keeps a copy of every published state of its own. It raises `Broken`.
+joins the parts of publications and keeps a copy of every published state of its own. It raises `InvariantViolation`.
 """
 
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 import msgspec
 
 from badgerbend.feed.errors import NoProgressError
-from tests.simvoters import Broken
+from tests.simvoters import InvariantViolation
 
 PUBLISH = "publish"
 GRANT, FREE = 1, 2  # tags of the commands of leases
@@ -80,11 +80,11 @@
         commands arrive here in the log's order.
         """
         if self.chosen.get(index, data) != data:
-            raise Broken(f"another command {index} was applied than was chosen")
+            raise InvariantViolation(f"another command {index} was applied than was chosen")
         if index in self.chosen:
             return
         if index < self._last:
-            raise Broken(f"command {index} was chosen after {self._last}")
+            raise InvariantViolation(f"command {index} was chosen after {self._last}")
         self.chosen[index] = data
         self._last = index
         self._command(now, index, msgspec.msgpack.decode(data))
@@ -124,7 +124,7 @@
         if _hash(msgspec.msgpack.encode(changes)) != digest or content_digest(after) != content:
             return
         if epoch < self.published[-1].epoch:
-            raise Broken(f"revision {revision} has epoch {epoch} after {self.published[-1].epoch}")
+            raise InvariantViolation(f"revision {revision} has epoch {epoch} after {self.published[-1].epoch}")
         self.published.append(Published(epoch, after, now, tuple(map(tuple, changes))))
         self.values.update(map(tuple, changes))
 
@@ -158,15 +158,15 @@
         revision, epoch = log.revision, log.epoch
         before = self.voters.get((name, incarnation), 0)
         if revision < before:
-            raise Broken(f"{name} went back from revision {before} to {revision}")
+            raise InvariantViolation(f"{name} went back from revision {before} to {revision}")
         self.voters[name, incarnation] = revision
         if revision > self.agreed.newest:
-            raise Broken(f"{name} holds revision {revision}; {self.agreed.newest} are agreed on")
+            raise InvariantViolation(f"{name} holds revision {revision}; {self.agreed.newest} are agreed on")
         state = self.agreed.published[revision]
         if epoch != state.epoch:
-            raise Broken(f"{name} holds revision {revision} of epoch {epoch}, agreed on was {state.epoch}")
+            raise InvariantViolation(f"{name} holds revision {revision} of epoch {epoch}, agreed on was {state.epoch}")
         if dict(log.content.items()) != state.entries:
-            raise Broken(f"{name} holds another content at revision {revision} than was agreed on")
+            raise InvariantViolation(f"{name} holds another content at revision {revision} than was agreed on")
 
     # -- publishers
     def submitted(self, publisher, changes):
@@ -186,7 +186,9 @@
     def _check_published(self, publisher, values):
         lost = values - self.agreed.values
         if lost:
-            raise Broken(f"{publisher} accepted changes that are neither published nor given back: {len(lost)}")
+            raise InvariantViolation(
+                f"{publisher} accepted changes that are neither published nor given back: {len(lost)}"
+            )
 
     # -- followers
     def began(self, name):
@@ -197,17 +199,17 @@
         """A follower installs changes. log: its replica at this moment."""
         watched = self.followers[name]
         if action.revision < watched.revision:
-            raise Broken(f"{name} went back from revision {watched.revision} to {action.revision}")
+            raise InvariantViolation(f"{name} went back from revision {watched.revision} to {action.revision}")
         if action.revision > self.agreed.newest:
-            raise Broken(f"{name} installs revision {action.revision}, which is not agreed on")
+            raise InvariantViolation(f"{name} installs revision {action.revision}, which is not agreed on")
         state = self.agreed.published[action.revision].entries
         watched.installed = applied_to(watched.installed, [(c.key, c.value) for c in action.changes])
         if watched.installed != state:
-            raise Broken(f"{name}: in force at revision {action.revision} is not what was published")
+            raise InvariantViolation(f"{name}: in force at revision {action.revision} is not what was published")
         if log.revision != action.revision or dict(log.content.items()) != state:
-            raise Broken(f"{name}: the replica at revision {action.revision} is not what was published")
+            raise InvariantViolation(f"{name}: the replica at revision {action.revision} is not what was published")
         if log.epoch != self.agreed.published[action.revision].epoch:
-            raise Broken(f"{name}: revision {action.revision} has epoch {log.epoch}")
+            raise InvariantViolation(f"{name}: revision {action.revision} has epoch {log.epoch}")
         watched.revision = action.revision
         watched.damaged = False
         self.installs += 1
@@ -218,12 +220,12 @@
         if watched.damaged:
             return
         if log.revision != watched.revision or dict(log.content.items()) != watched.installed:
-            raise Broken(f"{name}: the replica at revision {log.revision} changed without an install")
+            raise InvariantViolation(f"{name}: the replica at revision {log.revision} changed without an install")
 
     def rejected(self, name, error, lied_to):
         """A follower rejected a message. An honest relay sends nothing invalid; it may only be slow."""
         if not lied_to and not isinstance(error, NoProgressError):
-            raise Broken(f"{name} refused what an honest relay sent: {type(error).__name__}: {error}")
+            raise InvariantViolation(f"{name} refused what an honest relay sent: {type(error).__name__}: {error}")
 
     def age(self, now, name, revision, age_s, bound_s):
         """A follower or a relay at a revision claims an age.
@@ -239,17 +241,19 @@
         margin = bound_s - understated
         self.lowest_margin = min(self.lowest_margin, margin)
         if margin < 0:
-            raise Broken(f"{name} claims {age_s:.2f} s at revision {revision}; a newer one is {truth:.2f} s old")
+            raise InvariantViolation(
+                f"{name} claims {age_s:.2f} s at revision {revision}; a newer one is {truth:.2f} s old"
+            )
 
     # -- a relay's memory
     def in_flight(self, name, session, size, allowed):
         """Bytes that a relay has sent and a connection has not taken. allowed: the window and one frame."""
         if size > allowed:
-            raise Broken(f"{name}: {size} bytes on the way to session {session}, {allowed} allowed")
+            raise InvariantViolation(f"{name}: {size} bytes on the way to session {session}, {allowed} allowed")
 
     def relay(self, name, images, loading, most_loading):
         """Images of snapshots in memory, and transfers under way."""
         if loading > most_loading:
-            raise Broken(f"{name}: {loading} snapshots at once, {most_loading} allowed")
+            raise InvariantViolation(f"{name}: {loading} snapshots at once, {most_loading} allowed")
         if images > most_loading + 1:
-            raise Broken(f"{name}: {images} images alive, {most_loading + 1} allowed")
+            raise InvariantViolation(f"{name}: {images} images alive, {most_loading + 1} allowed")
--- a/tests/modelvoters.py
+++ b/tests/modelvoters.py
@@ -15,7 +15,7 @@
 from badgerbend.consensus.messages import Record
 from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.consensus.raft import Raft, RaftConfig, Role
-from tests.simvoters import Broken
+from tests.simvoters import InvariantViolation
 
 NAMES = ("a", "b", "c")
 CONFIG = RaftConfig(election_timeout_s=0.0, heartbeat_interval_s=1.0, compact_after_entries=10**6)
@@ -143,7 +143,7 @@
                 yield Action(Kind.DELIVER, packet.to, packet)
 
     def do(self, action):
-        """The state after an action. Raises Broken where an invariant does not hold in it."""
+        """The state after an action. Raises InvariantViolation where an invariant does not hold in it."""
         new = self._copy()
         name = action.voter
         if action.kind.value in new.limits:
@@ -240,18 +240,18 @@
         """No two voters lead one term, and no two commit different entries at one index."""
         raft = self.rafts[name]
         if raft.role is Role.LEADER and self.leaders.setdefault(raft.term, name) != name:
-            raise Broken(f"term {raft.term} is led by {self.leaders[raft.term]} and by {name}")
+            raise InvariantViolation(f"term {raft.term} is led by {self.leaders[raft.term]} and by {name}")
         for index in range(1, raft.commit_index + 1):
             entry = raft.log.entry(index)
             if self.committed.setdefault(index, (entry.term, entry.data)) != (entry.term, entry.data):
-                raise Broken(f"{name} committed another entry {index}")
+                raise InvariantViolation(f"{name} committed another entry {index}")
 
 
 def search(depth, raft_class=Raft, campaigns=2, proposals=0, crashes=1, max_states=10**9):
     """Return the number of distinct states up to a depth; the search ends early at `max_states`.
 
-    campaigns, proposals, crashes: how many of these actions one path may contain. Raises Broken, with the actions that
-    led there, for a state in which an invariant does not hold.
+    campaigns, proposals, crashes: how many of these actions one path may contain. Raises InvariantViolation, which
+    lists the actions that led to it.
     """
     first = State(raft_class)
     first.limits = {"campaign": campaigns, "propose": proposals, "crash": crashes}
@@ -274,9 +274,9 @@
 
 
 def do_or_explain(state, path, action):
-    """The state after an action. Raises Broken with the path to it."""
+    """The state after an action. Raises InvariantViolation with the path to it."""
     try:
         return state.do(action)
-    except Broken as err:
+    except InvariantViolation as err:
         steps = ", ".join(f"{step.kind.value} {step.voter}" for step in (*path, action))
-        raise Broken(f"{err}, by {steps}") from None
+        raise InvariantViolation(f"{err}, by {steps}") from None
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -295,7 +295,10 @@
 
 
 def play(world):
-    """Run a world with faults and then without; return what has not settled, or nothing. Raises `Broken`."""
+    """Run a world with faults and then without; return what has not settled, or nothing.
+
+    Raises `InvariantViolation`.
+    """
     world.run(FAULTS_S)
     world.heal()
     return world.settles(QUIET_S)
--- a/tests/simvoters.py
+++ b/tests/simvoters.py
@@ -1,7 +1,7 @@
 """Voters, brokers and receivers in simulated time, with bad networks, disks and clocks; and what must always hold.
 
 The product's own `Voter`, `LeaseHolder` and `FencingGuard` run here; only sockets, disks and clocks are simulated. All
-chance comes from the seed. What is broken is raised as `Broken`, at the moment it happens.
+chance comes from the seed. What is broken is raised as `InvariantViolation`, at the moment it happens.
 """
 
 import heapq
@@ -20,8 +20,8 @@
 from badgerbend.leases.voter import Voter
 
 
-class Broken(AssertionError):
-    """What must always hold does not."""
+class InvariantViolation(AssertionError):
+    """An invariant of the system under test does not hold."""
 
 
 class Disk:
@@ -268,7 +268,7 @@
             self.rejected += 1
             return
         if epoch < self.admitted.get((receiver, duty), 0):
-            raise Broken(f"{duty}: an act under epoch {epoch} took effect after one under a newer")
+            raise InvariantViolation(f"{duty}: an act under epoch {epoch} took effect after one under a newer")
         self.admitted[receiver, duty] = epoch
         self.acts += 1
 
@@ -321,19 +321,19 @@
             first = self.leaders.setdefault(raft.term, process.name)
             self.elections = len(self.leaders)
             if first != process.name:
-                raise Broken(f"term {raft.term} is led by {first} and by {process.name}")
+                raise InvariantViolation(f"term {raft.term} is led by {first} and by {process.name}")
         key = process.name, process.incarnation
         for index in range(max(self.applied_at[key], raft.log.snapshot_index) + 1, raft.last_applied + 1):
             entry = raft.log.entry(index)
             word = (entry.term, entry.kind, entry.data)
             if self.committed.setdefault(index, word) != word:
-                raise Broken(f"{process.name} applied another entry {index} than was committed")
+                raise InvariantViolation(f"{process.name} applied another entry {index} than was committed")
         if raft.last_applied < self.applied_at[key]:
-            raise Broken(f"{process.name} went back from {self.applied_at[key]} to {raft.last_applied}")
+            raise InvariantViolation(f"{process.name} went back from {self.applied_at[key]} to {raft.last_applied}")
         self.applied_at[key] = raft.last_applied
         if process.core.is_leader:  # whoever leads knows all that was ever committed and told
             if raft.last_applied < self.acknowledged and raft.is_established_leader and max(self.leaders) == raft.term:
-                raise Broken(f"{process.name} leads term {raft.term} and lacks acknowledged entries")
+                raise InvariantViolation(f"{process.name} leads term {raft.term} and lacks acknowledged entries")
             self.acknowledged = max(self.acknowledged, raft.commit_index)
             self._check_table(process.core.table, raft.last_applied)
 
@@ -353,7 +353,7 @@
                     holders[command.duty] = ("", epoch)
             found = {duty: (lease.holder, lease.epoch) for duty, lease in table.leases.items()}
             if found != holders:
-                raise Broken(f"the table says {found}, its history {holders}")
+                raise InvariantViolation(f"the table says {found}, its history {holders}")
 
     def _check_holder(self, process):
         """Who may act until when, in true time; nobody else may at that moment."""
@@ -365,13 +365,15 @@
                 continue
             for other, theirs in held.items():
                 if theirs > self.now:
-                    raise Broken(f"{duty}: {other} may act until {theirs:.3f}, and {process.name} at {self.now:.3f}")
+                    raise InvariantViolation(
+                        f"{duty}: {other} may act until {theirs:.3f}, and {process.name} at {self.now:.3f}"
+                    )
             held[process.name] = until
 
     def _check_epoch(self, duty, epoch, name):
         last, who = self.epochs.get(duty, (0, name))
         if epoch < last:
-            raise Broken(f"{duty}: {name} acts under epoch {epoch}, {who} did under {last} before")
+            raise InvariantViolation(f"{duty}: {name} acts under epoch {epoch}, {who} did under {last} before")
         self.epochs[duty] = (epoch, name)
 
     # -- time
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -23,7 +23,7 @@
     LosesALease,
     VotesBeforePersisting,
 )
-from tests.simvoters import Broken, Chaos, World
+from tests.simvoters import Chaos, InvariantViolation, World
 
 # -- random faults in simulated time
 
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("name", MUTANTS)
 def test_each_mutant_is_found_and_the_product_passes_the_same_run(name):
     kinds, chaos, seed = MUTANTS[name]
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantViolation):
         World(seed, chaos, **kinds).run(10)
     World(seed, chaos).run(10)
 
@@ -88,7 +88,7 @@
 
 
 def test_search_finds_a_vote_that_does_not_wait_for_the_disk():
-    with pytest.raises(Broken, match="term 1 is led by a and by"):
+    with pytest.raises(InvariantViolation, match="term 1 is led by a and by"):
         search(9, VotesBeforePersisting)
 
 
@@ -141,7 +141,7 @@
     state = figure_8(Raft, monkeypatch)
     assert state.rafts["a"].commit_index == 0
     assert state.rafts["c"].commit_index == 2
-    with pytest.raises(Broken, match="committed another entry 1"):
+    with pytest.raises(InvariantViolation, match="committed another entry 1"):
         figure_8(CommitsEntriesOfEarlierTerms, monkeypatch)
 
 
--- a/tests/test_feed_simulated.py
+++ b/tests/test_feed_simulated.py
@@ -5,7 +5,7 @@
 from tests.feed_mutants import MUTANTS
 from tests.simfeed import World, play
 from tests.simfeed_settings import RAFT_CONFIG, SLACK_S, Chaos
-from tests.simvoters import Broken
+from tests.simvoters import InvariantViolation
 
 ONLY_PARTITIONS = Chaos(
     faults=("partitioned region", "partitioned control", "partitioned control"),
@@ -41,7 +41,7 @@
     mutant = MUTANTS[name]
     try:
         found = play(World(mutant.seed, mutant.chaos, mutant.kinds))
-    except Broken as broken:
+    except InvariantViolation as broken:
         found = str(broken)
     assert found
 
