--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -18,7 +18,7 @@
 
 from tests.modelvoters import search  # noqa: E402
 from tests.mutants import MUTANTS  # noqa: E402
-from tests.simvoters import Broken, Chaos, World  # noqa: E402
+from tests.simvoters import Chaos, InvariantViolation, World  # noqa: E402
 
 CHAOS = (
     Chaos(),
@@ -35,7 +35,7 @@
         world.run(12)
         world.heal()
         wrong = "" if world.settles(10) else "not settled within 10 s of the last trouble"
-    except Broken as err:
+    except InvariantViolation as err:
         wrong = str(err)
     return seed, wrong, world.acts, world.rejected, world.elections, len(world.committed)
 
@@ -65,7 +65,7 @@
     for seed in range(count):
         try:
             World(seed, chaos, **kinds).run(10)
-        except Broken as err:
+        except InvariantViolation as err:
             found += 1
             if first < 0:
                 first, said = seed, str(err)
@@ -82,11 +82,11 @@
 
 
 def model(depth: int) -> int:
-    for stand, propose, crash in ((2, 0, 1), (2, 1, 0), (3, 0, 0)):
+    for campaigns, proposals, crashes in ((2, 0, 1), (2, 1, 0), (3, 0, 0)):
         began = time.monotonic()
-        states = search(depth, stand=stand, propose=propose, crash=crash)
+        states = search(depth, campaigns=campaigns, proposals=proposals, crashes=crashes)
         took = time.monotonic() - began
-        bounds = f"{stand} candidacies, {propose} proposals, {crash} crashes"
+        bounds = f"{campaigns} candidacies, {proposals} proposals, {crashes} crashes"
         print(f"depth {depth}, {bounds}: {states} states, {took:.0f} s")
     return 0
 
