--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -15,8 +15,8 @@
 from badgerbend.config.settings import Settings
 from badgerbend.decisions import Aggregator
 from badgerbend.discovery.consul import ConsulTarget
+from badgerbend.discovery.consul_rows import consul_directory
 from badgerbend.discovery.keyed import KeyedList, keyed_directory
-from badgerbend.discovery.lines import consul_directory
 from badgerbend.discovery.watch import Watch
 from badgerbend.generations.generation import Generation, SharedResources
 from badgerbend.generations.manager import GenerationManager
@@ -242,7 +242,7 @@
 
     def _taken(self) -> None:
         """A list is in force: what hangs on the whole of it."""
-        states = [known.line.state for known in self.directory.known.values()]
+        states = [known.endpoint.state for known in self.directory.servers.values()]
         counts = {s.label: states.count(s) for s in api.EndpointState}
         if counts != self._counts:
             self._counts = counts
--- a/badgerbend/discovery/consul.py
+++ b/badgerbend/discovery/consul.py
@@ -5,7 +5,7 @@
 from urllib.parse import quote
 
 from badgerbend.config.settings import Discovery
-from badgerbend.discovery.directory import Directory, Reading, listed
+from badgerbend.discovery.directory import Directory, ListReader, decode_rows
 from badgerbend.discovery.watch import Pace
 from badgerbend.net.client import Reply
 
@@ -31,9 +31,9 @@
 
     def read(
         self, reply: Reply, version: int | None, heard: bool, directory: Directory, now_ms: float, unix_s: float
-    ) -> tuple[int | None, Reading | None]:
+    ) -> tuple[int | None, ListReader | None]:
         index = int(reply.headers.get(b"x-consul-index", b"0"))
         if index == version and heard:
             return index, None
-        reading = Reading(directory, listed(reply.body), now_ms, unix_s)
+        reading = ListReader(directory, decode_rows(reply.body), now_ms, unix_s)
         return (index if index > (version or 0) else None), reading  # an index that went back starts anew
--- a/badgerbend/discovery/lines.py
+++ b/badgerbend/discovery/consul_rows.py
@@ -17,10 +17,10 @@
 
 def consul_directory(cells: int) -> Directory:
     """A directory that Consul's answers feed."""
-    return Directory(cells, entry)
+    return Directory(cells, parse_row)
 
 
-def entry(row: Any) -> Entry:
+def parse_row(row: Any) -> Entry:
     """One instance of the service. Raises what `Form` says."""
     service = row["Service"]
     meta = service.get("Meta") or {}
--- a/badgerbend/discovery/keyed.py
+++ b/badgerbend/discovery/keyed.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from badgerbend import api
-from badgerbend.discovery.directory import SLICE, Directory, Entry, Reading
+from badgerbend.discovery.directory import SLICE, Directory, Entry, ListReader
 from badgerbend.discovery.members import parse_address
 from badgerbend.discovery.polls import Timer
 from badgerbend.discovery.watch import Clock
@@ -33,7 +33,7 @@
     size: Annotated[float, msgspec.Meta(gt=0)] = 1.0
 
 
-def entry(row: Any) -> Entry:
+def parse_row(row: Any) -> Entry:
     """A pair of name and row. Raises what `directory.Form` says."""
     name, fields = row
     read = msgspec.convert(fields, NodeRow)
@@ -42,7 +42,7 @@
     )
 
 
-def leaving(row: Any) -> tuple[str, api.EndpointState] | None:
+def parse_departure(row: Any) -> tuple[str, api.EndpointState] | None:
     """A row without all its fields; a state not known here is none to send anything new in."""
     name, fields = row
     state = STATES.get(fields.get("state", "ready"), api.EndpointState.DRAINING)
@@ -51,7 +51,7 @@
 
 def keyed_directory(cells: int) -> Directory:
     """A directory that a `KeyedList` feeds."""
-    return Directory(cells, entry, leaving=leaving)
+    return Directory(cells, parse_row, parse_departure=parse_departure)
 
 
 class KeyedList:
@@ -76,7 +76,7 @@
         self.heard_at: float | None = None  # when that was last so
         self._rows = dict[str, bytes]()  # not read yet, the latest last
         self._left = dict[str, None]()  # names that left and have not been taken out yet
-        self._first: Reading | None = None  # the first list, while it is being read
+        self._first: ListReader | None = None  # the first list, while it is being read
         self._slices: Iterator[None] = iter(())
         self._timer: Timer | None = None
 
@@ -121,7 +121,7 @@
         """One slice of the first list; whether there is more to do."""
         if self._first is None:
             self._first = self._reading(len(self._rows))
-            self._slices = self._first.slices()
+            self._slices = self._first.read_slices()
         done = next(self._slices, True)
         if not done:
             return True
@@ -130,10 +130,10 @@
         while self._rows:  # came meanwhile: what is told is the latest
             self._take_at_once(self._reading(SLICE))
         self._take_at_once(self._removal(len(self._left)))
-        if not self.directory.known:
+        if not self.directory.servers:
             return False
         self.on_view(
-            api.EndpointUpdate(api.UpdateKind.FULL, tuple(known.line for known in self.directory.known.values()))
+            api.EndpointUpdate(api.UpdateKind.FULL, tuple(known.endpoint for known in self.directory.servers.values()))
         )
         self.directory.told = True
         self._heard()
@@ -143,7 +143,7 @@
         """One slice of changes; whether there is more to do."""
         reading = self._reading(SLICE) if self._rows else self._removal(SLICE)
         self._take_at_once(reading)
-        for view in reading.news():
+        for view in reading.updates():
             self.on_view(view)
         if self._rows or self._can_remove():
             return True
@@ -157,31 +157,31 @@
         self.heard_at = self.clock.time()
         self.on_taken()
 
-    def _reading(self, most: int) -> Reading:
+    def _reading(self, most: int) -> ListReader:
         """Of the rows that came last."""
         rows = list[msgspec.Raw]()
         while self._rows and len(rows) < most:
             name, row = self._rows.popitem()
             rows.append(msgspec.Raw(b"[" + msgspec.json.encode(name) + b"," + row + b"]"))
-        return Reading(self.directory, rows, self.now_ms(), self.unix_s(), whole=False)
+        return ListReader(self.directory, rows, self.now_ms(), self.unix_s(), whole=False)
 
-    def _removal(self, most: int) -> Reading:
+    def _removal(self, most: int) -> ListReader:
         """Of names that left; none where no server would be left."""
         names = list(self._left)[:most] if self._can_remove() else []
         for name in names:
             del self._left[name]
-        return Reading(self.directory, (), self.now_ms(), self.unix_s(), whole=False, left=names)
+        return ListReader(self.directory, (), self.now_ms(), self.unix_s(), whole=False, left=names)
 
     def _can_remove(self) -> bool:
         """Whether there are removals that leave a server."""
-        return bool(self._left) and any(name not in self._left for name in self.directory.known)
+        return bool(self._left) and any(name not in self._left for name in self.directory.servers)
 
-    def _take_at_once(self, reading: Reading) -> None:
-        for _ in reading.slices():
+    def _take_at_once(self, reading: ListReader) -> None:
+        for _ in reading.read_slices():
             pass
         self._take(reading)
 
-    def _take(self, reading: Reading) -> None:
-        reading.take()
-        for problem in reading.wrong[:MOST_TOLD]:
+    def _take(self, reading: ListReader) -> None:
+        reading.apply()
+        for problem in reading.errors[:MOST_TOLD]:
             self.on_trouble("list line left out", problem)
--- a/badgerbend/discovery/members.py
+++ b/badgerbend/discovery/members.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from badgerbend import api
-from badgerbend.discovery.directory import Directory, Entry, Form, Leaving, ListError, Reading
+from badgerbend.discovery.directory import DepartureParser, Directory, Entry, ListError, ListReader, RowParser
 from badgerbend.discovery.watch import Pace
 from badgerbend.net.client import Reply
 
@@ -64,7 +64,7 @@
     return host, int(port)
 
 
-def form(names: Names, zones: Sequence[str], kinds: Sequence[str]) -> Form:
+def row_parser(names: Names, zones: Sequence[str], kinds: Sequence[str]) -> RowParser:
     """Rows of the list as entries; zones and kinds become their places among those named, or the place after them."""
 
     def entry(row: Any) -> Entry:
@@ -85,7 +85,7 @@
     return entry
 
 
-def leaving(names: Names) -> Leaving:
+def departure_parser(names: Names) -> DepartureParser:
     """A row without all its fields; a state not known here is none to send anything new in."""
 
     def read(row: Any) -> tuple[str, api.EndpointState] | None:
@@ -121,7 +121,7 @@
 
     def read(
         self, reply: Reply, version: int | None, heard: bool, directory: Directory, now_ms: float, unix_s: float
-    ) -> tuple[int | None, Reading | None]:
+    ) -> tuple[int | None, ListReader | None]:
         try:
             answer = msgspec.json.decode(reply.body, type=dict[str, msgspec.Raw])
             rev = msgspec.json.decode(answer[self.names.version], type=int)
@@ -135,4 +135,4 @@
             return None, None  # it knows less than this broker: the whole list is asked for
         if not whole and not rows and heard:
             return rev, None
-        return rev, Reading(directory, rows, now_ms, unix_s, whole)
+        return rev, ListReader(directory, rows, now_ms, unix_s, whole)
--- a/badgerbend/discovery/watch.py
+++ b/badgerbend/discovery/watch.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from badgerbend import api
-from badgerbend.discovery.directory import SLICE, Directory, ListError, Reading
+from badgerbend.discovery.directory import SLICE, Directory, ListError, ListReader
 from badgerbend.discovery.polls import OverduePolls, Poll, Timer
 from badgerbend.net.client import End, Pool, PoolLimits, Reply
 
@@ -57,7 +57,7 @@
 
     def read(
         self, reply: Reply, version: int | None, heard: bool, directory: Directory, now_ms: float, unix_s: float
-    ) -> tuple[int | None, Reading | None]:
+    ) -> tuple[int | None, ListReader | None]:
         """The answer's version, and its list if there is news. Raises ListError or ValueError."""
 
 
@@ -227,7 +227,7 @@
         self._taking = self._take(reading, version)
         self._more()
 
-    def _read(self, poll: Poll, reply: Reply) -> tuple[int | None, Reading | None]:
+    def _read(self, poll: Poll, reply: Reply) -> tuple[int | None, ListReader | None]:
         """The answer's version, and its list if there is news. Raises ListError or ValueError."""
         if reply.end is not End.ANSWER or reply.status != 200:
             raise ListError(f"{reply.end.name.lower()} {reply.status}")
@@ -260,18 +260,18 @@
         else:
             self._timer = self.clock.call_later(0.0, self._more)
 
-    def _take(self, reading: Reading, version: int | None) -> Iterator[bool]:
+    def _take(self, reading: ListReader, version: int | None) -> Iterator[bool]:
         """The steps of taking a list; each ends with whether it was the last. A short list takes one: what has come
         is in force before a query of the same turn is decided."""
         is_long = len(reading.rows) > SLICE
-        for _ in reading.slices():
+        for _ in reading.read_slices():
             if is_long:
                 yield False
-        reading.take()
-        for problem in reading.wrong[:5]:
+        reading.apply()
+        for problem in reading.errors[:5]:
             self.on_trouble("list line left out", problem)
         self.heard_at = self.clock.time()
-        for view in reading.news():
+        for view in reading.updates():
             self.on_view(view)
             if is_long:
                 yield False
--- a/badgerbend/generations/generation.py
+++ b/badgerbend/generations/generation.py
@@ -93,7 +93,7 @@
 
     def begin(self, directory: Directory, observations: api.Observations) -> None:
         """Feed the driver its first events: the current endpoint list, and what earlier generations observed of it."""
-        lines = tuple(known.line for known in directory.known.values())
+        lines = tuple(known.endpoint for known in directory.servers.values())
         self.driver.view(api.EndpointUpdate(api.UpdateKind.CACHED, lines))
         listed = tuple(node for node in observations.nodes if node.node in directory.names)
         if listed or observations.answers:
--- a/badgerbend/lease_service/budget_exchange.py
+++ b/badgerbend/lease_service/budget_exchange.py
@@ -66,8 +66,8 @@
     def _warming_servers(self, now_ms: float) -> dict[int, ResourceKey]:
         return {
             known.number: ResourceKey(name, known.started)
-            for name, known in self.directory.known.items()
-            if known.line.state == api.EndpointState.READY
+            for name, known in self.directory.servers.items()
+            if known.endpoint.state == api.EndpointState.READY
             and known.started_ms
             and now_ms - known.started_ms < self.slow_start_ms
         }
--- a/badgerbend/lease_service/health_check_duty.py
+++ b/badgerbend/lease_service/health_check_duty.py
@@ -117,7 +117,7 @@
             self._checking_since = NEVER
             return
         for server in self.checker.start_due_checks(self.clock()):
-            known = self.directory.known.get(server)
+            known = self.directory.servers.get(server)
             pool = self.pool_of(known.number) if known is not None else None
             if pool is None:
                 self._finish(server, served=False, took_ms=0.0)  # it is not listed any more
@@ -161,7 +161,7 @@
         if report.duty != self.duty or not self.fence.admits(report.duty, report.epoch):
             return
         self.results_received += len(report.results)
-        known = self.directory.known
+        known = self.directory.servers
         numbers = {row.server: known[row.server].number for row in report.results if row.server in known}
         self.driver.learn(observations_of(report, numbers))
 
--- a/badgerbend/peering/service.py
+++ b/badgerbend/peering/service.py
@@ -148,7 +148,7 @@
 
     def _request_first_pull(self) -> None:
         """Ask peers as soon as there are both an endpoint list and a peer."""
-        if self._pull_schedule is not None and self.directory.known:
+        if self._pull_schedule is not None and self.directory.servers:
             self._pull_schedule.request_first()
 
     def _peers_to_ask(self) -> Sequence[KnowledgePeer]:
--- a/badgerbend/platform/service.py
+++ b/badgerbend/platform/service.py
@@ -12,7 +12,7 @@
 from badgerbend import api
 from badgerbend.decisions import Aggregator
 from badgerbend.discovery.directory import Directory, ListError
-from badgerbend.discovery.members import SHORTEST_S, MembersTarget, form, leaving
+from badgerbend.discovery.members import SHORTEST_S, MembersTarget, departure_parser, row_parser
 from badgerbend.discovery.wall_clock import SteadyUnixClock
 from badgerbend.discovery.watch import Watch
 from badgerbend.frames.transport import FrameLimits, FrameTransport
@@ -50,9 +50,9 @@
         self.unix_s = SteadyUnixClock(time.time, time.monotonic)
         self.directory = Directory(
             settings.cell_count,
-            form(names.MEMBERS, config.zones, config.kinds),
-            one_clock=True,
-            leaving=leaving(names.MEMBERS),
+            row_parser(names.MEMBERS, config.zones, config.kinds),
+            shared_clock=True,
+            parse_departure=departure_parser(names.MEMBERS),
         )
         descriptors = config.limits.descriptors
         connect_s = settings.connect_timeout_ms / 1000.0
@@ -88,7 +88,7 @@
         module = Aggregator(settings, config.seed)
         self.driver = Driver(settings, module, self.transport, self.watch, self.schedule, self.tally)
         self.schedule.turn = self.driver.turn
-        self.front = Front(config, self.driver, lambda: bool(self.directory.known) and not self.ending)
+        self.front = Front(config, self.driver, lambda: bool(self.directory.servers) and not self.ending)
         self.server = HttpServer(
             self.front.handle,
             ServerLimits(
@@ -114,7 +114,7 @@
         self._take_known()
         settle_memory()
         # a first event, so that the module asks for the list where that is its part, and for its first alarm
-        lines = tuple(k.line for k in self.directory.known.values())
+        lines = tuple(k.endpoint for k in self.directory.servers.values())
         self._view(api.EndpointUpdate(api.UpdateKind.CACHED, lines))
         self.watch.start()
         if not self.watch.asks:
@@ -125,7 +125,7 @@
             "listening",
             name=self.config.name,
             port=port,
-            servers=len(self.directory.known),
+            servers=len(self.directory.servers),
             unix=round(time.time(), 3),
             list_heard=self.first_word.is_set(),
         )
--- a/badgerbend/publication_validation/changes.py
+++ b/badgerbend/publication_validation/changes.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from badgerbend.config.feed import NODE_PREFIX
-from badgerbend.discovery.directory import NO_ROW
-from badgerbend.discovery.keyed import entry
+from badgerbend.discovery.directory import ROW_ERRORS
+from badgerbend.discovery.keyed import parse_row
 from badgerbend.feed.messages import Change
 from badgerbend.publication_validation.configurations import validate_configuration
 
@@ -27,7 +27,7 @@
     if not name:
         return f"{change.key}: a server needs a name"
     try:
-        entry((name, msgspec.json.decode(change.value)))
-    except NO_ROW as error:
+        parse_row((name, msgspec.json.decode(change.value)))
+    except ROW_ERRORS as error:
         return f"{change.key}: {error}"
     return ""
--- a/benchmarks/listing.py
+++ b/benchmarks/listing.py
@@ -21,8 +21,8 @@
 from badgerbend.config import settings as cfg
 from badgerbend.config.module import module_settings
 from badgerbend.config.reading import load
-from badgerbend.discovery.directory import Directory, Reading, listed
-from badgerbend.discovery.lines import consul_directory
+from badgerbend.discovery.consul_rows import consul_directory
+from badgerbend.discovery.directory import Directory, ListReader, decode_rows
 from badgerbend.sites.from_settings import site_policy
 from badgerbend.sites.preference import LocalityPreference
 from badgerbend.standin.registry import Entry
@@ -56,16 +56,16 @@
 
 def at_once(module: Aggregator, directory: Directory, data: bytes, now: float) -> Iterator[float]:
     def turn() -> None:
-        view, _ = directory.read(listed(data), now, now)
+        view, _ = directory.read(decode_rows(data), now, now)
         step(module, now, view, 1)
 
     yield timed(turn)
 
 
 def in_slices(module: Aggregator, directory: Directory, data: bytes, now: float) -> Iterator[float]:
-    held: list[Reading] = []
-    yield timed(lambda: held.append(Reading(directory, listed(data), now, now)))
-    slices = held[0].slices()
+    held: list[ListReader] = []
+    yield timed(lambda: held.append(ListReader(directory, decode_rows(data), now, now)))
+    slices = held[0].read_slices()
     done = False
     while not done:
 
@@ -74,8 +74,8 @@
             done = next(slices, True) is True
 
         yield timed(read)
-    yield timed(held[0].take)
-    news = held[0].news()
+    yield timed(held[0].apply)
+    news = held[0].updates()
     for number in range(2, 10_000):
         found: list[api.EndpointUpdate] = []
 
@@ -103,7 +103,7 @@
             rows = []
             for _ in range(a.runs):
                 module, directory = made(), consul_directory(CELLS)
-                view, _ = directory.read(listed(first), 1000.0, 1.0)
+                view, _ = directory.read(decode_rows(first), 1000.0, 1.0)
                 module.step(1000.0, [view])
                 settle_memory()  # as a broker does once it is started
                 rows.append(list(way(module, directory, second, 2000.0)))
--- a/benchmarks/scale/feed_today.py
+++ b/benchmarks/scale/feed_today.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from badgerbend.discovery.directory import Reading, listed
-from badgerbend.discovery.lines import consul_directory
+from badgerbend.discovery.consul_rows import consul_directory
+from badgerbend.discovery.directory import ListReader, decode_rows
 from scale.feed_content import CELLS
 from scale.fleetsize import ZONES
 
@@ -34,14 +34,14 @@
     for run in range(RUNS + 1):
         body = msgspec.json.encode([_row(number, draining=number == run) for number in range(nodes)])
         began = time.process_time()
-        reading = Reading(directory, listed(body), 1e6 + run, 1.8e9)
-        for _ in reading.slices():
+        reading = ListReader(directory, decode_rows(body), 1e6 + run, 1.8e9)
+        for _ in reading.read_slices():
             pass
-        reading.take()
+        reading.apply()
         directory.told = True
         costs.append(time.process_time() - began)
-        if reading.wrong:
-            raise ValueError(reading.wrong[0])
+        if reading.errors:
+            raise ValueError(reading.errors[0])
     return WholeList(len(body), min(costs[1:]))
 
 
--- a/benchmarks/scale/list_reading.py
+++ b/benchmarks/scale/list_reading.py
@@ -7,7 +7,7 @@
 
 from badgerbend import api
 from badgerbend.decisions import Aggregator
-from badgerbend.discovery.directory import Reading
+from badgerbend.discovery.directory import ListReader
 from badgerbend.net.client import Reply
 from scale.list_rows import ListForm
 from scale.processor import spent_ms
@@ -47,26 +47,26 @@
     def take(self, reply: Reply) -> Taken:
         """Takes one answer, as `Watch` does. Raises ListError."""
         self.now_ms += STEP_MS
-        held: list[Reading] = []
+        held: list[ListReader] = []
         read_ms = spent_ms(lambda: held.append(self._read(reply)))
         views: list[api.EndpointUpdate] = []
         tell_ms = spent_ms(lambda: self._tell(held[0], views))
         return Taken(len(reply.body), read_ms, tell_ms, sum(len(view.endpoints) for view in views))
 
-    def _read(self, reply: Reply) -> Reading:
+    def _read(self, reply: Reply) -> ListReader:
         heard = self.version is not None
         self.version, reading = self.target.read(reply, self.version, heard, self.directory, self.now_ms, UNIX_S)
         if reading is None:
             raise ValueError("an answer without news")
-        for _ in reading.slices():
+        for _ in reading.read_slices():
             pass
-        reading.take()
-        if reading.wrong:
-            raise ValueError(reading.wrong[0])
+        reading.apply()
+        if reading.errors:
+            raise ValueError(reading.errors[0])
         return reading
 
-    def _tell(self, reading: Reading, views: list[api.EndpointUpdate]) -> None:
-        for view in reading.news():
+    def _tell(self, reading: ListReader, views: list[api.EndpointUpdate]) -> None:
+        for view in reading.updates():
             views.append(view)
             self.module.step(self.now_ms, [view])
 
--- a/benchmarks/scale/list_rows.py
+++ b/benchmarks/scale/list_rows.py
@@ -14,9 +14,9 @@
 
 from badgerbend.config.settings import Discovery
 from badgerbend.discovery.consul import ConsulTarget
+from badgerbend.discovery.consul_rows import consul_directory
 from badgerbend.discovery.directory import Directory
-from badgerbend.discovery.lines import consul_directory
-from badgerbend.discovery.members import MembersTarget, form, leaving
+from badgerbend.discovery.members import MembersTarget, departure_parser, row_parser
 from badgerbend.discovery.watch import Target
 from badgerbend.net.client import End, Reply
 from badgerbend.platform import names
@@ -99,8 +99,8 @@
         self.max_bytes = self.target().max_bytes
 
     def directory(self, cells: int) -> Directory:
-        read = form(names.MEMBERS, ZONE_NAMES, KIND_NAMES)
-        return Directory(cells, read, one_clock=True, leaving=leaving(names.MEMBERS))
+        read = row_parser(names.MEMBERS, ZONE_NAMES, KIND_NAMES)
+        return Directory(cells, read, shared_clock=True, parse_departure=departure_parser(names.MEMBERS))
 
     def target(self) -> Target:
         return MembersTarget(names.MEMBERS, ("127.0.0.1", 9), asks=False, drain_grace_s=DRAIN_GRACE_S)
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -1,8 +1,8 @@
 """What a broker's list of nodes costs, in both forms of list: bytes, processor time, memory.
 
-Each quantity is of the product's own code: `Target.read`, `Reading`, `Aggregator.step`. Bytes are those of the answers'
-bodies. No socket is opened. An answer costs the module more than its telling: the first query after it finds the
-holders of shards anew, which stands as a quantity of its own.
+Each quantity is of the product's own code: `Target.read`, `ListReader`, `Aggregator.step`. Bytes are those of the
+answers' bodies. No socket is opened. An answer costs the module more than its telling: the first query after it finds
+the holders of shards anew, which stands as a quantity of its own.
 """
 
 from __future__ import annotations
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -148,7 +148,7 @@
         self.heard_first = self.service.watch.heard_at is not None  # before any client
         self.pool = Pool("127.0.0.1", self.port, LIMITS)
         if self.told:
-            await until(lambda: len(self.service.directory.known) == CELLS * self.each)
+            await until(lambda: len(self.service.directory.servers) == CELLS * self.each)
         return self
 
     async def __aexit__(self, *_):
@@ -196,7 +196,7 @@
         return reply
 
     def number(self, uid):
-        return self.service.directory.known[uid].line.node
+        return self.service.directory.servers[uid].endpoint.node
 
     def sent(self):
         return [part for node in self.nodes.values() for part in node.parts()]
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -150,7 +150,7 @@
     "config/published.py",
     "discovery/directory.py",
     "discovery/keyed.py",
-    "discovery/lines.py",
+    "discovery/consul_rows.py",
     "frames/codec.py",
     "platform/names.py",
     "knowledge/policy.py",
--- a/tests/test_capacity_lists.py
+++ b/tests/test_capacity_lists.py
@@ -113,7 +113,7 @@
     reader.take(form.whole(nodes, 1))
     changed = turned(nodes, [3, 7])
     reader.take(form.change(changed, [3, 7], 2))
-    states = {name: known.line.state.name for name, known in reader.directory.known.items()}
+    states = {name: known.endpoint.state.name for name, known in reader.directory.servers.items()}
     assert states == {node.name: "DRAINING" if node.draining else "READY" for node in changed}
     assert sum(state == "DRAINING" for state in states.values()) == 2
 
--- a/tests/test_directory_clock.py
+++ b/tests/test_directory_clock.py
@@ -4,7 +4,7 @@
 import pytest
 
 from badgerbend.discovery.directory import Directory
-from badgerbend.discovery.members import form
+from badgerbend.discovery.members import row_parser
 from badgerbend.discovery.wall_clock import SteadyUnixClock
 from badgerbend.platform import names
 
@@ -27,13 +27,13 @@
 def test_a_start_is_never_taken_for_earlier_than_it_was(step):
     clocks = Clocks()
     steady = SteadyUnixClock(clocks.unix, clocks.monotonic)
-    directory = Directory(4, form(names.MEMBERS, ("a",), ("m",)), one_clock=True)
+    directory = Directory(4, row_parser(names.MEMBERS, ("a",), ("m",)), shared_clock=True)
 
     def started_ms(boot_s):
         row = {"uid": "s", "endpoint": "127.0.0.1:9", "az": "a", "model": "m", "pod_group": 0, "state": "up"}
         raw = msgspec.Raw(msgspec.json.encode(row | {"boot_ms": round(boot_s * 1000.0)}))
         directory.read([raw], clocks.now * 1000.0, steady())
-        return directory.known["s"].line.started_ms
+        return directory.servers["s"].endpoint.started_ms
 
     assert started_ms(UNIX + 95.0) == pytest.approx(95_000.0, abs=1.0)
     clocks.now, clocks.step = 130.0, step
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,8 +8,8 @@
 from badgerbend import api
 from badgerbend.broker import Broker
 from badgerbend.discovery import directory as directory_module
-from badgerbend.discovery.directory import SLICE, ListError, Reading, listed
-from badgerbend.discovery.lines import consul_directory
+from badgerbend.discovery.consul_rows import consul_directory
+from badgerbend.discovery.directory import SLICE, ListError, ListReader, decode_rows
 from badgerbend.standin.registry import Entry
 from tests.replacing import replace_attribute
 from tests.sockets import Stage, run, until
@@ -18,7 +18,7 @@
 
 
 def rows(*entries):
-    return listed(encoded(*entries))
+    return decode_rows(encoded(*entries))
 
 
 def encoded(*entries):
@@ -45,36 +45,36 @@
 def test_a_long_list_is_read_and_told_in_slices_and_only_what_changed():
     directory = consul_directory(12)
     directory.read(many(1000), 0.0, 0.0)
-    reading = Reading(directory, many(1000, "draining"), 1.0, 1.0)
-    assert len(list(reading.slices())) == 1000 / SLICE
-    assert directory.known["s0"].line.state == READY  # not before it is whole
-    reading.take()
-    views = list(reading.news())
+    reading = ListReader(directory, many(1000, "draining"), 1.0, 1.0)
+    assert len(list(reading.read_slices())) == 1000 / SLICE
+    assert directory.servers["s0"].endpoint.state == READY  # not before it is whole
+    reading.apply()
+    views = list(reading.updates())
     assert all(v.kind == api.UpdateKind.DELTA and len(v.endpoints) <= SLICE for v in views)
     assert sum(len(v.endpoints) for v in views) == 1000
-    again = Reading(directory, many(990, "draining"), 2.0, 2.0)
-    list(again.slices())
-    again.take()
-    (view,) = again.news()
+    again = ListReader(directory, many(990, "draining"), 2.0, 2.0)
+    list(again.read_slices())
+    again.apply()
+    (view,) = again.updates()
     assert sorted(x.node for x in view.endpoints) == list(range(991, 1001))
     assert {x.state for x in view.endpoints} == {GONE}
-    same = Reading(directory, many(990, "draining"), 3.0, 3.0)
-    list(same.slices())
-    same.take()
-    assert list(same.news()) == [api.EndpointUpdate(api.UpdateKind.DELTA, ())]  # heard, and nothing new
+    same = ListReader(directory, many(990, "draining"), 3.0, 3.0)
+    list(same.read_slices())
+    same.apply()
+    assert list(same.updates()) == [api.EndpointUpdate(api.UpdateKind.DELTA, ())]  # heard, and nothing new
 
 
 def test_a_list_left_half_told_is_told_whole_the_next_time():
     directory = consul_directory(12)
     directory.read(many(1000), 0.0, 0.0)
-    reading = Reading(directory, many(1000, "gone"), 1.0, 1.0)
-    list(reading.slices())
-    reading.take()
-    next(reading.news())
-    after = Reading(directory, many(1000, "gone"), 2.0, 2.0)
-    list(after.slices())
-    after.take()
-    (view,) = after.news()
+    reading = ListReader(directory, many(1000, "gone"), 1.0, 1.0)
+    list(reading.read_slices())
+    reading.apply()
+    next(reading.updates())
+    after = ListReader(directory, many(1000, "gone"), 2.0, 2.0)
+    list(after.read_slices())
+    after.apply()
+    (view,) = after.updates()
     assert view.kind == api.UpdateKind.FULL
     assert len(view.endpoints) == 1000
 
@@ -125,7 +125,7 @@
     directory = consul_directory(4)
     directory.read(rows(Entry("a", 1000, 3, 0, 0.0)), 0.0, 0.0)
     with pytest.raises(ListError):
-        directory.read(listed(body), 1.0, 1.0)
+        directory.read(decode_rows(body), 1.0, 1.0)
     assert directory.addresses == {1: ("127.0.0.1", 1000)}
 
 
@@ -169,7 +169,7 @@
 @given(st.lists(json, max_size=4))
 def test_any_json_is_read_or_refused(rows_):
     try:
-        view, _ = consul_directory(4).read(listed(msgspec.json.encode(rows_)), 0.0, 0.0)
+        view, _ = consul_directory(4).read(decode_rows(msgspec.json.encode(rows_)), 0.0, 0.0)
     except ListError:
         return
     assert all(isinstance(x, api.Endpoint) for x in view.endpoints)
@@ -250,18 +250,18 @@
 @given(st.lists(st.lists(ROW, max_size=4, unique_by=lambda row: row["id"]), max_size=8))
 def test_changes_leave_the_directory_as_a_rebuilt_one_would_be(batches):
     directory = directory_module.Directory(3, plain_row)
-    directory.read(listed(msgspec.json.encode([{"id": "s0", "port": 1, "cell": 0, "state": "ready"}])), 0.0, 0.0)
+    directory.read(decode_rows(msgspec.json.encode([{"id": "s0", "port": 1, "cell": 0, "state": "ready"}])), 0.0, 0.0)
     expected = {"s0": ("127.0.0.1", 1)}
     for batch in batches:
-        reading = Reading(directory, listed(msgspec.json.encode(batch)), 1.0, 1.0, whole=False)
-        list(reading.slices())
-        reading.take()
-        list(reading.news())
+        reading = ListReader(directory, decode_rows(msgspec.json.encode(batch)), 1.0, 1.0, whole=False)
+        list(reading.read_slices())
+        reading.apply()
+        list(reading.updates())
         for row in batch:
             expected[row["id"]] = ("127.0.0.1", row["port"])
             if row["state"] == "gone":
                 del expected[row["id"]]
-        assert {name: known.address for name, known in directory.known.items()} == expected
-        numbers = {known.line.node: name for name, known in directory.known.items()}
+        assert {name: known.address for name, known in directory.servers.items()} == expected
+        numbers = {known.endpoint.node: name for name, known in directory.servers.items()}
         assert directory.names == numbers
         assert directory.addresses == {number: expected[name] for number, name in numbers.items()}
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -403,7 +403,7 @@
 
 def states_of(broker):
     """The state of each server on the broker's list, by name."""
-    return {name: known.line.state for name, known in broker.directory.known.items()}
+    return {name: known.endpoint.state for name, known in broker.directory.servers.items()}
 
 
 def test_the_list_comes_from_the_feed_in_place_of_consul(tmp_path):
@@ -460,10 +460,10 @@
             try:
                 await other.start()
                 await until(lambda: relay.snapshots_started)
-                assert not other.directory.known
+                assert not other.directory.servers
                 stage.publish_changes(change(f"node/{drained}", stage.row(drained, state="draining")))
                 server.log_advanced()
-                await until(lambda: other.directory.known)
+                await until(lambda: other.directory.servers)
                 await until(
                     lambda: (
                         other.feed_subscription.client.follower.status.applied_revision
@@ -471,7 +471,7 @@
                     )
                 )
                 await until(lambda: states_of(other)[drained] == api.EndpointState.DRAINING)
-                number = other.directory.known[drained].line.node
+                number = other.directory.servers[drained].endpoint.node
                 servers = other.driver.module.endpoints.servers
                 await until(lambda: sum(server.ready for server in servers.values()) == len(states_of(other)) - 1)
                 assert number not in servers or not servers[number].ready
--- a/tests/test_keyed_list.py
+++ b/tests/test_keyed_list.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from badgerbend import api
-from badgerbend.discovery.directory import SLICE, ListError, Reading
+from badgerbend.discovery.directory import SLICE, ListError, ListReader
 from badgerbend.discovery.keyed import KeyedList, keyed_directory
 from badgerbend.publication_validation.changes import validate_change
 from tests.feed_stage import change
@@ -83,8 +83,8 @@
                 self.ever_ready.add(line.node)
 
     def holds(self, name):
-        known = self.directory.known.get(name)
-        return None if known is None else self.states[known.line.node]
+        known = self.directory.servers.get(name)
+        return None if known is None else self.states[known.endpoint.node]
 
 
 def listed(count, **fields):
@@ -97,12 +97,12 @@
     told = listed(1000)
     told.turns.turn()
     assert not told.views
-    assert not told.directory.known
+    assert not told.directory.servers
     assert told.list.heard_at is None
     assert 1000 / SLICE <= told.turns.run() <= 1000 / SLICE + 1
     (view,) = told.views
     assert view.kind == api.UpdateKind.FULL
-    assert len(view.endpoints) == len(told.directory.known) == 1000
+    assert len(view.endpoints) == len(told.directory.servers) == 1000
     assert told.taken == 1
     assert told.list.heard_at is not None
 
@@ -115,10 +115,10 @@
     told.list.change({"s7": row(7, state="draining"), "s900": row(900, state="draining"), "s3": None})
     told.turns.run()
     assert told.holds("s7") == told.holds("s900") == DRAINING
-    assert "s3" not in told.directory.known
-    never = {told.directory.known[name].line.node for name in ("s7", "s900")}
+    assert "s3" not in told.directory.servers
+    never = {told.directory.servers[name].endpoint.node for name in ("s7", "s900")}
     assert not never & told.ever_ready
-    assert len(told.directory.known) == 999
+    assert len(told.directory.servers) == 999
 
 
 def test_a_drain_wins_over_a_long_change_that_came_before_it():
@@ -142,7 +142,7 @@
     lines = [line for view in told.views for line in view.endpoints]
     assert all(view.kind == api.UpdateKind.DELTA for view in told.views)
     assert sorted(line.state for line in lines) == [GONE, READY, DRAINING]
-    assert "s5" not in told.directory.known
+    assert "s5" not in told.directory.servers
     assert len(told.directory.addresses) == len(told.directory.names) == 1000
 
 
@@ -151,11 +151,11 @@
     told.turns.run()
     told.list.change({f"s{i}": None for i in range(3)})
     told.turns.run()
-    assert len(told.directory.known) == 3
+    assert len(told.directory.servers) == 3
     assert told.troubles[-1][0] == "list not read"
     told.list.change({"other": row(1)})
     told.turns.run()
-    assert list(told.directory.known) == ["other"]
+    assert list(told.directory.servers) == ["other"]
     assert list(told.states.values()).count(READY) == 1
 
 
@@ -178,22 +178,22 @@
     told.list.change({"s0": b'{"state": "leaving soon"}', "s1": b"{", "s2": row(2, cell=CELLS), "s9": b'{"cell": 1}'})
     told.turns.run()
     assert [told.holds(f"s{i}") for i in range(3)] == [DRAINING, READY, READY]
-    assert "s9" not in told.directory.known
+    assert "s9" not in told.directory.servers
     assert sum(what == "list line left out" for what, _ in told.troubles) == 4
 
 
 def test_names_that_left_are_news_of_a_reading_of_changes():
     told = listed(2)
     told.turns.run()
-    node = told.directory.known["s1"].line.node
-    reading = Reading(told.directory, (), 1.0, 1.0, whole=False, left=["s1", "never"])
-    reading.take()
-    (view,) = reading.news()
+    node = told.directory.servers["s1"].endpoint.node
+    reading = ListReader(told.directory, (), 1.0, 1.0, whole=False, left=["s1", "never"])
+    reading.apply()
+    (view,) = reading.updates()
     assert [(line.node, line.state) for line in view.endpoints] == [(node, GONE)]
     assert node not in told.directory.addresses
     assert node not in told.directory.names
     with pytest.raises(ListError):
-        Reading(told.directory, (), 1.0, 1.0).take()  # a whole list without rows stays an error
+        ListReader(told.directory, (), 1.0, 1.0).apply()  # a whole list without rows stays an error
 
 
 def test_after_closing_nothing_is_taken():
@@ -226,8 +226,8 @@
         state = value and msgspec.json.decode(value).get("state", "ready")
         if value and state != "gone":
             expected[name] = READY if state == "ready" else DRAINING
-    assert {name: told.holds(name) for name in told.directory.known} == expected
-    held = {known.line.node for known in told.directory.known.values()}
+    assert {name: told.holds(name) for name in told.directory.servers} == expected
+    held = {known.endpoint.node for known in told.directory.servers.values()}
     assert {node for node, state in told.states.items() if state != GONE} == held
 
 
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -267,7 +267,7 @@
     def __init__(self):
         self.loop, self.own, self.now, self.epoch = Loop(), ("127.0.0.1", 7000), 0.0, 7
         self.sent, self.learned, self.pool = [], [], Pool()
-        directory = SimpleNamespace(known={"s1": SimpleNamespace(number=4)}, names={4: "s1"})
+        directory = SimpleNamespace(servers={"s1": SimpleNamespace(number=4)}, names={4: "s1"})
         self.duty = HealthCheckDuty(
             self, Duties(("k",), THREE), "probe", "broker-0", FencingGuard(), self, directory, self.pool_of, self.clock
         )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -16,7 +16,7 @@
 
 from badgerbend import api
 from badgerbend.discovery import members
-from badgerbend.discovery.directory import Directory, Reading, listed
+from badgerbend.discovery.directory import Directory, ListReader, decode_rows
 from badgerbend.platform import config, names
 from badgerbend.standin.agent import Agent
 from badgerbend.standin.framenode import FrameNode
@@ -463,7 +463,9 @@
         async with Stage(known=True, told=False, drained=("s0", "s1", "s2")) as s:
             assert s.heard_first
             assert (await s.ask())[0] == 200
-            assert {s.service.directory.known[f"s{i}"].line.state for i in range(3)} == {api.EndpointState.DRAINING}
+            assert {s.service.directory.servers[f"s{i}"].endpoint.state for i in range(3)} == {
+                api.EndpointState.DRAINING
+            }
             assert not any(s.nodes[f"s{i}"].parts() for i in range(3))
 
     run(main)
@@ -492,24 +494,26 @@
 
 
 def test_of_two_rows_for_one_server_the_one_that_drains_holds():
-    directory = Directory(CELLS, members.form(names.MEMBERS, ("here",), ("m",)), one_clock=True)
+    directory = Directory(CELLS, members.row_parser(names.MEMBERS, ("here",), ("m",)), shared_clock=True)
     row = {"uid": "s0", "endpoint": "127.0.0.1:9", "az": "here", "model": "m", "pod_group": 0, "state": "up"}
     for states in (("up", "draining"), ("draining", "up")):
-        rows = listed(msgspec.json.encode([row | {"state": state} for state in states]))
+        rows = decode_rows(msgspec.json.encode([row | {"state": state} for state in states]))
         view, wrong = directory.read(rows, 0.0, 0.0)
         assert [line.state for line in view.endpoints] == [api.EndpointState.DRAINING]
         assert len(wrong) == 1
 
 
 def test_a_row_that_repeats_what_is_known_takes_back_the_one_before_it():
-    directory = Directory(CELLS, members.form(names.MEMBERS, ("here",), ("m",)), one_clock=True)
+    directory = Directory(CELLS, members.row_parser(names.MEMBERS, ("here",), ("m",)), shared_clock=True)
     row = {"uid": "s0", "endpoint": "127.0.0.1:9", "az": "here", "model": "m", "pod_group": 0, "state": "draining"}
-    directory.read(listed(msgspec.json.encode([row])), 0.0, 0.0)
-    reading = Reading(directory, listed(msgspec.json.encode([row | {"state": "up"}, row])), 1.0, 1.0, whole=False)
-    list(reading.slices())
-    reading.take()
-    assert [line.state for view in reading.news() for line in view.endpoints] == []
-    assert directory.known["s0"].line.state == api.EndpointState.DRAINING
+    directory.read(decode_rows(msgspec.json.encode([row])), 0.0, 0.0)
+    reading = ListReader(
+        directory, decode_rows(msgspec.json.encode([row | {"state": "up"}, row])), 1.0, 1.0, whole=False
+    )
+    list(reading.read_slices())
+    reading.apply()
+    assert [line.state for view in reading.updates() for line in view.endpoints] == []
+    assert directory.servers["s0"].endpoint.state == api.EndpointState.DRAINING
 
 
 @pytest.mark.parametrize(
@@ -525,17 +529,19 @@
     ],
 )
 def test_rows_that_are_none_at_all_stop_no_list(row):
-    leaving = members.leaving(names.MEMBERS)
-    directory = Directory(CELLS, members.form(names.MEMBERS, ("here",), ("m",)), one_clock=True, leaving=leaving)
+    leaving = members.departure_parser(names.MEMBERS)
+    directory = Directory(
+        CELLS, members.row_parser(names.MEMBERS, ("here",), ("m",)), shared_clock=True, parse_departure=leaving
+    )
     good = {"uid": "s0", "endpoint": "127.0.0.1:9", "az": "here", "model": "m", "pod_group": 0, "state": "up"}
-    directory.read(listed(msgspec.json.encode([good])), 0.0, 0.0)
+    directory.read(decode_rows(msgspec.json.encode([good])), 0.0, 0.0)
     news = [row, good | {"uid": "s1", "state": "draining"}]
-    reading = Reading(directory, listed(msgspec.json.encode(news)), 1.0, 1.0, whole=False)
-    list(reading.slices())
-    reading.take()
-    assert directory.known["s1"].line.state == api.EndpointState.DRAINING
-    assert len(reading.wrong) == 1
-    assert directory.known["s0"].line.state == api.EndpointState.READY
+    reading = ListReader(directory, decode_rows(msgspec.json.encode(news)), 1.0, 1.0, whole=False)
+    list(reading.read_slices())
+    reading.apply()
+    assert directory.servers["s1"].endpoint.state == api.EndpointState.DRAINING
+    assert len(reading.errors) == 1
+    assert directory.servers["s0"].endpoint.state == api.EndpointState.READY
 
 
 def test_without_any_list_it_is_not_ready():
@@ -545,7 +551,7 @@
             assert (await s.reply(get)).status == 503
             for cell in range(CELLS):
                 await s.add(f"new{cell}", cell)
-            await until(lambda: len(s.service.directory.known) == CELLS)
+            await until(lambda: len(s.service.directory.servers) == CELLS)
             assert (await s.reply(get)).status == 200
 
     run(main)
@@ -556,13 +562,13 @@
         async with Stage(each=2) as s:
             await until(lambda: s.agent.waiting)
             s.agent.put("s0", s.nodes["s0"].port, 0, "draining")
-            await until(lambda: s.service.directory.known["s0"].line.state is api.EndpointState.DRAINING)
+            await until(lambda: s.service.directory.servers["s0"].endpoint.state is api.EndpointState.DRAINING)
             for _ in range(10):
                 assert (await s.ask((0, 3)))[0] == 200
             assert not s.nodes["s0"].parts()
             assert s.nodes["s3"].parts()
             s.agent.put("s0", s.nodes["s0"].port, 0, "removed")
-            await until(lambda: "s0" not in s.service.directory.known)
+            await until(lambda: "s0" not in s.service.directory.servers)
             whole = [path for path in s.agent.asked if "since" not in path]
             assert len(whole) == 1
             assert s.agent.asked[1].startswith("/catalog/members?since=")
@@ -579,7 +585,7 @@
             s.nodes["s0"] = node
             row = s.agent.put("s0", await node.start(), 0)
             s.agent.rev, s.agent.changes, s.agent.members = 0, [], {"s0": row}
-            await until(lambda: "s0" in s.service.directory.known and s.agent.waiting)
+            await until(lambda: "s0" in s.service.directory.servers and s.agent.waiting)
             assert s.agent.asked[-1].startswith("/catalog/members?since=0&")
 
     run(main)
@@ -603,11 +609,11 @@
             s.agent.answer = rubbish
             s.agent.put("s0", s.nodes["s0"].port, 0)  # ends the call that waits
             await until(lambda: s.service.tally.troubles["list not read"] >= 2)
-            assert len(s.service.directory.known) == CELLS * 2
+            assert len(s.service.directory.servers) == CELLS * 2
             assert (await s.ask())[0] == 200
             s.agent.answer = None
             s.agent.put("s1", s.nodes["s1"].port, 1, "draining")
-            await until(lambda: s.service.directory.known["s1"].line.state is api.EndpointState.DRAINING)
+            await until(lambda: s.service.directory.servers["s1"].endpoint.state is api.EndpointState.DRAINING)
 
     run(main)
 
@@ -619,8 +625,8 @@
             other = FrameNode()
             s.nodes["other"] = other
             s.agent.put("s0", await other.start(), 0, boot_ms=boot)
-            await until(lambda: s.service.directory.known["s0"].address[1] == other.port)
-            known = s.service.directory.known["s0"]
+            await until(lambda: s.service.directory.servers["s0"].address[1] == other.port)
+            known = s.service.directory.servers["s0"]
             assert known.number == 1
             assert 2900 < s.service.schedule.now_ms() - known.started_ms < 60_000
 
@@ -642,10 +648,10 @@
                 other.put(uid, node.port, node.cell)
             s.service.reload(lambda: config.parse(file_of(port), {}))
             await s.agent.close()
-            assert len(s.service.directory.known) == CELLS * 2
+            assert len(s.service.directory.servers) == CELLS * 2
             await until(lambda: other.waiting)
             other.put("s0", s.nodes["s0"].port, 0, "draining")
-            await until(lambda: s.service.directory.known["s0"].line.state is api.EndpointState.DRAINING)
+            await until(lambda: s.service.directory.servers["s0"].endpoint.state is api.EndpointState.DRAINING)
             held[0].served()
             assert (await asked)[0] == 200
             await other.close()
@@ -660,7 +666,7 @@
             s.service.reload(lambda: config.parse(b"{", {}))
             assert [v["kind"] for w, v in s.troubles if w == "trouble"] == ["configuration not taken"]
             s.agent.put("s0", s.nodes["s0"].port, 0, "draining")
-            await until(lambda: s.service.directory.known["s0"].line.state is api.EndpointState.DRAINING)
+            await until(lambda: s.service.directory.servers["s0"].endpoint.state is api.EndpointState.DRAINING)
             other = replace(s.config, limits=msgspec.structs.replace(s.config.limits, cores=0.5))
             s.service.reload(lambda: other)
             assert s.troubles[-2][1] == {"kind": "takes effect at the next start only", "detail": "limits"}
@@ -759,7 +765,7 @@
             def kept():
                 module, driver, transport = service.driver.module, service.driver, service.transport
                 return {
-                    "directory": len(service.directory.known) + len(service.directory.names),
+                    "directory": len(service.directory.servers) + len(service.directory.names),
                     "addresses": len(service.directory.addresses),
                     "channels": len(transport.channels) + len(transport.retired) + len(transport.addresses),
                     "open": transport.open,
@@ -774,11 +780,11 @@
             async def turn(i):
                 cell = i % CELLS
                 await s.add(f"n{i}", cell)
-                await until(lambda: f"n{i}" in service.directory.known)
+                await until(lambda: f"n{i}" in service.directory.servers)
                 assert (await s.ask((cell, cell + 3), Connection="close", Idempotency_Key=f"k{i}"))[0] == 200
                 old = f"n{i - CELLS}" if i >= CELLS else f"s{cell}"
                 s.agent.put(old, s.nodes[old].port, cell, "removed")
-                await until(lambda: old not in service.directory.known)
+                await until(lambda: old not in service.directory.servers)
                 s.nodes.pop(old).stop()
 
             async def settled():
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -10,7 +10,7 @@
 from badgerbend.decisions import Aggregator
 from badgerbend.discovery import members
 from badgerbend.discovery.directory import Directory
-from badgerbend.discovery.members import MembersTarget, form
+from badgerbend.discovery.members import MembersTarget, row_parser
 from badgerbend.discovery.watch import Watch
 from badgerbend.net.client import End, Reply
 from badgerbend.platform import names
@@ -111,7 +111,7 @@
 
 def play(agent, seconds, grace_s=0.5, asks=False, seed=1, module=False):
     """Times and states of the one server as the module hears them. module: it says when to ask."""
-    directory = Directory(4, form(names.MEMBERS, ("a",), ("m",)), one_clock=True)
+    directory = Directory(4, row_parser(names.MEMBERS, ("a",), ("m",)), shared_clock=True)
     heard = []
 
     def view(news):
@@ -263,7 +263,7 @@
     # Its slices were dropped with the call: what the old agent had told was never obeyed while the new one was silent.
     agent, replies, heard = Fallen(), [], []
     replace_attribute(agent, "request", lambda head, on_reply: replies.append(on_reply) or Timer())
-    directory = Directory(4, form(names.MEMBERS, ("a",), ("m",)), one_clock=True)
+    directory = Directory(4, row_parser(names.MEMBERS, ("a",), ("m",)), shared_clock=True)
     watch = Watch(
         MembersTarget(names.MEMBERS, ("127.0.0.1", 1), False, 0.5),
         directory,
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -21,7 +21,7 @@
 def test_a_long_list_read_in_slices_by_a_slow_broker_is_obeyed_too():
     world = World(5, rows=1024)
     assert world.play() == []
-    assert len(world.service.directory.known) > 900
+    assert len(world.service.directory.servers) > 900
 
 
 def listens_first(monkeypatch):
@@ -48,7 +48,7 @@
     "it asks again late": (lambda m: m.setattr(members, "AGAIN", 5.0), 37),
     "a poll is aborted as the next one is sent": (aborts_what_is_late, 5),
     "a row without all its fields is left out": (
-        lambda m: m.setattr(directory.Reading, "_leaving", lambda self, raw: None),
+        lambda m: m.setattr(directory.ListReader, "_leaving", lambda self, raw: None),
         17,
     ),
 }
