--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -102,7 +102,9 @@
         self.generations = GenerationManager(settings, graph, shared)
         self.knowledge_exchange: KnowledgeExchange | None = None
         if settings.peers is not None or settings.snapshot is not None:
-            self.knowledge_exchange = KnowledgeExchange(settings, self.driver, self.directory, self.metrics.trouble)
+            self.knowledge_exchange = KnowledgeExchange(
+                settings, self.driver, self.directory, self.metrics.report_fault
+            )
         self.lease_service: LeaseService | None = None
         if settings.duties is not None:
             self.lease_service = LeaseService(
@@ -124,11 +126,11 @@
         self.port = 0
         self._sweeper: asyncio.TimerHandle | None = None
         self._counts: dict[str, int] = {}
-        self.watch.on_taken = self._taken
+        self.watch.on_applied = self._taken
 
     def _keyed_list(self) -> KeyedList | Watch:
         """The list as the feed brings it."""
-        return KeyedList(self.directory, self.loop, now_ms, time.time, self._view, self.metrics.trouble)
+        return KeyedList(self.directory, self.loop, now_ms, time.time, self._view, self.metrics.report_fault)
 
     def _consul_watch(self) -> KeyedList | Watch:
         settings, index = self.settings, self.settings.identity.index
@@ -139,7 +141,7 @@
             now_ms,
             time.time,
             self._view,
-            self.metrics.trouble,
+            self.metrics.report_fault,
             settings.seed + index,
             f"badgerbend/{index}",
         )
@@ -189,7 +191,7 @@
         if self.site_service is not None:
             self.site_service.start()
         # a first event, so that the module asks for the list where that is its part, and for its first alarm
-        self.driver.view(api.EndpointUpdate(api.UpdateKind.CACHED, ()))
+        self.driver.update_endpoints(api.EndpointUpdate(api.UpdateKind.CACHED, ()))
         if self.feed_subscription is not None:
             self.feed_subscription.start()
         self._sweeper = self.loop.call_later(SWEEP_S, self._sweep)
@@ -229,7 +231,7 @@
         elif path.startswith(b"/sites") and self.site_service is not None:
             self.site_service.handle(exchange)
         elif path == b"/ready":
-            ready = self.watch.heard_at is not None
+            ready = self.watch.refreshed_at is not None
             exchange.respond(200 if ready else 503, b"ready\n" if ready else b"no list yet\n", b"text/plain")
         else:
             exchange.respond(404, b"not found; GraphQL is at /graphql\n", b"text/plain")
@@ -279,5 +281,5 @@
             update_metrics(self.lease_service, m)
         if self.feed_subscription is not None and isinstance(self.watch, KeyedList):
             m.list_age.set(self.feed_subscription.age_s)
-        elif self.watch.heard_at is not None:
-            m.list_age.set(self.loop.time() - self.watch.heard_at)
+        elif self.watch.refreshed_at is not None:
+            m.list_age.set(self.loop.time() - self.watch.refreshed_at)
--- a/badgerbend/discovery/keyed.py
+++ b/badgerbend/discovery/keyed.py
@@ -72,8 +72,8 @@
     ) -> None:
         self.directory, self.clock, self.now_ms, self.unix_s = directory, clock, now_ms, unix_s
         self.on_view, self.on_trouble = on_view, on_trouble
-        self.on_taken: Callable[[], None] = lambda: None  # all that came is in force, and told
-        self.heard_at: float | None = None  # when that was last so
+        self.on_applied: Callable[[], None] = lambda: None  # all that came is in force, and told
+        self.refreshed_at: float | None = None  # when that was last so
         self._rows = dict[str, bytes]()  # not read yet, the latest last
         self._left = dict[str, None]()  # names that left and have not been taken out yet
         self._first: ListReader | None = None  # the first list, while it is being read
@@ -113,7 +113,7 @@
     def _turn(self) -> None:
         """One slice; the next in another turn of the loop."""
         self._timer = None
-        more = self._read_later() if self.heard_at is not None else self._read_first()
+        more = self._read_later() if self.refreshed_at is not None else self._read_first()
         if more:
             self._timer = self.clock.call_later(0.0, self._turn)
 
@@ -154,8 +154,8 @@
         """All that came is in force, but for removals that wait."""
         if self._left:
             self.on_trouble("list not read", f"removals of {len(self._left)} servers would leave none")
-        self.heard_at = self.clock.time()
-        self.on_taken()
+        self.refreshed_at = self.clock.time()
+        self.on_applied()
 
     def _reading(self, most: int) -> ListReader:
         """Of the rows that came last."""
--- a/badgerbend/discovery/watch.py
+++ b/badgerbend/discovery/watch.py
@@ -83,13 +83,13 @@
         self.rng, self.agent = random.Random(seed), agent
         self.index: int | None = None  # what newer is asked for; None: the whole list is
         self.failures, self.following = 0, False
-        self.heard_at: float | None = None
+        self.refreshed_at: float | None = None
         self.asked_at = self.answered_at = 0.0  # of the call that was answered last
         self._newest: int | None = None  # the version in force
         self._poll: Poll | None = None  # the latest
         self._overdue = OverduePolls()
         self._taking: Iterator[bool] | None = None  # a list that is being taken
-        self.on_taken: Callable[[], None] = lambda: None  # a list is in force, and told
+        self.on_applied: Callable[[], None] = lambda: None  # a list is in force, and told
         self._timer: Timer | None = None  # of the next poll, or of the next slice
 
     def _pool(self) -> Pool:
@@ -231,7 +231,7 @@
         """The answer's version, and its list if there is news. Raises ListError or ValueError."""
         if reply.end is not End.ANSWER or reply.status != 200:
             raise ListError(f"{reply.end.name.lower()} {reply.status}")
-        heard = self.heard_at is not None
+        heard = self.refreshed_at is not None
         return self.target.read(reply, poll.version, heard, self.directory, self.now_ms(), self.unix_s())
 
     def _make_latest(self, poll: Poll) -> None:
@@ -270,18 +270,18 @@
         reading.apply()
         for problem in reading.errors[:5]:
             self.on_trouble("list line left out", problem)
-        self.heard_at = self.clock.time()
+        self.refreshed_at = self.clock.time()
         for view in reading.updates():
             self.on_view(view)
             if is_long:
                 yield False
         self._heard(version)
-        self.on_taken()
+        self.on_applied()
 
     def _heard(self, version: int | None) -> None:
         self.index, self.failures = version, 0
         self._newest = version
-        self.heard_at = self.clock.time()
+        self.refreshed_at = self.clock.time()
         if self.following:
             # From the last question on, not from its answer: after a call that waited the next goes out at once. Guards
             # against news that the agent has between two calls, just before it falls silent, and that go unheard.
--- a/badgerbend/feed_subscription/subscription.py
+++ b/badgerbend/feed_subscription/subscription.py
@@ -94,7 +94,7 @@
 
     def rejected(self, relay: str, error: FeedError) -> None:
         """Count a message of a relay that could not be used."""
-        self.metrics.trouble("feed not used", describe_rejection(relay, error))
+        self.metrics.report_fault("feed not used", describe_rejection(relay, error))
 
     # Activation.
 
@@ -105,7 +105,7 @@
             return
         reason = self.in_force.stage(revision, value)
         if reason:
-            self.metrics.trouble("configuration not usable", f"revision {revision}: {reason}")
+            self.metrics.report_fault("configuration not usable", f"revision {revision}: {reason}")
             return
         self._activate()
 
--- a/badgerbend/frames/channel.py
+++ b/badgerbend/frames/channel.py
@@ -12,7 +12,7 @@
 from typing import Protocol, cast
 
 from badgerbend.api import Outcome
-from badgerbend.frames.codec import Answered, Ask, Decoder, Names, call, frame
+from badgerbend.frames.codec import Decoder, Names, PartAnswer, PartRequest, encode_call, encode_frame
 from badgerbend.runtime.ports import Attempt
 
 DELAYED_MS = 1.0
@@ -42,12 +42,12 @@
     def give_up(self, channel: Channel) -> None:
         """Ends its connecting."""
 
-    def trouble(self, what: str, detail: str) -> None: ...
+    def report_fault(self, what: str, detail: str) -> None: ...
 
 
-def asked(attempt: Attempt) -> Ask:
+def part_request(attempt: Attempt) -> PartRequest:
     ask = attempt.plan.payload
-    assert isinstance(ask, Ask)
+    assert isinstance(ask, PartRequest)
     return ask
 
 
@@ -90,7 +90,7 @@
                 if not call_:
                     self.waiting.remove(call_)
                 return
-        part = asked(attempt).id
+        part = part_request(attempt).id
         if self.out.get(part) is attempt:
             del self.out[part]
             if not self._begun(attempt):
@@ -101,7 +101,7 @@
                 self.calls_off.popitem(last=False)
             self.since = self.loop.time()
             if self.transport is not None and not self.transport.is_closing():
-                self._write(frame(self.owner.names.cancel, part))
+                self._write(encode_frame(self.owner.names.cancel, part))
 
     def begun(self, attempt: Attempt) -> bool:
         """Whether a byte of its call may have left for the node."""
@@ -164,11 +164,11 @@
             return
         self.since = self.loop.time()
         for message in self.decoder.feed(data):
-            if isinstance(message, Answered):
+            if isinstance(message, PartAnswer):
                 if not self._answered(message):
                     return
-            elif message.letter == self.owner.names.error:
-                self._spoilt(f"the node could not read: {message.words[:80]!r}")
+            elif message.kind == self.owner.names.error:
+                self._spoilt(f"the node could not read: {message.text[:80]!r}")
                 return
             else:
                 self._spoilt("an answer to a probe that was not sent")
@@ -196,9 +196,9 @@
             handed_over = self.waiting.pop(0)
             attempts = [attempt for attempt in handed_over if self._may_begin(attempt, now_ms)]
             for attempt in attempts:
-                self.out[asked(attempt).id] = attempt
+                self.out[part_request(attempt).id] = attempt
             if attempts:
-                data = call(self.owner.names, [(asked(a), a.time_left_ms(now_ms)) for a in attempts])
+                data = encode_call(self.owner.names, [(part_request(a), a.time_left_ms(now_ms)) for a in attempts])
                 self.last_call, self.call_size, self.since_call = attempts, len(data), 0
                 self.since = self.loop.time()
                 self._write(data)
@@ -228,7 +228,7 @@
         self._over(Outcome.RESET)
         self.close()
 
-    def _answered(self, message: Answered) -> bool:
+    def _answered(self, message: PartAnswer) -> bool:
         attempt = self.out.pop(message.id, None)
         if attempt is not None:
             served = message.outcome is Outcome.OK
@@ -242,7 +242,7 @@
 
     def _spoilt(self, why: str) -> None:
         """The connection is of no further use: what is out on it has failed and may have run."""
-        self.owner.trouble("spoilt answer", f"server {self.node}: {why}")
+        self.owner.report_fault("spoilt answer", f"server {self.node}: {why}")
         self._over(Outcome.ERROR)
         self.close()
 
--- a/badgerbend/frames/codec.py
+++ b/badgerbend/frames/codec.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class PartRequest:
     """What a node is sent of one part. id, shard, key and text are as the client gave them, already checked."""
 
     id: bytes
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class PartAnswer:
     """A node's answer for one part. report: as it came, `-` where there is none."""
 
     id: bytes
@@ -56,18 +56,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ControlFrame:
     """A frame that answers no part: a probe's answer, or the words of an error."""
 
-    letter: bytes
-    words: bytes
+    kind: bytes
+    text: bytes
 
 
-def frame(letter: bytes, rest: bytes = b"") -> bytes:
-    return LENGTH.pack(len(letter) + len(rest)) + letter + rest
+def encode_frame(kind: bytes, rest: bytes = b"") -> bytes:
+    return LENGTH.pack(len(kind) + len(rest)) + kind + rest
 
 
-def call(names: Names, parts: Sequence[tuple[Ask, float]]) -> bytes:
+def encode_call(names: Names, parts: Sequence[tuple[PartRequest, float]]) -> bytes:
     """One call for these parts, each with the milliseconds it is waited for."""
     out = bytearray()
     for ask, wait_ms in parts:
@@ -78,7 +78,7 @@
             line = (ask.id, ask.shard, names.wait, wait, names.key, ask.key, len(ask.text))
             out += b"%s %d %s=%d,%s=%s %d\n" % line
         out += ask.text
-    return frame(names.query, bytes(out))
+    return encode_frame(names.query, bytes(out))
 
 
 class Decoder:
@@ -98,9 +98,9 @@
         """Whether a frame has begun and not ended."""
         return bool(self.buffer)
 
-    def feed(self, data: bytes) -> list[Answered | Told]:
+    def feed(self, data: bytes) -> list[PartAnswer | ControlFrame]:
         """The messages that are whole now; `error` is set if what follows them cannot be read."""
-        out: list[Answered | Told] = []
+        out: list[PartAnswer | ControlFrame] = []
         if self.error is not None:
             return out
         buffer = self.buffer
@@ -122,7 +122,7 @@
                     break
                 rest = bytes(buffer[at + HEAD : at + LENGTH.size + size])
                 at += LENGTH.size + size
-                out.append(self._answered(rest) if letter == self._answer else Told(bytes([letter]), rest))
+                out.append(self._answered(rest) if letter == self._answer else ControlFrame(bytes([letter]), rest))
         except FrameError as err:
             self.error = err
             self.buffer = bytearray()
@@ -138,7 +138,7 @@
         elif end - at >= MAX_LINE:
             raise FrameError("a line without an end")
 
-    def _answered(self, rest: bytes) -> Answered:
+    def _answered(self, rest: bytes) -> PartAnswer:
         stop = rest.find(b"\n", 0, MAX_LINE)
         if stop < 0:
             raise FrameError("a line without an end")
@@ -146,7 +146,7 @@
         value = rest[stop + 1 :]
         if outcome is Outcome.OK and not _is_text(value):
             raise FrameError("served with no value that can be passed on")
-        return Answered(part, outcome, report, value)
+        return PartAnswer(part, outcome, report, value)
 
     def _line(self, line: bytes) -> tuple[bytes, Outcome, bytes]:
         words = line.split(b" ", 3)
--- a/badgerbend/frames/transport.py
+++ b/badgerbend/frames/transport.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from badgerbend.api import Outcome
-from badgerbend.frames.channel import Channel, asked
+from badgerbend.frames.channel import Channel, part_request
 from badgerbend.frames.codec import Names
 from badgerbend.runtime.ports import Attempt
 
@@ -45,7 +45,7 @@
     ) -> None:
         self.names, self.limits, self.address_of = names, limits, address_of
         self.streams, self.max_frame = limits.streams, limits.max_frame
-        self.tell, self.trouble, self.wanted = ended, trouble, wanted
+        self.tell, self.report_fault, self.wanted = ended, trouble, wanted
         self.loop = asyncio.get_running_loop()
         self.channels: dict[int, list[Channel]] = {}
         self.addresses: dict[int, tuple[str, int]] = {}  # that a node's channels were made for
@@ -70,7 +70,7 @@
             self._retire(node)
         channel = self._channel(node, attempts) or self._open(node, address)
         if channel is None:
-            self.trouble("no room for connections", f"{self.open} open")
+            self.report_fault("no room for connections", f"{self.open} open")
             self._all(attempts, Outcome.NOT_SENT)
             return
         for attempt in attempts:
@@ -160,7 +160,7 @@
     def _channel(self, node: int, attempts: Sequence[Attempt]) -> Channel | None:
         """The first with room, so that the later ones fall idle and end; not one where a word on an earlier attempt
         for the same part may still come, since both would carry one id."""
-        now, parts = self.loop.time(), [asked(a).id for a in attempts]
+        now, parts = self.loop.time(), [part_request(a).id for a in attempts]
         for channel in list(self.channels.get(node, ())):
             if channel.idle() and self._stale(channel, now):
                 channel.drop()
--- a/badgerbend/generations/driver.py
+++ b/badgerbend/generations/driver.py
@@ -20,11 +20,11 @@
         """Pass what earlier generations of this broker observed to the module, and count it as observed here."""
         self._inherited = observations
         self._inherited_at_ms = self.schedule.now_ms()
-        self.learn(observations)
+        self.add_observations(observations)
 
-    def known(self) -> api.Observations:
+    def observations(self) -> api.Observations:
         """Return what this broker itself has observed, under this configuration and the ones before it."""
-        own = super().known()
+        own = super().observations()
         elapsed_ms = self.schedule.now_ms() - self._inherited_at_ms
         nodes = {node.node: replace(node, age_ms=node.age_ms + elapsed_ms) for node in self._inherited.nodes}
         nodes |= {node.node: node for node in own.nodes}
--- a/badgerbend/generations/generation.py
+++ b/badgerbend/generations/generation.py
@@ -94,7 +94,7 @@
     def begin(self, directory: Directory, observations: api.Observations) -> None:
         """Feed the driver its first events: the current endpoint list, and what earlier generations observed of it."""
         lines = tuple(known.endpoint for known in directory.servers.values())
-        self.driver.view(api.EndpointUpdate(api.UpdateKind.CACHED, lines))
+        self.driver.update_endpoints(api.EndpointUpdate(api.UpdateKind.CACHED, lines))
         listed = tuple(node for node in observations.nodes if node.node in directory.names)
         if listed or observations.answers:
             self.driver.inherit(api.Observations(listed, observations.answers))
@@ -110,7 +110,7 @@
         result: object,
         report: tuple[float, ...] = (),
     ) -> None:
-        self.driver.ended(attempt, outcome, result, report)
+        self.driver.attempt_completed(attempt, outcome, result, report)
 
     def _turn(self) -> None:
         self.driver.turn()
--- a/badgerbend/generations/manager.py
+++ b/badgerbend/generations/manager.py
@@ -51,7 +51,7 @@
         """Put a configuration in force. Called between two turns of the loop, and only where there is capacity."""
         previous = self.current
         self.current = self._create(settings, graph)
-        self.current.begin(self.shared.directory, previous.driver.known())
+        self.current.begin(self.shared.directory, previous.driver.observations())
         self.on_current_changed(self.current)
         self.draining.append(previous)
         self._close_if_drained(previous)
@@ -59,7 +59,7 @@
     def update_endpoints(self, update: api.EndpointUpdate) -> None:
         """Pass a change of the endpoint list to all generations that still decide by it."""
         for generation in self.live:
-            generation.driver.view(update)
+            generation.driver.update_endpoints(update)
 
     def _create(self, settings: Settings, graph: Subgraph) -> Generation:
         return Generation(settings, graph, self.shared, self._close_if_drained)
--- a/badgerbend/graphql/fields.py
+++ b/badgerbend/graphql/fields.py
@@ -66,7 +66,7 @@
         self.mark: Mark | None = None
         self.advice_ms = 0.0
 
-    def more(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
+    def follow_up_parts(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
         return ()
 
     def answered(self, results: Sequence[tuple[PartPlan, object]], whole: bool) -> None:
@@ -76,7 +76,7 @@
     def merge(self, results: Sequence[tuple[PartPlan, object]]) -> object:
         raise NotImplementedError
 
-    def refused(self, retry_after_ms: float) -> None:
+    def rejected(self, retry_after_ms: float) -> None:
         self.advice_ms = retry_after_ms
         extensions: dict[str, Any] = {"code": "REFUSED"}
         if retry_after_ms > 0:
@@ -126,7 +126,7 @@
             rows.sort(key=lambda row: row[RANK])  # stable: ties stay in the order of blocks
         return rows if self.first is None else rows[: self.first]
 
-    def more(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
+    def follow_up_parts(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
         """Details of the best rows, from so many blocks that answered as the class's second step has parts."""
         if self.root.detail is None or not results:
             return ()
--- a/badgerbend/graphql/front.py
+++ b/badgerbend/graphql/front.py
@@ -332,7 +332,7 @@
         self.todo.clear()
         for query in list(self.waiting):
             if query.query_id is not None:
-                self.front.driver.gone(query.query_id)
+                self.front.driver.client_disconnected(query.query_id)
         self.waiting.clear()
 
     def _finish_if_done(self) -> None:
--- a/badgerbend/lease_service/health_check_duty.py
+++ b/badgerbend/lease_service/health_check_duty.py
@@ -100,7 +100,7 @@
             self.checker.receive_suspicions(self.clock(), report, address_text(source))
 
     def _report_suspicions(self, holder: LeaseHolder) -> None:
-        suspected = suspected_servers(self.driver.known(), self.directory.names)
+        suspected = suspected_servers(self.driver.observations(), self.directory.names)
         if not suspected:
             return
         report = suspicion_report(suspected, self.broker, self.duty)
@@ -163,7 +163,7 @@
         self.results_received += len(report.results)
         known = self.directory.servers
         numbers = {row.server: known[row.server].number for row in report.results if row.server in known}
-        self.driver.learn(observations_of(report, numbers))
+        self.driver.add_observations(observations_of(report, numbers))
 
 
 class _HealthCheck:
--- a/badgerbend/metrics.py
+++ b/badgerbend/metrics.py
@@ -8,7 +8,7 @@
 
 from badgerbend import api
 from badgerbend.log import get
-from badgerbend.runtime.ports import Attempt, Ending
+from badgerbend.runtime.ports import Attempt, CompletedQuery
 
 BUCKETS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
 
@@ -80,23 +80,23 @@
                 took_ms=round(took_ms, 1),
             )
 
-    def query_ended(self, ending: Ending) -> None:
-        name = self.classes[ending.cls]
-        self._ended[name, ending.how].inc()
-        self.parts.labels(name).inc(ending.parts)
-        if ending.extra:
-            self.extra.labels(name).inc(ending.extra)
-        self.latency.labels(name).observe(ending.took_ms / 1000.0)
-        if ending.how not in ("answered", "gone"):
+    def query_ended(self, query: CompletedQuery) -> None:
+        name = self.classes[query.cls]
+        self._ended[name, query.result].inc()
+        self.parts.labels(name).inc(query.parts)
+        if query.extra_attempts:
+            self.extra.labels(name).inc(query.extra_attempts)
+        self.latency.labels(name).observe(query.took_ms / 1000.0)
+        if query.result not in ("answered", "gone"):
             self._log.info(
                 "query ended",
-                query=ending.query_id,
+                query=query.query_id,
                 cls=name,
-                how=ending.how,
-                why=ending.why,
-                took_ms=round(ending.took_ms, 1),
-                parts=ending.parts,
-                extra=ending.extra,
+                how=query.result,
+                why=query.reason,
+                took_ms=round(query.took_ms, 1),
+                parts=query.parts,
+                extra=query.extra_attempts,
             )
 
     def stepped(self, events: int, seconds: float) -> None:
@@ -104,7 +104,7 @@
         self.events.inc(events)
         self.step_seconds.inc(seconds)
 
-    def trouble(self, what: str, detail: str) -> None:
+    def report_fault(self, what: str, detail: str) -> None:
         self.troubles.labels(what).inc()
         self._log.warning(what, detail=detail)
 
--- a/badgerbend/peering/observer.py
+++ b/badgerbend/peering/observer.py
@@ -15,7 +15,7 @@
         self.knowledge_exchange: KnowledgeExchange | None = None
         self.query_ended = inner.query_ended
         self.stepped = inner.stepped
-        self.trouble = inner.trouble
+        self.report_fault = inner.report_fault
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, took_ms: float) -> None:
         """Take note of the end of an attempt."""
--- a/badgerbend/peering/service.py
+++ b/badgerbend/peering/service.py
@@ -113,7 +113,7 @@
         """What this broker has observed itself."""
         identity = self.settings.identity
         return make_record(
-            self.driver.known(),
+            self.driver.observations(),
             self.directory.names,
             identity.index,
             identity.zone,
@@ -163,7 +163,7 @@
         prior = self.trust.combine(records, node_by_name, self.driver.schedule.now_ms(), is_own=is_own)
         self.servers_learned += len(prior.nodes)
         self.log.info("learned", peers=sorted(records), servers=len(prior.nodes), answers=len(prior.answers))
-        self.driver.learn(prior)
+        self.driver.add_observations(prior)
 
     # -- status
 
--- a/badgerbend/platform/front.py
+++ b/badgerbend/platform/front.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from badgerbend.frames.codec import Ask
+from badgerbend.frames.codec import PartRequest
 from badgerbend.net.server import Exchange, Headers
 from badgerbend.platform import names
 from badgerbend.platform.config import Config
@@ -142,7 +142,7 @@
                 raise Rejected(400, "a token is 16 hexadecimal digits")
             seen.add(shard)
             total += weight
-            ask = Ask(b"%s.%d" % (request, shard), shard, key, text)
+            ask = PartRequest(b"%s.%d" % (request, shard), shard, key, text)
             plans.append(PartPlan(shard, weight, None if cost is None else cost / 1000.0, ask))
         if not plans or abs(total - 1.0) > SUM_WITHIN:
             raise Rejected(400, "the weights do not add up to 1")
@@ -161,7 +161,7 @@
     def client_has_left(self) -> bool:
         return self.exchange.client_has_left()
 
-    def more(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
+    def follow_up_parts(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
         return ()
 
     def answered(self, results: Sequence[tuple[PartPlan, object]], whole: bool) -> None:
@@ -172,7 +172,7 @@
         full = b"true" if whole else b"false"
         self._end(200, b'{"%s":%s,"%s":[%s]}' % (names.WHOLE, full, names.HITS, hits), JSON)
 
-    def refused(self, retry_after_ms: float) -> None:
+    def rejected(self, retry_after_ms: float) -> None:
         advice = ((b"retry-after", b"%.3f" % (retry_after_ms / 1000.0)),) if retry_after_ms > 0 else ()
         self._end(503, b"refused; nothing is lost by asking again\n", TEXT, advice)
 
@@ -183,7 +183,7 @@
         self.exchange.on_gone = None
         self.front.open.pop(self.request, None)
         if self.query_id is not None:
-            self.front.driver.gone(self.query_id)
+            self.front.driver.client_disconnected(self.query_id)
 
     def _end(self, status: int, body: bytes, kind: bytes, extra: Headers = ()) -> None:
         self.front.open.pop(self.request, None)
--- a/badgerbend/platform/tally.py
+++ b/badgerbend/platform/log_observer.py
@@ -15,7 +15,7 @@
 
 from badgerbend import api
 from badgerbend.api import Outcome
-from badgerbend.runtime.ports import Attempt, Ending
+from badgerbend.runtime.ports import Attempt, CompletedQuery
 
 MOST_NAMES = 8  # of servers in one line
 NOT_ANSWERED = ("refused", "failed", "failed by the watch")
@@ -31,7 +31,7 @@
     served_ms: float = 0.0
 
 
-class Tally:
+class LogObserver:
     """The runtime's `Observer`."""
 
     def __init__(self, classes: Sequence[str], name_of: Callable[[int], str]) -> None:
@@ -52,30 +52,30 @@
         if outcome is Outcome.OK:
             server.served_ms += took_ms
 
-    def query_ended(self, ending: Ending) -> None:
-        how = f"{ending.how}: {ending.why}" if ending.why else ending.how
-        self.queries[f"{self.classes[ending.cls]} {how}"] += 1
-        sent = ending.extra or ending.lost
-        if (ending.how in NOT_ANSWERED or (ending.how == CLIENT_LEFT and sent)) and self._may_write():
+    def query_ended(self, query: CompletedQuery) -> None:
+        how = f"{query.result}: {query.reason}" if query.reason else query.result
+        self.queries[f"{self.classes[query.cls]} {how}"] += 1
+        sent = query.extra_attempts or query.failed_attempts
+        if (query.result in NOT_ANSWERED or (query.result == CLIENT_LEFT and sent)) and self._may_write():
             lost = [
                 (a.plan.shard, a.number, self.name_of(a.node), outcome.label, round(took, 1))
-                for a, outcome, took in ending.lost
+                for a, outcome, took in query.failed_attempts
             ]
             self.line(
                 "ended",
-                id=ending.name,
-                cls=self.classes[ending.cls],
+                id=query.name,
+                cls=self.classes[query.cls],
                 how=how,
-                took_ms=round(ending.took_ms, 1),
-                parts=ending.parts,
-                extra=ending.extra,
+                took_ms=round(query.took_ms, 1),
+                parts=query.parts,
+                extra=query.extra_attempts,
                 lost=lost,
             )
 
     def stepped(self, events: int, seconds: float) -> None:
         self.steps, self.events, self.step_s = self.steps + 1, self.events + events, self.step_s + seconds
 
-    def trouble(self, what: str, detail: str) -> None:
+    def report_fault(self, what: str, detail: str) -> None:
         self.troubles[what] += 1
         if self._may_write():
             self.line("trouble", kind=what, detail=detail[:300])
--- a/badgerbend/platform/service.py
+++ b/badgerbend/platform/service.py
@@ -20,7 +20,7 @@
 from badgerbend.platform import names
 from badgerbend.platform.config import Config, ConfigError, load
 from badgerbend.platform.front import Front
-from badgerbend.platform.tally import Tally
+from badgerbend.platform.log_observer import LogObserver
 from badgerbend.runtime.driver import Driver
 from badgerbend.runtime.loop import LoopSchedule
 
@@ -45,7 +45,7 @@
     def __init__(self, config: Config) -> None:
         self.config, self.loop = config, asyncio.get_running_loop()
         settings = config.settings
-        self.tally = Tally(config.classes, lambda node: self.directory.names.get(node, str(node)))
+        self.observer = LogObserver(config.classes, lambda node: self.directory.names.get(node, str(node)))
         self.schedule = LoopSchedule(self.loop)
         self.unix_s = SteadyUnixClock(time.time, time.monotonic)
         self.directory = Directory(
@@ -68,8 +68,8 @@
                 MAX_BODY,
             ),
             lambda node: self.directory.addresses.get(node),
-            lambda *end: self.driver.ended(*end),
-            self.tally.trouble,
+            lambda *end: self.driver.attempt_completed(*end),
+            self.observer.report_fault,
             lambda attempt: self.driver.is_wanted(attempt),
         )
         self.watch = Watch(
@@ -79,14 +79,14 @@
             self.schedule.now_ms,
             self.unix_s,
             self._view,
-            self.tally.trouble,
+            self.observer.report_fault,
             config.seed,
             f"badgerbend/{config.name}",
         )
-        self.watch.on_taken = self._taken
+        self.watch.on_applied = self._taken
         self.first_word = asyncio.Event()  # the agent has told its list
         module = Aggregator(settings, config.seed)
-        self.driver = Driver(settings, module, self.transport, self.watch, self.schedule, self.tally)
+        self.driver = Driver(settings, module, self.transport, self.watch, self.schedule, self.observer)
         self.schedule.turn = self.driver.turn
         self.front = Front(config, self.driver, lambda: bool(self.directory.servers) and not self.ending)
         self.server = HttpServer(
@@ -121,7 +121,7 @@
             await self._hear_first_word()
         port = await self.server.start(*self.config.listen)
         self._sweeper = self.loop.call_later(SWEEP_S, self._sweep)
-        self.tally.line(
+        self.observer.line(
             "listening",
             name=self.config.name,
             port=port,
@@ -136,7 +136,7 @@
             async with asyncio.timeout(max(self.config.drain_grace_ms / 1000.0, SHORTEST_S)):
                 await self.first_word.wait()
         except TimeoutError:
-            self.tally.trouble("list not read", "listens without the agent's word")
+            self.observer.report_fault("list not read", "listens without the agent's word")
 
     def _target(self, config: Config) -> MembersTarget:
         settings = self.config.settings  # those of a reload take effect at the next start
@@ -149,7 +149,7 @@
         try:
             config = read()
         except ConfigError as err:
-            self.tally.trouble("configuration not taken", str(err))
+            self.observer.report_fault("configuration not taken", str(err))
             return
         kept = [
             field
@@ -161,9 +161,9 @@
             if old != new
         ]
         if kept:
-            self.tally.trouble("takes effect at the next start only", ", ".join(kept))
+            self.observer.report_fault("takes effect at the next start only", ", ".join(kept))
         self.watch.move(self._target(config))
-        self.tally.line("reloaded", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
+        self.observer.line("reloaded", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
 
     async def end(self) -> int:
         """Serves as ever for a while, since clients go on using the connections they have and another broker may not
@@ -171,7 +171,7 @@
         Returns how many connections were cut with a request held."""
         self.ending = True
         told_at = self.loop.time()
-        self.tally.line("ending", open=len(self.front.open))
+        self.observer.line("ending", open=len(self.front.open))
         await asyncio.sleep(GRACE_S)
         longest_s = max((c.deadline_ms for c in self.config.settings.classes), default=0.0) / 1000.0
         self.front.over_at = told_at + GRACE_S + min(longest_s, KILLED_S) - LATE_S
@@ -180,7 +180,7 @@
         self.transport.close()
         if self._sweeper is not None:
             self._sweeper.cancel()
-        self.tally.summary(cut=cut)
+        self.observer.summary(cut=cut)
         return cut
 
     def _take_known(self) -> None:
@@ -191,11 +191,11 @@
             except ListError as err:
                 wrong = [str(err)]
             for problem in wrong[:5]:
-                self.tally.trouble("known list", problem)
+                self.observer.report_fault("known list", problem)
 
     def _view(self, view: api.EndpointUpdate) -> None:
         """News of the list: first to the connections, so that nothing waits on one for a node that drains."""
-        self.tally.leaving(view.endpoints)
+        self.observer.leaving(view.endpoints)
         for line in view.endpoints:
             if line.state is api.EndpointState.DRAINING:
                 self.transport.drains(line.node)
@@ -203,13 +203,13 @@
                 self.transport.left(line.node)
             else:
                 self.transport.ready(line.node)
-        self.driver.view(view)
+        self.driver.update_endpoints(view)
 
     def _taken(self) -> None:
         """A list is in force; one told whole names only those that are on it."""
         self.transport.moved(self.directory.addresses)
         now = self.loop.time()
-        self.tally.list_taken(self.watch.index, now - self.watch.asked_at, now - self.watch.answered_at)
+        self.observer.list_taken(self.watch.index, now - self.watch.asked_at, now - self.watch.answered_at)
         self.first_word.set()
 
     def _sweep(self) -> None:
@@ -217,7 +217,7 @@
         self.transport.sweep(now)
         if now - self._summary_at >= SUMMARY_S:
             self._summary_at = now
-            self.tally.summary(
+            self.observer.summary(
                 open=len(self.front.open),
                 parts=self.driver.open_parts,
                 clients=len(self.server.connections),
@@ -253,12 +253,12 @@
     await asyncio.wait([starting, ending], return_when=asyncio.FIRST_COMPLETED)
     if not starting.done():  # told to end before it served anybody
         starting.cancel()
-        service.tally.line("ended before it listened")
+        service.observer.line("ended before it listened")
         return 0
     try:
         starting.result()
     except OSError as err:
-        service.tally.line("cannot listen", field="listen", error=str(err))
+        service.observer.line("cannot listen", field="listen", error=str(err))
         return 1
     await ending
     return 1 if await service.end() else 0
--- a/badgerbend/runtime/driver.py
+++ b/badgerbend/runtime/driver.py
@@ -17,7 +17,7 @@
 from badgerbend.decisions import Aggregator
 from badgerbend.runtime.ports import (
     Attempt,
-    Ending,
+    CompletedQuery,
     Observer,
     PartPlan,
     QueryPlan,
@@ -76,9 +76,9 @@
         """Takes a query; its id, or None if it was refused at once for lack of room, with the sink told."""
         held = len(self.queries) + self.open_parts
         if held + 1 + len(plan.parts) > self.settings.max_open:
-            self.observer.trouble("no room", f"{held} queries and parts held")
+            self.observer.report_fault("no room", f"{held} queries and parts held")
             advice = self.settings.max_retry_after_ms if self.settings.retry_after else 0.0
-            sink.refused(advice)
+            sink.rejected(advice)
             return None
         now = self.schedule.now_ms()
         query = _Query(next(self._ids), next(self._numbers), plan.cls, plan.name, sink, now)
@@ -91,7 +91,7 @@
         )
         return query.id
 
-    def gone(self, query_id: int) -> None:
+    def client_disconnected(self, query_id: int) -> None:
         """The client has left: its query ends without an answer, what is out for it is called off."""
         query = self.queries.get(query_id)
         if query is not None:
@@ -103,7 +103,9 @@
         query = self.queries.get(attempt.query_id)
         return query is not None and not query.sink.client_has_left()
 
-    def ended(self, attempt: Attempt, outcome: Outcome, result: object, report: tuple[float, ...] = ()) -> None:
+    def attempt_completed(
+        self, attempt: Attempt, outcome: Outcome, result: object, report: tuple[float, ...] = ()
+    ) -> None:
         """An attempt's end. A second word on the same attempt is ignored."""
         if self._out.pop((attempt.part_id, attempt.number), None) is not attempt:
             return
@@ -116,15 +118,15 @@
         self.observer.attempt_ended(attempt, outcome, took)
         self._note(api.AttemptCompleted(attempt.part_id, attempt.number, attempt.node, outcome, max(took, 0.0), report))
 
-    def view(self, view: api.EndpointUpdate) -> None:
+    def update_endpoints(self, update: api.EndpointUpdate) -> None:
         """News of the list of servers."""
-        self._note(view)
+        self._note(update)
 
-    def learn(self, known: api.Observations) -> None:
+    def add_observations(self, observations: api.Observations) -> None:
         """What others have seen of servers, already weighed."""
-        self._note(known)
+        self._note(observations)
 
-    def known(self) -> api.Observations:
+    def observations(self) -> api.Observations:
         """What this broker has seen itself, as of the last step."""
         return self.module.observations()
 
@@ -146,7 +148,7 @@
             try:
                 actions = self.module.step(now, events)
             except Exception as err:  # a defect must not take the other queries with it: the watch ends these
-                self.observer.trouble("step failed", f"{type(err).__name__}: {err}")
+                self.observer.report_fault("step failed", f"{type(err).__name__}: {err}")
                 actions = []
             self.observer.stepped(len(events), time.perf_counter() - began)
             for action in actions:
@@ -169,7 +171,7 @@
                 self._answer(query_id, whole)
             case api.Reject(query_id, after, why):
                 if query_id in self.queries:
-                    self._tell(self._close(self.queries[query_id], "refused", why).refused, after)
+                    self._tell(self._close(self.queries[query_id], "refused", why).rejected, after)
             case api.Fail(query_id, why):
                 if query_id in self.queries:
                     self._tell(self._close(self.queries[query_id], "failed", why).failed)
@@ -181,15 +183,15 @@
             case api.FetchEndpointList():
                 self.servers.read_list()
             case api.Log(text):
-                self.observer.trouble("module", text)
+                self.observer.report_fault("module", text)
             case _:
-                self.observer.trouble("no such means", type(action).__name__)
+                self.observer.report_fault("no such means", type(action).__name__)
 
     def _send(self, part: int, node: int, timeout: float, begin: float, now: float) -> None:
         number = self._tries.get(part, 0)
         query = self._owner(part)
         if query is None:  # its query has just ended: never leaves the broker
-            self.observer.trouble("send after the end", f"part {part}")
+            self.observer.report_fault("send after the end", f"part {part}")
             return
         self._tries[part] = number + 1
         query.extra += number > 0
@@ -211,7 +213,7 @@
             self._clients_asked.add(query_id)
             query = self.queries.get(query_id)
             if query is not None and query.sink.client_has_left():
-                self.gone(query_id)
+                self.client_disconnected(query_id)
         attempts, most = self._calls.pop(node, []), self.settings.parts_per_call
         for at in range(0, len(attempts), most):
             self.transport.send(node, attempts[at : at + most])
@@ -220,7 +222,7 @@
         attempt = self._out.get((part, number))
         if attempt is not None and not self._take_back(attempt):
             self.transport.cancel(attempt)
-            self.ended(attempt, Outcome.CANCELLED, None)
+            self.attempt_completed(attempt, Outcome.CANCELLED, None)
 
     def _take_back(self, attempt: Attempt) -> bool:
         """Whether it had not begun; then it goes no further and never ran."""
@@ -231,7 +233,7 @@
             return False
         else:
             self.transport.cancel(attempt)
-        self.ended(attempt, Outcome.NOT_SENT, None)
+        self.attempt_completed(attempt, Outcome.NOT_SENT, None)
         return True
 
     def _answer(self, query_id: int, whole: bool) -> None:
@@ -253,9 +255,9 @@
 
     def _more(self, query: _Query, results: list[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
         try:
-            return query.sink.more(results)
+            return query.sink.follow_up_parts(results)
         except Exception as err:
-            self.observer.trouble("a sink broke", f"{type(err).__name__}: {err}")
+            self.observer.report_fault("a sink broke", f"{type(err).__name__}: {err}")
             return ()
 
     def _tell(self, word: Callable[..., None], *what: object) -> None:
@@ -263,7 +265,7 @@
         try:
             word(*what)
         except Exception as err:
-            self.observer.trouble("a sink broke", f"{type(err).__name__}: {err}")
+            self.observer.report_fault("a sink broke", f"{type(err).__name__}: {err}")
 
     def _aged(self, event: api.Event, now: float) -> api.Event:
         """A query with the time that is left now. The turn may come late, in a process that is held up, and the module
@@ -281,14 +283,14 @@
         unheard = {event.id for event in self._events if isinstance(event, api.Query)}
         for query_id in unheard.intersection(overdue):
             self._forget(query_id)
-            self._tell(self._close(self.queries[query_id], "refused", "no time was left").refused, 0.0)
+            self._tell(self._close(self.queries[query_id], "refused", "no time was left").rejected, 0.0)
         return [query_id for query_id in overdue if query_id not in unheard]
 
     def _watch(self, query_id: int) -> None:
         """The net under the decisions: a query still open at the end of its time fails now."""
         query = self.queries.get(query_id)
         if query is not None:
-            self.observer.trouble("ended by the watch", f"query {query_id}")
+            self.observer.report_fault("ended by the watch", f"query {query_id}")
             self._forget(query_id)
             self._tell(self._close(query, "failed by the watch").failed)
 
@@ -313,7 +315,7 @@
     def _close(self, query: _Query, how: str, why: str = "") -> Sink:
         took = self.schedule.now_ms() - query.started
         parts, extra, lost = len(query.parts), query.extra, query.lost
-        self.observer.query_ended(Ending(query.id, query.name, query.cls, how, why, took, parts, extra, lost))
+        self.observer.query_ended(CompletedQuery(query.id, query.name, query.cls, how, why, took, parts, extra, lost))
         del self.queries[query.id]
         # Nothing begins for a query that is over, also where the settings let nothing be called off.
         for part in query.parts:
@@ -361,7 +363,7 @@
                     continue
                 if kind == TIMEOUT:
                     self.transport.cancel(what)
-                    self.ended(what, Outcome.TIMEOUT, None)
+                    self.attempt_completed(what, Outcome.TIMEOUT, None)
         return overdue
 
     def _sleep(self) -> None:
--- a/badgerbend/runtime/ports.py
+++ b/badgerbend/runtime/ports.py
@@ -54,38 +54,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
-    """How a query ended, for those who ask later. why: the module's word on a refusal or failure."""
+class CompletedQuery:
+    """How a query ended, for those who ask later. reason: the module's word on a refusal or failure."""
 
     query_id: int
     name: str
     cls: int
-    how: str
-    why: str
+    result: str
+    reason: str
     took_ms: float
     parts: int
-    extra: int  # attempts beyond each part's first
-    lost: Sequence[tuple[Attempt, api.Outcome, float]]  # attempts not served while it was open; what each took, in ms
+    extra_attempts: int  # beyond each part's first
+    failed_attempts: Sequence[tuple[Attempt, api.Outcome, float]]  # those that ended while it was open; duration in ms
 
 
 class Sink(Protocol):
-    """Where a query's answers go. Exactly one of `answered`, `refused`, `failed` is called, once."""
+    """Where a query's answers go. Exactly one of `answered`, `rejected`, `failed` is called, once."""
 
     def client_has_left(self) -> bool:
         """Whether its client has gone, as far as can be asked now. Nothing is sent on for such a query."""
 
-    def more(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
+    def follow_up_parts(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
         """The parts of the second step, after a first answer; none if the first answer is enough."""
 
     def answered(self, results: Sequence[tuple[PartPlan, object]], whole: bool) -> None: ...
 
-    def refused(self, retry_after_ms: float) -> None: ...
+    def rejected(self, retry_after_ms: float) -> None: ...
 
     def failed(self) -> None: ...
 
 
 class Transport(Protocol):
-    """Sends calls. Each attempt's end is told by `Driver.ended`, once; not after it was cancelled."""
+    """Sends calls. Each attempt's end is told by `Driver.attempt_completed`, once; not after it was cancelled."""
 
     def send(self, node: int, attempts: Sequence[Attempt]) -> None: ...
 
@@ -119,8 +119,8 @@
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, took_ms: float) -> None: ...
 
-    def query_ended(self, ending: Ending) -> None: ...
+    def query_ended(self, query: CompletedQuery) -> None: ...
 
     def stepped(self, events: int, seconds: float) -> None: ...
 
-    def trouble(self, what: str, detail: str) -> None: ...
+    def report_fault(self, what: str, detail: str) -> None: ...
--- a/badgerbend/standin/demo.py
+++ b/badgerbend/standin/demo.py
@@ -62,7 +62,7 @@
         return 3
     console.print(f"12 rate servers and a broker are up; GraphQL is at http://127.0.0.1:{bound}/graphql")
     client = Client(bound)
-    while broker.watch.heard_at is None:
+    while broker.watch.refreshed_at is None:
         await asyncio.sleep(0.01)
     wrong = 0
     for title, text in ASKED:
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -80,7 +80,7 @@
     )
     one = Broker(own, read_subgraph(own, CONF))
     port = await one.start()
-    while one.watch.heard_at is None:
+    while one.watch.refreshed_at is None:
         await asyncio.sleep(0.01)
     settle_memory()
     profiler = cProfile.Profile() if profile else None
--- a/benchmarks/scale/query_bytes.py
+++ b/benchmarks/scale/query_bytes.py
@@ -59,7 +59,7 @@
 
 def answer_frame(part: bytes) -> bytes:
     """A node's answer for one part."""
-    return codec.frame(names.FRAMES.answer, b"%s served 7 -\n%s" % (part, VALUE))
+    return codec.encode_frame(names.FRAMES.answer, b"%s served 7 -\n%s" % (part, VALUE))
 
 
 @dataclass(slots=True)
@@ -120,7 +120,7 @@
     def give_up(self, channel: Channel) -> None:
         """Channels stay up."""
 
-    def trouble(self, what: str, detail: str) -> None:
+    def report_fault(self, what: str, detail: str) -> None:
         raise ValueError(f"{what}: {detail}")
 
 
@@ -194,11 +194,11 @@
         decoder, size = codec.Decoder(names.FRAMES, MAX_FRAME), 0
         began = time.process_time()
         for part, answer in zip(parts, answers, strict=True):
-            size += len(codec.call(names.FRAMES, [(_ask(part), WAIT_MS)]))
+            size += len(codec.encode_call(names.FRAMES, [(_ask(part), WAIT_MS)]))
             decoder.feed(answer)
         return time.process_time() - began, size + sum(map(len, answers))
 
 
-def _ask(part: PartPlan) -> codec.Ask:
-    assert isinstance(part.payload, codec.Ask)
+def _ask(part: PartPlan) -> codec.PartRequest:
+    assert isinstance(part.payload, codec.PartRequest)
     return part.payload
--- a/benchmarks/scale/query_load.py
+++ b/benchmarks/scale/query_load.py
@@ -17,7 +17,7 @@
 
 from badgerbend import api
 from badgerbend.decisions import Aggregator
-from badgerbend.platform.tally import Tally
+from badgerbend.platform.log_observer import LogObserver
 from badgerbend.runtime.driver import Driver
 from badgerbend.runtime.ports import Attempt, PartPlan, QueryPlan
 from scale.fleetsize import ZONES
@@ -102,9 +102,9 @@
         self._due: defaultdict[int, list[Attempt]] = defaultdict(list)
         self._soon, self._timer_ms = False, float("inf")
         module = TimedModule(Aggregator(config.settings, seed), self)
-        tally = Tally((CLASS,), str)
+        tally = LogObserver((CLASS,), str)
         self.driver = Driver(config.settings, module, self, self, self, tally)  # type: ignore[arg-type]
-        self.driver.view(api.EndpointUpdate(api.UpdateKind.FULL, self._lines()))
+        self.driver.update_endpoints(api.EndpointUpdate(api.UpdateKind.FULL, self._lines()))
 
     def _lines(self) -> tuple[api.Endpoint, ...]:
         cells = self.fleet.cells
@@ -155,7 +155,7 @@
             self.driver.submit(plan, self)
         for attempt in ended:
             outcome = api.Outcome.CONNECT_FAILED if self.lost(attempt.number) else api.Outcome.OK
-            self.driver.ended(attempt, outcome, VALUE)
+            self.driver.attempt_completed(attempt, outcome, VALUE)
         if self._soon or self._timer_ms <= self.now:
             self._soon, self._timer_ms = False, float("inf")
             self.driver.turn()
@@ -201,13 +201,13 @@
     def client_has_left(self) -> bool:
         return False
 
-    def more(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
+    def follow_up_parts(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
         return ()
 
     def answered(self, results: Sequence[tuple[PartPlan, object]], whole: bool) -> None:
         self.counts.whole += whole and len(results) == self.parts
 
-    def refused(self, retry_after_ms: float) -> None:
+    def rejected(self, retry_after_ms: float) -> None:
         self.counts.not_answered += 1
 
     def failed(self) -> None:
--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -16,7 +16,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from tests.simtold import World
+from tests.simplatform import World
 
 
 def play(seed: int) -> tuple[int, list[tuple[float, str, float]], int, int]:
--- a/tests/simtold.py
+++ b/tests/simplatform.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from badgerbend.frames.codec import Ask, frame
+from badgerbend.frames.codec import PartRequest, encode_frame
 from badgerbend.net import server as servers
 from badgerbend.platform import config
 from badgerbend.platform import service as services
@@ -288,7 +288,7 @@
         await asyncio.sleep(self.start_s)
         self.loop.turn_s = self.turn_s
         self.service = service = services.Service(made)
-        replace_attribute(service.tally, "line", lambda what, **values: None)
+        replace_attribute(service.observer, "line", lambda what, **values: None)
         for agent, at in enumerate(self.day.moves, 1):
             moved = replace(made, discovery=("10.2.0.1", 8500 + agent))
             self._at(at, lambda moved=moved: service.reload(lambda: moved))
@@ -314,7 +314,7 @@
         self.asked += 1
         name = f"q{self.asked}"
         shards = self.rng.sample(range(SHARDS), 3)
-        parts = [PartPlan(s, 1 / 3, None, Ask(b"%s.%d" % (name.encode(), s), s, None, b"text")) for s in shards]
+        parts = [PartPlan(s, 1 / 3, None, PartRequest(b"%s.%d" % (name.encode(), s), s, None, b"text")) for s in shards]
         self.service.driver.submit(QueryPlan(0, 0, 0, 2500.0, False, None, parts, name), _Sink(self))
 
 
@@ -325,7 +325,7 @@
     def client_has_left(self):
         return False
 
-    def more(self, results):
+    def follow_up_parts(self, results):
         return ()
 
     def end(self, *_):
@@ -333,7 +333,7 @@
         self.over = True
         self.world.ended += 1
 
-    answered = refused = end
+    answered = rejected = end
 
     def failed(self):
         self.end()
@@ -355,7 +355,7 @@
             part, _, _, length = line.split(b" ")
             rest = rest[int(length) :]
             self.world.sent(self.address, part)
-            answer = frame(b"a", part + b" served 1 -\nvalue")
+            answer = encode_frame(b"a", part + b" served 1 -\nvalue")
             self.world.loop.call_later(self.world.rng.expovariate(1 / 0.03), link.tell, answer)
 
 
--- a/tests/simsites.py
+++ b/tests/simsites.py
@@ -170,7 +170,7 @@
         if not job.ended:
             job.ended = True
             self.jobs.pop((job.attempt.part_id, job.attempt.number), None)
-            self.driver.ended(job.attempt, outcome, None, report)
+            self.driver.attempt_completed(job.attempt, outcome, None, report)
 
     # -- what the driver calls
 
@@ -215,7 +215,7 @@
     def stepped(self, events, seconds): ...
     def query_ended(self, ending): ...
 
-    def trouble(self, what, detail):
+    def report_fault(self, what, detail):
         assert what != "step failed", detail
 
 
@@ -226,13 +226,13 @@
     def client_has_left(self):
         return False
 
-    def more(self, results):
+    def follow_up_parts(self, results):
         return ()
 
     def answered(self, results, whole):
         self.on_end("whole" if whole else "part")
 
-    def refused(self, retry_after_ms):
+    def rejected(self, retry_after_ms):
         self.on_end("refused")
 
     def failed(self):
@@ -289,7 +289,7 @@
             for server in self.servers.values()
         )
         for broker in self.brokers:
-            broker.driver.view(api.EndpointUpdate(api.UpdateKind.FULL, endpoints))
+            broker.driver.update_endpoints(api.EndpointUpdate(api.UpdateKind.FULL, endpoints))
 
     def site_servers(self, zone):
         return [server for server in self.servers.values() if server.zone == zone]
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -50,7 +50,7 @@
         self.broker = self.make(self.settings, read_subgraph(self.settings, EXAMPLE))
         self.port = await self.broker.start()
         self.client = Client(self.port)
-        await until(lambda: self.broker.watch.heard_at is not None)
+        await until(lambda: self.broker.watch.refreshed_at is not None)
         return self
 
     async def __aexit__(self, *_):
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -25,12 +25,12 @@
     def client_has_left(self):
         return False
 
-    def more(self, results):
+    def follow_up_parts(self, results):
         return ()
 
     def answered(self, results, whole): ...
 
-    def refused(self, retry_after_ms): ...
+    def rejected(self, retry_after_ms): ...
 
     def failed(self): ...
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -86,13 +86,13 @@
         async with Stage(count=24) as stage:
             registry = stage.world.registry
             sizes = []
-            tell = stage.broker.driver.view
+            tell = stage.broker.driver.update_endpoints
 
             def view(told):
                 sizes.append(len(told.endpoints))
                 tell(told)
 
-            replace_attribute(stage.broker.driver, "view", view)
+            replace_attribute(stage.broker.driver, "update_endpoints", view)
             for i in range(3000):
                 registry.entries[f"x{i}"] = Entry(f"x{i}", 9, i % 12, 1, 0.0, "gone")
             registry.changed()
@@ -221,9 +221,9 @@
             other = Broker(s.settings, s.broker.front.subgraph)
             await other.start()
             await until(lambda: other.watch.failures)
-            assert other.watch.heard_at is None
+            assert other.watch.refreshed_at is None
             s.world.registry.cut(False)
-            await until(lambda: other.watch.heard_at is not None)
+            await until(lambda: other.watch.refreshed_at is not None)
             await other.stop()
 
     run(main)
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -25,7 +25,7 @@
     def client_has_left(self):
         return self.client_left
 
-    def more(self, results):
+    def follow_up_parts(self, results):
         assert not self.finals
         return [PartPlan(p.shard, 1 / self.extra, None, None) for p, _ in results[: self.extra]]
 
@@ -33,7 +33,7 @@
         self.results, self.whole = results, whole
         self._final("answered")
 
-    def refused(self, retry_after_ms):
+    def rejected(self, retry_after_ms):
         self._final("refused")
 
     def failed(self):
@@ -54,7 +54,7 @@
         settings = replace(SETTINGS, **changes)
         self.driver = Driver(settings, module(settings, seed), self, self, self, self)
         lines = tuple(line(10 + i, i % 4) for i in range(8))
-        self.driver.view(api.EndpointUpdate(api.UpdateKind.CACHED, lines))
+        self.driver.update_endpoints(api.EndpointUpdate(api.UpdateKind.CACHED, lines))
         self.run(1.0)
 
     # -- Schedule
@@ -80,7 +80,7 @@
 
     def _end(self, a, outcome):
         if self.live.pop((a.part_id, a.number), None) is not None:
-            self.driver.ended(a, outcome, ("rows", a.plan))
+            self.driver.attempt_completed(a, outcome, ("rows", a.plan))
 
     def cancel(self, a):
         self.live.pop((a.part_id, a.number), None)
@@ -106,7 +106,7 @@
 
     def stepped(self, *_): ...
 
-    def trouble(self, what, detail):
+    def report_fault(self, what, detail):
         self.troubles.append((what, detail))
 
     def ask(self, cls=ALL, shards=(0, 1), left=2000.0, more=2):
@@ -161,7 +161,7 @@
     sink = rig.ask()
     rig.run(5.0)
     assert rig.live
-    rig.driver.gone(sink.id)
+    rig.driver.client_disconnected(sink.id)
     rig.run(5000.0)
     assert not sink.finals
     assert not rig.live
@@ -176,7 +176,7 @@
     rig.run(5.0)
     ((key, attempt),) = rig.live.items()
     rig._end(attempt, api.Outcome.RESET)
-    rig.driver.gone(sink.id)
+    rig.driver.client_disconnected(sink.id)
     rig.run(5.0)
     assert list(rig.ends) == [key]
     assert len(rig.sent) == 1
@@ -188,7 +188,7 @@
 def test_a_client_that_leaves_in_the_turn_of_its_query_costs_no_server():
     rig = Rig(lambda a: None)
     sink, other = rig.ask(), rig.ask(shards=(2,))
-    rig.driver.gone(sink.id)
+    rig.driver.client_disconnected(sink.id)
     rig.run(5.0)
     assert [a.query_id for _, a in rig.sent] == [other.id]
     assert not rig.troubles
@@ -271,11 +271,11 @@
         sinks.append(sink)
         rig.run(rng.choice([0.0, 1.0, 30.0]))
         if rng.random() < 0.1 and sink.id in rig.driver.queries:
-            rig.driver.gone(sink.id)
+            rig.driver.client_disconnected(sink.id)
             gone.add(sink)
         if rng.random() < 0.05:
             state = rng.choice(list(api.EndpointState))
-            rig.driver.view(
+            rig.driver.update_endpoints(
                 api.EndpointUpdate(api.UpdateKind.DELTA, (line(10 + rng.randrange(8), rng.randrange(4), state),))
             )
     rig.run(20_000.0)
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -254,7 +254,7 @@
                 await stage.client.query(f"{{ fullQuote(blocks: [{number % 24}], amount: 5) {{ id }} }}")
             before = stage.generations.current
             await until(lambda: before.driver.module.latency.typical_ms > 0.0)
-            known = {one.node: one.time_ms for one in before.driver.known().nodes}
+            known = {one.node: one.time_ms for one in before.driver.observations().nodes}
             usual = before.driver.module.latency.typical_ms
             assert known
             for deadline_ms in (2900, 2800, 2700):  # one right after the other: what was seen goes on
@@ -264,7 +264,7 @@
             ready = {server.id for server in newest.driver.module.endpoints.servers.values() if server.ready}
             assert ready == set(stage.broker.directory.addresses)
             assert len(ready) == 12
-            assert {one.node: one.time_ms for one in newest.driver.known().nodes} == known
+            assert {one.node: one.time_ms for one in newest.driver.observations().nodes} == known
             assert newest.driver.module.latency.typical_ms == pytest.approx(usual, rel=0.5)
             stage.slow_down(SLOW_MS)
             first = asyncio.ensure_future(stage.client.query(ASK))
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -8,7 +8,7 @@
 
 from badgerbend.api import Outcome
 from badgerbend.frames.channel import Channel
-from badgerbend.frames.codec import MAX_LINE, Answered, Ask, Decoder, Told, call, frame
+from badgerbend.frames.codec import MAX_LINE, ControlFrame, Decoder, PartAnswer, PartRequest, encode_call, encode_frame
 from badgerbend.frames.transport import FrameLimits, FrameTransport
 from badgerbend.platform.names import FRAMES
 from badgerbend.runtime.ports import Attempt, PartPlan
@@ -20,7 +20,7 @@
 
 
 def answer(part=b"q1.3", end=b"served", value=b"0123456789abcdef", score=b"7", report=b"-"):
-    return frame(b"a", b"%s %s %s %s\n%s" % (part, end, score, report, value))
+    return encode_frame(b"a", b"%s %s %s %s\n%s" % (part, end, score, report, value))
 
 
 def fed(*pieces):
@@ -30,14 +30,14 @@
 
 
 def test_a_call_has_a_line_and_a_text_for_each_part():
-    ask = [(Ask(b"q1.3", 3, None, b"c41e77d0"), 240.9), (Ask(b"q2.5", 5, b"k9", b"x\ny"), 0.2)]
+    ask = [(PartRequest(b"q1.3", 3, None, b"c41e77d0"), 240.9), (PartRequest(b"q2.5", 5, b"k9", b"x\ny"), 0.2)]
     rest = b"q1.3 3 d=240 8\nc41e77d0q2.5 5 d=1,k=k9 3\nx\ny"
-    assert call(FRAMES, ask) == (len(rest) + 1).to_bytes(4, "little") + b"q" + rest
+    assert encode_call(FRAMES, ask) == (len(rest) + 1).to_bytes(4, "little") + b"q" + rest
 
 
 @given(st.lists(st.integers(1, 40), max_size=30), st.sampled_from([b"-", b"{}", b"what ever"]))
 def test_any_pieces_give_the_same_messages(sizes, report):
-    stream = answer(report=report) + answer(b"q1.4", b"skipped", b"") + frame(b"p", b"served") + answer(b"q.5")
+    stream = answer(report=report) + answer(b"q1.4", b"skipped", b"") + encode_frame(b"p", b"served") + answer(b"q.5")
     pieces, at = [], 0
     for size in sizes:
         pieces.append(stream[at : at + size])
@@ -45,10 +45,10 @@
     got, decoder = fed(*pieces, stream[at:])
     assert got == fed(stream)[0] == fed(*(stream[i : i + 1] for i in range(len(stream))))[0]
     assert got[:2] == [
-        Answered(b"q1.3", Outcome.OK, report, b"0123456789abcdef"),
-        Answered(b"q1.4", Outcome.REJECTED, b"-", b""),
+        PartAnswer(b"q1.3", Outcome.OK, report, b"0123456789abcdef"),
+        PartAnswer(b"q1.4", Outcome.REJECTED, b"-", b""),
     ]
-    assert got[2] == Told(b"p", b"served")
+    assert got[2] == ControlFrame(b"p", b"served")
     assert not decoder.inside
     assert decoder.error is None
 
@@ -58,13 +58,13 @@
     "a length of nothing": b"\0\0\0\0a",
     "gigabytes": (3 << 30).to_bytes(4, "little") + b"aq1.3 served 7 -\n" + b"x" * 100,
     "one more than may come": (MOST + 1).to_bytes(4, "little"),
-    "an unknown letter": frame(b"z", b"q1.3 served 7 -\nabc"),
+    "an unknown letter": encode_frame(b"z", b"q1.3 served 7 -\nabc"),
     "an unknown letter, not whole": (500).to_bytes(4, "little") + b"z",
     "an unknown end": answer(end=b"sorted"),
     "an unknown end, not whole": answer(end=b"sorted", value=b"x" * 900)[:60],
-    "a line without an end": frame(b"a", b"q1.3 served 7 -" + b"y" * 600),
+    "a line without an end": encode_frame(b"a", b"q1.3 served 7 -" + b"y" * 600),
     "a line without an end, not whole": (MOST).to_bytes(4, "little") + b"a" + b"y" * MAX_LINE,
-    "a short line": frame(b"a", b"q1.3 served\nabc"),
+    "a short line": encode_frame(b"a", b"q1.3 served\nabc"),
     "a score that is none": answer(score=b"high"),
     "no id": answer(part=b""),
     "served without a value": answer(value=b""),
@@ -141,7 +141,7 @@
     def wanted(self, attempt):
         return True
 
-    def trouble(self, what, detail):
+    def report_fault(self, what, detail):
         self.troubles.append(detail)
 
 
@@ -154,7 +154,7 @@
 
 def attempt(shard, number=0, query=b"q1", text=b"text"):
     """Decided now: on the running loop's clock, or at the 0 of a test without one."""
-    ask = Ask(b"%s.%d" % (query, shard), shard, None, text)
+    ask = PartRequest(b"%s.%d" % (query, shard), shard, None, text)
     try:
         sent_ms = asyncio.get_running_loop().time() * 1000.0
     except RuntimeError:
@@ -274,7 +274,7 @@
     one, two = attempt(1), attempt(2)
     channel.send([one, two])
     channel.cancel(one)
-    assert kernel.written.endswith(frame(b"c", b"q1.1"))
+    assert kernel.written.endswith(encode_frame(b"c", b"q1.1"))
     assert channel.knows(b"q1.1")
     channel.data_received(answer(b"q1.1") + answer(b"q1.2"))
     assert [(i, o) for i, o, _ in owner.ends] == [(b"q1.2", Outcome.OK)]
@@ -299,8 +299,8 @@
         answer(b"q9.9"),
         answer(b"q1.1", b"huh"),
         b"\xff" * 40,
-        frame(b"e", b"cannot read"),
-        frame(b"l", b"0.5"),
+        encode_frame(b"e", b"cannot read"),
+        encode_frame(b"l", b"0.5"),
         (3 << 30).to_bytes(4, "little") + b"aq1.1 served 7 -\n",
     ],
 )
--- a/tests/test_keyed_list.py
+++ b/tests/test_keyed_list.py
@@ -67,7 +67,7 @@
         self.list = KeyedList(
             self.directory, self.turns, lambda: 1000.0, lambda: 0.0, self.hear, lambda *what: self.troubles.append(what)
         )
-        self.list.on_taken = self.count
+        self.list.on_applied = self.count
         self.states, self.ever_ready = {}, set()
 
     def count(self):
@@ -98,13 +98,13 @@
     told.turns.turn()
     assert not told.views
     assert not told.directory.servers
-    assert told.list.heard_at is None
+    assert told.list.refreshed_at is None
     assert 1000 / SLICE <= told.turns.run() <= 1000 / SLICE + 1
     (view,) = told.views
     assert view.kind == api.UpdateKind.FULL
     assert len(view.endpoints) == len(told.directory.servers) == 1000
     assert told.taken == 1
-    assert told.list.heard_at is not None
+    assert told.list.refreshed_at is not None
 
 
 @pytest.mark.parametrize("turns_before", [0, 1, 5, 9])
@@ -166,7 +166,7 @@
     told.list.change({"s1": None, "bad": b"{"})
     told.turns.run()
     assert not told.views
-    assert told.list.heard_at is None
+    assert told.list.refreshed_at is None
     told.list.change({"s1": row(1)})
     told.turns.run()
     assert told.holds("s1") == READY
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -291,10 +291,10 @@
         if still():
             self.sent.append((address, wire.decode(body)))
 
-    def known(self):
+    def observations(self):
         return api.Observations((), ())
 
-    def learn(self, observations):
+    def add_observations(self, observations):
         self.learned.append(observations)
 
 
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -102,7 +102,7 @@
             assert min(ratio["rates-2"], ratio["rates-7"]) > 2 * max(
                 ratio[n] for n in ratio if n not in ("rates-2", "rates-7")
             )
-            assert new.driver.known() == api.Observations((), ())
+            assert new.driver.observations() == api.Observations((), ())
             new._gauges()
             text = new.metrics.text().decode()
             assert 'badgerbend_peers{state="alive"} 3.0' in text
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -608,7 +608,7 @@
         async with Stage() as s:
             s.agent.answer = rubbish
             s.agent.put("s0", s.nodes["s0"].port, 0)  # ends the call that waits
-            await until(lambda: s.service.tally.troubles["list not read"] >= 2)
+            await until(lambda: s.service.observer.troubles["list not read"] >= 2)
             assert len(s.service.directory.servers) == CELLS * 2
             assert (await s.ask())[0] == 200
             s.agent.answer = None
--- a/tests/test_public_platform.py
+++ b/tests/test_public_platform.py
@@ -10,8 +10,8 @@
 from badgerbend.api import Outcome
 from badgerbend.platform import names
 from badgerbend.platform.config import ConfigError
-from badgerbend.platform.tally import Tally
-from badgerbend.runtime.ports import Ending
+from badgerbend.platform.log_observer import LogObserver
+from badgerbend.runtime.ports import CompletedQuery
 from tests.interfaces import answer_seen, compare, shape
 from tests.platform_stage import Stage, query, run
 from tests.sockets import until
@@ -82,12 +82,12 @@
 
 
 def test_log_lines_of_queries_and_servers(capsys):
-    tally = Tally(("quote",), "server-{}".format)
+    tally = LogObserver(("quote",), "server-{}".format)
     for outcome in Outcome:
         tally.attempt_ended(SimpleNamespace(node=1), outcome, 2.0)
     for how in ("answered", "refused", "failed", "failed by the watch"):
-        tally.query_ended(Ending(1, "q1", 0, how, "why", 3.0, 1, 0, ()))
-    tally.trouble("some kind", "some detail")
+        tally.query_ended(CompletedQuery(1, "q1", 0, how, "why", 3.0, 1, 0, ()))
+    tally.report_fault("some kind", "some detail")
     tally.list_taken(7, 0.1, 0.2)
     tally.summary(cut=0)
     lines = [msgspec.json.decode(line) for line in capsys.readouterr().err.splitlines()]
--- a/tests/test_told.py
+++ b/tests/test_simulated_drains.py
@@ -7,7 +7,7 @@
 
 from badgerbend.discovery import directory, members, polls
 from badgerbend.platform.service import Service
-from tests.simtold import World
+from tests.simplatform import World
 
 
 @pytest.mark.parametrize("seed", range(24))
