--- a/badgerbend/lease_service/health_check_duty.py
+++ b/badgerbend/lease_service/health_check_duty.py
@@ -100,7 +100,7 @@
             self.checker.receive_suspicions(self.clock(), report, address_text(source))
 
     def _report_suspicions(self, holder: LeaseHolder) -> None:
-        suspected = suspected_servers(self.driver.known(), self.directory.names)
+        suspected = suspected_servers(self.driver.observations(), self.directory.names)
         if not suspected:
             return
         report = suspicion_report(suspected, self.broker, self.duty)
@@ -117,7 +117,7 @@
             self._checking_since = NEVER
             return
         for server in self.checker.start_due_checks(self.clock()):
-            known = self.directory.known.get(server)
+            known = self.directory.servers.get(server)
             pool = self.pool_of(known.number) if known is not None else None
             if pool is None:
                 self._finish(server, served=False, took_ms=0.0)  # it is not listed any more
@@ -161,9 +161,9 @@
         if report.duty != self.duty or not self.fence.admits(report.duty, report.epoch):
             return
         self.results_received += len(report.results)
-        known = self.directory.known
+        known = self.directory.servers
         numbers = {row.server: known[row.server].number for row in report.results if row.server in known}
-        self.driver.learn(observations_of(report, numbers))
+        self.driver.add_observations(observations_of(report, numbers))
 
 
 class _HealthCheck:
--- a/badgerbend/peering/service.py
+++ b/badgerbend/peering/service.py
@@ -113,7 +113,7 @@
         """What this broker has observed itself."""
         identity = self.settings.identity
         return make_record(
-            self.driver.known(),
+            self.driver.observations(),
             self.directory.names,
             identity.index,
             identity.zone,
@@ -148,7 +148,7 @@
 
     def _request_first_pull(self) -> None:
         """Ask peers as soon as there are both an endpoint list and a peer."""
-        if self._pull_schedule is not None and self.directory.known:
+        if self._pull_schedule is not None and self.directory.servers:
             self._pull_schedule.request_first()
 
     def _peers_to_ask(self) -> Sequence[KnowledgePeer]:
@@ -163,7 +163,7 @@
         prior = self.trust.combine(records, node_by_name, self.driver.schedule.now_ms(), is_own=is_own)
         self.servers_learned += len(prior.nodes)
         self.log.info("learned", peers=sorted(records), servers=len(prior.nodes), answers=len(prior.answers))
-        self.driver.learn(prior)
+        self.driver.add_observations(prior)
 
     # -- status
 
