--- a/badgerbend/discovery/watch.py
+++ b/badgerbend/discovery/watch.py
@@ -13,9 +13,9 @@
 from typing import Protocol
 
 from badgerbend import api
-from badgerbend.discovery.directory import SLICE, Directory, ListError, Reading
+from badgerbend.discovery.directory import SLICE, Directory, ListError, ListReader
 from badgerbend.discovery.polls import OverduePolls, Poll, Timer
-from badgerbend.net.client import End, Pool, PoolLimits, Reply
+from badgerbend.net.client import CallResult, Pool, PoolLimits, Reply
 
 # Patience is counted in turns: each lasts its share of it or, if the loop comes round later than that, one turn of the
 # loop. A connection that comes up, a question and an answer take four. Guards against a slow broker that gives up the
@@ -57,7 +57,7 @@
 
     def read(
         self, reply: Reply, version: int | None, heard: bool, directory: Directory, now_ms: float, unix_s: float
-    ) -> tuple[int | None, Reading | None]:
+    ) -> tuple[int | None, ListReader | None]:
         """The answer's version, and its list if there is news. Raises ListError or ValueError."""
 
 
@@ -83,13 +83,13 @@
         self.rng, self.agent = random.Random(seed), agent
         self.index: int | None = None  # what newer is asked for; None: the whole list is
         self.failures, self.following = 0, False
-        self.heard_at: float | None = None
+        self.refreshed_at: float | None = None
         self.asked_at = self.answered_at = 0.0  # of the call that was answered last
         self._newest: int | None = None  # the version in force
         self._poll: Poll | None = None  # the latest
         self._overdue = OverduePolls()
         self._taking: Iterator[bool] | None = None  # a list that is being taken
-        self.on_taken: Callable[[], None] = lambda: None  # a list is in force, and told
+        self.on_applied: Callable[[], None] = lambda: None  # a list is in force, and told
         self._timer: Timer | None = None  # of the next poll, or of the next slice
 
     def _pool(self) -> Pool:
@@ -227,11 +227,11 @@
         self._taking = self._take(reading, version)
         self._more()
 
-    def _read(self, poll: Poll, reply: Reply) -> tuple[int | None, Reading | None]:
+    def _read(self, poll: Poll, reply: Reply) -> tuple[int | None, ListReader | None]:
         """The answer's version, and its list if there is news. Raises ListError or ValueError."""
-        if reply.end is not End.ANSWER or reply.status != 200:
-            raise ListError(f"{reply.end.name.lower()} {reply.status}")
-        heard = self.heard_at is not None
+        if reply.result is not CallResult.ANSWER or reply.status != 200:
+            raise ListError(f"{reply.result.name.lower()} {reply.status}")
+        heard = self.refreshed_at is not None
         return self.target.read(reply, poll.version, heard, self.directory, self.now_ms(), self.unix_s())
 
     def _make_latest(self, poll: Poll) -> None:
@@ -260,28 +260,28 @@
         else:
             self._timer = self.clock.call_later(0.0, self._more)
 
-    def _take(self, reading: Reading, version: int | None) -> Iterator[bool]:
+    def _take(self, reading: ListReader, version: int | None) -> Iterator[bool]:
         """The steps of taking a list; each ends with whether it was the last. A short list takes one: what has come
         is in force before a query of the same turn is decided."""
         is_long = len(reading.rows) > SLICE
-        for _ in reading.slices():
+        for _ in reading.read_slices():
             if is_long:
                 yield False
-        reading.take()
-        for problem in reading.wrong[:5]:
+        reading.apply()
+        for problem in reading.errors[:5]:
             self.on_trouble("list line left out", problem)
-        self.heard_at = self.clock.time()
-        for view in reading.news():
+        self.refreshed_at = self.clock.time()
+        for view in reading.updates():
             self.on_view(view)
             if is_long:
                 yield False
         self._heard(version)
-        self.on_taken()
+        self.on_applied()
 
     def _heard(self, version: int | None) -> None:
         self.index, self.failures = version, 0
         self._newest = version
-        self.heard_at = self.clock.time()
+        self.refreshed_at = self.clock.time()
         if self.following:
             # From the last question on, not from its answer: after a call that waited the next goes out at once. Guards
             # against news that the agent has between two calls, just before it falls silent, and that go unheard.
--- a/tests/modelvoters.py
+++ b/tests/modelvoters.py
@@ -15,7 +15,7 @@
 from badgerbend.consensus.messages import Record
 from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.consensus.raft import Raft, RaftConfig, Role
-from tests.simvoters import Broken
+from tests.simvoters import InvariantViolation
 
 NAMES = ("a", "b", "c")
 CONFIG = RaftConfig(election_timeout_s=0.0, heartbeat_interval_s=1.0, compact_after_entries=10**6)
@@ -27,7 +27,7 @@
 class Kind(Enum):
     """What an action does. The value of those whose number is limited is the name of the limit."""
 
-    CAMPAIGN = "stand"
+    CAMPAIGN = "campaign"
     SYNC = "sync"
     PROPOSE = "propose"
     CRASH = "crash"
@@ -130,7 +130,7 @@
         """Every action that is possible now."""
         for name in NAMES:
             raft = self.rafts[name]
-            if self.limits["stand"] and raft.role is not Role.LEADER:
+            if self.limits["campaign"] and raft.role is not Role.LEADER:
                 yield Action(Kind.CAMPAIGN, name)
             if raft.durability.last_sequence > raft.durability.persisted_sequence:
                 yield Action(Kind.SYNC, name)
@@ -143,7 +143,7 @@
                 yield Action(Kind.DELIVER, packet.to, packet)
 
     def do(self, action):
-        """The state after an action. Raises Broken where an invariant does not hold in it."""
+        """The state after an action. Raises InvariantViolation where an invariant does not hold in it."""
         new = self._copy()
         name = action.voter
         if action.kind.value in new.limits:
@@ -240,20 +240,21 @@
         """No two voters lead one term, and no two commit different entries at one index."""
         raft = self.rafts[name]
         if raft.role is Role.LEADER and self.leaders.setdefault(raft.term, name) != name:
-            raise Broken(f"term {raft.term} is led by {self.leaders[raft.term]} and by {name}")
+            raise InvariantViolation(f"term {raft.term} is led by {self.leaders[raft.term]} and by {name}")
         for index in range(1, raft.commit_index + 1):
             entry = raft.log.entry(index)
             if self.committed.setdefault(index, (entry.term, entry.data)) != (entry.term, entry.data):
-                raise Broken(f"{name} committed another entry {index}")
+                raise InvariantViolation(f"{name} committed another entry {index}")
 
 
-def search(depth, raft_class=Raft, stand=2, propose=0, crash=1, most=10**9):
-    """How many states there are up to a depth, with so many campaigns, proposals and crashes; at most `most` are seen.
+def search(depth, raft_class=Raft, campaigns=2, proposals=0, crashes=1, max_states=10**9):
+    """Return the number of distinct states up to a depth; the search ends early at `max_states`.
 
-    Raises Broken with the actions that led to a state in which an invariant does not hold.
+    campaigns, proposals, crashes: how many of these actions one path may contain. Raises InvariantViolation, which
+    lists the actions that led to it.
     """
     first = State(raft_class)
-    first.limits = {"stand": stand, "propose": propose, "crash": crash}
+    first.limits = {"campaign": campaigns, "propose": proposals, "crash": crashes}
     seen = {first.key()}
     level = [(first, ())]
     for _ in range(depth):
@@ -266,16 +267,16 @@
                     continue
                 seen.add(key)
                 next_level.append((new, (*path, action)))
-                if len(seen) >= most:
+                if len(seen) >= max_states:
                     return len(seen)
         level = next_level
     return len(seen)
 
 
 def do_or_explain(state, path, action):
-    """The state after an action. Raises Broken with the path to it."""
+    """The state after an action. Raises InvariantViolation with the path to it."""
     try:
         return state.do(action)
-    except Broken as err:
+    except InvariantViolation as err:
         steps = ", ".join(f"{step.kind.value} {step.voter}" for step in (*path, action))
-        raise Broken(f"{err}, by {steps}") from None
+        raise InvariantViolation(f"{err}, by {steps}") from None
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -10,9 +10,9 @@
 from badgerbend.decisions import Aggregator
 from badgerbend.discovery import members
 from badgerbend.discovery.directory import Directory
-from badgerbend.discovery.members import MembersTarget, form
+from badgerbend.discovery.members import MembersTarget, row_parser
 from badgerbend.discovery.watch import Watch
-from badgerbend.net.client import End, Reply
+from badgerbend.net.client import CallResult, Reply
 from badgerbend.platform import names
 from tests.clock import Clock
 from tests.conftest import SETTINGS
@@ -57,7 +57,7 @@
         else:
             waits = min([waits, *(self.known_at(at) - now for at, _ in self.news if self.known_at(at) > now)])
         if any(a <= now <= b for a, b in self.spans) and self.refuses:
-            self.later(call, now + 0.001, 1, Reply(End.CONNECT_FAILED, 0, {}, b""), on_reply)
+            self.later(call, now + 0.001, 1, Reply(CallResult.CONNECT_FAILED, 0, {}, b""), on_reply)
             return call
         if any(a <= now + waits and now <= b for a, b in self.spans):
             return call
@@ -69,7 +69,9 @@
         if self.drips and self.drips[0] <= end < self.drips[1]:  # a byte every 10 ms, for ever
             self.later(call, end, 1_000_000, None, on_reply, 0.01)
             return call
-        self.later(call, end + 0.001 + self.late * self.steps, self.drops, Reply(End.ANSWER, 200, {}, body), on_reply)
+        self.later(
+            call, end + 0.001 + self.late * self.steps, self.drops, Reply(CallResult.ANSWER, 200, {}, body), on_reply
+        )
         return call
 
     def later(self, call, when, drops, reply, on_reply, every=0.0):
@@ -111,7 +113,7 @@
 
 def play(agent, seconds, grace_s=0.5, asks=False, seed=1, module=False):
     """Times and states of the one server as the module hears them. module: it says when to ask."""
-    directory = Directory(4, form(names.MEMBERS, ("a",), ("m",)), one_clock=True)
+    directory = Directory(4, row_parser(names.MEMBERS, ("a",), ("m",)), shared_clock=True)
     heard = []
 
     def view(news):
@@ -263,7 +265,7 @@
     # Its slices were dropped with the call: what the old agent had told was never obeyed while the new one was silent.
     agent, replies, heard = Fallen(), [], []
     replace_attribute(agent, "request", lambda head, on_reply: replies.append(on_reply) or Timer())
-    directory = Directory(4, form(names.MEMBERS, ("a",), ("m",)), one_clock=True)
+    directory = Directory(4, row_parser(names.MEMBERS, ("a",), ("m",)), shared_clock=True)
     watch = Watch(
         MembersTarget(names.MEMBERS, ("127.0.0.1", 1), False, 0.5),
         directory,
@@ -281,7 +283,7 @@
     def tell(state):
         rows = [ROW | {"uid": f"s-{i}", "state": state} for i in range(350)]
         body = msgspec.json.encode({"rev": len(replies), "all": True, "targets": rows})
-        replies[-1](Reply(End.ANSWER, 200, {}, body))
+        replies[-1](Reply(CallResult.ANSWER, 200, {}, body))
 
     watch.follow(True)
     tell("up")
