--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -1,4 +1,4 @@
-"""One broker process: the parts put together, started, and stopped cleanly."""
+"""Builds the components of one broker process, starts them and stops them in order."""
 
 from __future__ import annotations
 
@@ -40,29 +40,34 @@
 if TYPE_CHECKING:
     from badgerbend.feed_subscription.subscription import FeedSubscription
 
-SWEEP_S = 0.5
-TEXT = b"text/plain; version=0.0.4; charset=utf-8"
+SWEEP_INTERVAL_S = 0.5
+METRICS_CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
 
 def read_subgraph(settings: Settings, settings_file: Path) -> Subgraph:
-    """The subgraph of a settings file; the schema's path is relative to it. Raises OSError, SchemaError."""
+    """Reads the subgraph of a settings file; its schema path is relative to that file. Raises OSError, SchemaError."""
     text = (settings_file.parent / settings.schema).read_text(encoding="utf-8")
     return create_subgraph(settings, text)
 
 
 def tune_garbage_collector() -> None:
-    """Once started: what lives on is left out of collections, which come seldom; few objects here form cycles."""
+    """Excludes the objects made at startup from garbage collection and makes collections rare.
+
+    Few objects of a broker form reference cycles, so reference counting frees almost all of them.
+    """
     gc.collect()
     gc.freeze()
     gc.set_threshold(50_000, 20, 50)
 
 
 class Broker:
-    """Built and used on one running loop. Baselines put others in the place of `decisions`, `preference_type` and
-    `preference`.
+    """A broker with its HTTP server, connection pools, endpoint watch and optional services.
+
+    It is built and used on one running loop. The baselines that it is compared with override `decisions`,
+    `preference_type` and `preference`.
 
-    folder: what files named in the settings are relative to. clock: of its duties, in seconds. Raises ValueError or
-    OSError for a sites' key, BadKey for that of the duties.
+    folder: the directory that file names in the settings are relative to. clock: the clock of the leases, in seconds.
+    Raises ValueError or OSError if a key of the sites cannot be used, KeyFileError if that of the duties cannot.
     """
 
     decisions = Aggregator
@@ -79,25 +84,25 @@
         self.settings, self.loop = settings, loop
         self.log = get_logger(part="broker")
         self.metrics = Metrics(tuple(c.name for c in settings.class_))
-        listed_by_feed = settings.feed is not None and settings.feed.list
-        self.directory = (keyed_directory if listed_by_feed else consul_directory)(settings.layout.cells)
+        is_list_from_feed = settings.feed is not None and settings.feed.list
+        self.directory = (keyed_directory if is_list_from_feed else consul_directory)(settings.layout.cells)
         limits, listen = settings.servers, settings.listen
         self.pools = ServerPools(
             self.directory,
             PoolLimits(limits.connect_timeout_ms / 1000.0, limits.idle_ms / 1000.0, limits.max_answer_bytes),
         )
-        self.watch = self._keyed_list() if listed_by_feed else self._consul_watch()
+        self.watch = self._create_keyed_list() if is_list_from_feed else self._create_consul_watch()
         self.site_service: SiteService | None = None
         if settings.sites is not None:
             self.site_service = SiteService(
-                settings, settings.sites, folder, self.pools.of, now_ms, self.metrics, self.preference_type
+                settings, settings.sites, folder, self.pools.get, now_ms, self.metrics, self.preference_type
             )
         preference = self.preference()
         broker_budget = create_broker_budget(settings)
         if self.site_service is not None:
             self.site_service.preference.use_slow_start_budget(broker_budget)
         shared = SharedResources(
-            loop, self.directory, self.watch, self.pools.of, self.metrics, self.decisions, preference, broker_budget
+            loop, self.directory, self.watch, self.pools.get, self.metrics, self.decisions, preference, broker_budget
         )
         self.generations = GenerationManager(settings, graph, shared)
         self.knowledge_exchange: KnowledgeExchange | None = None
@@ -106,10 +111,10 @@
         self.lease_service: LeaseService | None = None
         if settings.duties is not None:
             self.lease_service = LeaseService(
-                settings, settings.duties, folder, self.driver, self.directory, self.pools.of, broker_budget, clock
+                settings, settings.duties, folder, self.driver, self.directory, self.pools.get, broker_budget, clock
             )
-        self._follow_generation(self.generations.current)
-        self.generations.on_current_changed = self._follow_generation
+        self._use_generation(self.generations.current)
+        self.generations.on_current_changed = self._use_generation
         self.feed_subscription = self._subscribe_to_feed(folder)
         self.server = HttpServer(
             self._route,
@@ -123,14 +128,14 @@
         )
         self.port = 0
         self._sweeper: asyncio.TimerHandle | None = None
-        self._counts: dict[str, int] = {}
-        self.watch.on_taken = self._taken
+        self._state_counts: dict[str, int] = {}
+        self.watch.on_taken = self._endpoint_list_loaded
 
-    def _keyed_list(self) -> KeyedList | Watch:
-        """The list as the feed brings it."""
-        return KeyedList(self.directory, self.loop, now_ms, time.time, self._view, self.metrics.trouble)
+    def _create_keyed_list(self) -> KeyedList | Watch:
+        """The endpoint list as received from the feed."""
+        return KeyedList(self.directory, self.loop, now_ms, time.time, self._update_endpoints, self.metrics.trouble)
 
-    def _consul_watch(self) -> KeyedList | Watch:
+    def _create_consul_watch(self) -> KeyedList | Watch:
         settings, index = self.settings, self.settings.identity.index
         return Watch(
             ConsulTarget(settings.discovery),
@@ -138,48 +143,50 @@
             self.loop,
             now_ms,
             time.time,
-            self._view,
+            self._update_endpoints,
             self.metrics.trouble,
             settings.seed + index,
             f"badgerbend/{index}",
         )
 
     def _subscribe_to_feed(self, folder: Path) -> FeedSubscription | None:
-        """The broker's subscription to the feed, whose code is loaded only where the settings ask for it."""
+        """Creates the feed subscription, whose code is loaded only if the settings configure a feed."""
         if self.settings.feed is None:
             return None
         from badgerbend.feed_subscription.subscription import FeedSubscription
 
-        listed = self.watch if isinstance(self.watch, KeyedList) else None
-        return FeedSubscription(self.settings, self.settings.feed, folder, self.generations, self.metrics, listed)
+        keyed_list = self.watch if isinstance(self.watch, KeyedList) else None
+        return FeedSubscription(self.settings, self.settings.feed, folder, self.generations, self.metrics, keyed_list)
 
-    def _view(self, view: api.EndpointUpdate) -> None:
-        self.generations.update_endpoints(view)
+    def _update_endpoints(self, update: api.EndpointUpdate) -> None:
+        self.generations.update_endpoints(update)
 
     @property
     def driver(self) -> Driver:
-        """That of the newest configuration."""
+        """The driver of the current configuration."""
         return self.generations.current.driver
 
     @property
     def front(self) -> GraphQLFront:
-        """That of the newest configuration."""
+        """The GraphQL front end of the current configuration."""
         return self.generations.current.front
 
-    def _follow_generation(self, generation: Generation) -> None:
-        """Who learns and who shares duties does so for the newest configuration."""
+    def _use_generation(self, generation: Generation) -> None:
+        """Attaches the knowledge exchange and the lease service to the current configuration."""
         generation.answers.knowledge_exchange = self.knowledge_exchange
-        for part in (self.knowledge_exchange, self.lease_service):
-            if part is not None:
-                part.driver = generation.driver
+        for service in (self.knowledge_exchange, self.lease_service):
+            if service is not None:
+                service.driver = generation.driver
 
     def preference(self) -> api.SitePreference | None:
-        """What the module prefers among sites by."""
+        """The policy by which the decision module chooses among sites, if there are several."""
         return self.site_service.preference if self.site_service is not None else None
 
     async def start(self) -> int:
-        """Listens and begins to follow the list; returns the port. Raises OSError where it cannot listen, BadKey,
-        BadStore."""
+        """Listens and starts to watch the endpoint list; returns the port.
+
+        Raises OSError if it cannot listen, and KeyFileError or StoreError.
+        """
         self.port = await self.server.start(self.settings.listen.host, self.settings.listen.port)
         if self.knowledge_exchange is not None:
             await self.knowledge_exchange.start()
@@ -188,22 +195,22 @@
         self.watch.start()
         if self.site_service is not None:
             self.site_service.start()
-        # a first event, so that the module asks for the list where that is its part, and for its first alarm
+        # A first event lets the module request the endpoint list, if that is up to it, and set its first timer.
         self.driver.view(api.EndpointUpdate(api.UpdateKind.CACHED, ()))
         if self.feed_subscription is not None:
             self.feed_subscription.start()
-        self._sweeper = self.loop.call_later(SWEEP_S, self._sweep)
+        self._sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         self.log.info("listening", host=self.settings.listen.host, port=self.port)
         return self.port
 
     async def stop(self) -> int:
-        """Stops listening, lets what is held end, within `stop-timeout-ms`; returns how many were cut."""
-        began = self.loop.time()
+        """Stops listening and lets open requests finish within `stop-timeout-ms`; returns how many were cut off."""
+        started_at = self.loop.time()
         if self.feed_subscription is not None:
             self.feed_subscription.close()
         if self.lease_service is not None:
-            await self.lease_service.close()  # first: others wait for what it holds
-        cut = await self.server.close(self.settings.listen.stop_timeout_ms / 1000.0)
+            await self.lease_service.close()  # first: other brokers wait for its leases
+        cut_off = await self.server.close(self.settings.listen.stop_timeout_ms / 1000.0)
         self.watch.close()
         if self.site_service is not None:
             self.site_service.close()
@@ -212,16 +219,16 @@
         self.pools.close()
         if self._sweeper is not None:
             self._sweeper.cancel()
-        self.log.info("stopped", cut=cut, took_ms=round((self.loop.time() - began) * 1000))
-        return cut
+        self.log.info("stopped", cut=cut_off, took_ms=round((self.loop.time() - started_at) * 1000))
+        return cut_off
 
     def _route(self, exchange: Exchange) -> None:
         path = exchange.target.split(b"?", 1)[0]
         if path == b"/graphql":
             self.front.handle(exchange)
         elif path == b"/metrics":
-            self._gauges()
-            exchange.respond(200, self.metrics.text(), TEXT)
+            self._update_gauges()
+            exchange.respond(200, self.metrics.text(), METRICS_CONTENT_TYPE)
         elif path == b"/peers":
             exchange.respond(200, self._peers_status(), b"application/json")
         elif path.startswith(b"/duties"):
@@ -235,49 +242,49 @@
             exchange.respond(404, b"not found; GraphQL is at /graphql\n", b"text/plain")
 
     def _peers_status(self) -> bytes:
-        """The status page of peers, as JSON."""
+        """The status page of the peers, as JSON."""
         if self.knowledge_exchange is None:
             return msgspec.json.encode({"members": []})
         return msgspec.json.encode(self.knowledge_exchange.status())
 
-    def _taken(self) -> None:
-        """A list is in force: what hangs on the whole of it."""
+    def _endpoint_list_loaded(self) -> None:
+        """Updates metrics, connection pools and peers after a new endpoint list has been loaded."""
         states = [known.line.state for known in self.directory.known.values()]
         counts = {s.label: states.count(s) for s in api.EndpointState}
-        if counts != self._counts:
-            self._counts = counts
-            for state, n in counts.items():
-                self.metrics.servers.labels(state).set(n)
+        if counts != self._state_counts:
+            self._state_counts = counts
+            for state, count in counts.items():
+                self.metrics.servers.labels(state).set(count)
             self.log.info("list", **counts)
-        self.pools.list_taken()
+        self.pools.endpoint_list_loaded()
         if self.knowledge_exchange is not None:
             self.knowledge_exchange.endpoint_list_loaded()
 
     def _sweep(self) -> None:
         self.pools.sweep(self.loop.time())
-        self._sweeper = self.loop.call_later(SWEEP_S, self._sweep)
-
-    def _gauges(self) -> None:
-        m = self.metrics
-        m.open.set(self.generations.open_queries)
-        m.connections.set(len(self.server.connections))
-        m.handshakes.set(self.pools.opened)
-        m.called_off.set(self.generations.cancelled_calls)
+        self._sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+
+    def _update_gauges(self) -> None:
+        metrics = self.metrics
+        metrics.open_queries.set(self.generations.open_queries)
+        metrics.connections.set(len(self.server.connections))
+        metrics.handshakes.set(self.pools.opened)
+        metrics.cancelled_calls.set(self.generations.cancelled_calls)
         if self.site_service is not None:
             self.site_service.update_metrics()
         if self.knowledge_exchange is not None:
-            m.pulls.set(self.knowledge_exchange.pulls)
-            m.learned.set(self.knowledge_exchange.servers_learned)
+            metrics.pulls.set(self.knowledge_exchange.pulls)
+            metrics.servers_learned.set(self.knowledge_exchange.servers_learned)
             states = [member.state for member in self.knowledge_exchange.status().members]
             for state in ("alive", "suspect", "dead", "left"):
-                m.peers.labels(state).set(states.count(state))
+                metrics.peers.labels(state).set(states.count(state))
             socket = self.knowledge_exchange.socket
             if socket is not None:
-                for which, n in (("sent", socket.sent), ("received", socket.received), ("refused", socket.refused)):
-                    m.datagrams.labels(which).set(n)
+                for which, count in (("sent", socket.sent), ("received", socket.received), ("refused", socket.refused)):
+                    metrics.datagrams.labels(which).set(count)
         if self.lease_service is not None:
-            update_metrics(self.lease_service, m)
+            update_metrics(self.lease_service, metrics)
         if self.feed_subscription is not None and isinstance(self.watch, KeyedList):
-            m.list_age.set(self.feed_subscription.age_s)
+            metrics.list_age.set(self.feed_subscription.age_s)
         elif self.watch.heard_at is not None:
-            m.list_age.set(self.loop.time() - self.watch.heard_at)
+            metrics.list_age.set(self.loop.time() - self.watch.heard_at)
--- a/badgerbend/log.py
+++ b/badgerbend/log.py
@@ -1,4 +1,4 @@
-"""Structured logs by structlog: one JSON line, or a coloured line on a console."""
+"""Structured logging with structlog: one JSON object per line, or coloured lines for a console."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 
 
 def configure(settings: Log) -> None:
-    """Sets up logging to standard error for this process."""
+    """Configures logging to standard error for this process."""
     level = getattr(logging, settings.level.upper())
-    shared: list[Any] = [
+    processors: list[Any] = [
         structlog.processors.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
     ]
-    last: Any = structlog.dev.ConsoleRenderer() if settings.form == "console" else structlog.processors.JSONRenderer()
+    renderer: Any = (
+        structlog.dev.ConsoleRenderer() if settings.form == "console" else structlog.processors.JSONRenderer()
+    )
     structlog.configure(
-        processors=[*shared, structlog.processors.format_exc_info, last],
+        processors=[*processors, structlog.processors.format_exc_info, renderer],
         wrapper_class=structlog.make_filtering_bound_logger(level),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
         cache_logger_on_first_use=True,
@@ -28,5 +30,5 @@
 
 
 def get_logger(**values: Any) -> Any:
-    """A logger with these values on every line."""
+    """A logger that adds these values to every line."""
     return structlog.get_logger().bind(**values)
--- a/badgerbend/metrics.py
+++ b/badgerbend/metrics.py
@@ -1,4 +1,4 @@
-"""What the broker counts, for Prometheus, and what it logs of queries."""
+"""Prometheus metrics of a broker, and its log lines about queries and attempts."""
 
 from __future__ import annotations
 
@@ -14,63 +14,79 @@
 
 
 class Metrics:
-    """The runtime's `Observer`: counts, and logs what a person would ask about."""
+    """The runtime's `Observer`: updates the metrics, logs failed attempts, unanswered queries and faults."""
 
     def __init__(self, classes: tuple[str, ...]) -> None:
         self.registry = CollectorRegistry()
-        r = self.registry
-        self.queries = Counter("badgerbend_queries_total", "Queries ended, by how", ["class", "how"], registry=r)
-        self.parts = Counter("badgerbend_parts_total", "Parts of queries ended, by class", ["class"], registry=r)
-        self.extra = Counter("badgerbend_extra_attempts_total", "Attempts beyond a part's first", ["class"], registry=r)
-        self.attempts = Counter("badgerbend_attempts_total", "Attempts ended, by outcome", ["outcome"], registry=r)
-        self.troubles = Counter("badgerbend_troubles_total", "What should be looked at, by kind", ["kind"], registry=r)
+        registry = self.registry
+        self.queries = Counter("badgerbend_queries_total", "Queries ended, by how", ["class", "how"], registry=registry)
+        self.parts = Counter("badgerbend_parts_total", "Parts of queries ended, by class", ["class"], registry=registry)
+        self.extra_attempts = Counter(
+            "badgerbend_extra_attempts_total", "Attempts beyond a part's first", ["class"], registry=registry
+        )
+        self.attempts = Counter(
+            "badgerbend_attempts_total", "Attempts ended, by outcome", ["outcome"], registry=registry
+        )
+        self.faults = Counter(
+            "badgerbend_troubles_total", "What should be looked at, by kind", ["kind"], registry=registry
+        )
         self.latency = Histogram(
-            "badgerbend_query_seconds", "Time to a query's final answer", ["class"], buckets=BUCKETS, registry=r
+            "badgerbend_query_seconds", "Time to a query's final answer", ["class"], buckets=BUCKETS, registry=registry
+        )
+        self.step_seconds = Counter("badgerbend_step_seconds_total", "Time spent deciding", registry=registry)
+        self.steps = Counter("badgerbend_steps_total", "Steps of the module", registry=registry)
+        self.events = Counter("badgerbend_events_total", "Events told to the module", registry=registry)
+        self.open_queries = Gauge("badgerbend_open_queries", "Queries held", registry=registry)
+        self.connections = Gauge("badgerbend_client_connections", "Connections of clients", registry=registry)
+        self.servers = Gauge("badgerbend_servers", "Servers on the list, by state", ["state"], registry=registry)
+        self.handshakes = Gauge(
+            "badgerbend_server_handshakes", "Connections opened to servers so far", registry=registry
+        )
+        self.cancelled_calls = Gauge(
+            "badgerbend_calls_called_off", "Calls to servers called off so far", registry=registry
+        )
+        self.list_age = Gauge("badgerbend_list_age_seconds", "Time since the list was last heard of", registry=registry)
+        self.peers = Gauge("badgerbend_peers", "Other brokers, by what is held of them", ["state"], registry=registry)
+        self.pulls = Gauge(
+            "badgerbend_knowledge_pulls", "Times that peers were asked for what they know", registry=registry
+        )
+        self.servers_learned = Gauge(
+            "badgerbend_knowledge_servers_learned", "Servers' times taken from others", registry=registry
+        )
+        self.datagrams = Gauge("badgerbend_membership_datagrams", "Datagrams so far", ["which"], registry=registry)
+        self.sites = Gauge(
+            "badgerbend_site", "What is held of a site, see docs/sites.md", ["site", "what"], registry=registry
         )
-        self.step_seconds = Counter("badgerbend_step_seconds_total", "Time spent deciding", registry=r)
-        self.steps = Counter("badgerbend_steps_total", "Steps of the module", registry=r)
-        self.events = Counter("badgerbend_events_total", "Events told to the module", registry=r)
-        self.open = Gauge("badgerbend_open_queries", "Queries held", registry=r)
-        self.connections = Gauge("badgerbend_client_connections", "Connections of clients", registry=r)
-        self.servers = Gauge("badgerbend_servers", "Servers on the list, by state", ["state"], registry=r)
-        self.handshakes = Gauge("badgerbend_server_handshakes", "Connections opened to servers so far", registry=r)
-        self.called_off = Gauge("badgerbend_calls_called_off", "Calls to servers called off so far", registry=r)
-        self.list_age = Gauge("badgerbend_list_age_seconds", "Time since the list was last heard of", registry=r)
-        self.peers = Gauge("badgerbend_peers", "Other brokers, by what is held of them", ["state"], registry=r)
-        self.pulls = Gauge("badgerbend_knowledge_pulls", "Times that peers were asked for what they know", registry=r)
-        self.learned = Gauge("badgerbend_knowledge_servers_learned", "Servers' times taken from others", registry=r)
-        self.datagrams = Gauge("badgerbend_membership_datagrams", "Datagrams so far", ["which"], registry=r)
-        self.sites = Gauge("badgerbend_site", "What is held of a site, see docs/sites.md", ["site", "what"], registry=r)
         self.site_refusals = Gauge(
             "badgerbend_site_refusals",
             "Queries refused so far for want of a site",
             ["reason", "class", "tenant"],
-            registry=r,
+            registry=registry,
         )
-        self.duties = Gauge("badgerbend_duty", "What this broker knows of a duty", ["duty", "what"], registry=r)
+        self.duties = Gauge("badgerbend_duty", "What this broker knows of a duty", ["duty", "what"], registry=registry)
         self.duty_totals = Gauge(
-            "badgerbend_duties", "Its part in duties and votes, see docs/leases.md", ["what"], registry=r
+            "badgerbend_duties", "Its part in duties and votes, see docs/leases.md", ["what"], registry=registry
         )
-        self._outcomes = {o: self.attempts.labels(o.label.lower()) for o in api.Outcome}
+        self._attempts_by_outcome = {outcome: self.attempts.labels(outcome.label.lower()) for outcome in api.Outcome}
         self._log = get_logger(part="broker")
         self._name_classes(classes)
 
     def _name_classes(self, classes: tuple[str, ...]) -> None:
         self.classes = classes
-        self._ended = {
+        self._queries_by_result = {
             (c, how): self.queries.labels(c, how)
             for c in classes
             for how in ("answered", "answered in part", "refused", "failed", "gone", "failed by the watch")
         }
 
     def for_classes(self, classes: tuple[str, ...]) -> Metrics:
-        """An observer of queries of these classes that counts into the same registry."""
+        """An observer for queries of these classes that updates the same registry."""
         other = copy(self)
         other._name_classes(classes)
         return other
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, took_ms: float) -> None:
-        self._outcomes[outcome].inc()
+        self._attempts_by_outcome[outcome].inc()
         if outcome not in (api.Outcome.OK, api.Outcome.CANCELLED, api.Outcome.NOT_SENT):
             self._log.debug(
                 "attempt lost",
@@ -84,10 +100,10 @@
 
     def query_ended(self, ending: Ending) -> None:
         name = self.classes[ending.cls]
-        self._ended[name, ending.how].inc()
+        self._queries_by_result[name, ending.how].inc()
         self.parts.labels(name).inc(ending.parts)
         if ending.extra:
-            self.extra.labels(name).inc(ending.extra)
+            self.extra_attempts.labels(name).inc(ending.extra)
         self.latency.labels(name).observe(ending.took_ms / 1000.0)
         if ending.how not in ("answered", "gone"):
             self._log.info(
@@ -107,7 +123,7 @@
         self.step_seconds.inc(seconds)
 
     def trouble(self, what: str, detail: str) -> None:
-        self.troubles.labels(what).inc()
+        self.faults.labels(what).inc()
         self._log.warning(what, detail=detail)
 
     def text(self) -> bytes:
--- a/badgerbend/pools.py
+++ b/badgerbend/pools.py
@@ -1,4 +1,4 @@
-"""Connections to servers: a pool for each one on the list, shared by all that a broker sends there."""
+"""Connection pools to servers: one for each server on the endpoint list, shared by all calls to it."""
 
 from __future__ import annotations
 
@@ -9,15 +9,17 @@
 
 
 class ServerPools:
-    """Pools by a server's number. One whose server left the list, or moved, is kept until its last call has ended."""
+    """Pools by server number. A pool whose server was removed from the list or changed its address is retired: it is
+    kept until its last call has ended.
+    """
 
     def __init__(self, directory: Directory, limits: PoolLimits) -> None:
         self.directory, self.limits = directory, limits
         self._current: dict[int, Pool] = {}
         self._retired: list[Pool] = []
 
-    def of(self, node: int) -> Pool | None:
-        """The pool of a server, made when it is first asked for; None if it is not on the list."""
+    def get(self, node: int) -> Pool | None:
+        """The pool of a server, created on first use; None if the server is not on the list."""
         pool = self._current.get(node)
         address = self.directory.addresses.get(node)
         if pool is not None and address is not None and (pool.host, pool.port) != address:
@@ -27,14 +29,17 @@
             pool = self._current[node] = Pool(*address, self.limits)
         return pool
 
-    def list_taken(self) -> None:
-        """Another list is in force: pools of servers that left it are retired."""
+    def endpoint_list_loaded(self) -> None:
+        """Retires the pools of servers that the newly loaded list no longer has."""
         for node in [node for node in self._current if node not in self.directory.addresses]:
             self._retire(node)
 
     def sweep(self, now: float) -> None:
-        """Closes what has been idle for too long; to be called often."""
-        for pool in self._all():
+        """Closes connections that have been idle for too long, and all idle ones of retired pools.
+
+        To be called periodically.
+        """
+        for pool in self._all_pools():
             pool.sweep(now)
         for pool in self._retired:
             pool.close_idle()
@@ -42,15 +47,15 @@
 
     def close(self) -> None:
         """Closes all connections."""
-        for pool in self._all():
+        for pool in self._all_pools():
             pool.close()
 
     @property
     def opened(self) -> int:
-        """Connections opened so far, by pools that are still kept."""
-        return sum(pool.opened for pool in self._all())
+        """Connections opened so far by the current and the retired pools."""
+        return sum(pool.opened for pool in self._all_pools())
 
-    def _all(self) -> Iterator[Pool]:
+    def _all_pools(self) -> Iterator[Pool]:
         yield from self._current.values()
         yield from self._retired
 
--- a/badgerbend/process.py
+++ b/badgerbend/process.py
@@ -1,4 +1,4 @@
-"""A broker as a process: its signals, what it says where it cannot start, and the statuses it ends with."""
+"""Runs a broker as a process: signal handling, startup errors and exit statuses."""
 
 from __future__ import annotations
 
@@ -19,34 +19,34 @@
 from badgerbend.wal.errors import StoreError
 
 BAD_SETTINGS, CANNOT_START = 2, 3
-Make = Callable[[Settings, Subgraph, Path], Broker]
+BrokerFactory = Callable[[Settings, Subgraph, Path], Broker]
 
 
 def exit_with_error(text: str, status: int) -> NoReturn:
-    """Ends a command with one line and a status."""
+    """Prints one line to standard error and exits with the status."""
     print(f"badgerbend: {text}", file=sys.stderr)
     raise typer.Exit(status)
 
 
 async def wait_for_stop_signal() -> None:
-    """Until an interrupt or a request to end."""
-    told = asyncio.Event()
+    """Waits for SIGINT or SIGTERM."""
+    stop_requested = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
-        asyncio.get_running_loop().add_signal_handler(number, told.set)
-    await told.wait()
+        asyncio.get_running_loop().add_signal_handler(number, stop_requested.set)
+    await stop_requested.wait()
 
 
-async def serve(make: Make, settings: Settings, graph: Subgraph, folder: Path) -> int:
-    """Runs one broker until told to end; the status to exit with."""
+async def serve(create_broker: BrokerFactory, settings: Settings, graph: Subgraph, folder: Path) -> int:
+    """Runs one broker until SIGINT or SIGTERM; returns the exit status."""
     log.configure(settings.log)
     try:
-        broker = make(settings, graph, folder)
+        broker = create_broker(settings, graph, folder)
         await broker.start()
     except (ValueError, KeyFileError, StoreError) as err:
         print(f"badgerbend: cannot start: {err}", file=sys.stderr)
         return CANNOT_START
     except OSError as err:
-        print(f"badgerbend: cannot listen, or read what the settings name: {err}", file=sys.stderr)
+        print(f"badgerbend: cannot listen, or cannot read a file named in the settings: {err}", file=sys.stderr)
         return CANNOT_START
     tune_garbage_collector()
     await wait_for_stop_signal()
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -430,7 +430,7 @@
             assert not stage.seen("told")  # Consul's stand-in was never asked
             stage.relay_server.mark_current(stage.relay_server.clock())
             await until(lambda: stage.broker.feed_subscription.age_s < 60.0)  # with the relay's next heartbeat
-            stage.broker._gauges()
+            stage.broker._update_gauges()
             assert stage.broker.metrics.list_age._value.get() < 60.0
 
     run(main)
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -103,7 +103,7 @@
                 ratio[n] for n in ratio if n not in ("rates-2", "rates-7")
             )
             assert new.driver.known() == api.Observations((), ())
-            new._gauges()
+            new._update_gauges()
             text = new.metrics.text().decode()
             assert 'badgerbend_peers{state="alive"} 3.0' in text
             assert "badgerbend_knowledge_servers_learned 0.0" not in text
--- a/tests/test_site_service.py
+++ b/tests/test_site_service.py
@@ -122,7 +122,7 @@
             stage.records.clear()
             await send_queries(stage, 10)
             assert parts_received(stage, 1) == 0 < parts_received(stage, 0)
-            stage.broker._gauges()
+            stage.broker._update_gauges()
             assert b'badgerbend_site{site="north",what="share"} 1.0' in stage.broker.metrics.text()
 
     run(main)
