--- a/badgerbend/net/__init__.py
+++ b/badgerbend/net/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on asyncio protocol classes, parsed by httptools. Knows nothing of queries or decisions."""
+"""HTTP/1.1 on asyncio protocol classes, parsed by httptools. It has no knowledge of queries or decisions."""
--- a/badgerbend/net/acceptor.py
+++ b/badgerbend/net/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts connections on a listening socket, a few in each turn of the loop."""
+"""Accepts connections on a listening socket, a few in each iteration of the event loop."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 from typing import Protocol
 
 BACKLOG = 1024
-"""Connections that the kernel holds for us."""
+"""Connections that the kernel queues until they are accepted."""
 
-ACCEPTS_A_TURN = 4
-"""Connections accepted in one turn: two turns pass before a limit on connections sees these."""
+MAX_ACCEPTS_PER_ITERATION = 4
+"""Connections accepted in one loop iteration. It takes two iterations until a limit on connections counts them, so this
+bounds by how much the limit can be exceeded."""
 
-RETRY_S = 0.01
-"""Pause after an accept that failed. asyncio waits a second, in which requests pass their deadlines unread, and the
-connections of clients that have left are still to be read."""
+ACCEPT_RETRY_S = 0.01
+"""Pause once all accepts of an iteration have failed. asyncio pauses for a second, in which requests miss their
+deadlines unread and disconnected clients go unnoticed."""
 
 
-CLOSING_TRIES = 100
-"""Accepts that may fail while a listener closes, before what still waits there is given up."""
+MAX_FAILURES_WHILE_CLOSING = 100
+"""Accepts that may fail while a listener closes, before the connections that are still queued are given up."""
 
 
 class Listener(Protocol):
-    """What accepts connections until it is closed."""
+    """Accepts connections until it is closed."""
 
     def close(self) -> None: ...
 
@@ -31,8 +32,11 @@
 async def accept_from(
     loop: asyncio.AbstractEventLoop, listener: socket.socket, factory: Callable[[], asyncio.Protocol]
 ) -> Listener:
-    """Accepts what comes in at a bound socket. Other loops than asyncio's own (uvloop) accept without Python code, all
-    that waits in one turn, and need no help with failures."""
+    """Accepts connections on a bound socket.
+
+    Loops other than asyncio's own (uvloop) accept in native code, all queued connections in one iteration, and handle
+    failures themselves.
+    """
     listener.listen(BACKLOG)
     if not isinstance(loop, asyncio.SelectorEventLoop):
         return await loop.create_server(factory, sock=listener, backlog=BACKLOG)
@@ -42,7 +46,7 @@
 
 
 class Acceptor:
-    """Makes a protocol of each connection that comes in. The listener is closed with it."""
+    """Creates a protocol for each incoming connection. It owns the listener and closes it."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, listener: socket.socket, factory: Callable[[], asyncio.Protocol]
@@ -50,23 +54,25 @@
         self._loop = loop
         self._listener = listener
         self._factory = factory
-        self._connecting: set[asyncio.Task[object]] = set()
-        self._retry: asyncio.TimerHandle | None = None
-        self.failures = 0  # accepts that failed, for want of descriptors or memory
+        self._connect_tasks: set[asyncio.Task[object]] = set()
+        self._retry_timer: asyncio.TimerHandle | None = None
+        self.failures = 0  # accepts that failed because of a lack of descriptors or memory
 
     def start(self) -> None:
-        """Begins to accept."""
-        self._retry = None
+        """Starts to accept connections."""
+        self._retry_timer = None
         self._loop.add_reader(self._listener.fileno(), self._accept_some)
 
     def close(self) -> None:
-        """Takes what has connected already, and stops listening. What the kernel has accepted for us may hold a
-        request, and would be reset with it."""
-        if self._retry is not None:
-            self._retry.cancel()
+        """Accepts the connections that are already established, then stops listening.
+
+        A connection that is still in the kernel's queue may carry a request, and closing the listener would reset it.
+        """
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
         else:
             self._loop.remove_reader(self._listener.fileno())
-        for _ in range(CLOSING_TRIES):
+        for _ in range(MAX_FAILURES_WHILE_CLOSING):
             try:
                 while self._accept_one():
                     pass
@@ -75,38 +81,39 @@
                 self.failures += 1
         self._listener.close()
 
-    async def settled(self) -> None:
-        """Returns once all that was accepted has its protocol: until then nobody else knows of these connections."""
-        if self._connecting:
-            await asyncio.wait(self._connecting)
+    async def wait_connected(self) -> None:
+        """Waits until every accepted connection has its protocol; before that, only this object knows of it."""
+        if self._connect_tasks:
+            await asyncio.wait(self._connect_tasks)
 
     def _accept_some(self) -> None:
         failures = 0
-        for _ in range(ACCEPTS_A_TURN):
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
                 if not self._accept_one():
                     break
             except OSError:
                 failures += 1
         self.failures += failures
-        if failures == ACCEPTS_A_TURN:
+        if failures == MAX_ACCEPTS_PER_ITERATION:
             self._loop.remove_reader(self._listener.fileno())
-            self._retry = self._loop.call_later(RETRY_S, self.start)
+            self._retry_timer = self._loop.call_later(ACCEPT_RETRY_S, self.start)
 
     def _accept_one(self) -> bool:
-        """Whether there may be another one to accept. Raises OSError for want of descriptors or memory, or the like."""
+        """Accepts one connection; returns whether there may be more. Raises OSError, as for a lack of descriptors."""
         try:
             connection, _ = self._listener.accept()
         except BlockingIOError:
             return False
-        except (InterruptedError, ConnectionError):  # a connection that broke before it was accepted among them
+        except (InterruptedError, ConnectionError):  # the latter if the connection broke before it was accepted
             return True
         connection.setblocking(False)
-        # asyncio sets it where it made the socket itself: without it an answer may wait for the last one's receipt
+        # asyncio sets this option on sockets that it creates itself. Without it, Nagle's algorithm may delay a response
+        # until the previous one is acknowledged.
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         task = self._loop.create_task(self._connect(connection))
-        self._connecting.add(task)
-        task.add_done_callback(self._connecting.discard)
+        self._connect_tasks.add(task)
+        task.add_done_callback(self._connect_tasks.discard)
         return True
 
     async def _connect(self, connection: socket.socket) -> None:
--- a/badgerbend/net/client.py
+++ b/badgerbend/net/client.py
@@ -1,7 +1,7 @@
-"""The asking side of HTTP/1.1: a pool of kept connections to one address, one request at a time on each.
+"""HTTP/1.1 client: a pool of persistent connections to one address, with one request at a time on each.
 
-Calling a request off closes its connection: HTTP/1.1 has no other way to tell the server. What that costs is a
-new handshake for the next request; `Pool.opened` counts them.
+Cancelling a request closes its connection, since HTTP/1.1 has no other way to notify the server. The next request then
+needs a new handshake; `Pool.opened` counts the handshakes.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class CallResult(Enum):
-    """How a request ended."""
+    """How a call ended."""
 
     ANSWER = auto()
-    CONNECT_FAILED = auto()  # nothing of the request was written
-    RESET = auto()  # the connection broke after the request was written, in whole or in part
-    MALFORMED = auto()  # the answer was no HTTP, or longer than allowed
+    CONNECT_FAILED = auto()  # no byte of the request was written
+    RESET = auto()  # the connection broke after at least a part of the request was written
+    MALFORMED = auto()  # the response was not valid HTTP or exceeded the size limit
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,6 +35,8 @@
 
 
 class Reply:
+    """The result of a call; status, headers and body are set if a response was received."""
+
     __slots__ = ("body", "headers", "result", "status")
 
     def __init__(self, result: CallResult, status: int, headers: dict[bytes, bytes], body: bytes) -> None:
@@ -42,24 +44,24 @@
 
 
 class Call:
-    """A request under way; `abort` ends it without a reply."""
+    """A request in flight. `abort` cancels it: its callback is not called."""
 
-    __slots__ = ("begin_by", "connection", "data", "done", "on_reply", "opening", "received")
+    __slots__ = ("connect_task", "connection", "data", "done", "on_reply", "received", "send_by")
 
-    def __init__(self, data: bytes, on_reply: Callable[[Reply], None], begin_by: float) -> None:
-        self.data, self.on_reply, self.begin_by = data, on_reply, begin_by
+    def __init__(self, data: bytes, on_reply: Callable[[Reply], None], send_by: float) -> None:
+        self.data, self.on_reply, self.send_by = data, on_reply, send_by
         self.connection: _Connection | None = None
-        self.opening: asyncio.Task[None] | None = None
+        self.connect_task: asyncio.Task[None] | None = None
         self.done = False
-        self.received = 0  # bytes of the answer so far
+        self.received = 0  # bytes of the response so far
 
     def abort(self) -> None:
         if not self.done:
             self.done = True
             if self.connection is not None:
                 self.connection.abort()
-            elif self.opening is not None:
-                self.opening.cancel()
+            elif self.connect_task is not None:
+                self.connect_task.cancel()
 
     def finish(self, reply: Reply) -> None:
         if not self.done:
@@ -68,47 +70,47 @@
 
 
 class Pool:
-    """Connections to one server. The last one used is used first, so that the others can go idle and close."""
+    """Connections to one server. The most recently used one is reused first, so that surplus ones can idle out."""
 
     def __init__(self, host: str, port: int, limits: PoolLimits) -> None:
         self.host, self.port, self.limits = host, port, limits
         self.idle: list[_Connection] = []
         self.open: set[_Connection] = set()
         self.opened = 0
-        self.unsolicited = 0  # answers that came to no request
+        self.unsolicited = 0  # responses received without a request
         self.closed = False
-        self._openings: set[asyncio.Task[None]] = set()
+        self._connect_tasks: set[asyncio.Task[None]] = set()
 
-    def request(self, data: bytes, on_reply: Callable[[Reply], None], begin_by: float = math.inf) -> Call:
-        """Sends a whole request, head and body. The reply comes by the callback, never before this returns.
+    def request(self, data: bytes, on_reply: Callable[[Reply], None], send_by: float = math.inf) -> Call:
+        """Sends a complete request, head and body. The callback is called with the reply, never before this returns.
 
-        begin_by: on the loop's clock; what has no connection by then is not sent.
+        send_by: deadline on the loop's clock; a request without a connection by then is not sent.
         """
-        call = Call(data, on_reply, begin_by)
+        call = Call(data, on_reply, send_by)
         while self.idle:
             connection = self.idle.pop()
             if connection.usable():
                 connection.start(call)
                 return call
-        call.opening = asyncio.get_running_loop().create_task(self._connect(call))
-        self._openings.add(call.opening)
-        call.opening.add_done_callback(self._openings.discard)
+        call.connect_task = asyncio.get_running_loop().create_task(self._connect(call))
+        self._connect_tasks.add(call.connect_task)
+        call.connect_task.add_done_callback(self._connect_tasks.discard)
         return call
 
     def preconnect(self, done: Callable[[bool], None]) -> None:
-        """Opens a connection before it is needed, unless one is idle; `done` tells whether it came about."""
+        """Opens a connection before it is needed, unless one is idle. `done` is called with whether it succeeded."""
         if not self.idle and not self.closed:
-            opening = asyncio.get_running_loop().create_task(self._preconnect(done))
-            self._openings.add(opening)
-            opening.add_done_callback(self._openings.discard)
+            connect_task = asyncio.get_running_loop().create_task(self._preconnect(done))
+            self._connect_tasks.add(connect_task)
+            connect_task.add_done_callback(self._connect_tasks.discard)
 
     async def _preconnect(self, done: Callable[[bool], None]) -> None:
-        connection = await self._connection()
+        connection = await self._open_connection()
         if connection is not None:
-            connection.free()
+            connection.release()
         done(connection is not None)
 
-    async def _connection(self) -> _Connection | None:
+    async def _open_connection(self) -> _Connection | None:
         loop = asyncio.get_running_loop()
         self.opened += 1
         try:
@@ -119,15 +121,15 @@
         return connection
 
     async def _connect(self, call: Call) -> None:
-        connection = await self._connection()
-        late = asyncio.get_running_loop().time() > call.begin_by
-        if connection is not None and late and not call.done:
-            connection.free()
+        connection = await self._open_connection()
+        is_late = asyncio.get_running_loop().time() > call.send_by
+        if connection is not None and is_late and not call.done:
+            connection.release()
             call.finish(Reply(CallResult.CONNECT_FAILED, 0, {}, b""))
         elif connection is None:
             call.finish(Reply(CallResult.CONNECT_FAILED, 0, {}, b""))
         elif call.done or self.closed:
-            connection.free()
+            connection.release()
         else:
             connection.start(call)
 
@@ -136,8 +138,8 @@
             self.idle.pop().abort()
 
     def sweep(self, now: float) -> None:
-        """Closes what has been idle for too long."""
-        while self.idle and now - self.idle[0].since > self.limits.idle_s:
+        """Closes connections that have been idle for too long."""
+        while self.idle and now - self.idle[0].idle_since > self.limits.idle_s:
             self.idle.pop(0).abort()
 
     def close(self) -> None:
@@ -145,27 +147,29 @@
         self.idle.clear()
         for connection in list(self.open):
             connection.abort()
-        for opening in list(self._openings):
-            opening.cancel()
+        for connect_task in list(self._connect_tasks):
+            connect_task.cancel()
 
 
 class _Connection(asyncio.Protocol):
+    """A connection of a pool: idle, or with one call in flight."""
+
     def __init__(self, pool: Pool, loop: asyncio.AbstractEventLoop) -> None:
         self.pool, self.loop = pool, loop
         self.transport: asyncio.Transport | None = None
         self.call: Call | None = None
-        self.since = loop.time()
+        self.idle_since = loop.time()
         self.parser = httptools.HttpResponseParser(self)
         self.headers, self.chunks, self.size = dict[bytes, bytes](), list[bytes](), 0
-        self.ready: tuple[Call, Reply] | None = None
+        self.completed: tuple[Call, Reply] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
         self.pool.open.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        del self.parser  # it points back here: else each connection waits for the garbage collector
+        del self.parser  # breaks the reference cycle; else connections stay until the garbage collector runs
         self.pool.open.discard(self)
         if self in self.pool.idle:
             self.pool.idle.remove(self)
@@ -183,7 +187,7 @@
         self.transport.write(call.data)
 
     def data_received(self, data: bytes) -> None:
-        if self.call is None:  # an answer to nothing: this connection cannot be trusted
+        if self.call is None:  # a response without a request: the connection is out of step
             self.pool.unsolicited += 1
             self.abort()
             return
@@ -196,46 +200,47 @@
             if call is not None:
                 call.finish(Reply(CallResult.MALFORMED, 0, {}, b""))
             return
-        if self.ready is not None:  # told only now: what breaks over an answer must not pass for a bad answer
-            (call, reply), self.ready = self.ready, None
+        # The callback is called here and not by the parser, which would report its exceptions as a malformed response.
+        if self.completed is not None:
+            (call, reply), self.completed = self.completed, None
             call.finish(reply)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.headers[name.lower()] = value
         self.size += len(name) + len(value)
-        self._check()
+        self._check_size()
 
     def on_body(self, body: bytes) -> None:
         self.chunks.append(body)
         self.size += len(body)
-        self._check()
+        self._check_size()
 
-    def _check(self) -> None:
+    def _check_size(self) -> None:
         if self.size > self.pool.limits.max_answer_bytes:
-            raise ValueError("the answer is longer than allowed")
+            raise ValueError("response exceeds the size limit")
 
     def on_message_complete(self) -> None:
         status = self.parser.get_status_code()
-        if status < 200:  # 100 Continue and the like come before the answer
+        if status < 200:  # an interim response such as 100 Continue
             self.headers, self.chunks = {}, []
             return
         call, self.call = self.call, None
         body = self.chunks[0] if len(self.chunks) == 1 else b"".join(self.chunks)
         reply = Reply(CallResult.ANSWER, status, self.headers, body)
         if self.parser.should_keep_alive():
-            self.loop.call_soon(self.free)  # after the parser has seen the rest of what came
+            self.loop.call_soon(self.release)  # after the parser has consumed the rest of the data
         else:
             self.abort()
         if call is not None:
-            self.ready = (call, reply)
+            self.completed = (call, reply)
 
-    def free(self) -> None:
-        """Back to the pool, unless it is closing or was taken meanwhile."""
+    def release(self) -> None:
+        """Returns the connection to the pool, unless it is closing or has been reused in the meantime."""
         if self.call is None and self.usable():
             if self.pool.closed:
                 self.abort()
                 return
-            self.since = self.loop.time()
+            self.idle_since = self.loop.time()
             self.pool.idle.append(self)
 
     def abort(self) -> None:
--- a/badgerbend/net/fetch.py
+++ b/badgerbend/net/fetch.py
@@ -1,4 +1,4 @@
-"""One question over HTTP, answered in JSON: what commands ask a running broker."""
+"""Sends one HTTP request to a running broker and returns its JSON response, for commands."""
 
 from __future__ import annotations
 
@@ -13,15 +13,18 @@
 
 
 async def fetch(port: int, path: str, host: str = "127.0.0.1", method: str = "GET", token: str | None = None) -> Any:
-    """The JSON at a path of a broker; token: sent as a bearer. Raises ConnectionError, with what the broker said."""
-    done: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
+    """Fetches the JSON at a path of a broker. token: sent as a bearer token.
+
+    Raises ConnectionError with the text of the response, unless its status is 200.
+    """
+    replied: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
     pool = Pool(host, port, LIMITS)
-    bearer = f"authorization: Bearer {token}\r\n" if token is not None else ""
-    head = f"{method} {path} HTTP/1.1\r\nhost: {host}\r\n{bearer}content-length: 0\r\n\r\n"
-    pool.request(head.encode(), done.set_result)
-    reply = await done
+    authorization = f"authorization: Bearer {token}\r\n" if token is not None else ""
+    request_head = f"{method} {path} HTTP/1.1\r\nhost: {host}\r\n{authorization}content-length: 0\r\n\r\n"
+    pool.request(request_head.encode(), replied.set_result)
+    reply = await replied
     pool.close()
     if reply.result is not CallResult.ANSWER or reply.status != 200:
-        said = reply.body.decode("utf-8", "replace").strip() if reply.result is CallResult.ANSWER else ""
-        raise ConnectionError(f"{reply.result.name.lower()} {reply.status} {said}".strip())
+        error_text = reply.body.decode("utf-8", "replace").strip() if reply.result is CallResult.ANSWER else ""
+        raise ConnectionError(f"{reply.result.name.lower()} {reply.status} {error_text}".strip())
     return msgspec.json.decode(reply.body)
--- a/badgerbend/net/seal.py
+++ b/badgerbend/net/seal.py
@@ -1,12 +1,13 @@
-"""Datagrams under a keyed MAC, with replays refused. The MAC is HMAC-SHA256 from the cryptography library.
+"""Datagrams authenticated by a keyed MAC and protected against replay. The MAC is HMAC-SHA256.
 
-A sealed datagram is: key number (1 byte), sender's life (8), counter (8), body, MAC (16, truncated). A life is the
-sender's start in milliseconds of its own clock, so that a later start outdoes an earlier one. For each sender the
-counters of the present life are kept in a window; a datagram seen before, too old, or of an earlier life is refused.
+A sealed datagram consists of key number (1 byte), incarnation of the sender (8), counter (8), body, and MAC (16,
+truncated). The incarnation is the time of the sender's start in milliseconds of its own clock, so that a later start
+supersedes an earlier one. For each sender, a sliding window holds the counters of the current incarnation; a datagram
+that was seen before, is too old, or is of an earlier incarnation is rejected.
 
-What that leaves: a member that has just started knows no lives, so an attacker on the path could show it datagrams of
-a life that has ended. It then holds a member alive that is not, until its first probes of it; news carry incarnations,
-and those of the present life win.
+Remaining weakness: a member that has just started knows no incarnations, so an attacker on the path can replay
+datagrams of an incarnation that has ended. The member then believes that a dead member is alive, until its first probes
+of it fail. Updates carry incarnations, and those of the current incarnation win.
 """
 
 from __future__ import annotations
@@ -23,90 +24,94 @@
 
 HEADER = struct.Struct(">BQQ")
 MAC_BYTES = 16
-LEAST_KEY_BYTES = 16
-WINDOW = 1024  # counters: so far may datagrams of one sender overtake each other
-MAX_SENDERS = 8192  # whose counters are kept: a fleet's, and those of the day's replaced ones
+MIN_KEY_BYTES = 16
+WINDOW = 1024  # counters; how far datagrams of one sender may be reordered
+MAX_SENDERS = 8192  # whose counters are kept: the members of a fleet, and those replaced within a day
 
 
 class KeyFileError(Exception):
-    """A key file cannot be used; the text says which and why."""
+    """A key file cannot be used; the text names the file and the reason."""
 
 
 class UnsealError(Exception):
-    """A datagram is not sealed by a key of ours, or was seen before."""
+    """A datagram fails authentication or is a replay."""
 
 
 def read_key(path: str | Path) -> bytes:
-    """The key in a file, its last line end left out. Raises BadKey."""
+    """Reads the key in a file, without a final line end. Raises KeyFileError."""
     try:
         key = Path(path).read_bytes().rstrip(b"\r\n")
     except OSError as err:
         raise KeyFileError(f"{path}: {err}") from err
-    if len(key) < LEAST_KEY_BYTES:
-        raise KeyFileError(f"{path}: {len(key)} bytes; a key has {LEAST_KEY_BYTES} or more")
+    if len(key) < MIN_KEY_BYTES:
+        raise KeyFileError(f"{path}: {len(key)} bytes; a key has {MIN_KEY_BYTES} or more")
     return key
 
 
 @dataclass(slots=True)
-class _Seen:
-    life: int
+class _SenderState:
+    """The counters received from one sender in its current incarnation."""
+
+    incarnation: int
     newest: int
-    window: int  # bit n: counter newest - n was seen
+    window: int  # bit n is set if counter `newest - n` was received
 
 
 class DatagramSealer:
-    """Seals with the first key and accepts either, so that a key can be replaced while all go on."""
+    """Seals with the first key and accepts both, so that a key can be replaced without an interruption."""
 
-    def __init__(self, keys: tuple[bytes, ...], life: int) -> None:
+    def __init__(self, keys: tuple[bytes, ...], incarnation: int) -> None:
         if not 1 <= len(keys) <= 2:
-            raise ValueError("one key, or two while one replaces the other")
-        self.keys = tuple((sign(key, b"number")[0], key) for key in keys)  # a number tells keys apart, and no more
-        self.life, self.counter = life, 0
-        self.seen: OrderedDict[bytes, _Seen] = OrderedDict()
+            raise ValueError("there must be one key, or two while one replaces the other")
+        # The key number only selects the key; it proves nothing.
+        self.keys = tuple((sign(key, b"number")[0], key) for key in keys)
+        self.incarnation, self.counter = incarnation, 0
+        self.senders: OrderedDict[bytes, _SenderState] = OrderedDict()
 
     def seal(self, body: bytes, sender: bytes) -> bytes:
-        """The sealed datagram. `sender` names who sends it; it is under the MAC, and not in the datagram."""
+        """Returns the sealed datagram. `sender` identifies the sender; the MAC covers it, the datagram omits it."""
         self.counter += 1
         number, key = self.keys[0]
-        head = HEADER.pack(number, self.life, self.counter)
-        return head + body + self._mac(key, head + body, sender)
+        header = HEADER.pack(number, self.incarnation, self.counter)
+        return header + body + self._mac(key, header + body, sender)
 
     def open(self, data: bytes, sender: bytes) -> bytes:
-        """The body. Raises Refused."""
+        """Returns the body of a sealed datagram. Raises UnsealError."""
         if len(data) < HEADER.size + MAC_BYTES:
-            raise UnsealError("short")
-        number, life, counter = HEADER.unpack_from(data)
-        inner, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
+            raise UnsealError("datagram too short")
+        number, incarnation, counter = HEADER.unpack_from(data)
+        authenticated, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
         if not any(
-            own == number and constant_time.bytes_eq(self._mac(key, inner, sender), mac) for own, key in self.keys
+            key_number == number and constant_time.bytes_eq(self._mac(key, authenticated, sender), mac)
+            for key_number, key in self.keys
         ):
-            raise UnsealError("not sealed by a key of ours")
-        self._once(sender, life, counter)
-        return inner[HEADER.size :]
-
-    def _once(self, sender: bytes, life: int, counter: int) -> None:
-        seen = self.seen.get(sender)
-        if seen is None or life > seen.life:
-            self._keep(sender, _Seen(life, counter, 1))
+            raise UnsealError("not sealed by a known key")
+        self._reject_replay(sender, incarnation, counter)
+        return authenticated[HEADER.size :]
+
+    def _reject_replay(self, sender: bytes, incarnation: int, counter: int) -> None:
+        state = self.senders.get(sender)
+        if state is None or incarnation > state.incarnation:
+            self._store(sender, _SenderState(incarnation, counter, 1))
             return
-        if life < seen.life:
-            raise UnsealError("of an earlier life")
-        if counter > seen.newest:
-            seen.window = ((seen.window << (counter - seen.newest)) | 1) & ((1 << WINDOW) - 1)
-            seen.newest = counter
-            self.seen.move_to_end(sender)
+        if incarnation < state.incarnation:
+            raise UnsealError("earlier incarnation of the sender")
+        if counter > state.newest:
+            state.window = ((state.window << (counter - state.newest)) | 1) & ((1 << WINDOW) - 1)
+            state.newest = counter
+            self.senders.move_to_end(sender)
             return
-        behind = seen.newest - counter
-        if behind >= WINDOW or seen.window >> behind & 1:
+        behind = state.newest - counter
+        if behind >= WINDOW or state.window >> behind & 1:
             raise UnsealError("seen before, or too old")
-        seen.window |= 1 << behind
+        state.window |= 1 << behind
 
-    def _keep(self, sender: bytes, seen: _Seen) -> None:
-        """Where there are too many, the one that has been silent for longest is forgotten."""
-        self.seen[sender] = seen
-        self.seen.move_to_end(sender)
-        if len(self.seen) > MAX_SENDERS:
-            self.seen.popitem(last=False)
+    def _store(self, sender: bytes, state: _SenderState) -> None:
+        """Stores the state of a sender; if there are too many, drops the least recently active one."""
+        self.senders[sender] = state
+        self.senders.move_to_end(sender)
+        if len(self.senders) > MAX_SENDERS:
+            self.senders.popitem(last=False)
 
     @staticmethod
     def _mac(key: bytes, data: bytes, sender: bytes) -> bytes:
@@ -114,24 +119,24 @@
 
 
 def has_bearer_key(authorization: bytes, keys: Sequence[bytes]) -> bool:
-    """Whether an Authorization header's bearer token is one of the keys."""
-    given = authorization.removeprefix(b"Bearer ").strip()
-    return any(constant_time.bytes_eq(given, key) for key in keys)
+    """Whether the bearer token in an Authorization header is one of the keys."""
+    token = authorization.removeprefix(b"Bearer ").strip()
+    return any(constant_time.bytes_eq(token, key) for key in keys)
 
 
 def verify(key: bytes, data: bytes, mac: bytes) -> bool:
-    """Whether a whole MAC-SHA256 is this key's over the data."""
-    check = HMAC(key, hashes.SHA256())
-    check.update(data)
+    """Whether a full HMAC-SHA256 is that of the data under the key."""
+    hmac = HMAC(key, hashes.SHA256())
+    hmac.update(data)
     try:
-        check.verify(mac)
+        hmac.verify(mac)
     except InvalidSignature:
         return False
     return True
 
 
 def sign(key: bytes, data: bytes) -> bytes:
-    """The whole HMAC-SHA256 of the data."""
+    """The full HMAC-SHA256 of the data under the key."""
     mac = HMAC(key, hashes.SHA256())
     mac.update(data)
     return mac.finalize()
--- a/badgerbend/net/server.py
+++ b/badgerbend/net/server.py
@@ -1,12 +1,13 @@
-"""The serving side of HTTP/1.1: one protocol object a connection, one `Exchange` a request.
+"""HTTP/1.1 server: one protocol object per connection, one `Exchange` per request.
 
-A handler is called with each whole request and answers by `Exchange.respond`, now or later. A connection answers
-its requests in order, one at a time. A peer that closes its connection is told to the exchange it was waiting
-for, by `on_disconnect`; so reading goes on while answers are waited for, and where it has to stop the socket is asked.
+A handler is called with each complete request and responds with `Exchange.respond`, at once or later. A connection
+serves its requests in order, one at a time. If the peer closes the connection, `on_disconnect` of each open exchange is
+called. The connection therefore keeps reading while a response is pending; while reading is paused, it polls the socket
+for a hang-up.
 
-The last answer on a connection is followed by a lingering close: the write side is shut, and what still comes is read
-and thrown away within bounds. A close over unread bytes would reset the connection, and the reset can overtake the
-answer.
+The last response on a connection is followed by a lingering close: the write side is shut down, and further input is
+read and discarded within bounds. Closing a socket with unread bytes would reset the connection, and the reset can
+overtake the response.
 """
 
 from __future__ import annotations
@@ -23,16 +24,16 @@
 import httptools
 
 from badgerbend.net.acceptor import Acceptor, Listener, accept_from
-from badgerbend.net.arrival import unread_s
+from badgerbend.net.receive_delay import receive_delay_s
 
 REASONS = {s.value: s.phrase.encode() for s in HTTPStatus}
-SWEEP_S = 0.5  # how often slow readers and idle connections are looked for
-HANG_UP_S = 0.05  # how often, while reading is paused, whether the peer has closed
-MOST_WAITING = 8  # requests read ahead of their answers; what comes behind them waits unread
-SLICE = 4096  # bytes read at a time: a few requests
-MOST_AHEAD = 16_384  # bytes that wait unread before reading is paused
-LINGER_S, LINGER_BYTES = 0.5, 262_144  # of a lingering close: the client needs a way there to read its answer
-HUNG_UP = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+SWEEP_INTERVAL_S = 0.5  # between checks for slow readers and idle connections
+HANG_UP_POLL_S = 0.05  # between checks for a hang-up of the peer while reading is paused
+MAX_PIPELINED = 8  # requests parsed ahead of the current one; further input stays unparsed
+PARSE_CHUNK_BYTES = 4096  # parsed at a time: a few requests
+MAX_UNPARSED_BYTES = 16_384  # buffered before reading is paused
+LINGER_S, LINGER_BYTES = 0.5, 262_144  # bounds of a lingering close: the response needs time to reach the client
+HANG_UP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 Headers = tuple[tuple[bytes, bytes], ...]
 
 
@@ -43,14 +44,14 @@
     max_connections: int = 10_000
     max_head_bytes: int = 16_384
     max_body_bytes: int = 262_144
-    read_timeout_s: float = 10.0  # for one request to arrive; the first counts from the connection's start
+    read_timeout_s: float = 10.0  # to receive one request; for the first, counted from the start of the connection
     idle_timeout_s: float = 75.0  # between requests
-    first_byte_timeout_s: float = 75.0  # before the first one has begun
-    max_keep_alive: int = 10_000  # with more connections open and not lingering, each answer is the last on its own
+    first_byte_timeout_s: float = 75.0  # before the first byte of the first request
+    max_keep_alive: int = 10_000  # with more connections that are not lingering, each response closes its connection
 
 
 class Exchange:
-    """One request and its one answer."""
+    """One request and its one response."""
 
     __slots__ = (
         "_connection",
@@ -74,7 +75,7 @@
         received_at: float,
     ) -> None:
         self._connection = connection
-        self.received_at = received_at  # when its last byte came, on the loop's clock
+        self.received_at = received_at  # when its last byte was received, on the loop's clock
         self.method, self.target, self.headers, self.keep_alive = method, target, headers, keep
         self.body = b""
         self.disconnected = False
@@ -82,22 +83,22 @@
 
     @property
     def connection_key(self) -> int:
-        """The same for all exchanges of one connection."""
+        """A key that all exchanges of one connection share."""
         return id(self._connection)
 
     def client_has_left(self) -> bool:
-        """Asks the socket whether the peer has closed, though that was not read yet; if so the exchange ends soon."""
-        return self.disconnected or self._connection.peer_has_left()
+        """Whether the peer has closed the connection, read or not yet; if so, the connection is aborted."""
+        return self.disconnected or self._connection.abort_if_peer_left()
 
     def respond(self, status: int, body: bytes, content_type: bytes, extra: Headers = ()) -> bool:
-        """Writes the answer. False if the peer has gone or was answered before: then nothing is written."""
+        """Writes the response. Returns False, and writes nothing, if the peer has disconnected or has its response."""
         if self.disconnected or self._connection.active is not self:
             return False
         self._connection.write_answer(self, status, body, content_type, extra)
         return True
 
     def drop(self) -> None:
-        """Closes the connection without an answer."""
+        """Aborts the connection without a response."""
         if not self.disconnected and self._connection.active is self:
             self._connection.abort()
 
@@ -113,24 +114,24 @@
         self.connections: set[_Connection] = set()
         self.closing = False
         self.rejected_connections = self.lingering = 0
-        self.address = ("", 0)  # once it listens
+        self.address = ("", 0)  # set by `start`
         self._listener: Listener | None = None
         self._sweeper: asyncio.TimerHandle | None = None
         self._emptied: asyncio.Future[None] | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Listens; returns the port. Raises OSError where the address is taken or not ours."""
+        """Starts to listen; returns the port. Raises OSError if the address is in use or is not of this host."""
         loop = asyncio.get_running_loop()
         listener = await bound_socket(loop, host, port)
         self._listener = await accept_from(loop, listener, lambda: _Connection(self, loop))
-        self._sweeper = loop.call_later(SWEEP_S, self._sweep, loop)
+        self._sweeper = loop.call_later(SWEEP_INTERVAL_S, self._sweep, loop)
         bound = listener.getsockname()
         self.address = (str(bound[0]), int(bound[1]))
         return self.address[1]
 
     @property
     def accepts_failed(self) -> int:
-        """Accepts that failed for want of descriptors or memory, while it listens."""
+        """Accepts that failed because of a lack of descriptors or memory; 0 once the server stops listening."""
         return self._listener.failures if isinstance(self._listener, Acceptor) else 0
 
     def stop_listening(self) -> None:
@@ -139,42 +140,51 @@
             self._listener = None
 
     async def close(self, grace_s: float) -> int:
-        """Stops listening, lets open exchanges end, cuts what is left after `grace_s`; returns how many."""
+        """Stops listening, waits up to `grace_s` for open exchanges, then aborts the remaining connections.
+
+        Returns how many of these had open requests.
+        """
         loop = asyncio.get_running_loop()
         listener = self._listener
         self.stop_listening()
         self.closing = True
         if isinstance(listener, Acceptor):
-            await listener.settled()
+            await listener.wait_connected()
         for connection in list(self.connections):
             connection.close_if_idle()
         if self.connections:
             self._emptied = loop.create_future()
             await asyncio.wait([self._emptied], timeout=grace_s)
-        cut = sum(connection.holds() for connection in self.connections)
+        cut_off = sum(connection.has_open_requests() for connection in self.connections)
         for connection in list(self.connections):
             connection.abort()
         if self._sweeper is not None:
             self._sweeper.cancel()
-        return cut
-
-    def make_room(self) -> bool:
-        """Cuts the connection that can best be spared: one with no request held and no answer half written; one that
-        lingers, then silent or idle, then half read, the longest first; with a request just arriving only if there is
-        no other. False if all hold requests."""
-        spare = [c for c in self.connections if not c.holds() and not c.writing()]
-        spare.sort(key=lambda c: (not c.lingering, c.reading, c.since))
-        victim = next((c for c in spare if c.lingering or not c.arriving()), spare[0] if spare else None)
+        return cut_off
+
+    def evict_connection(self) -> bool:
+        """Aborts one connection without an open request or unsent data, to make room for another.
+
+        Prefers connections that linger, then idle ones, then those with a partly received request, each time the
+        oldest. One with unread input is chosen only if there is no other. Returns False if there is none to abort.
+        """
+        candidates = [c for c in self.connections if not c.has_open_requests() and not c.has_unsent_data()]
+        candidates.sort(key=lambda c: (not c.lingering, c.reading, c.phase_started_at))
+        victim = next(
+            (c for c in candidates if c.lingering or not c.has_unread_input()), candidates[0] if candidates else None
+        )
         if victim is None:
             return False
         self.connections.discard(victim)
         victim.abort()
         return True
 
-    def crowded(self) -> bool:
+    def exceeds_keep_alive_limit(self) -> bool:
+        """Whether there are too many connections to keep them alive after a response."""
         return len(self.connections) - self.lingering > self.limits.max_keep_alive
 
-    def forget(self, connection: _Connection) -> None:
+    def remove(self, connection: _Connection) -> None:
+        """Removes a connection that has been lost."""
         self.connections.discard(connection)
         if not self.connections and self._emptied is not None and not self._emptied.done():
             self._emptied.set_result(None)
@@ -183,16 +193,16 @@
         now = loop.time()
         for connection in list(self.connections):
             connection.sweep(now)
-        self._sweeper = loop.call_later(SWEEP_S, self._sweep, loop)
+        self._sweeper = loop.call_later(SWEEP_INTERVAL_S, self._sweep, loop)
 
 
 async def bound_socket(loop: asyncio.AbstractEventLoop, host: str, port: int) -> socket.socket:
-    """A socket that has its address. Raises OSError."""
+    """Creates a listening socket and binds it. Raises OSError."""
     family: int = socket.AF_INET
     address: tuple[object, ...] = (host, port)
     try:
         socket.inet_pton(family, host)
-    except OSError:  # a name, or IPv6; only for these the resolver, which opens files and sockets of its own
+    except OSError:  # a host name or IPv6; the resolver opens files and sockets, so it is used only for these
         family, _, _, _, address = (await loop.getaddrinfo(host, port, type=socket.SOCK_STREAM))[0]
     listener = socket.socket(family, socket.SOCK_STREAM)
     try:
@@ -206,145 +216,147 @@
 
 
 class _Connection(asyncio.Protocol):
+    """A connection of a client: parses requests, serves them in order and writes the responses."""
+
     def __init__(self, server: HttpServer, loop: asyncio.AbstractEventLoop) -> None:
         self.server, self.loop = server, loop
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.active: Exchange | None = None
-        self.waiting: deque[Exchange] = deque()
-        self.since = loop.time()  # when the request being read began, or the last one ended
-        self.asked = False  # a request came whole
+        self.pipelined: deque[Exchange] = deque()
+        self.phase_started_at = loop.time()  # when the current request began, or the last one ended
+        self.has_received_request = False  # a complete request was received
         self.reading = False
-        self.blocked_since: float | None = None
-        self.refusal: tuple[int, bytes] | None = None  # owed after the answers to what was read before
-        self.ahead = bytearray()  # came behind more requests than are read ahead
-        self.thrown = 0  # bytes that came after the last request that is served
+        self.write_blocked_since: float | None = None
+        self.rejection: tuple[int, bytes] | None = None  # to be sent after the responses to earlier requests
+        self.unparsed = bytearray()  # input beyond the requests that are parsed ahead
+        self.discarded_bytes = 0  # received after the last request that is served
         self.lingering = self.paused = False
-        self._timer: asyncio.TimerHandle | None = None  # of the lingering close, or of looking for the peer's
-        self._reset()
+        self._timer: asyncio.TimerHandle | None = None  # of the lingering close, or of polling for a hang-up
+        self._reset_message()
 
-    def _reset(self) -> None:
+    def _reset_message(self) -> None:
         self.target, self.headers, self.chunks = b"", dict[bytes, bytes](), list[bytes]()
         self.head_bytes = self.body_bytes = 0
         self.head_done = False
 
-    # -- asyncio's side
+    # -- callbacks of asyncio
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        if len(self.server.connections) >= self.server.limits.max_connections and not self.server.make_room():
+        self.transport = transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
+        if len(self.server.connections) >= self.server.limits.max_connections and not self.server.evict_connection():
             self.server.rejected_connections += 1
             transport.abort()
             return
         self.server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.server.forget(self)
+        self.server.remove(self)
         self.transport = None
         self.server.lingering -= self.lingering
         if self._timer is not None:
             self._timer.cancel()
-        del self.parser  # it points back here: else each connection waits for the garbage collector
-        lost, self.active = [*([self.active] if self.active else []), *self.waiting], None
-        self.waiting.clear()
+        del self.parser  # breaks the reference cycle; else connections stay until the garbage collector runs
+        lost, self.active = [*([self.active] if self.active else []), *self.pipelined], None
+        self.pipelined.clear()
         for exchange in lost:
             exchange.disconnected = True
             if exchange.on_disconnect is not None:
                 exchange.on_disconnect()
 
     def data_received(self, data: bytes) -> None:
-        if self.lingering or self.refusal is not None:
-            self._throw_away(len(data))
+        if self.lingering or self.rejection is not None:
+            self._discard(len(data))
             return
         if not self.reading:
             self.reading = True
-            self.since = self.loop.time() if self.asked else self.since
-        if self.ahead or len(data) > SLICE:
-            self.ahead += data
-            self._read_on()
+            self.phase_started_at = self.loop.time() if self.has_received_request else self.phase_started_at
+        if self.unparsed or len(data) > PARSE_CHUNK_BYTES:
+            self.unparsed += data
+            self._parse_buffered()
         else:
             self._parse(data)
 
-    def _read_on(self) -> None:
-        """Reads what waits, as far as requests are read ahead of their answers."""
-        while self.ahead and len(self.waiting) < MOST_WAITING and self.transport and self.refusal is None:
-            piece = bytes(self.ahead[:SLICE])
-            del self.ahead[:SLICE]
-            self._parse(piece)
-        if self.refusal is not None:
-            self.ahead.clear()
-        self._pause(len(self.ahead) > MOST_AHEAD)
-
-    def _pause(self, on: bool) -> None:
-        """Stops reading, or goes on. While it is stopped nobody would hear that the peer closes."""
-        if on == self.paused or self.transport is None or self.transport.is_closing():
+    def _parse_buffered(self) -> None:
+        """Parses buffered input until enough requests are parsed ahead."""
+        while self.unparsed and len(self.pipelined) < MAX_PIPELINED and self.transport and self.rejection is None:
+            chunk = bytes(self.unparsed[:PARSE_CHUNK_BYTES])
+            del self.unparsed[:PARSE_CHUNK_BYTES]
+            self._parse(chunk)
+        if self.rejection is not None:
+            self.unparsed.clear()
+        self._set_paused(len(self.unparsed) > MAX_UNPARSED_BYTES)
+
+    def _set_paused(self, paused: bool) -> None:
+        """Pauses or resumes reading. While it is paused, asyncio does not report that the peer closes."""
+        if paused == self.paused or self.transport is None or self.transport.is_closing():
             return
-        self.paused = on
-        if on:
+        self.paused = paused
+        if paused:
             self.transport.pause_reading()
-            self._timer = self.loop.call_later(HANG_UP_S, self._look_for_hang_up)
+            self._timer = self.loop.call_later(HANG_UP_POLL_S, self._poll_for_hang_up)
         else:
             self.transport.resume_reading()
             if self._timer is not None:
                 self._timer.cancel()
 
-    def peer_has_left(self) -> bool:
-        """Whether the peer has closed or reset it; then it is cut."""
-        if not self._polled(HUNG_UP):
+    def abort_if_peer_left(self) -> bool:
+        """Aborts the connection if the peer has closed or reset it; returns whether it has."""
+        if not self._has_events(HANG_UP_EVENTS):
             return False
         self.abort()
         return True
 
-    def _look_for_hang_up(self) -> None:
-        if not self.peer_has_left():
-            self._timer = self.loop.call_later(HANG_UP_S, self._look_for_hang_up)
+    def _poll_for_hang_up(self) -> None:
+        if not self.abort_if_peer_left():
+            self._timer = self.loop.call_later(HANG_UP_POLL_S, self._poll_for_hang_up)
 
-    def _polled(self, events: int) -> bool:
-        """Whether one of these events waits at the socket."""
+    def _has_events(self, events: int) -> bool:
+        """Whether the socket has one of these poll events."""
         if self.transport is None or (sock := self.transport.get_extra_info("socket")) is None:
             return False
         poll = select.poll()
         poll.register(sock.fileno(), events)
         return bool(poll.poll(0))
 
-    def arriving(self) -> bool:
-        """Whether something waits to be read in this very turn."""
-        return self._polled(select.POLLIN)
+    def has_unread_input(self) -> bool:
+        """Whether the socket has input that this iteration of the loop has yet to read."""
+        return self._has_events(select.POLLIN)
 
-    def holds(self) -> bool:
-        """Whether it has a request that is owed an answer."""
-        return self.active is not None or bool(self.waiting)
+    def has_open_requests(self) -> bool:
+        """Whether a request still needs a response."""
+        return self.active is not None or bool(self.pipelined)
 
-    def writing(self) -> bool:
+    def has_unsent_data(self) -> bool:
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
-    def _throw_away(self, count: int) -> None:
-        self.thrown += count
-        if self.thrown <= LINGER_BYTES:
+    def _discard(self, count: int) -> None:
+        self.discarded_bytes += count
+        if self.discarded_bytes <= LINGER_BYTES:
             return
         if self.lingering:
             self.abort()
-        else:  # answers are still owed
-            self._pause(True)
+        else:  # responses are still pending
+            self._set_paused(True)
 
     def _linger(self) -> None:
-        """Ends the connection once what was written is read, or the bounds are reached."""
+        """Starts a lingering close, which ends once the peer closes or a bound is reached."""
         if self.transport is None or self.lingering:
             return
-        self._pause(False)
-        self.lingering, self.since, self.thrown = True, self.loop.time(), 0
+        self._set_paused(False)
+        self.lingering, self.phase_started_at, self.discarded_bytes = True, self.loop.time(), 0
         self.server.lingering += 1
-        self.ahead.clear()
+        self.unparsed.clear()
         try:
             self.transport.write_eof()
-        except OSError:  # the peer reset it in this turn, and nobody has read that yet
+        except OSError:  # the peer has reset the connection, and the loop has yet to read that
             self.transport.abort()
         else:
-            self._timer = self.loop.call_later(LINGER_S, self._lingered)
+            self._timer = self.loop.call_later(LINGER_S, self._linger_timeout)
 
-    def _lingered(self) -> None:
-        """A client that reads slowly still gets the rest of its answer; one that does not read is the sweep's."""
-        if self.writing():
-            self._timer = self.loop.call_later(LINGER_S, self._lingered)
+    def _linger_timeout(self) -> None:
+        """Waits on while data is unsent, for a slow client; the sweep aborts a client that does not read at all."""
+        if self.has_unsent_data():
+            self._timer = self.loop.call_later(LINGER_S, self._linger_timeout)
         else:
             self.abort()
 
@@ -353,27 +365,27 @@
             self.head_bytes += len(data)
         try:
             self.parser.feed_data(data)
-        except _TooMuch as err:
-            self.refuse(err.status, err.text)
+        except _RequestError as err:
+            self.reject(err.status, err.text)
         except httptools.HttpParserCallbackError as err:
             cause = err.__context__
-            if isinstance(cause, _TooMuch):
-                self.refuse(cause.status, cause.text)
+            if isinstance(cause, _RequestError):
+                self.reject(cause.status, cause.text)
             else:
                 raise
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.refuse(400, b"malformed HTTP")
+            self.reject(400, b"malformed HTTP")
         else:
-            if self.refusal is None and not self.head_done and self.head_bytes > self.server.limits.max_head_bytes:
-                self.refuse(431, b"header section too large")
+            if self.rejection is None and not self.head_done and self.head_bytes > self.server.limits.max_head_bytes:
+                self.reject(431, b"header section too large")
 
     def pause_writing(self) -> None:
-        self.blocked_since = self.loop.time()
+        self.write_blocked_since = self.loop.time()
 
     def resume_writing(self) -> None:
-        self.blocked_since = None
+        self.write_blocked_since = None
 
-    # -- httptools' side
+    # -- callbacks of httptools
     def on_message_begin(self) -> None:
         self.reading = True
 
@@ -383,53 +395,53 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         key = name.lower()
         if key in self.headers and key in (b"host", b"content-length", b"transfer-encoding"):
-            raise _TooMuch(400, b"a header that may come once came twice")
+            raise _RequestError(400, b"a header that may come once came twice")
         self.headers[key] = self.headers[key] + b", " + value if key in self.headers else value
 
     def on_headers_complete(self) -> None:
         self.head_done = True
         limits = self.server.limits
         if self.head_bytes > limits.max_head_bytes + limits.max_body_bytes:
-            raise _TooMuch(431, b"header section too large")
+            raise _RequestError(431, b"header section too large")
         if sum(len(k) + len(v) for k, v in self.headers.items()) > limits.max_head_bytes:
-            raise _TooMuch(431, b"header section too large")
+            raise _RequestError(431, b"header section too large")
         if b"content-length" in self.headers and b"transfer-encoding" in self.headers:
-            raise _TooMuch(400, b"both a length and a transfer encoding")
+            raise _RequestError(400, b"both a length and a transfer encoding")
         length = self.headers.get(b"content-length", b"0")
         if length.isdigit() and int(length) > limits.max_body_bytes:
-            raise _TooMuch(413, b"body too large")
+            raise _RequestError(413, b"body too large")
         if self.headers.get(b"expect", b"").lower() == b"100-continue" and self.transport and not self.lingering:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
         self.body_bytes += len(body)
         if self.body_bytes > self.server.limits.max_body_bytes:
-            raise _TooMuch(413, b"body too large")
+            raise _RequestError(413, b"body too large")
         self.chunks.append(body)
 
     def on_message_complete(self) -> None:
-        if self.lingering:  # it came in one piece with the last request that is answered
+        if self.lingering:  # received in one chunk with the last request that is served
             return
         keep = self.parser.should_keep_alive()
-        received_at = self.loop.time() - (unread_s(self.transport) if self.transport is not None else 0.0)
+        received_at = self.loop.time() - (receive_delay_s(self.transport) if self.transport is not None else 0.0)
         exchange = Exchange(self, self.parser.get_method(), self.target, self.headers, keep, received_at)
         exchange.body = self.chunks[0] if len(self.chunks) == 1 else b"".join(self.chunks)
-        self._reset()
-        self.reading, self.since, self.asked = False, self.loop.time(), True
+        self._reset_message()
+        self.reading, self.phase_started_at, self.has_received_request = False, self.loop.time(), True
         if self.active is None:
             self.active = exchange
             self._serve(exchange)
             return
-        self.waiting.append(exchange)
+        self.pipelined.append(exchange)
 
-    # -- answers
+    # -- responses
     def write_answer(self, exchange: Exchange, status: int, body: bytes, content_type: bytes, extra: Headers) -> None:
         transport = self.transport
         if transport is None:
             return
-        ending = self.server.closing or self.server.crowded()
-        more = bool(self.waiting or self.ahead) or self.refusal is not None
-        keep = exchange.keep_alive and (more or not ending)
+        should_close = self.server.closing or self.server.exceeds_keep_alive_limit()
+        more = bool(self.pipelined or self.unparsed) or self.rejection is not None
+        keep = exchange.keep_alive and (more or not should_close)
         head = [b"HTTP/1.1 %d %s\r\ncontent-length: %d\r\n" % (status, REASONS.get(status, b"-"), len(body))]
         if content_type:
             head.append(b"content-type: %s\r\n" % content_type)
@@ -440,49 +452,49 @@
             head.append(body)
         transport.write(b"".join(head))
         self.active = None
-        self.since = self.loop.time()
+        self.phase_started_at = self.loop.time()
         if not keep:
-            self.waiting.clear()  # requests behind the last answer were never taken
+            self.pipelined.clear()  # later requests are not served
             self._linger()
         elif more:
-            self.loop.call_soon(self._next)
+            self.loop.call_soon(self._serve_next)
 
-    def _next(self) -> None:
+    def _serve_next(self) -> None:
         if self.active is not None or self.transport is None or self.lingering:
             return
-        if self.waiting:
-            self.active = self.waiting.popleft()
-            if len(self.waiting) < MOST_WAITING // 2:
-                self._read_on()
+        if self.pipelined:
+            self.active = self.pipelined.popleft()
+            if len(self.pipelined) < MAX_PIPELINED // 2:
+                self._parse_buffered()
             self._serve(self.active)
-        elif self.refusal is not None:
-            self.refuse(*self.refusal)
-        elif self.ahead:
-            self._read_on()
+        elif self.rejection is not None:
+            self.reject(*self.rejection)
+        elif self.unparsed:
+            self._parse_buffered()
 
     def _serve(self, exchange: Exchange) -> None:
-        """A handler that breaks costs its own request an error, and nobody else anything."""
+        """Calls the handler. An exception fails only its own request, with a status of 500."""
         try:
             self.server.handler(exchange)
         except Exception as err:
-            self.loop.call_exception_handler({"message": "a handler broke", "exception": err})
+            self.loop.call_exception_handler({"message": "the request handler raised an exception", "exception": err})
             exchange.respond(500, b"internal error", b"text/plain")
 
-    def refuse(self, status: int, text: bytes) -> None:
-        """Answers what cannot be read, once, and closes; after the answers to what was read before it."""
+    def reject(self, status: int, text: bytes) -> None:
+        """Rejects invalid input once and closes the connection, after the responses to earlier requests."""
         if self.lingering or self.transport is None or self.transport.is_closing():
             return
-        self.refusal = self.refusal or (status, text)
-        if self.holds():
+        self.rejection = self.rejection or (status, text)
+        if self.has_open_requests():
             return
         head = b"HTTP/1.1 %d %s\r\ncontent-length: %d\r\ncontent-type: text/plain\r\nconnection: close\r\n\r\n"
         self.transport.write(head % (status, REASONS[status], len(text)) + text)
         self._linger()
 
     def close_if_idle(self) -> None:
-        """Closes it between requests. One whose next request arrives in this very turn is read first."""
-        busy = self.holds() or self.reading or self.lingering
-        if not busy and self.transport and not self.arriving():
+        """Closes the connection if it is between requests and has no unread input."""
+        busy = self.has_open_requests() or self.reading or self.lingering
+        if not busy and self.transport and not self.has_unread_input():
             self.transport.close()
 
     def abort(self) -> None:
@@ -491,17 +503,21 @@
 
     def sweep(self, now: float) -> None:
         limits = self.server.limits
-        if self.blocked_since is not None and now - self.blocked_since > limits.read_timeout_s:
-            self.abort()  # it does not read what it asked for
+        if self.write_blocked_since is not None and now - self.write_blocked_since > limits.read_timeout_s:
+            self.abort()  # the client does not read its response
         elif self.lingering:
-            pass  # it has its own bounds
-        elif self.reading and not self.holds() and now - self.since > limits.read_timeout_s:
-            self.refuse(408, b"the request took too long to arrive")
-        elif now - self.since > (limits.idle_timeout_s if self.asked else limits.first_byte_timeout_s):
+            pass  # the lingering close has its own bounds
+        elif self.reading and not self.has_open_requests() and now - self.phase_started_at > limits.read_timeout_s:
+            self.reject(408, b"the request took too long to arrive")
+        elif now - self.phase_started_at > (
+            limits.idle_timeout_s if self.has_received_request else limits.first_byte_timeout_s
+        ):
             self.close_if_idle()
 
 
-class _TooMuch(Exception):
+class _RequestError(Exception):
+    """A request that is rejected while it is parsed, with the status and text of the response."""
+
     def __init__(self, status: int, text: bytes) -> None:
         super().__init__(text)
         self.status, self.text = status, text
--- a/badgerbend/net/udp.py
+++ b/badgerbend/net/udp.py
@@ -1,4 +1,4 @@
-"""A UDP socket whose datagrams are sealed. Who sends is part of the seal: a sender's address, as others reach it."""
+"""A UDP socket whose datagrams are sealed. The seal covers the sender's address, as others reach it."""
 
 from __future__ import annotations
 
@@ -12,16 +12,20 @@
 
 
 def address_text(address: Address) -> str:
-    """As HOST:PORT."""
+    """The address as HOST:PORT."""
     return f"{address[0]}:{address[1]}"
 
 
 def sender_id(address: Address) -> bytes:
+    """The sender that the seal of a datagram from this address covers."""
     return address_text(address).encode()
 
 
 class SealedSocket(asyncio.DatagramProtocol):
-    """`body` is called with each datagram whose seal is good. `own`: the address under which others know this one."""
+    """Calls `body` with the body of each datagram whose seal is valid.
+
+    own_address: the address where others reach this socket.
+    """
 
     def __init__(self, sealer: DatagramSealer) -> None:
         self.sealer = sealer
@@ -31,32 +35,36 @@
         self.received = self.refused = self.sent = self.bytes = 0
 
     async def open(self, host: str, port: int) -> int:
-        """Binds; returns the port. Raises OSError."""
+        """Binds the socket; returns the port. Raises OSError."""
         await self.loop.create_datagram_endpoint(lambda: self, (host, port))
         assert self.transport is not None
         bound = int(self.transport.get_extra_info("sockname")[1])
         self.own_address = (host, bound)
         return bound
 
-    def send(self, address: Address, body: bytes, still: Callable[[], bool] | None = None) -> None:
-        """still: asked once all else is done, so that a process that stood still in between says nothing."""
+    def send(self, address: Address, body: bytes, still_valid: Callable[[], bool] | None = None) -> None:
+        """Seals and sends a body. still_valid: called last; if it returns False, nothing is sent.
+
+        A process that was paused in between thus sends nothing that is no longer true.
+        """
         if self.transport is None:
             return
         data = self.sealer.seal(body, sender_id(self.own_address))
-        if still is not None and not still():
+        if still_valid is not None and not still_valid():
             return
         self.sent += 1
         self.bytes += len(data)
         self.transport.sendto(data, address)
 
     def body(self, body: bytes, source: Address) -> None:
+        """Handles the body of a datagram whose seal is valid."""
         raise NotImplementedError
 
     def close_socket(self) -> None:
         if self.transport is not None:
             self.transport.close()
 
-    # -- asyncio's side
+    # -- callbacks of asyncio
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
@@ -71,4 +79,4 @@
         self.body(body, source)
 
     def error_received(self, exc: Exception) -> None:
-        """A port that nobody listens on: the protocols' own time-outs tell of it."""
+        """Ignores errors, as of a port that nobody listens on; the timeouts of the protocols cover them."""
--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -84,7 +84,7 @@
     senders = [f"10.123.{i // 256}.{i % 256}:7946".encode() for i in range(brokers + replaced)]
     for sender in senders:
         receiver.open(DatagramSealer((KEY,), 2).seal(b"ping", sender), sender)
-    return sum(sender in receiver.seen for sender in senders[:brokers]) / brokers
+    return sum(sender in receiver.senders for sender in senders[:brokers]) / brokers
 
 
 def record_of_all_read(nodes: int) -> bool:
--- a/tests/test_acceptor.py
+++ b/tests/test_acceptor.py
@@ -1,4 +1,4 @@
-"""Connections are accepted through failures, and none that came in is reset as the listener closes."""
+"""Accepting continues after failures, and closing the listener resets no connection that is already established."""
 
 import asyncio
 import errno
@@ -14,15 +14,15 @@
 
 
 class FailingListener:
-    """A listening socket whose first calls of `accept` fail."""
+    """A listening socket whose first calls of `accept` fail with the given errors."""
 
     def __init__(self, listener, errors):
         self.listener, self.errors = listener, list(errors)
 
     def accept(self):
         if self.errors:
-            number = self.errors.pop(0)
-            raise OSError(number, os.strerror(number))
+            code = self.errors.pop(0)
+            raise OSError(code, os.strerror(code))
         return self.listener.accept()
 
     def fileno(self):
@@ -32,20 +32,20 @@
         self.listener.close()
 
 
-async def listening(errors=()):
-    loop, made = asyncio.get_running_loop(), []
+async def create_acceptor(errors=()):
+    loop, protocols = asyncio.get_running_loop(), []
     listener = await bound_socket(loop, "127.0.0.1", 0)
     listener.listen(16)
 
     def factory():
         protocol = asyncio.Protocol()
-        made.append(protocol)
+        protocols.append(protocol)
         return protocol
 
-    return acceptor.Acceptor(loop, FailingListener(listener, errors), factory), made, listener.getsockname()
+    return acceptor.Acceptor(loop, FailingListener(listener, errors), factory), protocols, listener.getsockname()
 
 
-MOMENTARY = (
+TRANSIENT_ERRORS = (
     "ECONNABORTED",
     "EINTR",
     "EMFILE",
@@ -59,35 +59,35 @@
 )
 
 
-@pytest.mark.parametrize("name", MOMENTARY)
-def test_a_connection_is_accepted_soon_after_a_failure(name):
+@pytest.mark.parametrize("name", TRANSIENT_ERRORS)
+def test_a_connection_is_accepted_soon_after_transient_failures(name):
     async def main():
-        accepting, made, address = await listening([getattr(errno, name)] * 3)
-        accepting.start()
+        subject, protocols, address = await create_acceptor([getattr(errno, name)] * 3)
+        subject.start()
         with socket.create_connection(address):
-            began = asyncio.get_running_loop().time()
-            await until(lambda: made)
-            assert asyncio.get_running_loop().time() - began < 0.5
-        accepting.close()
+            started_at = asyncio.get_running_loop().time()
+            await until(lambda: protocols)
+            assert asyncio.get_running_loop().time() - started_at < 0.5
+        subject.close()
 
     run(main)
 
 
 @pytest.mark.parametrize("errors", [[], [errno.ENFILE]])
-def test_what_has_connected_is_taken_as_the_listener_closes(errors):
+def test_established_connections_are_accepted_when_the_listener_closes(errors):
     async def main():
-        accepting, made, address = await listening(errors)
-        accepting.start()
+        subject, protocols, address = await create_acceptor(errors)
+        subject.start()
         clients = [socket.create_connection(address) for _ in range(10)]
-        accepting.close()
-        await until(lambda: len(made) == 10)
+        subject.close()
+        await until(lambda: len(protocols) == 10)
         for client in clients:
             client.close()
 
     run(main)
 
 
-def test_a_request_on_a_connection_that_was_not_accepted_yet_is_answered_as_the_server_closes():
+def test_a_request_on_a_connection_that_is_not_yet_accepted_is_answered_when_the_server_closes():
     async def main():
         server = HttpServer(lambda exchange: exchange.respond(200, b"ok", b"text/plain"), ServerLimits())
         port = await server.start("127.0.0.1", 0)
@@ -95,7 +95,9 @@
         client.send(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
         assert await server.close(1.0) == 0
         client.settimeout(1.0)
-        answer = client.recv(1000)  # with the loop at rest, as in a process that has ended
+        answer = client.recv(
+            1000
+        )  # blocks the loop, so only what was sent before arrives, as after the end of a process
         assert answer.startswith(b"HTTP/1.1 200")
         client.close()
 
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -25,7 +25,7 @@
 
     host, port = "x", 1
 
-    def request(self, data, on_reply, begin_by):
+    def request(self, data, on_reply, send_by):
         self.body = msgspec.json.decode(data.partition(b"\r\n\r\n")[2])
         self.reply = on_reply
         return SimpleNamespace(abort=lambda: None)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -115,7 +115,7 @@
             peer.answer()
             await to_the_end(sock)
             sock.send(GET % 2)
-            await until(lambda: connection.thrown)
+            await until(lambda: connection.discarded_bytes)
             sock.shutdown(socket.SHUT_WR)
             await until(lambda: not peer.server.connections)
             assert not peer.held
@@ -138,7 +138,7 @@
                 with contextlib.suppress(BlockingIOError, ConnectionError):
                     flooding.send(b"z" * 65_536)
                 await asyncio.sleep(0)
-            assert connection.thrown <= http.LINGER_BYTES + 262_144
+            assert connection.discarded_bytes <= http.LINGER_BYTES + 262_144
 
     run(main)
 
@@ -235,7 +235,7 @@
     async def main():
         async with Peer() as peer:
             sock, connection = await peer.client((GET % 0) + (GET % 1) + b"noise\r\n\r\n")
-            await until(lambda: connection.refusal)
+            await until(lambda: connection.rejection)
             peer.answer()
             await until(lambda: peer.held)
             peer.answer()
@@ -255,7 +255,7 @@
             for n in range(901):
                 await until(lambda: peer.held)
                 assert len(peer.held) == 1
-                assert len(connection.waiting) < 200
+                assert len(connection.pipelined) < 200
                 assert peer.held[0].target == (b"/%d" % n if n < 900 else b"/last")
                 peer.answer()
             assert (await got).count(b"HTTP/1.1 200") == 901
@@ -292,13 +292,13 @@
             asking, oldest = await peer.client()
             _, resting = await peer.client()
             asking.send(GET % 1)
-            assert peer.server.make_room()
+            assert peer.server.evict_connection()
             assert resting.transport.is_closing()
             await until(lambda: peer.held)
             peer.answer()
-            assert peer.server.make_room()
+            assert peer.server.evict_connection()
             assert oldest.transport.is_closing()
-            assert not peer.server.make_room()  # the answer that is half written
+            assert not peer.server.evict_connection()  # the answer that is half written
             loop = asyncio.get_running_loop()
             size = 0
             while size < 8_000_000:
@@ -322,7 +322,7 @@
             for _ in range(200):
                 await asyncio.sleep(0)
                 most = max(most, held() - before)
-            assert 0 < most <= 10 + 4 * acceptor.ACCEPTS_A_TURN
+            assert 0 < most <= 10 + 4 * acceptor.MAX_ACCEPTS_PER_ITERATION
             for sock in flood:
                 sock.close()
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -119,7 +119,9 @@
             for n in (1, 2):
                 held.append(await asyncio.open_connection("127.0.0.1", s.port))
                 await until(lambda n=n: len(s.broker.server.connections) == n)
-                next(iter(s.broker.server.connections)).since -= 1.0 if n == 1 else 0.0  # the loop counts whole ms
+                next(iter(s.broker.server.connections)).phase_started_at -= (
+                    1.0 if n == 1 else 0.0
+                )  # the loop counts whole ms
             reader, writer = await asyncio.open_connection("127.0.0.1", s.port)
             with pytest.raises(ConnectionError):
                 if not await held[0][0].read():
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -232,12 +232,12 @@
             await until(lambda: len(s.service.server.connections) == 3)
             connections = list(s.service.server.connections)
             for connection in connections:
-                connection.since -= 2.1
+                connection.phase_started_at -= 2.1
             await until(lambda: len(s.service.server.connections) == 1)
             assert await silent[0].read() == b""
             assert (await half[0].read()).startswith(b"HTTP/1.1 408")
             for connection in connections:
-                connection.since -= 5.0
+                connection.phase_started_at -= 5.0
             await until(lambda: not s.service.server.connections)
             for _, writer in (silent, half, asked):
                 writer.close()
@@ -253,13 +253,13 @@
             _, writer = await asyncio.open_connection("127.0.0.1", s.port)
             await until(lambda: s.service.server.connections)
             (connection,) = s.service.server.connections
-            began = connection.since
+            began = connection.phase_started_at
             for piece in (b"POST /qu", b"ote/abc HT", b"TP/1.1\r\nHost"):
                 writer.write(piece)
                 await writer.drain()
                 await asyncio.sleep(0.01)
             await until(lambda: connection.reading)
-            assert connection.since == began
+            assert connection.phase_started_at == began
             writer.close()
 
     run(main)
--- a/tests/test_seal.py
+++ b/tests/test_seal.py
@@ -1,4 +1,4 @@
-"""Seals of datagrams: each is opened once, by a valid key, from the sender that closed it."""
+"""Sealed datagrams are accepted once, under a valid key, and only from the sender that sealed them."""
 
 import pytest
 from hypothesis import given
@@ -9,7 +9,7 @@
 KEYS = (b"k" * 16, b"n" * 16)
 
 
-def test_a_seal_is_opened_once_and_by_either_key_while_one_replaces_the_other():
+def test_a_datagram_is_opened_once_and_under_either_key_during_a_key_change():
     old = DatagramSealer(KEYS[:1], 10)
     both = DatagramSealer((KEYS[1], KEYS[0]), 10)
     new = DatagramSealer(KEYS[1:], 10)
@@ -29,37 +29,37 @@
     sealed = bytearray(ours.seal(body, b"a:1"))
     with pytest.raises(UnsealError):
         theirs.open(bytes(sealed), b"other:1")
-    place = data.draw(st.integers(0, len(sealed) - 1))
-    sealed[place] ^= data.draw(st.integers(1, 255))
+    position = data.draw(st.integers(0, len(sealed) - 1))
+    sealed[position] ^= data.draw(st.integers(1, 255))
     with pytest.raises(UnsealError):
         theirs.open(bytes(sealed), b"a:1")
     with pytest.raises(UnsealError):
-        theirs.open(bytes(sealed[:place]), b"a:1")
+        theirs.open(bytes(sealed[:position]), b"a:1")
 
 
 @given(st.permutations(range(30)))
-def test_datagrams_may_overtake_each_other_but_come_once(order):
+def test_reordered_datagrams_are_accepted_but_only_once(order):
     ours = DatagramSealer(KEYS[:1], 10)
     theirs = DatagramSealer(KEYS[:1], 10)
     sealed = [ours.seal(bytes([i]), b"a") for i in range(30)]
     assert [theirs.open(sealed[i], b"a")[0] for i in order] == list(order)
-    for one in sealed:
+    for datagram in sealed:
         with pytest.raises(UnsealError):
-            theirs.open(one, b"a")
+            theirs.open(datagram, b"a")
 
 
-def test_datagrams_of_an_earlier_run_are_rejected_and_a_later_run_begins_anew():
+def test_datagrams_of_an_earlier_incarnation_are_rejected_and_a_later_one_starts_its_own_counters():
     first = DatagramSealer(KEYS[:1], 10)
     second = DatagramSealer(KEYS[:1], 11)
     theirs = DatagramSealer(KEYS[:1], 1)
     early = [first.seal(b"x", b"a") for _ in range(3)]
     theirs.open(early[0], b"a")
     theirs.open(second.seal(b"y", b"a"), b"a")
-    with pytest.raises(UnsealError, match="earlier life"):
+    with pytest.raises(UnsealError, match="earlier incarnation"):
         theirs.open(early[1], b"a")
 
 
-def test_counters_far_behind_are_rejected():
+def test_a_counter_older_than_the_window_is_rejected():
     ours = DatagramSealer(KEYS[:1], 10)
     theirs = DatagramSealer(KEYS[:1], 10)
     first = ours.seal(b"x", b"a")
@@ -70,7 +70,7 @@
         theirs.open(first, b"a")
 
 
-def test_an_active_sender_keeps_its_counters_whoever_comes_after_it(monkeypatch):
+def test_new_senders_do_not_evict_the_counters_of_an_active_one(monkeypatch):
     monkeypatch.setattr("badgerbend.net.seal.MAX_SENDERS", 3)
     ours = DatagramSealer(KEYS[:1], 10)
     theirs = DatagramSealer(KEYS[:1], 10)
@@ -81,4 +81,4 @@
         ours.open(theirs.seal(b"ping", b"steady"), b"steady")
     with pytest.raises(UnsealError):
         ours.open(first, b"steady")  # a replay
-    assert len(ours.seen) == 3
+    assert len(ours.senders) == 3
