--- a/badgerbend/generations/manager.py
+++ b/badgerbend/generations/manager.py
@@ -45,7 +45,7 @@
     @property
     def cancelled_calls(self) -> int:
         """The number of calls to servers that were cancelled so far."""
-        return self._cancelled_by_closed + sum(generation.transport.called_off for generation in self.live)
+        return self._cancelled_by_closed + sum(generation.transport.cancelled_calls for generation in self.live)
 
     def activate(self, settings: Settings, graph: Subgraph) -> None:
         """Put a configuration in force. Called between two turns of the loop, and only where there is capacity."""
@@ -68,6 +68,6 @@
         """Close a draining generation that has nothing under way."""
         if generation in self.draining and generation.idle:
             self.draining.remove(generation)
-            self._cancelled_by_closed += generation.transport.called_off
+            self._cancelled_by_closed += generation.transport.cancelled_calls
             generation.close()
             self.on_drained()
--- a/badgerbend/graphql/fetch.py
+++ b/badgerbend/graphql/fetch.py
@@ -51,7 +51,7 @@
             b"badgerbend-broker: {broker}\r\nbadgerbend-time-left-ms: %d\r\ncontent-length: %d\r\n\r\n"
         ).replace(b"{broker}", str(broker).encode())
         self.texts: dict[tuple[Template, int], str] = {}
-        self.called_off = 0
+        self.cancelled_calls = 0
 
     def send(self, node: int, attempts: Sequence[Attempt]) -> None:
         pool = self.pool_of(node)
@@ -136,7 +136,7 @@
         if isinstance(flight, _Flight) and attempt in flight.attempts:
             flight.attempts.discard(attempt)
             if not flight.attempts and flight.call is not None:
-                self.called_off += 1
+                self.cancelled_calls += 1
                 flight.call.abort()
 
     def begun(self, attempt: Attempt) -> bool:
