--- a/badgerbend/graphql/__init__.py
+++ b/badgerbend/graphql/__init__.py
@@ -1,1 +1,1 @@
-"""The GraphQL federation front, and the fetches to servers that are subgraphs themselves."""
+"""The GraphQL federation front end, and the requests to servers, which are subgraphs themselves."""
--- a/badgerbend/graphql/documents.py
+++ b/badgerbend/graphql/documents.py
@@ -1,7 +1,7 @@
-"""Documents parsed, validated and planned once, kept in a bounded cache.
+"""Parses, validates and plans documents once, and keeps the results in a bounded cache.
 
-A plan says for each root field which template its parts are fetched by. Limits are checked before the costly
-work: bytes by the HTTP front, nesting and tokens before parsing, fields while fragments are written out.
+The plan of a document has, for each root field, the template of the requests for its parts. Limits are checked before
+the costly work: bytes by the HTTP server, nesting and tokens before parsing, fields before fragments are expanded.
 """
 
 from __future__ import annotations
@@ -31,15 +31,16 @@
 from graphql.type import GraphQLField, GraphQLObjectType
 
 from badgerbend.config.settings import Documents, FieldMap
-from badgerbend.graphql.checks import Keys, is_number, object_keys
+from badgerbend.graphql.checks import MemberChecks, is_number, object_checks
 from badgerbend.graphql.schema import Subgraph
-from badgerbend.graphql.selection import MARK, TooLarge, Writer, answer_key
+from badgerbend.graphql.selection import ALIAS_PLACEHOLDER, DocumentTooLargeError, SelectionWriter, response_key
 
+# Aliases of fields that the broker adds to the requests to servers.
 RANK, TYPE, ROWS, IDENTITY = "_bb_rank", "_bb_type", "_bb_rows", "_bb_id"
 
 
-class Rejected(Exception):
-    """A request that is not executed: what the client is told."""
+class RequestRejectedError(Exception):
+    """A request that is not executed, with the errors for the client."""
 
     def __init__(self, errors: list[GraphQLError]) -> None:
         super().__init__(errors[0].message)
@@ -48,31 +49,37 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Template:
-    """A fetch's text, with MARK for its alias, and the variables that it needs: name, type, and whose they are."""
+    """The text of a fetch, with ALIAS_PLACEHOLDER for its alias, and the names and types of its variables."""
 
     text: str
-    declared: tuple[tuple[str, str], ...]  # arguments of the field, a_name
-    passed: tuple[tuple[str, str], ...]  # the client's variables, v_name
+    argument_types: tuple[tuple[str, str], ...]  # for arguments of the field, sent as a_NAME
+    variable_types: tuple[tuple[str, str], ...]  # for the client's variables, sent as v_NAME
     mutation: bool = False
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class RootField:
-    key: str  # its name in the answer
+    """A root field of a document, and how it is fetched."""
+
+    key: str  # in the response
     node: FieldNode
-    conditions: tuple[tuple[bool, ValueNode], ...]  # @include (True) and @skip (False) above and at it
+    conditions: tuple[
+        tuple[bool, ValueNode], ...
+    ]  # @include (True) and @skip (False) on it and its enclosing fragments
     definition: GraphQLField
-    mapped: FieldMap | None  # None: `_service`, `_entities`, introspection
+    field_map: FieldMap | None  # None for `_service`, `_entities` and introspection
     template: Template | None
     detail: Template | None = None
     detail_keys: tuple[str, ...] = ()
-    checks: Keys = ()
-    direct: bool = False  # the checks cover all of a row: what passed them is the answer
-    arguments: dict[str, Any] | None = None  # where no variable has a say in them
+    checks: MemberChecks = ()
+    direct: bool = False  # the checks cover a row completely: rows that pass need no executor
+    arguments: dict[str, Any] | None = None  # None if they depend on variables
 
 
 @dataclass(frozen=True, slots=True, eq=False)
-class Prepared:
+class PreparedDocument:
+    """A validated document, the operation to execute and its planned root fields."""
+
     document: DocumentNode
     operation: OperationDefinitionNode
     fields: tuple[RootField, ...]
@@ -80,73 +87,73 @@
 
 
 class DocumentCache:
-    """Prepared documents by text and operation name, the least lately used dropped first."""
+    """Prepared documents by text and operation name; the least recently used one is evicted first."""
 
     def __init__(self, subgraph: Subgraph, limits: Documents) -> None:
         self.subgraph, self.limits = subgraph, limits
-        self.kept: OrderedDict[tuple[str, str | None], Prepared | Rejected] = OrderedDict()
+        self.entries: OrderedDict[tuple[str, str | None], PreparedDocument | RequestRejectedError] = OrderedDict()
         self.misses = 0
 
-    def get(self, text: str, operation: str | None) -> Prepared:
-        """Raises Rejected for a document that cannot be executed; that is kept too."""
+    def get(self, text: str, operation: str | None) -> PreparedDocument:
+        """Prepares a document or returns it from the cache. Raises RequestRejectedError, which is cached too."""
         key = (text, operation)
-        found = self.kept.get(key)
+        found = self.entries.get(key)
         if found is None:
             self.misses += 1
             try:
                 found = self._prepare(text, operation)
-            except Rejected as err:
+            except RequestRejectedError as err:
                 found = err
-            self.kept[key] = found
-            if len(self.kept) > self.limits.cached:
-                self.kept.popitem(last=False)
+            self.entries[key] = found
+            if len(self.entries) > self.limits.cached:
+                self.entries.popitem(last=False)
         else:
-            self.kept.move_to_end(key)
-        if isinstance(found, Rejected):
-            raise Rejected(found.errors)
+            self.entries.move_to_end(key)
+        if isinstance(found, RequestRejectedError):
+            raise RequestRejectedError(found.errors)
         return found
 
-    def _prepare(self, text: str, name: str | None) -> Prepared:
+    def _prepare(self, text: str, name: str | None) -> PreparedDocument:
         check_nesting(text, 4 * self.limits.max_depth)
         try:
             document = parse(text, max_tokens=self.limits.max_tokens)
         except GraphQLError as err:
-            raise Rejected([err]) from err
+            raise RequestRejectedError([err]) from err
         except RecursionError as err:
-            raise Rejected([GraphQLError("the document is nested too deep")]) from err
+            raise RequestRejectedError([GraphQLError("the document is nested too deep")]) from err
         operation = _operation(document, name)
         fragments = {d.name.value: d for d in document.definitions if isinstance(d, FragmentDefinitionNode)}
-        writer = Writer(fragments, self.limits)
+        writer = SelectionWriter(fragments, self.limits)
         try:
-            _bounded(document, fragments, self.limits)
+            _check_field_count(document, fragments, self.limits)
             errors = validate(self.subgraph.schema, document, max_errors=20)
             if errors:
-                raise Rejected(errors)
+                raise RequestRejectedError(errors)
             mutation = operation.operation == OperationType.MUTATION
             if operation.operation == OperationType.SUBSCRIPTION:
-                raise Rejected([GraphQLError("subscriptions are not served", operation)])
-            roots = self._roots(operation, writer)
+                raise RequestRejectedError([GraphQLError("subscriptions are not served", operation)])
+            roots = self._root_fields(operation, writer)
             if len(roots) > self.limits.max_root_fields:
-                raise TooLarge(f"more than {self.limits.max_root_fields} root fields")
+                raise DocumentTooLargeError(f"more than {self.limits.max_root_fields} root fields")
             planner = _Planner(self.subgraph, writer, operation, mutation)
             merged: dict[str, list[tuple[FieldNode, tuple[tuple[bool, ValueNode], ...]]]] = {}
             for node, conditions in roots:
-                merged.setdefault(answer_key(node), []).append((node, conditions))
-            fields = tuple(planner.plan(key, pieces) for key, pieces in merged.items())
-        except TooLarge as err:
-            raise Rejected([GraphQLError(str(err))]) from err
+                merged.setdefault(response_key(node), []).append((node, conditions))
+            fields = tuple(planner.plan(key, occurrences) for key, occurrences in merged.items())
+        except DocumentTooLargeError as err:
+            raise RequestRejectedError([GraphQLError(str(err))]) from err
         if not self.limits.introspection and any(f.node.name.value in ("__schema", "__type") for f in fields):
-            raise Rejected([GraphQLError("introspection is turned off")])
-        return Prepared(document, operation, fields, mutation)
+            raise RequestRejectedError([GraphQLError("introspection is turned off")])
+        return PreparedDocument(document, operation, fields, mutation)
 
-    def _roots(
-        self, operation: OperationDefinitionNode, writer: Writer
+    def _root_fields(
+        self, operation: OperationDefinitionNode, writer: SelectionWriter
     ) -> list[tuple[FieldNode, tuple[tuple[bool, ValueNode], ...]]]:
         found: list[tuple[FieldNode, tuple[tuple[bool, ValueNode], ...]]] = []
 
-        def walk(selections: SelectionSetNode, above: tuple[tuple[bool, ValueNode], ...]) -> None:
+        def walk(selections: SelectionSetNode, enclosing: tuple[tuple[bool, ValueNode], ...]) -> None:
             for item in selections.selections:
-                conditions = above + tuple(
+                conditions = enclosing + tuple(
                     (d.name.value == "include", a.value)
                     for d in item.directives or ()
                     for a in d.arguments or ()
@@ -155,7 +162,7 @@
                 if isinstance(item, FieldNode):
                     found.append((item, conditions))
                     if len(found) > self.limits.max_fields:
-                        raise TooLarge(f"more than {self.limits.max_fields} fields, fragments written out")
+                        raise DocumentTooLargeError(f"more than {self.limits.max_fields} fields, fragments written out")
                 else:
                     walk(writer.fragment(item)[1], conditions)
 
@@ -163,14 +170,17 @@
         return found
 
 
-def check_nesting(text: str, most: int) -> None:
-    """Refuses brackets nested too deep before the recursive parser meets them. Strings only err to the safe side."""
+def check_nesting(text: str, max_depth: int) -> None:
+    """Rejects brackets nested too deep, before the recursive parser reads them.
+
+    Brackets within strings count too; an opening one can only make the check stricter.
+    """
     depth = 0
     for char in text:
         if char in "{[(":
             depth += 1
-            if depth > most:
-                raise Rejected([GraphQLError(f"the document is nested deeper than {most} brackets")])
+            if depth > max_depth:
+                raise RequestRejectedError([GraphQLError(f"the document is nested deeper than {max_depth} brackets")])
         elif char in "}])":
             depth -= 1
 
@@ -180,54 +190,65 @@
     if name is not None:
         found = [d for d in found if d.name and d.name.value == name]
         if not found:
-            raise Rejected([GraphQLError(f"there is no operation named {name}")])
+            raise RequestRejectedError([GraphQLError(f"there is no operation named {name}")])
     if len(found) != 1:
         what = "no operation" if not found else "several operations and no operationName"
-        raise Rejected([GraphQLError(f"the document has {what}")])
+        raise RequestRejectedError([GraphQLError(f"the document has {what}")])
     return found[0]
 
 
-def _bounded(document: DocumentNode, fragments: dict[str, FragmentDefinitionNode], limits: Documents) -> None:
-    """Counts fields with fragments written out, by sums a fragment, so that doubling spreads cost nothing here."""
+def _check_field_count(document: DocumentNode, fragments: dict[str, FragmentDefinitionNode], limits: Documents) -> None:
+    """Rejects documents with too many fields once fragments are expanded.
+
+    The size of each fragment is computed once, so that fragments which spread others twice cost no exponential time.
+    """
     sizes: dict[str, int] = {}
 
-    def size(node: SelectionSetNode | None, open_: tuple[str, ...]) -> int:
+    def size(node: SelectionSetNode | None, path: tuple[str, ...]) -> int:
         total = 0
         for item in node.selections if node else ():
-            spread = getattr(item, "name", None) if not isinstance(item, FieldNode) else None
-            if spread is not None:
-                key = spread.value
-                if key in open_:
-                    raise TooLarge(f"fragment {key} contains itself")
+            spread_name = getattr(item, "name", None) if not isinstance(item, FieldNode) else None
+            if spread_name is not None:
+                key = spread_name.value
+                if key in path:
+                    raise DocumentTooLargeError(f"fragment {key} contains itself")
                 if key not in sizes:
-                    sizes[key] = size(fragments[key].selection_set, (*open_, key)) if key in fragments else 0
+                    sizes[key] = size(fragments[key].selection_set, (*path, key)) if key in fragments else 0
                 total += sizes[key]
             else:
-                total += 1 + size(getattr(item, "selection_set", None), open_)
+                total += 1 + size(getattr(item, "selection_set", None), path)
         return total
 
-    whole = sum(size(d.selection_set, ()) for d in document.definitions if isinstance(d, OperationDefinitionNode))
-    if whole > limits.max_fields:
-        raise TooLarge(f"more than {limits.max_fields} fields, fragments written out")
+    total_fields = sum(
+        size(d.selection_set, ()) for d in document.definitions if isinstance(d, OperationDefinitionNode)
+    )
+    if total_fields > limits.max_fields:
+        raise DocumentTooLargeError(f"more than {limits.max_fields} fields, fragments written out")
 
 
 class _Planner:
-    """Turns root fields into templates."""
+    """Plans the root fields of one operation."""
 
-    def __init__(self, subgraph: Subgraph, writer: Writer, operation: OperationDefinitionNode, mutation: bool) -> None:
+    def __init__(
+        self, subgraph: Subgraph, writer: SelectionWriter, operation: OperationDefinitionNode, mutation: bool
+    ) -> None:
         self.subgraph, self.writer, self.mutation = subgraph, writer, mutation
         schema = subgraph.schema
         root = schema.mutation_type if mutation else schema.query_type
         assert root is not None
         self.root = root
-        self.types = {d.variable.name.value: print_ast(d.type) for d in operation.variable_definitions or ()}
-
-    def plan(self, key: str, pieces: list[tuple[FieldNode, tuple[tuple[bool, ValueNode], ...]]]) -> RootField:
-        node, conditions = pieces[0]
-        if any(c for _, c in pieces) and len(pieces) > 1:
-            raise Rejected([GraphQLError(f"{key} is selected more than once, with conditions", node)])
-        if len(pieces) > 1:
-            selections = tuple(s for n, _ in pieces for s in (n.selection_set.selections if n.selection_set else ()))
+        self.types_by_variable = {
+            d.variable.name.value: print_ast(d.type) for d in operation.variable_definitions or ()
+        }
+
+    def plan(self, key: str, occurrences: list[tuple[FieldNode, tuple[tuple[bool, ValueNode], ...]]]) -> RootField:
+        node, conditions = occurrences[0]
+        if any(c for _, c in occurrences) and len(occurrences) > 1:
+            raise RequestRejectedError([GraphQLError(f"{key} is selected more than once, with conditions", node)])
+        if len(occurrences) > 1:
+            selections = tuple(
+                s for n, _ in occurrences for s in (n.selection_set.selections if n.selection_set else ())
+            )
             node = FieldNode(
                 name=node.name,
                 alias=node.alias,
@@ -242,73 +263,83 @@
             schema_field = self.subgraph.schema.get_field(self.root, name)
             assert schema_field is not None
             return RootField(key, node, conditions, schema_field, None, None)
-        mapped = self.subgraph.fields.get(name)
-        if mapped is None:
-            template = self._entities(node) if name == "_entities" else None
+        field_map = self.subgraph.fields.get(name)
+        if field_map is None:
+            template = self._entities_template(node) if name == "_entities" else None
             return RootField(key, node, conditions, definition, None, template)
         if self.mutation:
-            return RootField(key, node, conditions, definition, mapped, self._mutation(node, definition))
-        wanted = self.writer.pick(node.selection_set, mapped.detail) if mapped.detail else []
-        template, checks, direct = self._rows(node, definition, mapped, wanted)
-        detail, keys = self._detail(definition, wanted)
-        fixed = None
+            return RootField(key, node, conditions, definition, field_map, self._mutation_template(node, definition))
+        detail_fields = self.writer.top_level_fields(node.selection_set, field_map.detail) if field_map.detail else []
+        template, checks, direct = self._rows_template(node, definition, field_map, detail_fields)
+        detail, keys = self._detail_template(definition, detail_fields)
+        constant_arguments = None
         if not any(_has_variable(a.value) for a in node.arguments or ()):
             try:
-                fixed = get_argument_values(definition, node)
+                constant_arguments = get_argument_values(definition, node)
             except GraphQLError as err:
-                raise Rejected([err]) from err
-        return RootField(key, node, conditions, definition, mapped, template, detail, keys, checks, direct, fixed)
+                raise RequestRejectedError([err]) from err
+        return RootField(
+            key, node, conditions, definition, field_map, template, detail, keys, checks, direct, constant_arguments
+        )
 
-    def _passed(self, names: set[str]) -> tuple[tuple[str, str], ...]:
-        return tuple((n, self.types[n]) for n in sorted(names))
+    def _variable_types(self, names: set[str]) -> tuple[tuple[str, str], ...]:
+        return tuple((n, self.types_by_variable[n]) for n in sorted(names))
 
-    def _rows(
-        self, node: FieldNode, definition: GraphQLField, mapped: FieldMap, wanted: list[FieldNode]
-    ) -> tuple[Template, Keys, bool]:
+    def _rows_template(
+        self, node: FieldNode, definition: GraphQLField, field_map: FieldMap, detail_fields: list[FieldNode]
+    ) -> tuple[Template, MemberChecks, bool]:
         row = get_named_type(definition.type)
         assert isinstance(row, GraphQLObjectType)
-        written = self.writer.write(node.selection_set, without=mapped.detail)
-        extra = f" {RANK}: {mapped.rank_by}" if mapped.rank_by else ""
-        extra += f" {IDENTITY}: id" if wanted else ""
-        own = {mapped.blocks, mapped.first_by}
-        declared = tuple((n, str(a.type)) for n, a in definition.args.items() if n not in own)
-        inner = ", ".join(f"{n}: ${MARK}a_{n}" for n, _ in declared)
-        body = (written.text or "__typename") + extra
+        selection = self.writer.write(node.selection_set, without=field_map.detail)
+        extra = f" {RANK}: {field_map.rank_by}" if field_map.rank_by else ""
+        extra += f" {IDENTITY}: id" if detail_fields else ""
+        broker_arguments = {field_map.blocks, field_map.first_by}
+        argument_types = tuple((n, str(a.type)) for n, a in definition.args.items() if n not in broker_arguments)
+        inner = ", ".join(f"{n}: ${ALIAS_PLACEHOLDER}a_{n}" for n, _ in argument_types)
+        body = (selection.text or "__typename") + extra
         text = (
-            f"{MARK}: _entities(representations: ${MARK}_r) {{ ... on {mapped.entity} "
-            f"{{ {ROWS}: {mapped.fetch}{f'({inner})' if inner else ''} {{ {body} }} }} }}"
+            f"{ALIAS_PLACEHOLDER}: _entities(representations: ${ALIAS_PLACEHOLDER}_r) {{ ... on {field_map.entity} "
+            f"{{ {ROWS}: {field_map.fetch}{f'({inner})' if inner else ''} {{ {body} }} }} }}"
         )
-        keys, direct = object_keys(row, node.selection_set, self.writer.fragments)
-        if wanted:
-            direct = False  # it comes in the second step
-            later = {answer_key(f) for f in wanted}
-            keys = tuple(k for k in keys if k[0] not in later)
-        if mapped.rank_by:
+        keys, direct = object_checks(row, node.selection_set, self.writer.fragments)
+        if detail_fields:
+            direct = False  # the detail is fetched in the second step
+            detail_keys = {response_key(f) for f in detail_fields}
+            keys = tuple(k for k in keys if k[0] not in detail_keys)
+        if field_map.rank_by:
             keys += ((RANK, is_number),)
-        return Template(text, declared, self._passed(written.variables)), keys, direct
+        return Template(text, argument_types, self._variable_types(selection.variables)), keys, direct
 
-    def _detail(self, definition: GraphQLField, wanted: list[FieldNode]) -> tuple[Template | None, tuple[str, ...]]:
-        if not wanted:
+    def _detail_template(
+        self, definition: GraphQLField, detail_fields: list[FieldNode]
+    ) -> tuple[Template | None, tuple[str, ...]]:
+        if not detail_fields:
             return None, ()
         row = get_named_type(definition.type)
-        keep = SelectionSetNode(selections=tuple(wanted))
-        written = self.writer.write(keep)
-        text = f"{MARK}: _entities(representations: ${MARK}_r) {{ ... on {row.name} {{ {written.text} }} }}"
-        keys = tuple(map(answer_key, wanted))
-        return Template(text, (), self._passed(written.variables)), keys
-
-    def _entities(self, node: FieldNode) -> Template:
-        written = self.writer.write(node.selection_set)
-        text = f"{MARK}: _entities(representations: ${MARK}_r) {{ {TYPE}: __typename {written.text} }}"
-        return Template(text, (), self._passed(written.variables))
-
-    def _mutation(self, node: FieldNode, definition: GraphQLField) -> Template:
-        written = self.writer.write(node.selection_set)
-        declared = tuple((n, str(a.type)) for n, a in definition.args.items())
-        inner = ", ".join(f"{n}: ${MARK}a_{n}" for n, _ in declared)
-        body = f" {{ {written.text} }}" if written.text else ""
-        text = f"{MARK}: {node.name.value}({inner}){body}"
-        return Template(text, declared, self._passed(written.variables), mutation=True)
+        detail_selections = SelectionSetNode(selections=tuple(detail_fields))
+        selection = self.writer.write(detail_selections)
+        text = (
+            f"{ALIAS_PLACEHOLDER}: _entities(representations: ${ALIAS_PLACEHOLDER}_r) "
+            f"{{ ... on {row.name} {{ {selection.text} }} }}"
+        )
+        keys = tuple(map(response_key, detail_fields))
+        return Template(text, (), self._variable_types(selection.variables)), keys
+
+    def _entities_template(self, node: FieldNode) -> Template:
+        selection = self.writer.write(node.selection_set)
+        text = (
+            f"{ALIAS_PLACEHOLDER}: _entities(representations: ${ALIAS_PLACEHOLDER}_r) "
+            f"{{ {TYPE}: __typename {selection.text} }}"
+        )
+        return Template(text, (), self._variable_types(selection.variables))
+
+    def _mutation_template(self, node: FieldNode, definition: GraphQLField) -> Template:
+        selection = self.writer.write(node.selection_set)
+        argument_types = tuple((n, str(a.type)) for n, a in definition.args.items())
+        inner = ", ".join(f"{n}: ${ALIAS_PLACEHOLDER}a_{n}" for n, _ in argument_types)
+        body = f" {{ {selection.text} }}" if selection.text else ""
+        text = f"{ALIAS_PLACEHOLDER}: {node.name.value}({inner}){body}"
+        return Template(text, argument_types, self._variable_types(selection.variables), mutation=True)
 
 
 def _has_variable(node: ValueNode) -> bool:
@@ -319,10 +350,10 @@
     return isinstance(node, VariableNode)
 
 
-def holds(conditions: tuple[tuple[bool, ValueNode], ...], variables: dict[str, Any]) -> bool:
-    """Whether a field with these conditions is in the answer."""
-    for wanted, node in conditions:
+def conditions_hold(conditions: tuple[tuple[bool, ValueNode], ...], variables: dict[str, Any]) -> bool:
+    """Whether a field with these conditions is in the response."""
+    for expected, node in conditions:
         value = variables.get(node.name.value) if isinstance(node, VariableNode) else getattr(node, "value", None)
-        if bool(value) != wanted:
+        if bool(value) != expected:
             return False
     return True
--- a/badgerbend/graphql/fetch.py
+++ b/badgerbend/graphql/fetch.py
@@ -1,7 +1,8 @@
-"""Fetches to servers: the parts of a call become one GraphQL request, and its answer each part's outcome.
+"""Fetches parts from servers: the parts of a call become one GraphQL request, whose response gives each part's outcome.
 
-Parts that share text and variables are several representations of one `_entities`; others are aliases beside it.
-An answer counts for a part only where it is what was asked for: as many entities, rows of the schema's types.
+Parts that share text and variables become several representations of one `_entities` field; the others become fields
+with aliases of their own. A response counts for a part only if it matches the request: the number of entities must be
+right, and the rows must be of the types in the schema.
 """
 
 from __future__ import annotations
@@ -12,24 +13,24 @@
 import msgspec
 
 from badgerbend.api import Outcome
-from badgerbend.graphql.checks import fits
+from badgerbend.graphql.checks import matches
 from badgerbend.graphql.documents import ROWS, Template
 from badgerbend.graphql.fields import Fetch
-from badgerbend.graphql.selection import MARK
+from badgerbend.graphql.selection import ALIAS_PLACEHOLDER
 from badgerbend.net.client import Call, CallResult, Pool, Reply
 from badgerbend.runtime.ports import Attempt
 
-NOT_RUN = b"badgerbend-not-run"  # a server's proof that it read nothing of the request
-_ENDS = {
+NOT_RUN = b"badgerbend-not-run"  # header by which a server proves that it ran nothing of the request
+_OUTCOMES = {
     CallResult.CONNECT_FAILED: Outcome.CONNECT_FAILED,
     CallResult.RESET: Outcome.RESET,
     CallResult.MALFORMED: Outcome.ERROR,
 }
-Ended = Callable[[Attempt, Outcome, object, tuple[float, ...]], None]
+AttemptEnded = Callable[[Attempt, Outcome, object, tuple[float, ...]], None]
 
 
-class _Flight:
-    """One call under way."""
+class _CallInFlight:
+    """A call, the attempts that still wait for it, and all of its attempts in groups, one for each alias."""
 
     __slots__ = ("attempts", "call", "groups")
 
@@ -42,7 +43,7 @@
     """The runtime's `Transport` over pools of HTTP connections."""
 
     def __init__(
-        self, pool_of: Callable[[int], Pool | None], ended: Ended, broker: int, report: tuple[str, ...]
+        self, pool_of: Callable[[int], Pool | None], ended: AttemptEnded, broker: int, report: tuple[str, ...]
     ) -> None:
         self.pool_of, self.ended, self.report = pool_of, ended, report
         self.head = (
@@ -55,72 +56,72 @@
 
     def send(self, node: int, attempts: Sequence[Attempt]) -> None:
         pool = self.pool_of(node)
-        if pool is None:  # the list has dropped it since
+        if pool is None:  # the server has been removed from the list in the meantime
             for attempt in attempts:
                 self.ended(attempt, Outcome.CONNECT_FAILED, None, ())
             return
-        reads = [a for a in attempts if not _fetch(a).template.mutation]
-        writes = [a for a in attempts if _fetch(a).template.mutation]
-        for some in (reads, writes):
-            if some:
-                self._request(pool, some)
+        queries = [a for a in attempts if not _payload(a).template.mutation]
+        mutations = [a for a in attempts if _payload(a).template.mutation]
+        for batch in (queries, mutations):
+            if batch:
+                self._request(pool, batch)
 
     def _request(self, pool: Pool, attempts: list[Attempt]) -> None:
         groups: dict[object, list[Attempt]] = {}
         for a in attempts:
-            fetch = _fetch(a)
-            own = a.part_id if fetch.template.mutation else (fetch.template, id(fetch.arguments))
-            groups.setdefault(own, []).append(a)
-        flight = _Flight(attempts, list(groups.values()))
-        body = self._body(flight.groups)
+            fetch = _payload(a)
+            group_key = a.part_id if fetch.template.mutation else (fetch.template, id(fetch.arguments))
+            groups.setdefault(group_key, []).append(a)
+        call_in_flight = _CallInFlight(attempts, list(groups.values()))
+        body = self._body(call_in_flight.groups)
         left = int(min(a.timeout_ms for a in attempts))
         head = self.head % (pool.host.encode(), pool.port, left, len(body))
         for a in attempts:
-            a.handle = flight
-        begin_by = min(a.begin_by_ms for a in attempts) / 1000.0
-        flight.call = pool.request(head + body, lambda reply: self._replied(flight, reply), begin_by)
+            a.handle = call_in_flight
+        send_by = min(a.begin_by_ms for a in attempts) / 1000.0
+        call_in_flight.call = pool.request(head + body, lambda reply: self._replied(call_in_flight, reply), send_by)
 
     def _body(self, groups: list[list[Attempt]]) -> bytes:
         declared, texts, parts = [], [], []
         variables: dict[str, Any] = {}
         for number, group in enumerate(groups):
-            fetch, alias = _fetch(group[0]), f"g{number}"
+            fetch, alias = _payload(group[0]), f"g{number}"
             template = fetch.template
             key = (template, number)
             text = self.texts.get(key)
             if text is None:
                 if len(self.texts) > 10_000:
                     self.texts.clear()
-                text = self.texts[key] = template.text.replace(MARK, alias)
+                text = self.texts[key] = template.text.replace(ALIAS_PLACEHOLDER, alias)
             texts.append(text)
             if not template.mutation:
                 declared.append(f"${alias}_r: [_Any!]!")
-                variables[f"{alias}_r"] = [r for a in group for r in _fetch(a).representations]
-            for sign, pairs in (("a", template.declared), ("v", template.passed)):
+                variables[f"{alias}_r"] = [r for a in group for r in _payload(a).representations]
+            for prefix, pairs in (("a", template.argument_types), ("v", template.variable_types)):
                 for name, kind in pairs:
-                    inner = f"{sign}_{name}"
-                    if inner in fetch.arguments:
-                        declared.append(f"${alias}{inner}: {kind}")
-                        variables[f"{alias}{inner}"] = fetch.arguments[inner]
-                    else:  # left out by the client: declared, so that the server's default holds
-                        declared.append(f"${alias}{inner}: {kind.rstrip('!')}")
+                    variable = f"{prefix}_{name}"
+                    if variable in fetch.arguments:
+                        declared.append(f"${alias}{variable}: {kind}")
+                        variables[f"{alias}{variable}"] = fetch.arguments[variable]
+                    else:  # omitted by the client: declared without a value, so that the server's default applies
+                        declared.append(f"${alias}{variable}: {kind.rstrip('!')}")
             for a in group:
-                mine = _fetch(a)
+                part = _payload(a)
                 parts.append(
                     {
                         "alias": alias,
-                        "count": len(mine.representations),
-                        "trace": mine.asked.trace,
+                        "count": len(part.representations),
+                        "trace": part.context.trace,
                         "query": a.query_id,
-                        "field": mine.field,
-                        "block": mine.block,
-                        "kind": mine.kind,
+                        "field": part.field,
+                        "block": part.block,
+                        "kind": part.kind,
                         "attempt": a.number,
-                        "retry": mine.asked.is_retry,
-                        "key": mine.asked.key,
+                        "retry": part.context.is_retry,
+                        "key": part.context.key,
                     }
                 )
-        kind = "mutation" if _fetch(groups[0][0]).template.mutation else "query"
+        kind = "mutation" if _payload(groups[0][0]).template.mutation else "query"
         head = f"({', '.join(declared)})" if declared else ""
         return msgspec.json.encode(
             {
@@ -131,50 +132,54 @@
         )
 
     def cancel(self, attempt: Attempt) -> None:
-        """Waits for this part no longer; the call is called off once nobody waits for any of its parts."""
-        flight = attempt.handle
-        if isinstance(flight, _Flight) and attempt in flight.attempts:
-            flight.attempts.discard(attempt)
-            if not flight.attempts and flight.call is not None:
+        """Stops waiting for this part; the call is cancelled once none of its parts is waited for."""
+        call_in_flight = attempt.handle
+        if isinstance(call_in_flight, _CallInFlight) and attempt in call_in_flight.attempts:
+            call_in_flight.attempts.discard(attempt)
+            if not call_in_flight.attempts and call_in_flight.call is not None:
                 self.cancelled_calls += 1
-                flight.call.abort()
+                call_in_flight.call.abort()
 
     def begun(self, attempt: Attempt) -> bool:
-        flight = attempt.handle
-        waits = isinstance(flight, _Flight) and flight.call is not None and flight.call.connection is None
-        return not waits
+        call_in_flight = attempt.handle
+        is_waiting = (
+            isinstance(call_in_flight, _CallInFlight)
+            and call_in_flight.call is not None
+            and call_in_flight.call.connection is None
+        )
+        return not is_waiting
 
     def close_idle(self, node: int) -> None:
         pool = self.pool_of(node)
         if pool is not None:
             pool.close_idle()
 
-    # -- answers
-    def _replied(self, flight: _Flight, reply: Reply) -> None:
-        live, flight.attempts = flight.attempts, set()
-        outcome = _ENDS.get(reply.result)
+    # -- responses
+    def _replied(self, call_in_flight: _CallInFlight, reply: Reply) -> None:
+        waiting, call_in_flight.attempts = call_in_flight.attempts, set()
+        outcome = _OUTCOMES.get(reply.result)
         answer: dict[str, Any] = {}
         if outcome is None:
             if reply.status in (429, 503) and NOT_RUN in reply.headers:
                 outcome = Outcome.REJECTED
             else:
-                answer = _decoded(reply) or {}
+                answer = _decode(reply) or {}
                 outcome = None if answer else Outcome.ERROR
         if outcome is not None:
-            for a in live:
+            for a in waiting:
                 self.ended(a, outcome, None, ())
             return
         report = self._report(answer)
         data = answer.get("data")
-        bad = _error_paths(answer.get("errors"))
-        for number, group in enumerate(flight.groups):
+        error_positions = _error_positions(answer.get("errors"))
+        for number, group in enumerate(call_in_flight.groups):
             alias = f"g{number}"
             found = data.get(alias) if isinstance(data, dict) else None
-            results = _results(group, found, bad.get(alias, set()) | bad.get(None, set()))
+            results = _results(group, found, error_positions.get(alias, set()) | error_positions.get(None, set()))
             for a, result in zip(group, results, strict=True):
-                if a in live:
-                    good = result is not _BAD
-                    self.ended(a, Outcome.OK if good else Outcome.ERROR, result if good else None, report)
+                if a in waiting:
+                    is_valid = result is not _INVALID
+                    self.ended(a, Outcome.OK if is_valid else Outcome.ERROR, result if is_valid else None, report)
 
     def _report(self, answer: dict[str, Any]) -> tuple[float, ...]:
         extensions = answer.get("extensions")
@@ -185,16 +190,16 @@
         return tuple(float(v) for v in values if isinstance(v, int | float)) if None not in values else ()
 
 
-_BAD = object()
+_INVALID = object()
 
 
-def _fetch(attempt: Attempt) -> Fetch:
+def _payload(attempt: Attempt) -> Fetch:
     payload = attempt.plan.payload
     assert isinstance(payload, Fetch)
     return payload
 
 
-def _decoded(reply: Reply) -> dict[str, Any] | None:
+def _decode(reply: Reply) -> dict[str, Any] | None:
     if reply.status != 200:
         return None
     try:
@@ -204,49 +209,52 @@
     return answer if isinstance(answer, dict) else None
 
 
-def _error_paths(errors: object) -> dict[object, set[object]]:
-    """By alias: the places in its list that have errors; None in a set: all of it. Key None: the whole answer."""
+def _error_positions(errors: object) -> dict[object, set[object]]:
+    """The positions that have errors in the list of each alias.
+
+    The position None stands for the whole list, the alias None for the whole response.
+    """
     out: dict[object, set[object]] = {}
     for error in errors if isinstance(errors, list) else ():
         path = error.get("path") if isinstance(error, dict) else None
         if isinstance(path, list) and path and isinstance(path[0], str):
-            place = path[1] if len(path) > 1 and isinstance(path[1], int) else None
-            out.setdefault(path[0], set()).add(place)
+            position = path[1] if len(path) > 1 and isinstance(path[1], int) else None
+            out.setdefault(path[0], set()).add(position)
         else:
             out.setdefault(None, set()).add(None)
     return out
 
 
-def _results(group: list[Attempt], found: object, bad: set[object]) -> list[object]:
-    """Each attempt's result, or _BAD where the answer cannot be counted for it."""
-    first = _fetch(group[0])
+def _results(group: list[Attempt], found: object, error_positions: set[object]) -> list[object]:
+    """The result of each attempt, _INVALID if the response does not count for it."""
+    first = _payload(group[0])
     if first.kind == "mutation":
-        return [_BAD if bad or found is None else found]
-    expected = sum(len(_fetch(a).representations) for a in group)
-    if not isinstance(found, list) or len(found) != expected or None in bad:
-        return [_BAD] * len(group)
+        return [_INVALID if error_positions or found is None else found]
+    expected = sum(len(_payload(a).representations) for a in group)
+    if not isinstance(found, list) or len(found) != expected or None in error_positions:
+        return [_INVALID] * len(group)
     out: list[object] = []
-    at = 0
+    start = 0
     for attempt in group:
-        fetch = _fetch(attempt)
+        fetch = _payload(attempt)
         size = len(fetch.representations)
-        mine = found[at : at + size]
-        if any(at + i in bad for i in range(size)):
-            out.append(_BAD)
+        values = found[start : start + size]
+        if any(start + i in error_positions for i in range(size)):
+            out.append(_INVALID)
         elif fetch.kind == "entities":
-            out.append(mine if all(m is None or isinstance(m, dict) for m in mine) else _BAD)
+            out.append(values if all(v is None or isinstance(v, dict) for v in values) else _INVALID)
         else:
-            out.append(_rows(mine[0], fetch))
-        at += size
+            out.append(_rows(values[0], fetch))
+        start += size
     return out
 
 
 def _rows(entity: object, fetch: Fetch) -> object:
     rows = entity.get(ROWS) if isinstance(entity, dict) else None
     if not isinstance(rows, list):
-        return _BAD
-    checks, size = fetch.checks, fetch.size
+        return _INVALID
+    checks, member_count = fetch.checks, fetch.member_count
     for row in rows:
-        if not fits(row, checks, size):
-            return _BAD
+        if not matches(row, checks, member_count):
+            return _INVALID
     return rows
--- a/badgerbend/graphql/fields.py
+++ b/badgerbend/graphql/fields.py
@@ -1,6 +1,6 @@
-"""Root fields as queries to the module: which parts, and how their answers become one value.
+"""Root fields as queries to the decision module: their parts, and how the results of these become one value.
 
-Each is a `Sink` of the runtime. It ends exactly once, by `done(field, value)`, where the value may be an error.
+Each is a `Sink` of the runtime. It ends exactly once, by `on_done(field, value)`, where the value may be an error.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 from graphql import GraphQLError, get_named_type
 
-from badgerbend.graphql.checks import Keys
+from badgerbend.graphql.checks import MemberChecks
 from badgerbend.graphql.documents import IDENTITY, RANK, RootField, Template
 from badgerbend.runtime.ports import PartPlan
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
-    """What of a client's request goes with each of its parts to the servers."""
+class RequestContext:
+    """Data of a client's request that each of its parts carries to the servers."""
 
     trace: str
     key: str | None
@@ -27,23 +27,23 @@
 
 @dataclass(slots=True, eq=False)
 class Fetch:
-    """A part's payload: what to ask a server for. `arguments` are shared by all parts of one query."""
+    """The payload of a part: what to request from a server. `arguments` are shared by all parts of one query."""
 
     template: Template
-    arguments: dict[str, Any]  # a_name, v_name
-    asked: Asked
+    arguments: dict[str, Any]  # by the names a_NAME and v_NAME
+    context: RequestContext
     representations: list[dict[str, Any]]
     block: int
     kind: str  # "rows", "entities", "mutation"
-    field: str  # the root field's name in the client's answer
-    checks: Keys = ()
-    size: int | None = None  # so many members a row has, where the checks cover all of it
-    places: tuple[int, ...] = ()  # entities: where each stands in the client's list
+    field: str  # key of the root field in the response to the client
+    checks: MemberChecks = ()
+    member_count: int | None = None  # of a row; None if the checks do not cover a row completely
+    positions: tuple[int, ...] = ()  # of entities: their positions in the client's list, or ids of the merged rows
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
-    """What an answer rests on, told in the response's extensions."""
+class Completeness:
+    """How many parts a result is based on, for the extensions of the response."""
 
     whole: bool
     parts: int
@@ -53,64 +53,66 @@
         return {"whole": self.whole, "parts": self.parts, "of": self.of}
 
 
-Done = Callable[["FieldQuery", object], None]
+DoneCallback = Callable[["FieldQuery", object], None]
 
 
 class FieldQuery:
-    """What all kinds of root fields have in common."""
+    """Base of the kinds of root fields."""
 
-    def __init__(self, root: RootField, parts: list[PartPlan], done: Done) -> None:
-        self.root, self.parts, self.done = root, parts, done
+    def __init__(self, root: RootField, parts: list[PartPlan], on_done: DoneCallback) -> None:
+        self.root, self.parts, self.on_done = root, parts, on_done
         self.query_id: int | None = None
         self.client_has_left: Callable[[], bool] = lambda: False
-        self.mark: Mark | None = None
-        self.advice_ms = 0.0
+        self.completeness: Completeness | None = None
+        self.retry_after_ms = 0.0
 
     def more(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
         return ()
 
     def answered(self, results: Sequence[tuple[PartPlan, object]], whole: bool) -> None:
-        self.mark = Mark(whole, len(results), len(self.parts))
-        self.done(self, self.merge(results))
+        self.completeness = Completeness(whole, len(results), len(self.parts))
+        self.on_done(self, self.merge(results))
 
     def merge(self, results: Sequence[tuple[PartPlan, object]]) -> object:
         raise NotImplementedError
 
     def refused(self, retry_after_ms: float) -> None:
-        self.advice_ms = retry_after_ms
+        self.retry_after_ms = retry_after_ms
         extensions: dict[str, Any] = {"code": "REFUSED"}
         if retry_after_ms > 0:
             extensions["retryAfterMs"] = round(retry_after_ms)
-        self.done(self, GraphQLError("refused; it is harmless to ask again", extensions=extensions))
+        self.on_done(self, GraphQLError("refused; it is harmless to ask again", extensions=extensions))
 
     def failed(self) -> None:
-        self.done(self, GraphQLError("failed; it may have taken effect", extensions={"code": "FAILED"}))
+        self.on_done(self, GraphQLError("failed; it may have taken effect", extensions={"code": "FAILED"}))
 
 
 class RowsField(FieldQuery):
-    """Rows of many blocks: ranked where the settings say so, else in the order of blocks; cut to `first`."""
+    """Rows of many blocks, ranked if the settings say so, else in the order of blocks; limited to `first`."""
 
-    def __init__(self, root: RootField, parts: list[PartPlan], done: Done, first: int | None, second_step: int) -> None:
-        super().__init__(root, parts, done)
+    def __init__(
+        self, root: RootField, parts: list[PartPlan], on_done: DoneCallback, first: int | None, second_step: int
+    ) -> None:
+        super().__init__(root, parts, on_done)
         self.first, self.second_step = first, second_step
         self.rows: list[dict[str, Any]] = []
-        self.counted = (0, 0)
+        self.first_step_counts = (0, 0)  # parts that were answered, and all parts
 
     def merge(self, results: Sequence[tuple[PartPlan, object]]) -> object:
-        if self.counted[1]:  # a second step: details go into the rows that were merged before
-            by_place = {id(row): row for row in self.rows}
+        if self.first_step_counts[1]:  # the second step: details go into the rows of the first
+            rows_by_id = {id(row): row for row in self.rows}
             for plan, result in results:
                 fetch = plan.payload
                 assert isinstance(fetch, Fetch)
                 assert isinstance(result, list)
-                for place, found in zip(fetch.places, result, strict=True):
-                    if found is not None and place in by_place:
-                        by_place[place].update({k: found.get(k) for k in self.root.detail_keys})
-            assert self.mark is not None
-            self.mark = Mark(self.mark.whole, *self.counted)
+                for row_id, found in zip(fetch.positions, result, strict=True):
+                    if found is not None and row_id in rows_by_id:
+                        rows_by_id[row_id].update({k: found.get(k) for k in self.root.detail_keys})
+            assert self.completeness is not None
+            self.completeness = Completeness(self.completeness.whole, *self.first_step_counts)
         else:
             self.rows = self._ranked(results)
-        if self.root.direct and self.root.mapped and self.root.mapped.rank_by:
+        if self.root.direct and self.root.field_map and self.root.field_map.rank_by:
             for row in self.rows:
                 del row[RANK]
         return self.rows
@@ -121,38 +123,42 @@
         for _, result in ordered:
             assert isinstance(result, list)
             rows += result
-        assert self.root.mapped is not None
-        if self.root.mapped.rank_by:
-            rows.sort(key=lambda row: row[RANK])  # stable: ties stay in the order of blocks
+        assert self.root.field_map is not None
+        if self.root.field_map.rank_by:
+            rows.sort(key=lambda row: row[RANK])  # stable: ties keep the order of blocks
         return rows if self.first is None else rows[: self.first]
 
     def more(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
-        """Details of the best rows, from so many blocks that answered as the class's second step has parts."""
+        """Fetches details of the best rows, from at most as many blocks as the second step of the class has parts."""
         if self.root.detail is None or not results:
             return ()
         self.rows = self._ranked(results)
-        asked = results[0][0].payload
-        assert isinstance(asked, Fetch)
-        assert self.root.mapped is not None
+        first_fetch = results[0][0].payload
+        assert isinstance(first_fetch, Fetch)
+        assert self.root.field_map is not None
         shards = {plan.payload.block: plan.shard for plan, _ in results}  # type: ignore[attr-defined]
-        chosen: dict[int, list[dict[str, Any]]] = {}
+        rows_by_block: dict[int, list[dict[str, Any]]] = {}
         for row in self.rows:
             block = block_of(row.get(IDENTITY))
-            if block is not None and block in shards and (block in chosen or len(chosen) < self.second_step):
-                chosen.setdefault(block, []).append(row)
-        if not chosen:
+            if (
+                block is not None
+                and block in shards
+                and (block in rows_by_block or len(rows_by_block) < self.second_step)
+            ):
+                rows_by_block.setdefault(block, []).append(row)
+        if not rows_by_block:
             return ()
-        self.counted = (len(results), len(self.parts))
+        self.first_step_counts = (len(results), len(self.parts))
         name = get_named_type(self.root.definition.type).name
         return [
             PartPlan(
                 shards[block],
-                1 / len(chosen),
+                1 / len(rows_by_block),
                 None,
                 Fetch(
                     self.root.detail,
-                    asked.arguments,
-                    asked.asked,
+                    first_fetch.arguments,
+                    first_fetch.context,
                     [{"__typename": name, "id": row[IDENTITY]} for row in rows],
                     block,
                     "entities",
@@ -162,15 +168,15 @@
                     tuple(id(row) for row in rows),
                 ),
             )
-            for block, rows in chosen.items()
+            for block, rows in rows_by_block.items()
         ]
 
 
 class EntitiesField(FieldQuery):
-    """`_entities`: each representation goes to its block's shard, answers go back to their places."""
+    """`_entities`: each representation goes to the shard of its block; the results keep the client's order."""
 
-    def __init__(self, root: RootField, parts: list[PartPlan], done: Done, count: int) -> None:
-        super().__init__(root, parts, done)
+    def __init__(self, root: RootField, parts: list[PartPlan], on_done: DoneCallback, count: int) -> None:
+        super().__init__(root, parts, on_done)
         self.count = count
 
     def merge(self, results: Sequence[tuple[PartPlan, object]]) -> object:
@@ -179,16 +185,16 @@
             fetch = plan.payload
             assert isinstance(fetch, Fetch)
             assert isinstance(result, list)
-            for place, found in zip(fetch.places, result, strict=True):
-                out[place] = found
+            for position, found in zip(fetch.positions, result, strict=True):
+                out[position] = found
         return out
 
 
 class MutationField(FieldQuery):
-    """A mutation: one part for each block that it names; the value is the one block's, or a list of all."""
+    """A mutation with one part for each block that it names; its value is that of the block, or a list for many."""
 
-    def __init__(self, root: RootField, parts: list[PartPlan], done: Done, many: bool) -> None:
-        super().__init__(root, parts, done)
+    def __init__(self, root: RootField, parts: list[PartPlan], on_done: DoneCallback, many: bool) -> None:
+        super().__init__(root, parts, on_done)
         self.many = many
 
     def merge(self, results: Sequence[tuple[PartPlan, object]]) -> object:
@@ -197,6 +203,6 @@
 
 
 def block_of(key: object) -> int | None:
-    """The block that an entity's key begins with, as "17:3"; None for a key of another form."""
+    """The block with which the key of an entity begins, as 17 in "17:3"; None for a key of another form."""
     head = str(key).split(":", 1)[0]
     return int(head) if head.isascii() and head.isdigit() and len(head) < 10 else None
--- a/badgerbend/graphql/schema.py
+++ b/badgerbend/graphql/schema.py
@@ -1,4 +1,4 @@
-"""The subgraph that a broker is: the operator's types, with what federation adds (`_service`, `_entities`, `_Any`)."""
+"""The subgraph that a broker serves: the operator's types and those of federation (`_service`, `_entities`, `_Any`)."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from badgerbend.config.settings import EntityMap, FieldMap, Settings
 
 LINK = 'extend schema @link(url: "https://specs.apollo.dev/federation/v2.3", import: ["@key", "@shareable"])\n'
-DEFINITIONS = """
+FEDERATION_DEFINITIONS = """
 directive @link(url: String!, as: String, for: link__Purpose, import: [link__Import]) repeatable on SCHEMA
 directive @key(fields: federation__FieldSet!, resolvable: Boolean = true) repeatable on OBJECT | INTERFACE
 directive @shareable repeatable on OBJECT | FIELD_DEFINITION
@@ -36,27 +36,29 @@
 
 
 class SchemaError(Exception):
-    """The schema and the settings do not fit together; the text says what is wrong."""
+    """The schema is invalid or does not match the settings; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Subgraph:
+    """A schema, and the settings of its root fields and entities."""
+
     schema: GraphQLSchema
-    sdl: str  # what `_service` answers and `badgerbend sdl` prints
+    sdl: str  # the result of `_service`, and what `badgerbend sdl` prints
     fields: dict[str, FieldMap]  # root fields by name
     entities: dict[str, EntityMap]  # by type name
-    text: str  # the operator's types, as they were read
+    text: str  # the operator's types, as read
 
 
 def build_subgraph(text: str, entity_types: list[str]) -> tuple[GraphQLSchema, str]:
-    """The schema of types with their federation fields, and the document for routers. Raises SchemaError."""
+    """Builds the schema of the types with the federation fields, and the SDL for routers. Raises SchemaError."""
     try:
         document = parse(text)
         sdl = LINK + print_ast(document) + "\n"
-        extra = DEFINITIONS + "extend type Query { _service: _Service! }\n"
-        keyed = _keyed(document)
+        extra = FEDERATION_DEFINITIONS + "extend type Query { _service: _Service! }\n"
+        types_with_key = _types_with_key(document)
         for name in entity_types:
-            if name not in keyed:
+            if name not in types_with_key:
                 raise SchemaError(f"entity {name} has no @key in the schema")
         if entity_types:
             extra += f"union _Entity = {' | '.join(entity_types)}\n"
@@ -64,12 +66,12 @@
         schema = build_schema(text + "\nextend schema " + LINK.removeprefix("extend schema ") + extra)
     except GraphQLError as err:
         raise SchemaError(str(err)) from err
-    except TypeError as err:  # how graphql-core reports a schema that does not hold together
+    except TypeError as err:  # by which graphql-core reports an inconsistent schema
         raise SchemaError(str(err)) from err
     return schema, sdl
 
 
-def _keyed(document: DocumentNode) -> set[str]:
+def _types_with_key(document: DocumentNode) -> set[str]:
     return {
         d.name.value
         for d in document.definitions
@@ -78,7 +80,7 @@
 
 
 def create_subgraph(settings: Settings, text: str) -> Subgraph:
-    """The broker's own subgraph; every root field must have its settings and these must fit the types."""
+    """Creates the subgraph of a broker. Raises SchemaError unless the settings cover and match every root field."""
     schema, sdl = build_subgraph(text, [e.name for e in settings.entity])
     fields = {f.name: f for f in settings.field}
     seen = set()
@@ -102,27 +104,34 @@
     return Subgraph(schema, sdl, fields, {e.name: e for e in settings.entity}, text)
 
 
-def _check(schema: GraphQLSchema, mapped: FieldMap, field: GraphQLField, mutation: bool) -> None:
-    def must(holds: bool, problem: str) -> None:
-        if not holds:
-            raise SchemaError(f"field {mapped.name}: {problem}")
+def _check(schema: GraphQLSchema, field_map: FieldMap, field: GraphQLField, mutation: bool) -> None:
+    def require(condition: bool, problem: str) -> None:
+        if not condition:
+            raise SchemaError(f"field {field_map.name}: {problem}")
 
-    must(mapped.blocks in field.args, f"has no argument {mapped.blocks}")
-    must(not isinstance(field.type, GraphQLNonNull), "must be nullable, or one refusal would void the others")
+    require(field_map.blocks in field.args, f"has no argument {field_map.blocks}")
+    require(
+        not isinstance(field.type, GraphQLNonNull),
+        "must be nullable, or one rejected field would make the whole result null",
+    )
     row = get_named_type(field.type)
     if mutation:
-        must(not mapped.fetch, "a mutation takes no fetch")
-        must(not mapped.rank_by and not mapped.detail, "a mutation takes no rank-by and no detail")
+        require(not field_map.fetch, "a mutation takes no fetch")
+        require(not field_map.rank_by and not field_map.detail, "a mutation takes no rank-by and no detail")
         return
-    must(is_list_type(field.type), "must be a list of rows")
-    must(isinstance(row, GraphQLObjectType | GraphQLInterfaceType), "must be a list of objects")
+    require(is_list_type(field.type), "must be a list of rows")
+    require(isinstance(row, GraphQLObjectType | GraphQLInterfaceType), "must be a list of objects")
     assert isinstance(row, GraphQLObjectType | GraphQLInterfaceType)
-    must(mapped.fetch is not None, "fetch is missing")
-    must(mapped.first_by is None or mapped.first_by in field.args, f"has no argument {mapped.first_by}")
-    for name in filter(None, (mapped.rank_by, mapped.detail)):
-        must(name in row.fields, f"{row.name} has no field {name}")
-    if mapped.rank_by:
-        must(is_leaf_type(get_named_type(row.fields[mapped.rank_by].type)), f"{mapped.rank_by} is no number")
-    if mapped.detail:
-        must("id" in row.fields, f"{row.name} needs an id for its detail")
-        must(not isinstance(row.fields[mapped.detail].type, GraphQLNonNull), f"{mapped.detail} must be nullable")
+    require(field_map.fetch is not None, "fetch is missing")
+    require(field_map.first_by is None or field_map.first_by in field.args, f"has no argument {field_map.first_by}")
+    for name in filter(None, (field_map.rank_by, field_map.detail)):
+        require(name in row.fields, f"{row.name} has no field {name}")
+    if field_map.rank_by:
+        require(
+            is_leaf_type(get_named_type(row.fields[field_map.rank_by].type)), f"{field_map.rank_by} is not a number"
+        )
+    if field_map.detail:
+        require("id" in row.fields, f"{row.name} needs an id for its detail")
+        require(
+            not isinstance(row.fields[field_map.detail].type, GraphQLNonNull), f"{field_map.detail} must be nullable"
+        )
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -11,13 +11,13 @@
 from badgerbend.config.settings import Tenant
 from badgerbend.graphql.documents import Template
 from badgerbend.graphql.fetch import FetchTransport
-from badgerbend.graphql.fields import Asked, Fetch
+from badgerbend.graphql.fields import Fetch, RequestContext
 from badgerbend.net.client import CallResult, Reply
 from badgerbend.net.server import HttpServer, ServerLimits, _Connection
 from badgerbend.runtime.ports import Attempt, PartPlan
 from tests.sockets import BrokerFixture, run
 
-ASKED = Asked("0" * 32, None, False)
+CONTEXT = RequestContext("0" * 32, None, False)
 
 
 class Wire:
@@ -42,7 +42,7 @@
     attempts = []
     for block in blocks:
         one = [{"__typename": "RateBlock", "id": str(block)}]
-        fetch = Fetch(template, shared, ASKED, one, block, "rows", "f", checks, 1)
+        fetch = Fetch(template, shared, CONTEXT, one, block, "rows", "f", checks, 1)
         attempts.append(Attempt(block, 0, 7, PartPlan(block, 1.0, None, fetch), 1, 0.0, 100.0))
     transport.send(7, attempts)
     return wire, ends
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -9,9 +9,9 @@
 from badgerbend.broker import read_subgraph
 from badgerbend.config.reading import load
 from badgerbend.config.settings import Documents
-from badgerbend.graphql.checks import fits
-from badgerbend.graphql.documents import DocumentCache, Rejected
-from badgerbend.graphql.front import _resolve
+from badgerbend.graphql.checks import matches
+from badgerbend.graphql.documents import DocumentCache, RequestRejectedError
+from badgerbend.graphql.front import _resolve_field
 from badgerbend.standin.subgraph import Subgraph
 from tests.sockets import EXAMPLE, BrokerFixture, run
 
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize("name", BAD)
 def test_a_bad_document_is_refused_before_it_costs_anything(name):
     text, says = BAD[name]
-    with pytest.raises(Rejected) as caught:
+    with pytest.raises(RequestRejectedError) as caught:
         DocumentCache(GRAPH, Documents()).get(text, None)
     assert says in str(caught.value)
 
@@ -61,7 +61,7 @@
     for n in (1, 2, 3, 1, 4, 1, 5, 1):
         cache.get(f"{{ fullQuote(blocks: [{n}], amount: 5) {{ id }} }}", None)
     assert cache.misses == 5
-    assert len(cache.kept) == 3
+    assert len(cache.entries) == 3
 
 
 @settings(max_examples=150, deadline=None)
@@ -69,7 +69,7 @@
 def test_any_text_is_planned_or_refused(text):
     try:
         DocumentCache(GRAPH, Documents()).get(text, None)
-    except Rejected as err:
+    except RequestRejectedError as err:
         assert err.errors
 
 
@@ -171,8 +171,8 @@
         rows[0][key] = {"null": None, "text": "words", "bool": True}[flaw]
     if not root.direct:
         return
-    passed = all(fits(row, root.checks, len(root.checks)) for row in rows)
-    full = execute_sync(GRAPH.schema, prepared.document, {"fullQuote": rows}, field_resolver=_resolve)
+    passed = all(matches(row, root.checks, len(root.checks)) for row in rows)
+    full = execute_sync(GRAPH.schema, prepared.document, {"fullQuote": rows}, field_resolver=_resolve_field)
     if passed:
         assert not full.errors
         assert full.data["fullQuote"] == rows
--- a/tests/test_federation.py
+++ b/tests/test_federation.py
@@ -186,7 +186,7 @@
             replace_attribute(front, "now_ms", lambda: clock() + 3000.0)  # as if the loop had stood still
             with pytest.raises(ConnectionError):
                 await asked
-            assert front.late == 1
+            assert front.late_responses == 1
             assert not front.operations
 
     run(main)
