--- a/badgerbend/graphql/documents.py
+++ b/badgerbend/graphql/documents.py
@@ -301,14 +301,14 @@
             f"{ALIAS_PLACEHOLDER}: _entities(representations: ${ALIAS_PLACEHOLDER}_r) {{ ... on {field_map.entity} "
             f"{{ {ROWS}: {field_map.fetch}{f'({inner})' if inner else ''} {{ {body} }} }} }}"
         )
-        keys, direct = object_checks(row, node.selection_set, self.writer.fragments)
+        checks, direct = object_checks(row, node.selection_set, self.writer.fragments)
         if detail_fields:
             direct = False  # the detail is fetched in the second step
             detail_keys = {response_key(f) for f in detail_fields}
-            keys = tuple(k for k in keys if k[0] not in detail_keys)
+            checks = tuple(check for check in checks if check[0] not in detail_keys)
         if field_map.rank_by:
-            keys += ((RANK, is_number),)
-        return Template(text, argument_types, self._variable_types(selection.variables)), keys, direct
+            checks += ((RANK, is_number),)
+        return Template(text, argument_types, self._variable_types(selection.variables)), checks, direct
 
     def _detail_template(
         self, definition: GraphQLField, detail_fields: list[FieldNode]
--- a/badgerbend/graphql/fetch.py
+++ b/badgerbend/graphql/fetch.py
@@ -60,29 +60,29 @@
             for attempt in attempts:
                 self.ended(attempt, Outcome.CONNECT_FAILED, None, ())
             return
-        queries = [a for a in attempts if not _payload(a).template.mutation]
-        mutations = [a for a in attempts if _payload(a).template.mutation]
+        queries = [attempt for attempt in attempts if not _payload(attempt).template.mutation]
+        mutations = [attempt for attempt in attempts if _payload(attempt).template.mutation]
         for batch in (queries, mutations):
             if batch:
                 self._request(pool, batch)
 
     def _request(self, pool: Pool, attempts: list[Attempt]) -> None:
         groups: dict[object, list[Attempt]] = {}
-        for a in attempts:
-            fetch = _payload(a)
-            group_key = a.part_id if fetch.template.mutation else (fetch.template, id(fetch.arguments))
-            groups.setdefault(group_key, []).append(a)
+        for attempt in attempts:
+            fetch = _payload(attempt)
+            group_key = attempt.part_id if fetch.template.mutation else (fetch.template, id(fetch.arguments))
+            groups.setdefault(group_key, []).append(attempt)
         call_in_flight = _CallInFlight(attempts, list(groups.values()))
         body = self._body(call_in_flight.groups)
-        left = int(min(a.timeout_ms for a in attempts))
-        head = self.head % (pool.host.encode(), pool.port, left, len(body))
-        for a in attempts:
-            a.handle = call_in_flight
-        send_by = min(a.begin_by_ms for a in attempts) / 1000.0
+        time_left_ms = int(min(attempt.timeout_ms for attempt in attempts))
+        head = self.head % (pool.host.encode(), pool.port, time_left_ms, len(body))
+        for attempt in attempts:
+            attempt.handle = call_in_flight
+        send_by = min(attempt.begin_by_ms for attempt in attempts) / 1000.0
         call_in_flight.call = pool.request(head + body, lambda reply: self._replied(call_in_flight, reply), send_by)
 
     def _body(self, groups: list[list[Attempt]]) -> bytes:
-        declared, texts, parts = [], [], []
+        declarations, texts, parts = [], [], []
         variables: dict[str, Any] = {}
         for number, group in enumerate(groups):
             fetch, alias = _payload(group[0]), f"g{number}"
@@ -95,34 +95,34 @@
                 text = self.texts[key] = template.text.replace(ALIAS_PLACEHOLDER, alias)
             texts.append(text)
             if not template.mutation:
-                declared.append(f"${alias}_r: [_Any!]!")
-                variables[f"{alias}_r"] = [r for a in group for r in _payload(a).representations]
+                declarations.append(f"${alias}_r: [_Any!]!")
+                variables[f"{alias}_r"] = [r for attempt in group for r in _payload(attempt).representations]
             for prefix, pairs in (("a", template.argument_types), ("v", template.variable_types)):
                 for name, kind in pairs:
                     variable = f"{prefix}_{name}"
                     if variable in fetch.arguments:
-                        declared.append(f"${alias}{variable}: {kind}")
+                        declarations.append(f"${alias}{variable}: {kind}")
                         variables[f"{alias}{variable}"] = fetch.arguments[variable]
                     else:  # omitted by the client: declared without a value, so that the server's default applies
-                        declared.append(f"${alias}{variable}: {kind.rstrip('!')}")
-            for a in group:
-                part = _payload(a)
+                        declarations.append(f"${alias}{variable}: {kind.rstrip('!')}")
+            for attempt in group:
+                part = _payload(attempt)
                 parts.append(
                     {
                         "alias": alias,
                         "count": len(part.representations),
                         "trace": part.context.trace,
-                        "query": a.query_id,
+                        "query": attempt.query_id,
                         "field": part.field,
                         "block": part.block,
                         "kind": part.kind,
-                        "attempt": a.number,
+                        "attempt": attempt.number,
                         "retry": part.context.is_retry,
                         "key": part.context.key,
                     }
                 )
         kind = "mutation" if _payload(groups[0][0]).template.mutation else "query"
-        head = f"({', '.join(declared)})" if declared else ""
+        head = f"({', '.join(declarations)})" if declarations else ""
         return msgspec.json.encode(
             {
                 "query": f"{kind}{head} {{ {' '.join(texts)} }}",
@@ -166,8 +166,8 @@
                 answer = _decode(reply) or {}
                 outcome = None if answer else Outcome.ERROR
         if outcome is not None:
-            for a in waiting:
-                self.ended(a, outcome, None, ())
+            for attempt in waiting:
+                self.ended(attempt, outcome, None, ())
             return
         report = self._report(answer)
         data = answer.get("data")
@@ -176,10 +176,10 @@
             alias = f"g{number}"
             found = data.get(alias) if isinstance(data, dict) else None
             results = _results(group, found, error_positions.get(alias, set()) | error_positions.get(None, set()))
-            for a, result in zip(group, results, strict=True):
-                if a in waiting:
+            for attempt, result in zip(group, results, strict=True):
+                if attempt in waiting:
                     is_valid = result is not _INVALID
-                    self.ended(a, Outcome.OK if is_valid else Outcome.ERROR, result if is_valid else None, report)
+                    self.ended(attempt, Outcome.OK if is_valid else Outcome.ERROR, result if is_valid else None, report)
 
     def _report(self, answer: dict[str, Any]) -> tuple[float, ...]:
         extensions = answer.get("extensions")
@@ -230,7 +230,7 @@
     first = _payload(group[0])
     if first.kind == "mutation":
         return [_INVALID if error_positions or found is None else found]
-    expected = sum(len(_payload(a).representations) for a in group)
+    expected = sum(len(_payload(attempt).representations) for attempt in group)
     if not isinstance(found, list) or len(found) != expected or None in error_positions:
         return [_INVALID] * len(group)
     out: list[object] = []
--- a/tests/broker_process.py
+++ b/tests/broker_process.py
@@ -1,6 +1,6 @@
-"""A broker of the platform as a process over loopback, with its agent and nodes in the test's own process.
+"""A broker of the platform in a process of its own; its discovery agent and its nodes run in the process of the test.
 
-`faults` starts it behind `tests/faulty_calls.py`, whose system calls fail as the plan says.
+With `faults`, the broker is run by `tests/faulty_calls.py`, which makes system calls fail by a plan.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """An attempt as a node received it: seconds on the monotonic clock, and the deadline that it was told."""
+    """An attempt as a node received it. at: seconds on the monotonic clock. deadline_ms: as sent with the attempt."""
 
     at: float
     node: str
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """How a request ended for its client. status: None if the connection ended without an answer."""
+    """How a request ended for its client. status: None if the connection ended without a response."""
 
     status: int | None
     at: float
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request's bytes and what its client knows of it."""
+    """The bytes of a request, its deadline, and the time at which it was sent."""
 
     name: str
     data: bytes
@@ -72,7 +72,7 @@
 
 
 async def read_answer(reader):
-    """One answer with a length. Raises IncompleteReadError or ConnectionError where the connection ends before it."""
+    """Reads a response with a content length. Raises IncompleteReadError or ConnectionError if the connection ends."""
     head = await reader.readuntil(b"\r\n\r\n")
     status = int(head.split(b" ", 2)[1])
     length = next(
@@ -83,7 +83,10 @@
 
 
 class BrokerProcess:
-    """An async context. each: nodes in a cell; behave: what a node does with a part; changes: to the settings."""
+    """An async context manager.
+
+    each: number of nodes per cell. behave: called by a node with each part. changes: made to the settings.
+    """
 
     def __init__(self, each=2, behave=Part.served, faults=None, **changes):
         self.each, self.behave, self.faults, self.changes = each, behave, faults, changes
@@ -115,11 +118,11 @@
         await self.agent.close()
         self.folder.cleanup()
 
-    async def add_node(self, name, cell, **also):
+    async def add_node(self, name, cell, **extra):
         node = self.nodes[name] = FrameNode(lambda part: self._arrived(name, part))
         node.cell = cell
         await node.start()
-        self.agent.put(name, node.port, cell, **also)
+        self.agent.put(name, node.port, cell, **extra)
         return node
 
     def _arrived(self, name, part):
@@ -127,7 +130,7 @@
         self.behave(part)
 
     def put(self, name, state):
-        """Changes a node's state on the list."""
+        """Changes the state of a node in the endpoint list."""
         node = self.nodes[name]
         self.agent.put(name, node.port, node.cell, state)
 
@@ -160,17 +163,17 @@
     async def connect(self):
         return await asyncio.open_connection(HOST, self.port)
 
-    async def ask(self, asked):
-        """Sends a request on a connection of its own and waits for its answer."""
-        asked.sent_at = time.monotonic()
+    async def ask(self, request):
+        """Sends a request on a new connection and waits for the response."""
+        request.sent_at = time.monotonic()
         reader, writer = await self.connect()
         try:
-            writer.write(asked.data)
+            writer.write(request.data)
             return await read_answer(reader)
         except (asyncio.IncompleteReadError, ConnectionError):
             return Answer(None, time.monotonic())
         finally:
             writer.close()
 
-    def arrived(self, asked):
-        return [arrival for arrival in self.arrivals if arrival.request == asked.name]
+    def arrived(self, request):
+        return [arrival for arrival in self.arrivals if arrival.request == request.name]
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -1,4 +1,4 @@
-"""Property tests of what reads bytes from outside: nothing they can hold raises, or counts where it should not."""
+"""Property tests of the parsers of external input: no input raises, or is accepted although it is invalid."""
 
 import asyncio
 from types import SimpleNamespace
@@ -20,8 +20,8 @@
 CONTEXT = RequestContext("0" * 32, None, False)
 
 
-class Wire:
-    """A pool that keeps what was asked, for the test to answer."""
+class RecordingPool:
+    """A connection pool that records the request and lets the test reply."""
 
     host, port = "x", 1
 
@@ -31,10 +31,12 @@
         return SimpleNamespace(abort=lambda: None)
 
 
-def sent(blocks, template=None):
-    """A call of one part a block, and where its ends are noted."""
-    ends, wire = [], Wire()
-    transport = FetchTransport(lambda node: wire, lambda a, o, r, load: ends.append((a.part_id, o, r)), 0, ("util",))
+def send_parts(blocks, template=None):
+    """Sends a call with one part per block; returns the pool and the list of attempts that have ended."""
+    ended_attempts, pool = [], RecordingPool()
+    transport = FetchTransport(
+        lambda node: pool, lambda a, o, r, load: ended_attempts.append((a.part_id, o, r)), 0, ("util",)
+    )
     text = "\x00: _entities(representations: $\x00_r) { ... on RateBlock { _bb_rows: rates { id } } }"
     template = template or Template(text, (), ())
     shared = {}
@@ -45,7 +47,7 @@
         fetch = Fetch(template, shared, CONTEXT, one, block, "rows", "f", checks, 1)
         attempts.append(Attempt(block, 0, 7, PartPlan(block, 1.0, None, fetch), 1, 0.0, 100.0))
     transport.send(7, attempts)
-    return wire, ends
+    return pool, ended_attempts
 
 
 json = st.recursive(
@@ -59,11 +61,11 @@
 
 @settings(max_examples=300)
 @given(st.binary(max_size=60) | json.map(msgspec.json.encode), st.sampled_from([200, 200, 400, 503]))
-def test_any_answer_ends_each_part_once_and_counts_only_rows(body, status):
-    wire, ends = sent([1, 2, 3])
-    wire.reply(Reply(CallResult.ANSWER, status, {}, body))
-    assert sorted(e[0] for e in ends) == [1, 2, 3]
-    for _, outcome, rows in ends:
+def test_any_response_ends_each_part_once_and_only_valid_rows_count(body, status):
+    pool, ended_attempts = send_parts([1, 2, 3])
+    pool.reply(Reply(CallResult.ANSWER, status, {}, body))
+    assert sorted(e[0] for e in ended_attempts) == [1, 2, 3]
+    for _, outcome, rows in ended_attempts:
         if outcome == Outcome.OK:
             assert status == 200
             assert all(set(r) == {"id"} and isinstance(r["id"], str) for r in rows)
@@ -73,26 +75,28 @@
 
 
 @given(st.lists(st.booleans(), min_size=1, max_size=5))
-def test_a_part_with_an_error_does_not_spoil_the_others(bad):
-    wire, ends = sent(list(range(len(bad))))
+def test_an_error_in_one_part_does_not_affect_the_others(bad):
+    pool, ended_attempts = send_parts(list(range(len(bad))))
     rows = [None if b else {"_bb_rows": [{"id": "a"}]} for b in bad]
     errors = [{"message": "no", "path": ["g0", i, "_bb_rows"]} for i, b in enumerate(bad) if b]
-    wire.reply(Reply(CallResult.ANSWER, 200, {}, msgspec.json.encode({"data": {"g0": rows}, "errors": errors})))
-    assert [o == Outcome.ERROR for _, o, _ in sorted(ends, key=lambda e: e[0])] == bad
+    pool.reply(Reply(CallResult.ANSWER, 200, {}, msgspec.json.encode({"data": {"g0": rows}, "errors": errors})))
+    assert [o == Outcome.ERROR for _, o, _ in sorted(ended_attempts, key=lambda e: e[0])] == bad
 
 
-def test_only_a_proof_counts_as_not_run():
+def test_only_the_header_with_a_matching_status_counts_as_not_run():
     for status, headers, outcome in (
         (503, {b"badgerbend-not-run": b"1"}, Outcome.REJECTED),
         (503, {}, Outcome.ERROR),
         (500, {b"badgerbend-not-run": b"1"}, Outcome.ERROR),
     ):
-        wire, ends = sent([1])
-        wire.reply(Reply(CallResult.ANSWER, status, headers, b""))
-        assert ends[0][1] == outcome
+        pool, ended_attempts = send_parts([1])
+        pool.reply(Reply(CallResult.ANSWER, status, headers, b""))
+        assert ended_attempts[0][1] == outcome
 
 
 class Transport:
+    """A transport that records what is written and fails if anything is written after the end."""
+
     def __init__(self):
         self.out, self.closed, self.ended = b"", False, False
 
@@ -116,7 +120,7 @@
     def resume_reading(self): ...
 
 
-pieces = st.sampled_from(
+http_fragments = st.sampled_from(
     [
         b"GET / HTTP/1.1\r\n",
         b"POST /graphql HTTP/1.1\r\n",
@@ -140,7 +144,7 @@
 
 
 @settings(max_examples=300)
-@given(st.lists(pieces | st.binary(max_size=8), max_size=14))
+@given(st.lists(http_fragments | st.binary(max_size=8), max_size=14))
 def test_any_bytes_are_served_or_refused(data):
     loop = asyncio.new_event_loop()
     try:
@@ -153,7 +157,7 @@
             over = transport.ended
             if not transport.closed:
                 connection.data_received(piece)
-            assert not over or len(seen) == before  # what comes after the end is thrown away
+            assert not over or len(seen) == before  # input after the end is discarded
         answers = transport.out.count(b"HTTP/1.1 200")
         assert answers <= len(seen)
         assert transport.out.count(b"HTTP/1.1 4") <= 1
@@ -163,13 +167,13 @@
         loop.close()
 
 
-def test_tenants_are_asked_for_where_they_are_set():
+def test_a_tenant_is_required_if_tenants_are_configured():
     async def main():
-        async with BrokerFixture(tenant=(Tenant("a", 1000.0), Tenant("b", 1000.0))) as s:
+        async with BrokerFixture(tenant=(Tenant("a", 1000.0), Tenant("b", 1000.0))) as fixture:
             text = "{ fullQuote(blocks: [1], amount: 5) { id } }"
-            assert (await s.client.query(text))[0] == 403
-            assert (await s.client.query(text, badgerbend_tenant="c"))[0] == 403
-            assert (await s.client.query(text, badgerbend_tenant="b"))[0] == 200
-            assert set(s.broker.driver.module.rates.tenants) == {1}
+            assert (await fixture.client.query(text))[0] == 403
+            assert (await fixture.client.query(text, badgerbend_tenant="c"))[0] == 403
+            assert (await fixture.client.query(text, badgerbend_tenant="b"))[0] == 200
+            assert set(fixture.broker.driver.module.rates.tenants) == {1}
 
     run(main)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -1,4 +1,4 @@
-"""Two events that cross between a broker and its clients, each forced over loopback: which first, what holds then."""
+"""Races between a broker and its clients, each forced over loopback: two events that coincide, and their outcome."""
 
 import asyncio
 import contextlib
@@ -20,14 +20,14 @@
 LAST = b"GET /last HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
 
 
-class Peer:
-    """A server whose requests wait to be answered, and clients whose sockets read and write when told."""
+class ServerWithClients:
+    """A server whose requests the test answers, and client sockets that the test reads and writes."""
 
     def __init__(self, **limits):
-        self.held, self.limits, self.clients = [], ServerLimits(**limits), []
+        self.requests, self.limits, self.clients = [], ServerLimits(**limits), []
 
     async def __aenter__(self):
-        self.server = HttpServer(self.held.append, self.limits)
+        self.server = HttpServer(self.requests.append, self.limits)
         self.port = await self.server.start("127.0.0.1", 0)
         return self
 
@@ -37,7 +37,7 @@
         await self.server.close(0.0)
 
     async def client(self, data=b""):
-        """A connection of which the server knows, with its end here and there."""
+        """Opens a connection; returns the socket of the client and the connection of the server."""
         known = set(self.server.connections)
         sock = socket.create_connection(("127.0.0.1", self.port))
         sock.setblocking(False)
@@ -48,38 +48,38 @@
         return sock, (self.server.connections - known).pop()
 
     def answer(self, body=b"ok"):
-        return self.held.pop(0).respond(200, body, b"text/plain")
+        return self.requests.pop(0).respond(200, body, b"text/plain")
 
 
-async def to_the_end(sock):
-    """What comes until the other side ends it; raises ConnectionResetError where it is reset."""
-    got = b""
+async def read_to_end(sock):
+    """Reads until the peer closes the connection. Raises ConnectionResetError if the peer resets it."""
+    received = b""
     while data := await asyncio.get_running_loop().sock_recv(sock, 65536):
-        got += data
-    return got
+        received += data
+    return received
 
 
-# -- the last answer, and what comes behind it
+# -- input after the last response
 
 
-BEHIND = {"half": b"POST / HTTP/1.1\r\nhost", "whole": GET % 2, "noise": b"\0" * 20_000}
+TRAILING_INPUT = {"partial": b"POST / HTTP/1.1\r\nhost", "complete": GET % 2, "noise": b"\0" * 20_000}
 
 
-@pytest.mark.parametrize("behind", BEHIND.values(), ids=BEHIND)
-def test_bytes_behind_the_last_answer_do_not_reset_it(behind):
+@pytest.mark.parametrize("trailing", TRAILING_INPUT.values(), ids=TRAILING_INPUT)
+def test_input_after_the_last_request_does_not_reset_its_response(trailing):
     async def main():
-        async with Peer() as peer:
-            sock, connection = await peer.client(LAST)
-            await until(lambda: peer.held)
-            sock.send(behind)
-            peer.answer()  # in the turn in which they arrive
-            got = await to_the_end(sock)
+        async with ServerWithClients() as subject:
+            sock, connection = await subject.client(LAST)
+            await until(lambda: subject.requests)
+            sock.send(trailing)
+            subject.answer()  # in the loop iteration in which they arrive
+            got = await read_to_end(sock)
             assert got.startswith(b"HTTP/1.1 200")
             assert got.endswith(b"ok")
-            assert not peer.held
+            assert not subject.requests
             sock.close()
-            await until(lambda: not peer.server.connections)
-            assert not peer.server.lingering
+            await until(lambda: not subject.server.connections)
+            assert not subject.server.lingering
 
     run(main)
 
@@ -92,49 +92,49 @@
         (b"\x93\x01noise\r\n\r\n", 400),
     ],
 )
-def test_a_refusal_with_its_body_still_coming_can_be_read(head, status):
+def test_a_rejection_can_be_read_while_the_body_is_still_being_sent(head, status):
     async def main():
-        async with Peer() as peer:
-            sock, connection = await peer.client(head)
+        async with ServerWithClients() as subject:
+            sock, connection = await subject.client(head)
             await until(lambda: connection.lingering)
             for _ in range(10):
                 sock.send(b"z" * 10_000)
-            got = await to_the_end(sock)
+            got = await read_to_end(sock)
             assert got.startswith(b"HTTP/1.1 %d" % status)
             assert got.count(b"HTTP/1.1") == 1
-            assert not peer.held
+            assert not subject.requests
 
     run(main)
 
 
-def test_a_request_behind_the_end_is_thrown_away_and_never_served():
+def test_a_request_after_the_last_response_is_discarded():
     async def main():
-        async with Peer() as peer:
-            sock, connection = await peer.client(LAST)
-            await until(lambda: peer.held)
-            peer.answer()
-            await to_the_end(sock)
+        async with ServerWithClients() as subject:
+            sock, connection = await subject.client(LAST)
+            await until(lambda: subject.requests)
+            subject.answer()
+            await read_to_end(sock)
             sock.send(GET % 2)
             await until(lambda: connection.discarded_bytes)
             sock.shutdown(socket.SHUT_WR)
-            await until(lambda: not peer.server.connections)
-            assert not peer.held
+            await until(lambda: not subject.server.connections)
+            assert not subject.requests
 
     run(main)
 
 
-def test_a_lingering_close_ends_by_time_and_by_bytes(monkeypatch):
+def test_a_lingering_close_is_bounded_in_time_and_bytes(monkeypatch):
     async def main():
-        async with Peer() as peer:
-            resting, _ = await peer.client(LAST)
-            await until(lambda: peer.held)
-            peer.answer()
-            await until(lambda: not peer.server.connections)  # it never closes
+        async with ServerWithClients() as subject:
+            idle, _ = await subject.client(LAST)
+            await until(lambda: subject.requests)
+            subject.answer()
+            await until(lambda: not subject.server.connections)  # though the client never closes
             monkeypatch.setattr(http, "LINGER_S", 60.0)
-            flooding, connection = await peer.client(LAST)
-            await until(lambda: peer.held)
-            peer.answer()
-            while peer.server.connections:
+            flooding, connection = await subject.client(LAST)
+            await until(lambda: subject.requests)
+            subject.answer()
+            while subject.server.connections:
                 with contextlib.suppress(BlockingIOError, ConnectionError):
                     flooding.send(b"z" * 65_536)
                 await asyncio.sleep(0)
@@ -143,38 +143,38 @@
     run(main)
 
 
-def test_an_answer_that_crosses_a_reset_harms_nobody():
-    # Found by tests/crossing_days.py: shutting the write side of a connection that its peer has reset raises.
+def test_a_response_to_a_connection_that_was_reset_does_no_harm():
+    # Found by tests/crossing_days.py: shutting down the write side of a connection that its peer has reset raises.
     async def main():
-        async with Peer() as peer:
-            sock, connection = await peer.client(LAST)
-            await until(lambda: peer.held)
+        async with ServerWithClients() as subject:
+            sock, connection = await subject.client(LAST)
+            await until(lambda: subject.requests)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            sock.close()  # reset, and not read yet
-            peer.answer()
-            await until(lambda: not peer.server.connections)
-            assert not peer.server.lingering
+            sock.close()  # a reset, which the server has yet to read
+            subject.answer()
+            await until(lambda: not subject.server.connections)
+            assert not subject.server.lingering
 
     run(main)
 
 
-def test_a_client_that_reads_slowly_gets_the_whole_of_its_last_answer(monkeypatch):
+def test_a_client_that_reads_slowly_gets_its_last_response_completely(monkeypatch):
     monkeypatch.setattr(http, "LINGER_S", 0.02)
 
     async def main():
-        async with Peer() as peer:
-            sock, connection = await peer.client(LAST)
-            await until(lambda: peer.held)
-            peer.answer(b"z" * 8_000_000)
+        async with ServerWithClients() as subject:
+            sock, connection = await subject.client(LAST)
+            await until(lambda: subject.requests)
+            subject.answer(b"z" * 8_000_000)
             now = asyncio.get_running_loop().time
             began = now()
             await until(lambda: now() > began + 0.1)  # five times the bound
-            assert len(await to_the_end(sock)) > 8_000_000
+            assert len(await read_to_end(sock)) > 8_000_000
 
     run(main)
 
 
-def test_a_request_in_one_piece_with_the_last_that_is_answered_is_not_served():
+def test_a_request_received_in_one_chunk_with_the_last_one_is_not_served():
     async def main():
         served = []
 
@@ -182,123 +182,123 @@
             served.append(exchange.target)
             exchange.respond(200, b"ok", b"text/plain")
 
-        async with Peer() as peer:
-            peer.server.handler, peer.server.closing = handle, True
-            sock, _ = await peer.client((GET % 1) + (GET % 2) + b"POST /3 HTTP/1.1\r\nexpect: 100-continue\r\n\r\n")
-            got = await to_the_end(sock)
+        async with ServerWithClients() as subject:
+            subject.server.handler, subject.server.closing = handle, True
+            sock, _ = await subject.client((GET % 1) + (GET % 2) + b"POST /3 HTTP/1.1\r\nexpect: 100-continue\r\n\r\n")
+            got = await read_to_end(sock)
             assert got.count(b"HTTP/1.1") == 1
             assert served == [b"/1"]
 
     run(main)
 
 
-def test_a_refusal_after_much_that_was_thrown_away_can_be_read():
+def test_a_rejection_can_be_read_after_much_input_was_discarded():
     async def main():
-        async with Peer() as peer:
-            sock, connection = await peer.client((GET % 0) + b"noise\r\n\r\n")
+        async with ServerWithClients() as subject:
+            sock, connection = await subject.client((GET % 0) + b"noise\r\n\r\n")
             loop = asyncio.get_running_loop()
             sending = loop.create_task(loop.sock_sendall(sock, b"z" * (http.LINGER_BYTES + 300_000)))
             await until(lambda: connection.paused)
-            peer.answer()
-            got = await to_the_end(sock)
+            subject.answer()
+            got = await read_to_end(sock)
             assert re.findall(rb"HTTP/1.1 (\d+)", got) == [b"200", b"400"]
             await sending
 
     run(main)
 
 
-# -- a client that leaves while its answers are waited for
+# -- a client that disconnects while responses are pending
 
 
-@pytest.mark.parametrize("behind", [GET % 1 * 4000, b"noise\r\n\r\n" + b"z" * 900_000], ids=["requests", "noise"])
-def test_a_client_that_sent_much_and_left_is_noticed_while_reading_stands_still(behind):
-    # Nobody saw it leave: its requests were served one after the other.
+@pytest.mark.parametrize("trailing", [GET % 1 * 4000, b"noise\r\n\r\n" + b"z" * 900_000], ids=["requests", "noise"])
+def test_a_disconnect_is_noticed_while_reading_is_paused(trailing):
+    # Without the poll for a hang-up, its requests were served one after the other.
     async def main():
-        async with Peer() as peer:
-            sock, connection = await peer.client(GET % 0)
-            await until(lambda: peer.held)
+        async with ServerWithClients() as subject:
+            sock, connection = await subject.client(GET % 0)
+            await until(lambda: subject.requests)
             loop = asyncio.get_running_loop()
-            sending = loop.create_task(loop.sock_sendall(sock, behind))
+            sending = loop.create_task(loop.sock_sendall(sock, trailing))
             await until(lambda: connection.paused)
-            first = peer.held[0]
+            first = subject.requests[0]
             sending.cancel()
             sock.close()
-            left = loop.time()
+            closed_at = loop.time()
             await until(lambda: first.disconnected)
-            assert loop.time() - left < 1.0
-            assert len(peer.held) == 1
+            assert loop.time() - closed_at < 1.0
+            assert len(subject.requests) == 1
 
     run(main)
 
 
-def test_what_cannot_be_read_behind_a_request_is_told_after_its_answer():
+def test_invalid_input_after_a_request_is_rejected_after_its_response():
     async def main():
-        async with Peer() as peer:
-            sock, connection = await peer.client((GET % 0) + (GET % 1) + b"noise\r\n\r\n")
+        async with ServerWithClients() as subject:
+            sock, connection = await subject.client((GET % 0) + (GET % 1) + b"noise\r\n\r\n")
             await until(lambda: connection.rejection)
-            peer.answer()
-            await until(lambda: peer.held)
-            peer.answer()
-            got = await to_the_end(sock)
+            subject.answer()
+            await until(lambda: subject.requests)
+            subject.answer()
+            got = await read_to_end(sock)
             assert re.findall(rb"HTTP/1.1 (\d+)", got) == [b"200", b"200", b"400"]
 
     run(main)
 
 
-def test_hundreds_of_requests_ahead_are_answered_in_order_and_none_is_lost():
+def test_hundreds_of_pipelined_requests_are_answered_in_order():
     async def main():
-        async with Peer() as peer:
-            sock, connection = await peer.client()
+        async with ServerWithClients() as subject:
+            sock, connection = await subject.client()
             loop = asyncio.get_running_loop()
             sending = loop.create_task(loop.sock_sendall(sock, b"".join(GET % n for n in range(900)) + LAST))
-            got = loop.create_task(to_the_end(sock))
+            got = loop.create_task(read_to_end(sock))
             for n in range(901):
-                await until(lambda: peer.held)
-                assert len(peer.held) == 1
+                await until(lambda: subject.requests)
+                assert len(subject.requests) == 1
                 assert len(connection.pipelined) < 200
-                assert peer.held[0].target == (b"/%d" % n if n < 900 else b"/last")
-                peer.answer()
+                assert subject.requests[0].target == (b"/%d" % n if n < 900 else b"/last")
+                subject.answer()
             assert (await got).count(b"HTTP/1.1 200") == 901
             await sending
 
     run(main)
 
 
-# -- closing what rests, in the turn in which its next request arrives
+# -- closing an idle connection in the loop iteration in which its next request arrives
 
 
-def test_an_idle_connection_whose_request_arrives_as_it_would_be_closed_is_served():
+def test_a_request_that_arrives_as_its_idle_connection_would_be_closed_is_served():
     async def main():
-        async with Peer() as peer:
-            sock, connection = await peer.client(GET % 0)
-            await until(lambda: peer.held)
-            peer.answer()
+        async with ServerWithClients() as subject:
+            sock, connection = await subject.client(GET % 0)
+            await until(lambda: subject.requests)
+            subject.answer()
             sock.send(GET % 1)
-            connection.close_if_idle()  # the bytes are here, and not read yet
-            await until(lambda: peer.held)
-            peer.answer()
+            connection.close_if_idle()  # the bytes have arrived and are not read yet
+            await until(lambda: subject.requests)
+            subject.answer()
             connection.close_if_idle()
-            assert (await to_the_end(sock)).count(b"HTTP/1.1 200") == 2
+            assert (await read_to_end(sock)).count(b"HTTP/1.1 200") == 2
 
     run(main)
 
 
-def test_room_is_not_made_by_a_connection_whose_request_has_just_arrived_nor_by_a_half_written_answer():
+def test_a_connection_with_a_new_request_or_a_partly_written_response_is_not_evicted():
     async def main():
-        async with Peer(max_connections=3) as peer:
-            slow, _ = await peer.client(GET % 0)
-            await until(lambda: peer.held)
-            peer.answer(b"z" * 8_000_000)  # its client has read nothing yet
-            asking, oldest = await peer.client()
-            _, resting = await peer.client()
-            asking.send(GET % 1)
-            assert peer.server.evict_connection()
-            assert resting.transport.is_closing()
-            await until(lambda: peer.held)
-            peer.answer()
-            assert peer.server.evict_connection()
+        async with ServerWithClients(max_connections=3) as subject:
+            slow, _ = await subject.client(GET % 0)
+            await until(lambda: subject.requests)
+            subject.answer(b"z" * 8_000_000)  # the client has read nothing yet
+            requesting, oldest = await subject.client()
+            _, idle = await subject.client()
+            requesting.send(GET % 1)
+            assert subject.server.evict_connection()
+            assert idle.transport.is_closing()
+            await until(lambda: subject.requests)
+            subject.answer()
+            assert subject.server.evict_connection()
             assert oldest.transport.is_closing()
-            assert not peer.server.evict_connection()  # the answer that is half written
+            assert not subject.server.evict_connection()  # the one left has a partly written response
             loop = asyncio.get_running_loop()
             size = 0
             while size < 8_000_000:
@@ -307,21 +307,21 @@
     run(main)
 
 
-def test_a_flood_of_connections_is_accepted_a_few_a_turn_and_the_limit_holds_between():
-    # asyncio accepted as many in one turn as the backlog holds: 1,024, whatever the descriptors.
+def test_a_flood_of_connections_exceeds_the_limit_only_by_a_few():
+    # asyncio accepts the whole backlog of 1,024 connections in one iteration, however few descriptors there are.
     async def main():
-        async with Peer(max_connections=10) as peer:
+        async with ServerWithClients(max_connections=10) as subject:
 
-            def held():
+            def open_descriptors():
                 return len(os.listdir("/proc/self/fd"))
 
             flood = []
             for _ in range(100):
-                flood.append(socket.create_connection(("127.0.0.1", peer.port)))
-            before, most = held(), 0
+                flood.append(socket.create_connection(("127.0.0.1", subject.port)))
+            before, most = open_descriptors(), 0
             for _ in range(200):
                 await asyncio.sleep(0)
-                most = max(most, held() - before)
+                most = max(most, open_descriptors() - before)
             assert 0 < most <= 10 + 4 * acceptor.MAX_ACCEPTS_PER_ITERATION
             for sock in flood:
                 sock.close()
@@ -332,7 +332,7 @@
 # -- the end of a process
 
 
-def test_a_request_that_becomes_whole_after_the_listener_closed_is_answered_before_the_process_is_killed(monkeypatch):
+def test_a_request_completed_after_the_listener_closed_is_answered_before_the_process_is_killed(monkeypatch):
     monkeypatch.setattr(services, "GRACE_S", 0.05)
 
     async def main():
@@ -359,7 +359,7 @@
     run(main)
 
 
-def test_a_request_too_late_to_be_answered_before_the_process_is_killed_is_refused(monkeypatch):
+def test_a_request_too_late_to_be_answered_before_the_process_is_killed_is_rejected(monkeypatch):
     async def main():
         async with Stage() as stage:
             stage.service.front.over_at = asyncio.get_running_loop().time() - 0.001
--- a/tests/test_federation.py
+++ b/tests/test_federation.py
@@ -1,4 +1,4 @@
-"""The whole path over sockets: federated queries through the module's choices to rate servers and back."""
+"""Federated queries over sockets: from the client through the decision module to the rate servers and back."""
 
 import asyncio
 
@@ -20,10 +20,10 @@
 fragment row on Rate { id lender }"""
 
 
-def test_an_all_parts_query_has_every_row():
+def test_a_query_that_needs_all_parts_has_every_row():
     async def main():
-        async with BrokerFixture() as s:
-            status, answer, _ = await s.client.query(QUOTE)
+        async with BrokerFixture() as fixture:
+            status, answer, _ = await fixture.client.query(QUOTE)
             assert status == 200
             assert "errors" not in answer
             expected = [{"id": r["id"], "m": r["monthly"], "block": b} for b in (3, 4, 5) for r in rates(b, 500.0, 24)]
@@ -33,18 +33,18 @@
     run(main)
 
 
-def test_an_any_m_query_is_ranked_over_the_parts_it_rests_on():
+def test_a_query_that_needs_some_parts_is_ranked_over_those_that_answered():
     async def main():
-        async with BrokerFixture() as s:
-            status, answer, _ = await s.client.query(COMPARE, {"b": [0, 1, 2, 3, 4, 5, 6, 7], "n": 40})
+        async with BrokerFixture() as fixture:
+            status, answer, _ = await fixture.client.query(COMPARE, {"b": [0, 1, 2, 3, 4, 5, 6, 7], "n": 40})
             rows = answer["data"]["rateCompare"]
             blocks = {int(r["id"].split(":")[0]) for r in rows}
-            mark = answer["extensions"]["badgerbend"]["fields"]["rateCompare"]
+            completeness = answer["extensions"]["badgerbend"]["fields"]["rateCompare"]
             assert status == 200
-            assert mark["whole"]
-            assert mark["parts"] == len(blocks) >= 6
-            want = [(r["monthly"], b) for b in sorted(blocks) for r in rates(b, 1000.0, 36)]
-            assert [r["monthly"] for r in rows] == [m for m, _ in sorted(want)]
+            assert completeness["whole"]
+            assert completeness["parts"] == len(blocks) >= 6
+            expected = [(r["monthly"], b) for b in sorted(blocks) for r in rates(b, 1000.0, 36)]
+            assert [r["monthly"] for r in rows] == [m for m, _ in sorted(expected)]
             assert set(rows[0]) == {"id", "lender", "monthly"}
 
     run(main)
@@ -52,8 +52,8 @@
 
 def test_aliases_fragments_and_two_classes_in_one_operation():
     async def main():
-        async with BrokerFixture() as s:
-            _, answer, _ = await s.client.query(MIXED)
+        async with BrokerFixture() as fixture:
+            _, answer, _ = await fixture.client.query(MIXED)
             assert "errors" not in answer
             assert [r["id"] for r in answer["data"]["fullQuote"]] == [f"{b}:{i}" for b in (1, 2) for i in range(4)]
             assert len(answer["data"]["cheap"]) == 2
@@ -65,17 +65,17 @@
     run(main)
 
 
-def test_one_field_refused_and_one_answered():
-    """No holder of block 9 is up: its quote is refused with advice, the compare beside it is answered."""
+def test_one_field_is_rejected_and_the_other_answered():
+    """No server of block 9 is up: its quote is rejected with a retry time, and the other field is answered."""
 
     async def main():
-        async with BrokerFixture() as s:
+        async with BrokerFixture() as fixture:
             for cell in (9, 10, 11):
-                s.world.crash(f"rates-{cell}")
-            await until(lambda: len(s.broker.directory.addresses) and not s.broker.driver._events)
+                fixture.world.crash(f"rates-{cell}")
+            await until(lambda: len(fixture.broker.directory.addresses) and not fixture.broker.driver._events)
             text = """{ fullQuote(blocks: [9], amount: 1) { id }
                         rateCompare(blocks: [0, 1, 2, 3, 4, 5, 6, 9], amount: 1) { id } }"""
-            status, answer, headers = await s.client.query(text, badgerbend_time_left_ms="800")
+            status, answer, headers = await fixture.client.query(text, badgerbend_time_left_ms="800")
             assert status == 200
             assert answer["data"]["fullQuote"] is None
             assert len(answer["data"]["rateCompare"]) > 0
@@ -89,87 +89,87 @@
     run(main)
 
 
-def test_a_second_step_brings_details_of_the_best():
+def test_a_second_step_fetches_details_of_the_best_rows():
     async def main():
-        async with BrokerFixture() as s:
+        async with BrokerFixture() as fixture:
             text = "{ quoteReport(blocks: [1,2,3,4], amount: 900, first: 3) { id block t: terms { fee wording } } }"
-            _, answer, _ = await s.client.query(text)
+            _, answer, _ = await fixture.client.query(text)
             rows = answer["data"]["quoteReport"]
             assert "errors" not in answer
             assert len(rows) == 3
             assert rows[0]["t"] == {"fee": 25.0, "wording": f"Terms of {rows[0]['id']}"}
             with_terms = {r["block"] for r in rows if r["t"]}
-            assert 1 <= len(with_terms) <= 2  # the class fetches two more parts
-            _, plain, _ = await s.client.query("{ quoteReport(blocks: [1,2], amount: 900) { id } }")
+            assert 1 <= len(with_terms) <= 2  # the second step of the class has two parts
+            _, plain, _ = await fixture.client.query("{ quoteReport(blocks: [1,2], amount: 900) { id } }")
             assert len(plain["data"]["quoteReport"]) == 8
-            assert not s.broker.driver.queries
+            assert not fixture.broker.driver.queries
 
     run(main)
 
 
-def test_mutations_run_one_after_the_other_and_once():
+def test_mutations_run_once_and_one_after_the_other():
     async def main():
-        async with BrokerFixture() as s:
+        async with BrokerFixture() as fixture:
             text = 'mutation { a: signLease(block: 2, rate: "2:1") { id } b: holdRate(block: 3, rate: "3:0") { rate } }'
-            _, answer, _ = await s.client.query(text, idempotency_key="k1")
+            _, answer, _ = await fixture.client.query(text, idempotency_key="k1")
             assert answer["data"] == {"a": {"id": "signLease:2:1"}, "b": {"rate": "3:0"}}
-            ran = [p["field"] for r in s.seen("ran") for p in r["parts"]]
+            ran = [p["field"] for r in fixture.seen("ran") for p in r["parts"]]
             assert ran == ["a", "b"]
-            assert all(p["key"] == "k1" for r in s.seen("arrive") for p in r["parts"])
+            assert all(p["key"] == "k1" for r in fixture.seen("arrive") for p in r["parts"])
 
     run(main)
 
 
 def test_the_broker_is_a_subgraph():
     async def main():
-        async with BrokerFixture() as s:
-            _, answer, _ = await s.client.query("{ _service { text: sdl } }")
+        async with BrokerFixture() as fixture:
+            _, answer, _ = await fixture.client.query("{ _service { text: sdl } }")
             assert 'type Rate @key(fields: "id")' in answer["data"]["_service"]["text"]
             assert "@link" in answer["data"]["_service"]["text"]
             text = """query E($r: [_Any!]!) { _entities(representations: $r) {
                 __typename ... on Rate { id lender } ... on RateBlock { rates(amount: 100) { id } } } }"""
-            asked = [
+            representations = [
                 {"__typename": "Rate", "id": "5:2"},
                 {"__typename": "RateBlock", "id": "7"},
                 {"__typename": "Rate", "id": "5:99"},
                 {"__typename": "Rate", "id": "1:0"},
             ]
-            _, answer, _ = await s.client.query(text, {"r": asked})
+            _, answer, _ = await fixture.client.query(text, {"r": representations})
             got = answer["data"]["_entities"]
             assert got[0] == {"__typename": "Rate", "id": "5:2", "lender": rates(5, 1.0, 1)[2]["lender"]}
             assert len(got[1]["rates"]) == 4
             assert got[2] is None
             assert got[3]["id"] == "1:0"
-            _, answer, _ = await s.client.query(text, {"r": [{"__typename": "Rate", "id": "99:1"}]})
+            _, answer, _ = await fixture.client.query(text, {"r": [{"__typename": "Rate", "id": "99:1"}]})
             assert answer["errors"][0]["extensions"]["code"] == "BAD_USER_INPUT"
 
     run(main)
 
 
-def test_a_client_that_leaves_ends_its_query_and_the_servers_see_it():
+def test_a_client_that_disconnects_ends_its_query_and_the_calls_to_servers():
     async def main():
-        async with BrokerFixture() as s:
-            for server in s.world.servers.values():
+        async with BrokerFixture() as fixture:
+            for server in fixture.world.servers.values():
                 server.machine.model.part_ms = 60_000.0
-            call = s.client.ask(QUOTE, None, {}, lambda reply: None)
-            await until(lambda: s.seen("ran"))  # three parts that ride on one call
+            call = fixture.client.ask(QUOTE, None, {}, lambda reply: None)
+            await until(lambda: fixture.seen("ran"))  # three parts in one call
             call.abort()
-            await until(lambda: len(s.seen("called off")) == len(s.seen("ran")))
-            assert not s.broker.driver.queries
-            assert not s.broker.front.operations
-            arrived = len(s.seen("arrive"))
+            await until(lambda: len(fixture.seen("called off")) == len(fixture.seen("ran")))
+            assert not fixture.broker.driver.queries
+            assert not fixture.broker.front.operations
+            arrived = len(fixture.seen("arrive"))
             await asyncio.sleep(0.3)
-            assert len(s.seen("arrive")) == arrived
+            assert len(fixture.seen("arrive")) == arrived
 
     run(main)
 
 
-def test_silent_servers_end_in_a_refusal_before_the_clients_time_is_up():
+def test_a_query_to_silent_servers_is_rejected_before_the_clients_deadline():
     async def main():
-        async with BrokerFixture() as s:
-            for server in s.world.servers.values():
+        async with BrokerFixture() as fixture:
+            for server in fixture.world.servers.values():
                 server.faults.silent = True
-            _, answer, _ = await s.client.query(QUOTE)
+            _, answer, _ = await fixture.client.query(QUOTE)
             assert answer["errors"][0]["extensions"]["code"] == "REFUSED"
 
     run(main)
@@ -177,15 +177,15 @@
 
 def test_an_answer_after_the_clients_deadline_is_not_written():
     async def main():
-        async with BrokerFixture() as s:
-            front, clock = s.broker.front, s.broker.front.now_ms
-            for server in s.world.servers.values():
+        async with BrokerFixture() as fixture:
+            front, clock = fixture.broker.front, fixture.broker.front.now_ms
+            for server in fixture.world.servers.values():
                 server.machine.model.part_ms = 100.0
-            asked = asyncio.ensure_future(s.client.query(QUOTE, badgerbend_time_left_ms="3000"))
-            await until(lambda: s.seen("ran"))
-            replace_attribute(front, "now_ms", lambda: clock() + 3000.0)  # as if the loop had stood still
+            query = asyncio.ensure_future(fixture.client.query(QUOTE, badgerbend_time_left_ms="3000"))
+            await until(lambda: fixture.seen("ran"))
+            replace_attribute(front, "now_ms", lambda: clock() + 3000.0)  # as if the loop had stalled
             with pytest.raises(ConnectionError):
-                await asked
+                await query
             assert front.late_responses == 1
             assert not front.operations
 
--- a/tests/test_wire_bytes_net.py
+++ b/tests/test_wire_bytes_net.py
@@ -1,4 +1,4 @@
-"""Sealed datagrams keep their bytes: key number, incarnation of the sender, counter, body and truncated MAC."""
+"""The bytes of sealed datagrams do not change: key number, sender's incarnation, counter, body and truncated MAC."""
 
 from badgerbend.net.seal import DatagramSealer
 from tests.wire_bytes import fixture_bytes
