--- a/badgerbend/graphql/fetch.py
+++ b/badgerbend/graphql/fetch.py
@@ -55,6 +55,7 @@
         self.cancelled_calls = 0
 
     def send(self, node: int, attempts: Sequence[Attempt]) -> None:
+        """Sends attempts to a server in one call; mutations go in a call of their own."""
         pool = self.pool_of(node)
         if pool is None:  # the server has been removed from the list in the meantime
             for attempt in attempts:
@@ -141,6 +142,7 @@
                 call_in_flight.call.abort()
 
     def begun(self, attempt: Attempt) -> bool:
+        """Whether any byte of an attempt may have been sent."""
         call_in_flight = attempt.handle
         is_waiting = (
             isinstance(call_in_flight, _CallInFlight)
--- a/badgerbend/graphql/fields.py
+++ b/badgerbend/graphql/fields.py
@@ -45,12 +45,12 @@
 class Completeness:
     """How many parts a result is based on, for the extensions of the response."""
 
-    whole: bool
+    complete: bool
     parts: int
-    of: int
+    total: int
 
     def as_json(self) -> dict[str, Any]:
-        return {"whole": self.whole, "parts": self.parts, "of": self.of}
+        return {"whole": self.complete, "parts": self.parts, "of": self.total}
 
 
 DoneCallback = Callable[["FieldQuery", object], None]
@@ -67,6 +67,7 @@
         self.retry_after_ms = 0.0
 
     def more(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
+        """The parts of a second step, if there is one."""
         return ()
 
     def answered(self, results: Sequence[tuple[PartPlan, object]], whole: bool) -> None:
@@ -74,6 +75,7 @@
         self.on_done(self, self.merge(results))
 
     def merge(self, results: Sequence[tuple[PartPlan, object]]) -> object:
+        """Merges the results of the parts into the value of the field."""
         raise NotImplementedError
 
     def refused(self, retry_after_ms: float) -> None:
@@ -109,7 +111,7 @@
                     if found is not None and row_id in rows_by_id:
                         rows_by_id[row_id].update({k: found.get(k) for k in self.root.detail_keys})
             assert self.completeness is not None
-            self.completeness = Completeness(self.completeness.whole, *self.first_step_counts)
+            self.completeness = Completeness(self.completeness.complete, *self.first_step_counts)
         else:
             self.rows = self._ranked(results)
         if self.root.direct and self.root.field_map and self.root.field_map.rank_by:
@@ -129,7 +131,7 @@
         return rows if self.first is None else rows[: self.first]
 
     def more(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
-        """Fetches details of the best rows, from at most as many blocks as the second step of the class has parts."""
+        """The parts for details of the best rows, of at most as many blocks as the second step of the class allows."""
         if self.root.detail is None or not results:
             return ()
         self.rows = self._ranked(results)
--- a/badgerbend/net/client.py
+++ b/badgerbend/net/client.py
@@ -64,6 +64,7 @@
                 self.connect_task.cancel()
 
     def finish(self, reply: Reply) -> None:
+        """Calls the callback, unless the call is finished or cancelled."""
         if not self.done:
             self.done = True
             self.on_reply(reply)
