--- a/badgerbend/graphql/documents.py
+++ b/badgerbend/graphql/documents.py
@@ -63,9 +63,7 @@
 
     key: str  # in the response
     node: FieldNode
-    conditions: tuple[
-        tuple[bool, ValueNode], ...
-    ]  # @include (True) and @skip (False) on it and its enclosing fragments
+    conditions: tuple[tuple[bool, ValueNode], ...]  # @include (True) and @skip (False), also of enclosing fragments
     definition: GraphQLField
     field_map: FieldMap | None  # None for `_service`, `_entities` and introspection
     template: Template | None
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -119,9 +119,8 @@
             for n in (1, 2):
                 connections.append(await asyncio.open_connection("127.0.0.1", fixture.port))
                 await until(lambda n=n: len(fixture.broker.server.connections) == n)
-                next(iter(fixture.broker.server.connections)).phase_started_at -= (
-                    1.0 if n == 1 else 0.0
-                )  # the clock of the loop has a resolution of 1 ms
+                # The clock of the loop has a resolution of 1 ms.
+                next(iter(fixture.broker.server.connections)).phase_started_at -= 1.0 if n == 1 else 0.0
             reader, writer = await asyncio.open_connection("127.0.0.1", fixture.port)
             with pytest.raises(ConnectionError):
                 if not await connections[0][0].read():
@@ -308,9 +307,8 @@
         server = HttpServer(lambda exchange: received.append(exchange), ServerLimits())
         port = await server.start("127.0.0.1", 0)
         pool, results = Pool("127.0.0.1", port, PoolLimits()), []
-        pool.request(
-            b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", lambda r: results.append(r.result), 0.0
-        )  # a deadline in the past
+        # The deadline for sending is in the past.
+        pool.request(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", lambda r: results.append(r.result), 0.0)
         await until(lambda: results)
         assert results == [CallResult.CONNECT_FAILED]
         assert not received
