--- a/badgerbend/__init__.py
+++ b/badgerbend/__init__.py
@@ -1,4 +1,4 @@
-"""badgerbend: the decisions of an aggregator that serves a query from many shards."""
+"""badgerbend: the decisions of an aggregator that spreads queries over shards and merges the answers."""
 
 from badgerbend.decisions import Aggregator
 
--- a/badgerbend/api.py
+++ b/badgerbend/api.py
@@ -1,6 +1,6 @@
-"""The interface of `Aggregator`: settings, events and actions. It holds no decision and no tuned value.
+"""The interface of `Aggregator`: settings, events and actions. It contains no decisions and no tuned values.
 
-Times are milliseconds on any clock that does not go backwards; weights and shares are fractions of one.
+Times are milliseconds of any monotonic clock; weights and shares are fractions of one.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 
     OK = 0
     ERROR = 1  # the server answered with an error; the part may have run
-    REJECTED = 2  # the server's queue was full: rejected unread
-    TIMEOUT = 3  # no answer in time; it may have run, or may run still
-    CONNECT_FAILED = 4  # no connection in time
-    RESET = 5  # the connection broke; it may have run
-    CANCELLED = 6  # cancelled after it was sent; it may have run
-    NOT_SENT = 7  # cancelled before it left the broker
+    REJECTED = 2  # the server's queue was full; the part was rejected without being read
+    TIMEOUT = 3  # no answer before the timeout; the part may have run or may still be running
+    CONNECT_FAILED = 4  # no connection could be established in time
+    RESET = 5  # the connection broke; the part may have run
+    CANCELLED = 6  # cancelled after it was sent; the part may have run
+    NOT_SENT = 7  # cancelled before it was sent
 
     @property
     def never_ran(self) -> bool:
-        """Whether this outcome proves that the attempt had no effect."""
+        """Whether this outcome proves that the attempt had no effect on the server."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
     @property
     def label(self) -> str:
-        """The word for this outcome in metric labels, logs and status pages, which is part of their interface."""
+        """The name of this outcome in metric labels, logs and status pages, where it is part of the interface."""
         return _OUTCOME_LABELS.get(self, self.name)
 
 
@@ -39,7 +39,7 @@
 
 
 class EndpointState(IntEnum):
-    """What the endpoint list states about a server."""
+    """The state of a server in the endpoint list."""
 
     REMOVED = 0
     READY = 1
@@ -47,17 +47,17 @@
 
     @property
     def label(self) -> str:
-        """The word for this state in metric labels, which is part of their interface."""
+        """The name of this state in metric labels, where it is part of the interface."""
         return "gone" if self is EndpointState.REMOVED else self.name.lower()
 
 
 class UpdateKind(IntEnum):
     """What an update of the endpoint list contains."""
 
-    DELTA = 0  # the endpoints that changed
-    FULL = 1  # all endpoints: one that is not named has been removed
+    DELTA = 0  # only the endpoints that changed
+    FULL = 1  # all endpoints; those missing from it have been removed
     CACHED = 2  # all endpoints, from a cache that may be out of date
-    FAILED = 3  # nothing: the call to discovery failed
+    FAILED = 3  # nothing, because the call to discovery failed
 
 
 # -- settings
@@ -65,30 +65,30 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryClass:
-    """What the clients of one class of queries expect."""
+    """The requirements of one class of queries."""
 
-    latency_objective_ms: float  # an answer within this earns the full value
-    deadline_ms: float  # how long the client waits, over all of its attempts
+    latency_objective_ms: float  # an answer within this time has its full value
+    deadline_ms: float  # how long a client waits in total, including its retries
     effect: str  # "safe", "keyed" (idempotent with an idempotency key) or "unsafe" to repeat
-    idempotency_window_ms: float  # keyed: servers drop repeats for this long
-    late_value_share: float  # share of the value that an answer after the latency objective still earns
+    idempotency_window_ms: float  # for "keyed": how long servers recognize and drop repeated requests
+    late_value_share: float  # share of its value that an answer keeps after the latency objective
     priority_weight: float
-    complete_weight: float  # weight of the parts that make a complete answer
-    minimum_weight: float  # least weight of parts that an answer may be made from
-    partial_value: float  # value of a partial answer, times its share of the complete weight
-    follow_up_parts: int  # parts fetched in a second step, after the first answer; 0 for none
+    complete_weight: float  # total weight of parts that makes an answer complete
+    minimum_weight: float  # least total weight of parts that a partial answer needs
+    partial_value: float  # factor on the value of a partial answer, in addition to its share of the complete weight
+    follow_up_parts: int  # number of parts in a second step after the first answer; 0 for none
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
     """A tenant's quota."""
 
-    quota_per_s: float  # queries a second, over all brokers
+    quota_per_s: float  # queries per second, over all brokers
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What the decisions are configured with."""
+    """The configuration of the decisions."""
 
     classes: tuple[QueryClass, ...]
     tenants: tuple[Tenant, ...]
@@ -96,29 +96,29 @@
     broker_count: int
     zone: int
     cell_count: int
-    cells_per_shard: int  # consecutive cells that hold a shard
+    cells_per_shard: int  # number of consecutive cells whose servers hold a shard
     parts_per_call: int
-    max_attempts: int  # of one part, the first one included
-    max_open: int  # queries and parts that the broker may hold at once
+    max_attempts: int  # limit for one part, including the first attempt
+    max_open: int  # limit of open queries and parts at the broker
     hedging: bool  # whether a part may have more than one attempt in flight
     cancel: bool  # whether attempts in flight may be cancelled
     health_checks: bool
-    retry_after: bool  # whether a rejection may state when to come back
+    retry_after: bool  # whether a rejection may tell the client when to retry
     max_retry_after_ms: float
     connection_idle_ms: float  # servers close a connection that has been idle for this long
     connect_timeout_ms: float
-    polls_endpoint_list: bool  # whether discovery must be polled, because it pushes nothing
-    max_poll_interval_ms: float  # where the list is polled: after this long without a poll, changes count as notified
+    polls_endpoint_list: bool  # whether discovery must be polled because it does not push changes
+    max_poll_interval_ms: float  # with polling: after this long without a poll the broker is deemed to know all changes
     over_quota_weight: float  # factor on the priority weight of queries beyond their tenant's quota
-    slow_start_from: float  # share of its capacity that a server bears right after its start
-    slow_start_ms: float  # time after which it bears all of it
-    overload_factor: float  # multiple of its usual load that makes a server fail
-    overload_window_ms: float  # the window over which that load is counted
-    retry_budget_min: float | None  # further attempts in a window that are always allowed; None: no retry budget
-    retry_budget_share: float | None  # further attempts allowed for each part taken in the window
+    slow_start_from: float  # share of its full capacity that a server has right after its start
+    slow_start_ms: float  # time after its start at which a server has its full capacity
+    overload_factor: float  # multiple of its usual load at which a server fails
+    overload_window_ms: float  # window over which that load is counted
+    retry_budget_min: float | None  # retries that are always allowed within the window; None: no retry budget
+    retry_budget_share: float | None  # retries allowed per query and part accepted within the window
     retry_budget_window_ms: float | None
-    max_notification_delay_ms: float = math.inf  # where polled: a change counts as notified after this, come what may
-    max_write_delay_ms: float = 0.0  # the process may be held up so long between a decision and its first byte
+    max_notification_delay_ms: float = math.inf  # with polling: the broker is deemed to know a change after this
+    max_write_delay_ms: float = 0.0  # longest delay of the process between a decision to send and the first byte
 
 
 # -- events
@@ -126,12 +126,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One server, as the endpoint list states it."""
+    """One server of the endpoint list."""
 
     node: int
     cell: int
     state: EndpointState
-    started_ms: float  # 0: long ago
+    started_ms: float  # time of its last start; 0 if it started long ago
     zone: int
     kind: int
     size: float
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """A watch event, or the answer to a poll, of the endpoint list."""
+    """A change of the endpoint list, from a watch or from the answer to a poll."""
 
     kind: UpdateKind
     endpoints: tuple[Endpoint, ...]
@@ -147,12 +147,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """One part of a query: what one shard has to answer."""
+    """One part of a query: the request to one shard."""
 
     id: int
     shard: int
     weight: float
-    cost_ms: float | None  # rough hint of its work
+    cost_ms: float | None  # rough estimate of its processing time, if there is one
 
 
 @dataclass(frozen=True, slots=True)
@@ -160,7 +160,7 @@
     """A client's query has arrived."""
 
     id: int
-    number: int
+    number: int  # identifies the query in `FollowUpParts`
     class_index: int
     tenant: int
     key: int
@@ -172,15 +172,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowUpParts:
-    """The parts of the second step of a query that was answered once."""
+    """The parts of the second step of a query whose first step has been answered."""
 
-    number: int
+    number: int  # of the query
     parts: tuple[Part, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptCompleted:
-    """An attempt has ended."""
+    """An attempt has ended, with or without an answer."""
 
     part: int
     attempt: int
@@ -202,7 +202,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client of a query has left; nothing more is to be done for it."""
+    """The client of a query has disconnected; the query needs no answer."""
 
     id: int
 
@@ -244,10 +244,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Observations:
-    """What a broker has observed. As an event: what others observed, for where this one has seen nothing itself."""
+    """What a broker has observed of servers and latencies.
+
+    As an event it contains the observations of other brokers, used where this broker has none of its own.
+    """
 
     nodes: tuple[EndpointObservation, ...]
-    answers: tuple[tuple[float, float, bool], ...]  # of parts: age, latency, censored; the oldest first
+    answers: tuple[tuple[float, float, bool], ...]  # age, latency and whether it is censored, per part; oldest first
 
 
 Event = (
@@ -274,7 +277,7 @@
     part: int
     node: int
     timeout_ms: float
-    start_within_ms: float = math.inf  # if its first byte has not left by then, it must not leave any more
+    start_within_ms: float = math.inf  # an attempt whose first byte has not been sent by then must not be sent
 
 
 @dataclass(frozen=True, slots=True)
@@ -287,7 +290,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Answer a query from the parts that are in."""
+    """Answer a query from the parts that have been answered."""
 
     query: int
     complete: bool
@@ -295,11 +298,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Reject a query that had no effect; the client may repeat it."""
+    """Reject a query that had no effect; the client may retry it."""
 
     query: int
     retry_after_ms: float
-    reason: str = field(default="", compare=False)  # for the log; nothing rests on it
+    reason: str = field(default="", compare=False)  # for the log only; no decision depends on it
 
 
 @dataclass(frozen=True, slots=True)
@@ -312,7 +315,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Call back with `TimerFired`; it replaces a timer set before."""
+    """Deliver `TimerFired` after a delay; replaces a timer that was set before."""
 
     after_ms: float
     token: int
@@ -320,14 +323,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartHealthCheck:
-    """Check a server's health."""
+    """Start a health check of a server."""
 
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close idle connections to a server."""
+    """Close all idle connections to a server."""
 
     node: int
 
@@ -342,14 +345,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowEndpointList:
-    """Poll discovery for changes from now on, or no longer."""
+    """Start or stop polling discovery for changes of the endpoint list."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpointList:
-    """Fetch the complete endpoint list from discovery, once."""
+    """Fetch the complete endpoint list from discovery once."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -379,41 +382,44 @@
 
 
 class SitePreference(Protocol):
-    """Preference among sites, and limits on what is sent to each. Without one all servers are equal.
+    """Preference among sites, and limits on what is sent to each. Without one, all servers are treated alike.
 
-    It is called within a step, in the order of the decisions, and is as pure as they are.
+    It is called during a step, in the order of the decisions, and must be as pure as they are.
     """
 
     def observe(self, now_ms: float, events: Sequence[Event]) -> None:
-        """Takes note of all that happened, before any decision on it."""
+        """Records the events of a step before any decision on them is made."""
 
     def admits(self, query: Query, over_quota: bool, fewest: int) -> bool:
-        """Whether a query is admitted; fewest: how many of its parts make a complete answer."""
+        """Whether a query is admitted. fewest: the number of its parts that makes a complete answer."""
 
     def allows_surplus(self) -> bool:
-        """Whether parts beyond the fewest may be sent now."""
+        """Whether more parts than a complete answer needs may be sent now."""
 
     def rank(self, shard: int) -> int:
-        """How near the nearest site is that a part of this shard may go to now: greater is nearer, 0 for none."""
+        """Rank of the nearest site that may be sent a part of this shard now; greater is nearer, 0 if there is none."""
 
     def eligible(self, shard: int, nodes: Sequence[int], safe: bool) -> Sequence[int]:
-        """Those of a shard's servers, all admitted, that a part may go to now; none: it must wait.
+        """The servers that a part may be sent to now, out of the given replicas of its shard; if empty, it must wait.
 
-        safe: it may be lost, or run twice, without harm. `attempt_sent` refers to what was returned last.
+        safe: the part may be lost or run twice without harm. A following `attempt_sent` refers to the last result.
         """
 
     def site_rate(self, node: int) -> float:
-        """A warm server's share of the rate at which this broker may send to its site, in parts a millisecond; 0 where
-        no limit holds there."""
+        """A warm server's share of this broker's rate limit for the server's site, in parts per millisecond.
+
+        0 where the site has no limit.
+        """
 
     def attempt_sent(self, part: int, attempt: int, node: int) -> None:
-        """An attempt was sent to a server."""
+        """Records that an attempt was sent to a server."""
 
 
 class SlowStartBudget(Protocol):
-    """What a broker may send to servers that are warming up, where brokers share that out by demand.
+    """The rate at which a broker may send to servers that are warming up, where brokers divide it by demand.
 
-    Without one each broker keeps to its own share. It is called within a step, and is as pure as the decisions.
+    Without one, each broker uses a limit derived from its own traffic. It is called during a step and must be as pure
+    as the decisions.
     """
 
     def server_rate(
--- a/badgerbend/benchlink.py
+++ b/badgerbend/benchlink.py
@@ -1,4 +1,8 @@
-"""The adapter: speaks the bench's binary wire on standard input and output, and decides nothing."""
+"""The simulator's adapter: translates its binary frames on standard input and output to events and actions.
+
+It makes no decisions. A batch frame contains the simulated time, event records of a fixed size and a payload that
+records refer to by offset; a reply frame contains action records and a payload. Codes and layouts are the simulator's.
+"""
 
 from __future__ import annotations
 
@@ -15,10 +19,24 @@
 from badgerbend.decisions import Aggregator
 from badgerbend.platform_settings import SettingError, parse_lines, read_settings
 
-BATCH_HEAD, REPLY_HEAD = Struct(">IId"), Struct(">II")
-EVENT_SIZE, LINE_SIZE, CLOCK_BYTES = 48, 22, 8
-
-SELECT, START, VIEW, SHEET, SUBMIT, ACK, COMPLETED, INBOX, PROBED, EXIT, GONE, ALARM = (
+BATCH_HEADER, REPLY_HEADER = Struct(">IId"), Struct(">II")
+EVENT_SIZE, ENDPOINT_SIZE, CLOCK_BYTES = 48, 22, 8
+
+# Codes of the event records.
+(
+    SELECT_INSTANCE,
+    START,
+    ENDPOINT_UPDATE,
+    ENDPOINT_LIST,
+    SUBMIT,
+    ATTEMPT_STARTED,
+    ATTEMPT_COMPLETED,
+    PEER_MESSAGE,
+    HEALTH_CHECK_COMPLETED,
+    STOP,
+    CLIENT_DISCONNECTED,
+    TIMER_FIRED,
+) = (
     8,
     5,
     2,
@@ -32,15 +50,27 @@
     12,
     1,
 )
-U32, F_START, F_VIEW, F_SHEET = Struct(">I"), Struct(">QII"), Struct(">BQI"), Struct(">III")
-F_SUBMIT, F_COMPLETED = Struct(">IQfdHBdHff"), Struct(">IHIHdBB4f")
-F_ACK, F_PROBED, F_INBOX, F_ALARM = Struct(">IHId"), Struct(">IHdB4f"), Struct(">III"), Struct(">Q")
-F_LINE = Struct(">HIdHBfB")
+# Fields of the event records after their code, and of an endpoint in an endpoint list.
+ID_FIELD, START_FIELDS, ENDPOINT_UPDATE_FIELDS, ENDPOINT_LIST_FIELDS = (
+    Struct(">I"),
+    Struct(">QII"),
+    Struct(">BQI"),
+    Struct(">III"),
+)
+SUBMIT_FIELDS, ATTEMPT_COMPLETED_FIELDS = Struct(">IQfdHBdHff"), Struct(">IHIHdBB4f")
+ATTEMPT_STARTED_FIELDS, HEALTH_CHECK_FIELDS, PEER_MESSAGE_FIELDS, TIMER_FIELDS = (
+    Struct(">IHId"),
+    Struct(">IHdB4f"),
+    Struct(">III"),
+    Struct(">Q"),
+)
+ENDPOINT_FIELDS = Struct(">HIdHBfB")
 
-A_BEHALF, A_SEND, A_CANCEL = Struct(">BI19x"), Struct(">BIId7x"), Struct(">BIH17x")
-A_REFUSE, A_ID, A_ALARM = Struct(">BId11x"), Struct(">BI19x"), Struct(">BdQ7x")
-A_ANSWER, A_FLAG, A_BARE = Struct(">BIB18x"), Struct(">BB22x"), Struct(">B23x")
-A_TEXT, A_TELL = Struct(">BII15x"), Struct(">BIII11x")
+# Action records, each with its code and padded to the same size.
+SELECT_RECORD, SEND_RECORD, CANCEL_RECORD = Struct(">BI19x"), Struct(">BIId7x"), Struct(">BIH17x")
+REJECT_RECORD, ID_RECORD, TIMER_RECORD = Struct(">BId11x"), Struct(">BI19x"), Struct(">BdQ7x")
+ANSWER_RECORD, FLAG_RECORD, BARE_RECORD = Struct(">BIB18x"), Struct(">BB22x"), Struct(">B23x")
+TEXT_RECORD, PEER_RECORD = Struct(">BII15x"), Struct(">BIII11x")
 
 OUTCOMES = {
     0: api.Outcome.OK,
@@ -56,203 +86,228 @@
 
 
 class WireError(Exception):
-    """The frame cannot be what the wire describes."""
+    """A frame violates the protocol."""
 
 
 @dataclass(slots=True)
-class _Pending:
-    """A query, or a second step, whose parts are still being read."""
+class _PendingQuery:
+    """A query whose parts are still being read, or the parts of its second step if it has no header."""
 
-    head: tuple[int, int, int, int, float, bool, float | None] | None
+    header: tuple[int, int, int, int, float, bool, float | None] | None
     number: int
     parts: list[api.Part] = field(default_factory=list)
 
     def event(self) -> api.Query | api.FollowUpParts:
-        if self.head is None:
+        """The event, once all parts have been read."""
+        if self.header is None:
             return api.FollowUpParts(self.number, tuple(self.parts))
-        qid, cls, tenant, key, left, retry, cost = self.head
-        return api.Query(qid, self.number, cls, tenant, key, left, retry, cost, tuple(self.parts))
+        query_id, class_index, tenant, key, time_left_ms, is_retry, cost_ms = self.header
+        return api.Query(
+            query_id, self.number, class_index, tenant, key, time_left_ms, is_retry, cost_ms, tuple(self.parts)
+        )
 
 
-class Link:
-    """All instances of one process. They share nothing but the decoded lists, which are never changed."""
+class Adapter:
+    """All aggregator instances of one process. They share only the decoded endpoint lists, which are immutable."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Aggregator] = {}
-        self.sheets: dict[int, tuple[api.Endpoint, ...]] = {}
-
-    def turn(self, frame: bytes) -> bytes:
-        """One batch (whole, with its header) to one reply."""
-        count, size, now = BATCH_HEAD.unpack_from(frame)
-        if not math.isfinite(now):
-            raise WireError("header: the clock is not finite")
-        tail = BATCH_HEAD.size + count * EVENT_SIZE
-        if tail > len(frame) or size != len(frame) - CLOCK_BYTES:
+        self.endpoint_lists: dict[int, tuple[api.Endpoint, ...]] = {}
+
+    def process_batch(self, frame: bytes) -> bytes:
+        """Processes one batch frame, including its header, and returns the reply frame."""
+        count, size, now_ms = BATCH_HEADER.unpack_from(frame)
+        if not math.isfinite(now_ms):
+            raise WireError("header: clock is not finite")
+        payload_at = BATCH_HEADER.size + count * EVENT_SIZE
+        if payload_at > len(frame) or size != len(frame) - CLOCK_BYTES:
             raise WireError(f"header: {count} records do not fit in {len(frame)} bytes")
-        events: dict[int, list[api.Event | _Pending]] = {}
-        unfit: dict[int, str] = {}  # what is wrong with an instance's settings
-        me: int | None = None
+        events: dict[int, list[api.Event | _PendingQuery]] = {}
+        setting_errors: dict[int, str] = {}  # by instance
+        selected: int | None = None
         for i in range(count):
-            at = BATCH_HEAD.size + i * EVENT_SIZE
+            at = BATCH_HEADER.size + i * EVENT_SIZE
             try:
                 code = frame[at]
-                if code == SELECT:
-                    (me,) = U32.unpack_from(frame, at + 1)
-                elif code == SHEET:
-                    slot, offset, n = F_SHEET.unpack_from(frame, at + 1)
-                    self.sheets[slot] = self._lines(frame, tail + offset, n)
-                elif me is None:
-                    raise WireError("no instance is selected")
+                if code == SELECT_INSTANCE:
+                    (selected,) = ID_FIELD.unpack_from(frame, at + 1)
+                elif code == ENDPOINT_LIST:
+                    slot, offset, length = ENDPOINT_LIST_FIELDS.unpack_from(frame, at + 1)
+                    self.endpoint_lists[slot] = self._endpoints(frame, payload_at + offset, length)
+                elif selected is None:
+                    raise WireError("no instance selected")
                 elif code == START:
-                    seed, offset, n = F_START.unpack_from(frame, at + 1)
-                    settings = self._bytes(frame, tail + offset, n).decode("utf-8", "replace")
-                    events[me] = []
-                    unfit.pop(me, None)
-                    self.instances.pop(me, None)
+                    seed, offset, length = START_FIELDS.unpack_from(frame, at + 1)
+                    settings = self._payload(frame, payload_at + offset, length).decode("utf-8", "replace")
+                    events[selected] = []
+                    setting_errors.pop(selected, None)
+                    self.instances.pop(selected, None)
                     try:
-                        self.instances[me] = Aggregator(read_settings(parse_lines(settings)), seed)
+                        self.instances[selected] = Aggregator(read_settings(parse_lines(settings)), seed)
                     except SettingError as err:
-                        unfit[me] = str(err)
-                elif code == EXIT:
-                    self.instances.pop(me, None)
-                    events.pop(me, None)
-                    unfit.pop(me, None)
+                        setting_errors[selected] = str(err)
+                elif code == STOP:
+                    self.instances.pop(selected, None)
+                    events.pop(selected, None)
+                    setting_errors.pop(selected, None)
                 else:
-                    self._read(code, frame, at, tail, events.setdefault(me, []))
+                    self._read_event(code, frame, at, payload_at, events.setdefault(selected, []))
             except (WireError, StructError, KeyError, ValueError, IndexError) as err:
-                why = str(err) if isinstance(err, WireError) else repr(err)
-                raise WireError(f"record {i}: {why}") from err
+                reason = str(err) if isinstance(err, WireError) else repr(err)
+                raise WireError(f"record {i}: {reason}") from err
         reply = Reply()
-        for who, came in events.items():
-            reply.act_for(who)
-            if who in unfit:
-                reply.text(74, unfit[who])
+        for instance_id, received in events.items():
+            reply.select_instance(instance_id)
+            if instance_id in setting_errors:
+                reply.add_text(74, setting_errors[instance_id])
                 continue
-            instance = self.instances.get(who)
+            instance = self.instances.get(instance_id)
             if instance is None:
                 continue
             try:
-                ready = [e.event() if isinstance(e, _Pending) else e for e in came]
-                reply.write(instance.step(now, ready))
+                ready = [event.event() if isinstance(event, _PendingQuery) else event for event in received]
+                reply.add_actions(instance.step(now_ms, ready))
             except Exception as err:
                 last = traceback.extract_tb(err.__traceback__)[-1]
-                reply.text(74, f"{type(err).__name__}: {err} at {last.name} line {last.lineno}")
+                reply.add_text(74, f"{type(err).__name__}: {err} at {last.name} line {last.lineno}")
         return reply.frame()
 
     @staticmethod
-    def _bytes(frame: bytes, at: int, n: int) -> bytes:
-        if at + n > len(frame):
-            raise WireError(f"{n} bytes of tail run past the end")
-        return frame[at : at + n]
+    def _payload(frame: bytes, at: int, length: int) -> bytes:
+        if at + length > len(frame):
+            raise WireError(f"payload of {length} bytes exceeds the frame")
+        return frame[at : at + length]
 
-    def _lines(self, frame: bytes, at: int, n: int) -> tuple[api.Endpoint, ...]:
-        raw = self._bytes(frame, at, n * LINE_SIZE)
+    def _endpoints(self, frame: bytes, at: int, count: int) -> tuple[api.Endpoint, ...]:
+        encoded = self._payload(frame, at, count * ENDPOINT_SIZE)
         return tuple(
-            api.Endpoint(node, cell, api.EndpointState(state), start, zone, kind, size)
-            for cell, node, start, kind, zone, size, state in F_LINE.iter_unpack(raw)
+            api.Endpoint(node, cell, api.EndpointState(state), started_ms, zone, kind, size)
+            for cell, node, started_ms, kind, zone, size, state in ENDPOINT_FIELDS.iter_unpack(encoded)
         )
 
-    def _read(self, code: int, frame: bytes, at: int, tail: int, out: list[api.Event | _Pending]) -> None:
+    def _read_event(
+        self, code: int, frame: bytes, at: int, payload_at: int, events: list[api.Event | _PendingQuery]
+    ) -> None:
+        """Decodes one event record and appends its event.
+
+        A query comes as a record with a negative shard, followed by one record for each of its parts. Records of parts
+        without a query's record before them belong to the second step of a query.
+        """
         at += 1
         if code == SUBMIT:
-            rid, key, shard, left, bits, cls, cost, tenant, number, amount = F_SUBMIT.unpack_from(frame, at)
-            hint = cost if bits & 1 else None
-            last = out[-1] if out else None
+            record_id, key, shard, time_left_ms, flags, class_index, cost_ms, tenant, number, weight = (
+                SUBMIT_FIELDS.unpack_from(frame, at)
+            )
+            cost_hint_ms = cost_ms if flags & 1 else None
+            last = events[-1] if events else None
             if shard < 0:
-                out.append(_Pending((rid, cls, tenant, key, left, bool(bits & 2), hint), int(number)))
+                events.append(
+                    _PendingQuery(
+                        (record_id, class_index, tenant, key, time_left_ms, bool(flags & 2), cost_hint_ms), int(number)
+                    )
+                )
                 return
-            if not isinstance(last, _Pending) or last.number != int(number):
-                last = _Pending(None, int(number))
-                out.append(last)
-            last.parts.append(api.Part(rid, int(shard), amount, hint))
-        elif code == COMPLETED:
-            part, attempt, node, outcome, took, _settled, n, *load = F_COMPLETED.unpack_from(frame, at)
-            out.append(api.AttemptCompleted(part, attempt, node, OUTCOMES[outcome], took, tuple(load[:n])))
-        elif code == ALARM:
-            out.append(api.TimerFired(*F_ALARM.unpack_from(frame, at)))
-        elif code == VIEW:
-            how, _rev, slot = F_VIEW.unpack_from(frame, at)
-            kind = api.UpdateKind(how)
-            out.append(api.EndpointUpdate(kind, () if kind == api.UpdateKind.FAILED else self.sheets[slot]))
-        elif code == PROBED:
-            node, outcome, took, n, *load = F_PROBED.unpack_from(frame, at)
-            out.append(api.HealthCheckCompleted(node, OUTCOMES[outcome], took, tuple(load[:n])))
-        elif code == GONE:
-            out.append(api.ClientDisconnected(*U32.unpack_from(frame, at)))
-        elif code == INBOX:
-            who, offset, n = F_INBOX.unpack_from(frame, at)
-            out.append(api.PeerMessage(who, self._bytes(frame, tail + offset, n)))
-        elif code == ACK:
-            out.append(api.AttemptStarted(*F_ACK.unpack_from(frame, at)))
+            if not isinstance(last, _PendingQuery) or last.number != int(number):
+                last = _PendingQuery(None, int(number))
+                events.append(last)
+            last.parts.append(api.Part(record_id, int(shard), weight, cost_hint_ms))
+        elif code == ATTEMPT_COMPLETED:
+            part, attempt, node, outcome, elapsed_ms, _settled, report_size, *report = (
+                ATTEMPT_COMPLETED_FIELDS.unpack_from(frame, at)
+            )
+            events.append(
+                api.AttemptCompleted(part, attempt, node, OUTCOMES[outcome], elapsed_ms, tuple(report[:report_size]))
+            )
+        elif code == TIMER_FIRED:
+            events.append(api.TimerFired(*TIMER_FIELDS.unpack_from(frame, at)))
+        elif code == ENDPOINT_UPDATE:
+            kind_code, _revision, slot = ENDPOINT_UPDATE_FIELDS.unpack_from(frame, at)
+            kind = api.UpdateKind(kind_code)
+            events.append(api.EndpointUpdate(kind, () if kind == api.UpdateKind.FAILED else self.endpoint_lists[slot]))
+        elif code == HEALTH_CHECK_COMPLETED:
+            node, outcome, elapsed_ms, report_size, *report = HEALTH_CHECK_FIELDS.unpack_from(frame, at)
+            events.append(api.HealthCheckCompleted(node, OUTCOMES[outcome], elapsed_ms, tuple(report[:report_size])))
+        elif code == CLIENT_DISCONNECTED:
+            events.append(api.ClientDisconnected(*ID_FIELD.unpack_from(frame, at)))
+        elif code == PEER_MESSAGE:
+            peer, offset, length = PEER_MESSAGE_FIELDS.unpack_from(frame, at)
+            events.append(api.PeerMessage(peer, self._payload(frame, payload_at + offset, length)))
+        elif code == ATTEMPT_STARTED:
+            events.append(api.AttemptStarted(*ATTEMPT_STARTED_FIELDS.unpack_from(frame, at)))
         else:
             raise WireError(f"unknown event code {code}")
 
 
 class Reply:
-    """Builds one reply frame."""
+    """Builds a reply frame from action records and their payload."""
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
-        self.tail = bytearray()
+        self.payload = bytearray()
 
-    def act_for(self, instance: int) -> None:
-        self.records.append(A_BEHALF.pack(78, instance))
+    def select_instance(self, instance_id: int) -> None:
+        """Attributes the records that follow to an instance."""
+        self.records.append(SELECT_RECORD.pack(78, instance_id))
 
-    def text(self, code: int, text: str) -> None:
-        raw = text.encode()
-        self.records.append(A_TEXT.pack(code, len(self.tail), len(raw)))
-        self.tail += raw
+    def add_text(self, code: int, text: str) -> None:
+        """Adds a log line (code 73) or the error that ended an instance's step (code 74)."""
+        encoded = text.encode()
+        self.records.append(TEXT_RECORD.pack(code, len(self.payload), len(encoded)))
+        self.payload += encoded
 
-    def write(self, actions: list[api.Action]) -> None:
+    def add_actions(self, actions: list[api.Action]) -> None:
+        """Adds the actions of one step in their order."""
         add = self.records.append
-        for a in actions:
-            match a:
-                case api.Send(part, node, timeout):  # the wire knows no time to begin by
-                    add(A_SEND.pack(65, part, node, timeout))
-                case api.SetTimer(after, token):
-                    add(A_ALARM.pack(69, after, token))
+        for action in actions:
+            match action:
+                case api.Send(part, node, timeout_ms):  # the protocol has no field for start_within_ms
+                    add(SEND_RECORD.pack(65, part, node, timeout_ms))
+                case api.SetTimer(after_ms, token):
+                    add(TIMER_RECORD.pack(69, after_ms, token))
                 case api.Cancel(part, attempt):
-                    add(A_CANCEL.pack(68, part, attempt))
-                case api.Answer(query, whole):
-                    add(A_ANSWER.pack(77, query, whole))
-                case api.Reject(query, after):
-                    add(A_REFUSE.pack(66, query, after))
+                    add(CANCEL_RECORD.pack(68, part, attempt))
+                case api.Answer(query, complete):
+                    add(ANSWER_RECORD.pack(77, query, complete))
+                case api.Reject(query, retry_after_ms):
+                    add(REJECT_RECORD.pack(66, query, retry_after_ms))
                 case api.Fail(query):
-                    add(A_ID.pack(67, query))
+                    add(ID_RECORD.pack(67, query))
                 case api.StartHealthCheck(node):
-                    add(A_ID.pack(70, node))
+                    add(ID_RECORD.pack(70, node))
                 case api.CloseIdleConnections(node):
-                    add(A_ID.pack(71, node))
+                    add(ID_RECORD.pack(71, node))
                 case api.SendToPeer(peer, payload):
-                    add(A_TELL.pack(72, ALL_PEERS if peer is None else peer, len(self.tail), len(payload)))
-                    self.tail += payload
-                case api.FollowEndpointList(on):
-                    add(A_FLAG.pack(75, on))
+                    add(PEER_RECORD.pack(72, ALL_PEERS if peer is None else peer, len(self.payload), len(payload)))
+                    self.payload += payload
+                case api.FollowEndpointList(enabled):
+                    add(FLAG_RECORD.pack(75, enabled))
                 case api.FetchEndpointList():
-                    add(A_BARE.pack(76))
+                    add(BARE_RECORD.pack(76))
                 case api.Log(text):
-                    self.text(73, text)
+                    self.add_text(73, text)
 
     def frame(self) -> bytes:
-        body = b"".join(self.records) + bytes(self.tail)
-        return REPLY_HEAD.pack(len(self.records), len(body)) + body
+        """The finished frame."""
+        body = b"".join(self.records) + bytes(self.payload)
+        return REPLY_HEADER.pack(len(self.records), len(body)) + body
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Batches in, replies out, until the input ends."""
-    link = Link()
-    while head := source.read(CLOCK_BYTES):
-        if len(head) < CLOCK_BYTES:
-            raise WireError("header: the input ends inside it")
-        _count, size = REPLY_HEAD.unpack(head)
+    """Reads batches and writes a reply to each until the input ends."""
+    adapter = Adapter()
+    while header := source.read(CLOCK_BYTES):
+        if len(header) < CLOCK_BYTES:
+            raise WireError("header: input ended inside the header")
+        _count, size = REPLY_HEADER.unpack(header)
         body = source.read(size)
         if len(body) < size or size < CLOCK_BYTES:
-            raise WireError(f"frame: {size} bytes announced, {len(body)} came")
-        sink.write(link.turn(head + body))
+            raise WireError(f"frame: {size} bytes announced, {len(body)} received")
+        sink.write(adapter.process_batch(header + body))
         sink.flush()
 
 
 def main() -> int:
+    """Serves standard input and output; returns 2 where the input violates the protocol."""
     gc.freeze()
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
--- a/badgerbend/platform_settings.py
+++ b/badgerbend/platform_settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings, read into the settings of the decisions.
+"""Reads the platform's settings into the settings of the decisions.
 
-The simulator sends settings as path=value lines, the broker's configuration holds them as nested JSON; both use the
-same paths and units. Standard library only, since the simulator's adapter starts without any other package.
+The simulator sends settings as path=value lines, and the broker's configuration contains them as nested JSON; both use
+the same paths and units. Only the standard library is used: the simulator's adapter runs without other packages.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 
     @classmethod
     def at(cls, settings: Mapping[str, str], path: str) -> SettingError:
-        """The error for the setting at a path, which is malformed if it is there and missing if it is not."""
+        """The error for a setting: malformed if it is present, missing if it is not."""
         problem = f"malformed: {settings[path]!r}" if path in settings else "missing"
         return cls(f"setting {path} is {problem}")
 
 
 def parse_lines(text: str) -> dict[str, str]:
-    """Path=value lines as a mapping; lines without an equals sign are skipped."""
+    """Parses path=value lines; lines without an equals sign are skipped."""
     return dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
 
 
 def flatten(settings: Mapping[str, object]) -> dict[str, str]:
-    """Nested settings as a mapping of paths to values.
+    """Flattens nested settings to a mapping of dotted paths to values.
 
-    Members go by their names, objects in a list by their positions, with the number of them under `count`. A list of
-    plain values is one value, joined by commas. What is null is left out.
+    Members of objects are addressed by name. Objects in a list are addressed by position, and their number is stored
+    under `count`. A list of plain values becomes one value, joined by commas. Null values are left out.
     """
     flat: dict[str, str] = {}
     _flatten_into(flat, "", settings)
@@ -49,35 +49,35 @@
         for position, member in enumerate(value):
             _flatten_into(flat, f"{path}.{position}", member)
     elif isinstance(value, list):
-        flat[path] = ",".join(_plain(item) for item in value)
+        flat[path] = ",".join(_format_plain(item) for item in value)
     elif value is not None:
-        flat[path] = _plain(value)
+        flat[path] = _format_plain(value)
 
 
-def _plain(value: object) -> str:
+def _format_plain(value: object) -> str:
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
 class SettingsReader:
-    """Typed access to flat settings. Every method raises SettingError, which names the path."""
+    """Typed access to flat settings. Methods raise a SettingError that names the path of an invalid setting."""
 
     def __init__(self, settings: Mapping[str, str]) -> None:
         self._settings = settings
 
     def has(self, path: str) -> bool:
-        """Whether there is such a setting."""
+        """Whether the setting is present."""
         return path in self._settings
 
-    def word(self, path: str) -> str | None:
-        """The text of a setting, None where it is missing."""
+    def text(self, path: str) -> str | None:
+        """The text of a setting, or None if it is missing."""
         return self._settings.get(path)
 
     def error(self, path: str) -> SettingError:
-        """The error for the setting at a path."""
+        """The error for an invalid setting."""
         return SettingError.at(self._settings, path)
 
     def number(self, path: str, minimum: float = -math.inf) -> float:
-        """A finite number."""
+        """A finite number of at least `minimum`."""
         if path not in self._settings:
             raise self.error(path)
         try:
@@ -89,32 +89,32 @@
         return value
 
     def integer(self, path: str, minimum: int = 0) -> int:
-        """A number without a fraction."""
+        """An integer of at least `minimum`."""
         value = self.number(path, minimum)
         if value != int(value):
             raise self.error(path)
         return int(value)
 
     def flag(self, path: str) -> bool:
-        """`true` or `false`."""
+        """A boolean, written as `true` or `false`."""
         if self._settings.get(path) not in ("true", "false"):
             raise self.error(path)
         return self._settings[path] == "true"
 
-    def optional(self, path: str) -> float | None:
-        """A number of at least 0, or None where the setting is missing."""
+    def optional_number(self, path: str) -> float | None:
+        """A number of at least 0, or None if the setting is missing."""
         return self.number(path, 0.0) if path in self._settings else None
 
-    def limit(self, path: str) -> float:
-        """A number of at least 0, or infinity where the setting is missing."""
+    def optional_limit(self, path: str) -> float:
+        """A number of at least 0, or infinity if the setting is missing."""
         return self.number(path, 0.0) if path in self._settings else math.inf
 
     def numbers(self, path: str, count: int) -> list[float]:
-        """So many numbers of at least 0, separated by commas."""
+        """A list of exactly `count` numbers of at least 0, separated by commas."""
         if path not in self._settings:
             raise self.error(path)
         try:
-            values = [float(text) for text in self._settings[path].split(",")]
+            values = [float(item) for item in self._settings[path].split(",")]
         except ValueError:
             values = []
         if len(values) != count or not all(math.isfinite(value) and value >= 0 for value in values):
@@ -123,10 +123,10 @@
 
 
 def read_settings(settings: Mapping[str, str]) -> api.Settings:
-    """The settings of the decisions. Unknown paths are skipped. Raises SettingError."""
+    """Reads the settings of the decisions; unknown paths are ignored. Raises SettingError."""
     reader = SettingsReader(settings)
     classes = _query_classes(reader)
-    polls_endpoint_list = reader.word("registryMode") == "ask"
+    polls_endpoint_list = reader.text("registryMode") == "ask"
     tenant_count = reader.integer("tenants.count") if reader.has("tenants.count") else 0
     tenants = tuple(api.Tenant(reader.number(f"tenants.{index}.quotaPerS", 0.0)) for index in range(tenant_count))
     return api.Settings(
@@ -145,8 +145,8 @@
         health_checks=reader.flag("ceilings.probing"),
         retry_after=reader.flag("ceilings.retryAfter"),
         max_retry_after_ms=reader.number("ceilings.maxRetryAfterMs", 0.0),
-        connection_idle_ms=reader.limit("ceilings.connIdleMs"),
-        connect_timeout_ms=reader.limit("ceilings.connectTimeoutMs"),
+        connection_idle_ms=reader.optional_limit("ceilings.connIdleMs"),
+        connect_timeout_ms=reader.optional_limit("ceilings.connectTimeoutMs"),
         polls_endpoint_list=polls_endpoint_list,
         max_poll_interval_ms=reader.number("obligations.mustAskInMs", 1.0) if polls_endpoint_list else math.inf,
         over_quota_weight=reader.number("overShareWorth", 0.0),
@@ -154,9 +154,9 @@
         slow_start_ms=reader.number("obligations.coldMs", 0.0),
         overload_factor=reader.number("obligations.overloadFactor", 0.0),
         overload_window_ms=reader.number("obligations.fallMs", 0.0),
-        retry_budget_min=reader.optional("obligations.minExtra"),
-        retry_budget_share=reader.optional("obligations.extraPerRequest"),
-        retry_budget_window_ms=reader.optional("obligations.lookBackMs"),
+        retry_budget_min=reader.optional_number("obligations.minExtra"),
+        retry_budget_share=reader.optional_number("obligations.extraPerRequest"),
+        retry_budget_window_ms=reader.optional_number("obligations.lookBackMs"),
     )
 
 
@@ -189,7 +189,7 @@
     partial_value: float,
     follow_up_parts: int,
 ) -> api.QueryClass:
-    effect = EFFECTS.get(reader.word(f"{path}.idempotency") or "")
+    effect = EFFECTS.get(reader.text(f"{path}.idempotency") or "")
     if effect is None:
         raise reader.error(f"{path}.idempotency")
     return api.QueryClass(
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -53,7 +53,7 @@
     return b"".join(struct.pack(">HIdHBfB", cell, node, 0.0, 0, 0, 1.0, state) for cell, node, state in rows)
 
 
-def boot(link, instance=3, facts=None, rows=((0, 71, 1), (1, 72, 1)), slot=0):
+def boot(adapter, instance=3, facts=None, rows=((0, 71, 1), (1, 72, 1)), slot=0):
     text = "\n".join(f"{k}={v}" for k, v in (facts or FACTS).items()).encode()
     sheet = lines(*rows)
     records = [
@@ -62,7 +62,7 @@
         rec(3, "III", slot, len(text), len(rows)),
         rec(2, "BQI", 2, 41, slot),
     ]
-    return link.turn(frame(100.0, records, text + sheet))
+    return adapter.process_batch(frame(100.0, records, text + sheet))
 
 
 def parse(reply):
@@ -76,29 +76,31 @@
 
 
 def test_empty_batch():
-    assert benchlink.Link().turn(frame(240.0, [])) == bytes(8)
+    assert benchlink.Adapter().process_batch(frame(240.0, [])) == bytes(8)
 
 
 def test_query_is_sent_and_answered():
-    link = benchlink.Link()
-    boot(link)
+    adapter = benchlink.Adapter()
+    boot(adapter)
     acts, _ = parse(
-        link.turn(frame(105.0, [rec(8, "I", 3), submit(1, -1, 7, 2), submit(2, 0, 7, 0.5), submit(3, 1, 7, 0.5)]))
+        adapter.process_batch(
+            frame(105.0, [rec(8, "I", 3), submit(1, -1, 7, 2), submit(2, 0, 7, 0.5), submit(3, 1, 7, 0.5)])
+        )
     )
     assert acts[0][:5] == struct.pack(">BI", 78, 3)
     sends = [struct.unpack_from(">BIId", a) for a in acts if a[0] == 65]
     assert sorted((s[1], s[3] > 2000) for s in sends) == [(2, True), (3, True)]
     done = [rec(6, "IHIHdBB4f", s[1], 0, s[2], 0, 20.0, 1, 0, 0, 0, 0, 0) for s in sends]
-    acts, _ = parse(link.turn(frame(125.0, [rec(8, "I", 3), *done])))
+    acts, _ = parse(adapter.process_batch(frame(125.0, [rec(8, "I", 3), *done])))
     assert [a for a in acts if a[0] == 77] == [struct.pack(">BIB18x", 77, 1, 1)]
 
 
 def test_instances_share_nothing_and_a_slot_is_reused_in_one_batch():
-    link = benchlink.Link()
-    boot(link, 3, rows=((0, 71, 1), (1, 72, 1)))
-    boot(link, 4, rows=((0, 81, 1), (1, 82, 1)))
+    adapter = benchlink.Adapter()
+    boot(adapter, 3, rows=((0, 71, 1), (1, 72, 1)))
+    boot(adapter, 4, rows=((0, 81, 1), (1, 82, 1)))
     sheets = lines((0, 71, 0)) + lines((0, 81, 2))
-    link.turn(
+    adapter.process_batch(
         frame(
             110.0,
             [
@@ -112,16 +114,16 @@
             sheets,
         )
     )
-    assert {n.id for n in link.instances[3].endpoints.servers.values() if n.ready} == {72}
-    assert {n.id for n in link.instances[4].endpoints.servers.values() if n.ready} == {82}
+    assert {n.id for n in adapter.instances[3].endpoints.servers.values() if n.ready} == {72}
+    assert {n.id for n in adapter.instances[4].endpoints.servers.values() if n.ready} == {82}
 
 
 def test_exit_then_start_in_one_batch_begins_anew():
-    link = benchlink.Link()
-    boot(link)
-    old = link.instances[3]
+    adapter = benchlink.Adapter()
+    boot(adapter)
+    old = adapter.instances[3]
     text = "\n".join(f"{k}={v}" for k, v in FACTS.items()).encode()
-    link.turn(
+    adapter.process_batch(
         frame(
             120.0,
             [
@@ -134,8 +136,8 @@
             text + lines((0, 71, 1)),
         )
     )
-    assert link.instances[3] is not old
-    assert list(link.instances[3].endpoints.servers) == [71]
+    assert adapter.instances[3] is not old
+    assert list(adapter.instances[3].endpoints.servers) == [71]
 
 
 @pytest.mark.parametrize(
@@ -151,21 +153,21 @@
 def test_a_bad_setting_is_named_in_one_line(change):
     key, value = change
     facts = {k: v for k, v in FACTS.items() if k != key} | ({key: value} if value else {})
-    acts, tail = parse(boot(benchlink.Link(), facts=facts))
+    acts, tail = parse(boot(benchlink.Adapter(), facts=facts))
     assert [a[0] for a in acts] == [78, 74]
     assert key in tail.decode()
     assert "\n" not in tail.decode()
 
 
 def test_an_exception_becomes_a_panic_with_its_text(monkeypatch):
-    link = benchlink.Link()
-    boot(link)
+    adapter = benchlink.Adapter()
+    boot(adapter)
 
     def broken(now, events):
         raise ZeroDivisionError("by nothing")
 
-    monkeypatch.setattr(link.instances[3], "step", broken)
-    acts, tail = parse(link.turn(frame(130.0, [rec(8, "I", 3), rec(1, "Q", 0)])))
+    monkeypatch.setattr(adapter.instances[3], "step", broken)
+    acts, tail = parse(adapter.process_batch(frame(130.0, [rec(8, "I", 3), rec(1, "Q", 0)])))
     assert acts[-1][0] == 74
     assert b"ZeroDivisionError: by nothing" in tail
 
@@ -182,7 +184,7 @@
 )
 def test_impossible_frames_are_named(bad):
     with pytest.raises(benchlink.WireError, match="record|header"):
-        benchlink.Link().turn(bad)
+        benchlink.Adapter().process_batch(bad)
 
 
 def test_truncated_input_is_an_error_and_its_end_is_not():
@@ -195,7 +197,7 @@
 
 def test_every_action_has_its_record():
     reply = benchlink.Reply()
-    reply.write(
+    reply.add_actions(
         [
             api.Send(1, 2, 3.0),
             api.SetTimer(1.0, 2),
