--- a/badgerbend/benchlink.py
+++ b/badgerbend/benchlink.py
@@ -175,7 +175,7 @@
     @staticmethod
     def _payload(frame: bytes, at: int, length: int) -> bytes:
         if at + length > len(frame):
-            raise WireError(f"payload of {length} bytes exceeds the frame")
+            raise WireError(f"{length} bytes of payload exceed the frame")
         return frame[at : at + length]
 
     def _endpoints(self, frame: bytes, at: int, count: int) -> tuple[api.Endpoint, ...]:
--- a/badgerbend/decisions/__init__.py
+++ b/badgerbend/decisions/__init__.py
@@ -1,6 +1,6 @@
-"""All decisions of an aggregator: routing, redundancy, retries, hedging, admission and how queries end.
+"""All decisions of an aggregator: routing, redundancy, retries, hedging, admission and the completion of queries.
 
-The package is pure: it reads no clock, opens no socket and imports the standard library alone. Its settings, events
+The package is pure: it reads no clock, opens no sockets and imports only the standard library. Its settings, events
 and actions are defined in `badgerbend/api.py`.
 """
 
--- a/badgerbend/decisions/admission.py
+++ b/badgerbend/decisions/admission.py
@@ -1,6 +1,7 @@
-"""Admission: which queries are rejected on arrival, and only while parts of this broker wait for servers.
+"""Admission control: decides which queries are rejected on arrival.
 
-Rejected are queries that no site takes, that are foreseen to be late, or that are more likely lost than answered.
+A query is rejected if no site admits it, if its expected latency is too high, or with a probability that grows as its
+chance to be answered in time falls below one half.
 """
 
 from __future__ import annotations
@@ -12,29 +13,29 @@
 from badgerbend import api
 from badgerbend.decisions.cell_success import CellSuccess
 from badgerbend.decisions.context import DecisionContext
-from badgerbend.decisions.latency import FADE_MS
+from badgerbend.decisions.latency import OBSERVATION_HALF_LIFE_MS
 from badgerbend.decisions.outliers import OutlierDetector
 from badgerbend.decisions.queries import EndReason, QueryState
 from badgerbend.decisions.servers import Server
 
 OBJECTIVE_SHARE = 0.7
-"""A query is rejected when it is foreseen to take more than this share of its latency objective."""
+"""A query is rejected if its expected latency is at least this share of its latency objective."""
 
 OBJECTIVE_SHARE_OVER_QUOTA = 0.5
-"""The same for a tenant beyond its quota, whose queries are worth little."""
+"""The same for a tenant beyond its quota, whose queries have a low value."""
 
-EVEN_ODDS = 0.5
-"""Chance of a timely answer below which a query is admitted the more seldom the lower it is."""
+CERTAIN_ADMISSION_PROBABILITY = 0.5
+"""Queries whose probability of a timely answer is lower are admitted with a probability in proportion to it."""
 
 FOLLOW_UP_FACTOR = 1.5
-"""Time of a query with a second step over that of its first; the second has fewer and lighter parts."""
+"""Latency of a query with two steps over that of its first step; the second has fewer and lighter parts."""
 
 RESAMPLES = 100
-"""Resamples that the order statistic is taken from: the error of a mean is a tenth of the spread."""
+"""Number of resamples for an order statistic; the standard error of its mean is a tenth of the standard deviation."""
 
 
 class AdmissionController:
-    """Decides on queries when they arrive."""
+    """Admits or rejects queries on arrival."""
 
     def __init__(self, context: DecisionContext, outliers: OutlierDetector, cells: CellSuccess) -> None:
         self._settings = context.settings
@@ -46,30 +47,35 @@
         self._outliers = outliers
         self._cells = cells
         self._sites = context.sites
-        self._order_statistics: dict[tuple[int, int], float] = {}  # E[X_m:k] / E[X], by m and k
+        self._order_statistics: dict[tuple[int, int], float] = {}  # E[X_m:k] / E[X] by m and k
 
     def reset(self) -> None:
-        """Forgets the order statistics; called when the latency estimate was refreshed."""
+        """Discards the order statistics; called after the latency estimate has been refreshed."""
         self._order_statistics = {}
 
     def rejection(self, event: api.Query, query: QueryState, now_ms: float) -> EndReason | None:
-        """Why a query is rejected, or None if it is admitted. Notes whether it needs a canary."""
+        """The reason to reject a query, or None if it is admitted. Also decides whether the query needs a canary."""
         over_quota = self._is_over_quota(event.tenant, now_ms)
         fewest = query.fewest_parts(query.query_class.complete_weight)
         if self._sites and not self._sites.admits(event, over_quota, fewest):
             return EndReason.NO_SITE
-        if not query.parts or self._foreseen_ms(query, now_ms) >= self._longest_ms(query, over_quota, now_ms):
+        if not query.parts or self._expected_latency_ms(query, now_ms) >= self._latency_limit_ms(
+            query, over_quota, now_ms
+        ):
             return EndReason.FORESEEN_LATE
         query.has_canary = event.is_retry or self._outliers.needs_canary(now_ms)
-        chance = self._chance_in_time(query, now_ms)
+        probability = self._in_time_probability(query, now_ms)
         if fewest == len(query.parts):
-            chance *= self._chance_of_all_parts(query, now_ms)
-        if chance < EVEN_ODDS and self._random.random() > chance / EVEN_ODDS:
+            probability *= self._all_parts_probability(query, now_ms)
+        if (
+            probability < CERTAIN_ADMISSION_PROBABILITY
+            and self._random.random() > probability / CERTAIN_ADMISSION_PROBABILITY
+        ):
             return EndReason.UNLIKELY
         return None
 
     def _is_over_quota(self, tenant: int, now_ms: float) -> bool:
-        """Whether a tenant is beyond this broker's even share of its quota, this query included."""
+        """Counts a query and returns whether its tenant now exceeds this broker's even share of its quota."""
         if tenant >= len(self._settings.tenants):
             return False
         queries = self._rates.tenant(tenant)
@@ -77,38 +83,38 @@
         quota_per_ms = self._settings.tenants[tenant].quota_per_s / self._settings.broker_count / 1000
         return self._rates.per_ms(queries, now_ms) > quota_per_ms
 
-    def _longest_ms(self, query: QueryState, over_quota: bool, now_ms: float) -> float:
-        """How long a query may be foreseen to take."""
+    def _latency_limit_ms(self, query: QueryState, over_quota: bool, now_ms: float) -> float:
+        """The expected latency at which a query is rejected."""
         share = OBJECTIVE_SHARE_OVER_QUOTA if over_quota else OBJECTIVE_SHARE
         return min(share * query.query_class.latency_objective_ms, query.end_at_ms - now_ms)
 
-    def _foreseen_ms(self, query: QueryState, now_ms: float) -> float:
-        """How long a query taken now would take to the least weight that it may be answered with.
+    def _expected_latency_ms(self, query: QueryState, now_ms: float) -> float:
+        """The expected time until a query admitted now has the least weight that it may be answered with.
 
-        It is what the servers of its shards took lately, times the order statistic of recent answers over their mean;
-        as long as the slowest of its shards at least. Without anything in flight a query is taken in any case, to learn
-        whether an overload is over.
+        It is the mean recent response time of the shards needed for that, scaled by the order statistic of recent
+        answers over their mean, but at least the response time of the slowest of these shards. While nothing is in
+        flight it is 0, so that queries are admitted and show whether an overload has ended.
         """
         if not self._latency.late_ms or not self._queries.attempts:
             return 0.0
         part_count = len(query.parts)
         needed = query.fewest_parts(query.minimum_weight)
         times_ms = sorted(self._shard_time_ms(part.shard, now_ms) for part in query.parts)[:needed]
-        foreseen_ms = max(times_ms[-1], sum(times_ms) / needed * self._order_statistic(needed, part_count))
-        return foreseen_ms * (FOLLOW_UP_FACTOR if query.query_class.follow_up_parts else 1.0)
+        expected_ms = max(times_ms[-1], sum(times_ms) / needed * self._order_statistic(needed, part_count))
+        return expected_ms * (FOLLOW_UP_FACTOR if query.query_class.follow_up_parts else 1.0)
 
     def _shard_time_ms(self, shard: int, now_ms: float) -> float:
-        """What a part takes at the fastest replica of a shard, of those observed lately if there are any."""
-        oldest_ms = now_ms - FADE_MS / 2
+        """The response time of a shard's fastest replica, among recently observed replicas if there are any."""
+        oldest_ms = now_ms - OBSERVATION_HALF_LIFE_MS / 2
         replicas = self._endpoints.replicas(shard)
         observed = [server for server in replicas if server.response_time_at_ms > oldest_ms] or replicas
         return min((self._response_time_ms(server, now_ms) for server in observed), default=0.0)
 
     def _response_time_ms(self, server: Server, now_ms: float) -> float:
-        return self._latency.response_time_ms(server, now_ms, FADE_MS / 2)
+        return self._latency.response_time_ms(server, now_ms, OBSERVATION_HALF_LIFE_MS / 2)
 
     def _order_statistic(self, m: int, k: int) -> float:
-        """The mean of the m-th smallest of k recent answers, over the mean answer."""
+        """The mean of the m-th smallest of k recent latencies, relative to the mean latency."""
         ratio = self._order_statistics.get((m, k))
         if ratio is None:
             answers_ms = self._latency.answers_ms
@@ -117,28 +123,28 @@
             self._order_statistics[m, k] = ratio
         return ratio
 
-    def _chance_of_all_parts(self, query: QueryState, now_ms: float) -> float:
-        """The chance that a query which needs all its parts gets them, by how others fared with its cells lately.
+    def _all_parts_probability(self, query: QueryState, now_ms: float) -> float:
+        """The probability that all parts of a query are answered, from the recent success of its cells.
 
-        It avoids work on queries that lose one part of ten. The trade-off is that after a fault it takes some answers,
-        or seconds, until all are admitted again.
+        It avoids work on queries that would lose one of ten parts. The trade-off is that after a fault it takes some
+        answers, or several seconds, until all queries are admitted again.
         """
         return prod(self._cells.share(cell, now_ms) for cell in self._cells.cells(query))
 
-    def _chance_in_time(self, query: QueryState, now_ms: float) -> float:
-        """The chance that the least weight a query may be answered with is in while its client waits.
+    def _in_time_probability(self, query: QueryState, now_ms: float) -> float:
+        """The probability that the least weight a query may be answered with arrives before its client's deadline.
 
-        It goes by recent answers; a canary goes before the rest, which halves the time. It avoids work that nobody
-        waits for, also where nothing is in flight to foresee it by. The trade-off is that answers which came to be
-        quicker are noticed within seconds only.
+        It is derived from recent answers. A canary precedes the other parts, which halves the time for each. It avoids
+        work on answers that arrive after the client has left, also while nothing is in flight and no latency can be
+        expected. The trade-off is that it takes seconds to notice that answers have become faster.
         """
         answers_ms = self._latency.sorted_answers_ms
         if not answers_ms:
             return 1.0
         time_left_ms = (query.end_at_ms - now_ms) / (1 + query.has_canary)
-        chance = bisect_right(answers_ms, time_left_ms) / len(answers_ms)
-        if chance == 1.0:
+        probability = bisect_right(answers_ms, time_left_ms) / len(answers_ms)
+        if probability == 1.0:
             return 1.0
         count = len(query.parts)
         needed = query.fewest_parts(query.minimum_weight)
-        return sum(comb(count, n) * chance**n * (1 - chance) ** (count - n) for n in range(needed, count + 1))
+        return sum(comb(count, n) * probability**n * (1 - probability) ** (count - n) for n in range(needed, count + 1))
--- a/badgerbend/decisions/aggregator.py
+++ b/badgerbend/decisions/aggregator.py
@@ -1,4 +1,4 @@
-"""The aggregator: dispatches events to the modules that decide on them, and collects the actions."""
+"""The aggregator: dispatches events to the modules that decide on them and collects their actions."""
 
 from __future__ import annotations
 
@@ -31,12 +31,13 @@
 
 
 class Aggregator:
-    """All decisions of one broker: events go in with the time, actions come out.
+    """All decisions of one broker: takes events with the current time and returns actions.
 
-    It is called from one thread. Its public parts are there for status pages and tests, to be read.
+    It must be called from one thread. Status pages and tests may read its public attributes.
 
-    seed: of all random choices. sites: preference among sites; None if all servers are equal. budget: what brokers
-    share out of what may be sent to servers that are warming up; None if each keeps to its own share.
+    seed: of all random choices.
+    sites: preference among sites; None if all servers are treated alike.
+    budget: the rates to servers that are warming up, divided among brokers; None if each broker uses its own limit.
     """
 
     redundancy_type: type[RedundancyPolicy] = RedundancyPolicy
@@ -81,13 +82,13 @@
         self._query_review = QueryReview(context, self._results, sender, self._completion)
 
     def step(self, now_ms: float, events: list[api.Event]) -> list[api.Action]:
-        """Takes the events of one moment, in milliseconds, and gives the actions that follow, in order."""
+        """Handles the events that arrived by a time in milliseconds and returns the resulting actions in order."""
         self._now_ms = now_ms
         self._actions.clear()
         self.rates.begin(now_ms)
         if self.sites:
             self.sites.observe(now_ms, events)
-        if len(events) > 1:  # a server that drains is to get nothing more in this step already
+        if len(events) > 1:  # endpoint updates first: nothing may be sent to a server that drains as of this step
             events = sorted(events, key=lambda event: not isinstance(event, api.EndpointUpdate))
         for event in events:
             self._handle(event, now_ms)
@@ -104,7 +105,7 @@
         return self._now_ms
 
     def observations(self) -> api.Observations:
-        """What this broker has observed itself, as of the last step. Changes nothing."""
+        """This broker's own observations as of the last step. It does not change the state."""
         return self.observation_exchange.export(self._now_ms)
 
     def _handle(self, event: api.Event, now_ms: float) -> None:
@@ -123,7 +124,7 @@
                 if self.observation_exchange.learn(event, now_ms):
                     self._refresh(now_ms)
             case api.TimerFired() | api.AttemptStarted() | api.HealthCheckCompleted() | api.PeerMessage():
-                pass  # nothing is decided on these
+                pass  # no decision depends on these
             case _:
                 assert_never(event)
 
@@ -140,7 +141,7 @@
         self._query_review.run(now_ms)
 
     def _refresh(self, now_ms: float) -> None:
-        """Derives the estimates anew, and forgets what was derived from them."""
+        """Recomputes the estimates and discards the values derived from them."""
         self._refreshed_ms = now_ms
         self.redundancy.reset()
         self.admission.reset()
@@ -148,7 +149,7 @@
         self.endpoints.refresh()
 
     def _set_timer(self, now_ms: float) -> None:
-        """Sets the timer for the next review, unless it is set for that time or an earlier one."""
+        """Sets the timer for the next review unless it is already set for that time or an earlier one."""
         latest_ms = now_ms + (TICK_MS if self.queries.by_id else REFRESH_INTERVAL_MS)
         review_at_ms = self.queries.next_end_ms(now_ms, latest_ms)
         if not now_ms < self._timer_at_ms <= review_at_ms:
--- a/badgerbend/decisions/attempts.py
+++ b/badgerbend/decisions/attempts.py
@@ -1,4 +1,4 @@
-"""What follows from the end of an attempt: for its server, for the estimates and for its query."""
+"""Handles the results of attempts: updates the state of servers and estimates, and continues or ends the query."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from badgerbend.decisions.timing import TICK_MS
 
 ROUND_TRIP_MS = 5.0
-"""A connection that breaks sooner than this did so before the part can have begun: that is as good as refused."""
+"""A connection that breaks within this time does so before the part can have started, which amounts to a refusal."""
 
 
-FAILED_AT_ONCE = (Outcome.REJECTED, Outcome.ERROR, Outcome.RESET)
-"""Outcomes that say nothing about how long a part takes."""
+FAST_FAILURES = (Outcome.REJECTED, Outcome.ERROR, Outcome.RESET)
+"""Outcomes whose latency contains no information about the response time of a server."""
 
 
 class AttemptResults:
-    """Takes the ends of attempts."""
+    """Handles the completion of attempts."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._completion = completion
 
     def completed(self, event: api.AttemptCompleted, now_ms: float) -> None:
-        """An attempt has ended. One that is not in flight is ignored."""
+        """Handles the end of an attempt. Attempts that are not in flight are ignored."""
         attempt = self._queries.attempts.pop((event.part, event.attempt), None)
         if attempt is None:
             return
@@ -65,51 +65,49 @@
         else:
             self._part_failed(part, attempt, event, now_ms)
 
-    def judge(self, attempt: Attempt, now_ms: float, *, lost: bool) -> None:
-        """An attempt was answered, or it was lost or is late."""
+    def record_result(self, attempt: Attempt, now_ms: float, *, lost: bool) -> None:
+        """Records whether an attempt was answered, or was lost or is late, for its connection and its zone."""
         self._connections.record_result(attempt, now_ms, lost=lost)
         self._outliers.record_result(attempt.server.zone, lost=lost)
 
     def _observe(self, event: api.AttemptCompleted, attempt: Attempt, part: PartState | None, now_ms: float) -> None:
-        """Takes what the end of an attempt says about its server, its connection and latencies."""
+        """Updates the state of the attempt's server and connection, and the latency estimate."""
         latency_ms = now_ms - attempt.sent_ms
         answered = event.outcome == Outcome.OK
         handshake_timed_out = self._handshake_timed_out(event)
         if attempt.idle_ms == inf and not self._outliers.is_zone_unreachable(attempt.server):
             self._connections.record_handshake(failed=handshake_timed_out)
-        self._judge_connection(event.outcome, attempt, latency_ms, now_ms)
+        self._update_connection(event.outcome, attempt, latency_ms, now_ms)
         self._latency.add(now_ms, latency_ms, censored=not answered)
         if answered and attempt.server.is_down:
             self._outliers.answered(attempt.server, attempt, now_ms)
-        elif self._broke_midway(event):
+        elif self._broke_in_progress(event):
             self._outliers.connection_lost(attempt.server, now_ms, refused=False)
         elif event.outcome == Outcome.CONNECT_FAILED and not handshake_timed_out:
             self._outliers.connection_lost(attempt.server, now_ms, refused=True)
-        failed_at_once = event.outcome in FAILED_AT_ONCE or handshake_timed_out
-        self._latency.observe(
-            attempt.server, part, latency_ms, now_ms, answered=answered, failed_at_once=failed_at_once
-        )
+        failed_fast = event.outcome in FAST_FAILURES or handshake_timed_out
+        self._latency.observe(attempt.server, part, latency_ms, now_ms, answered=answered, failed_fast=failed_fast)
 
-    def _judge_connection(self, outcome: Outcome, attempt: Attempt, latency_ms: float, now_ms: float) -> None:
-        """Notes whether the connection of an attempt works; one that an attempt was lost or late on is closed."""
+    def _update_connection(self, outcome: Outcome, attempt: Attempt, latency_ms: float, now_ms: float) -> None:
+        """Records whether the connection of an attempt works, and closes it if the attempt was lost or late."""
         server = attempt.server
         if outcome in (Outcome.OK, Outcome.ERROR):
             self._connections.mark_used(server, now_ms)
-            self.judge(attempt, now_ms, lost=False)
+            self.record_result(attempt, now_ms, lost=False)
         elif outcome in (Outcome.RESET, Outcome.CONNECT_FAILED) or latency_ms > (self._latency.late_ms or inf):
             self._connections.mark_unusable(server)
             if not server.in_flight:
                 self._actions.append(api.CloseIdleConnections(server.id))
-            self.judge(attempt, now_ms, lost=True)
+            self.record_result(attempt, now_ms, lost=True)
 
     def _handshake_timed_out(self, event: api.AttemptCompleted) -> bool:
-        """Whether a connection did not come up in time, which is no proof that the server is down."""
+        """Whether a handshake timed out, which does not prove that the server is down."""
         if event.outcome != Outcome.CONNECT_FAILED:
             return False
         return event.elapsed_ms > self._connect_timeout_ms - ROUND_TRIP_MS
 
-    def _broke_midway(self, event: api.AttemptCompleted) -> bool:
-        """Whether a connection broke when the part may have begun."""
+    def _broke_in_progress(self, event: api.AttemptCompleted) -> bool:
+        """Whether a connection broke after the part may have started."""
         return event.outcome == Outcome.RESET and event.elapsed_ms > ROUND_TRIP_MS
 
     def _part_answered(self, part: PartState, number: int, now_ms: float) -> None:
@@ -123,17 +121,17 @@
         if query.has_canary:
             while query.reserved_parts and query.parts_to_send > len(query.parts) - len(query.reserved_parts):
                 self._sender.send(query.reserved_parts.pop(), now_ms)
-        self._completion.settle(query, now_ms)
+        self._completion.answer_if_due(query, now_ms)
 
     def _part_failed(self, part: PartState, attempt: Attempt, event: api.AttemptCompleted, now_ms: float) -> None:
         query = part.query
-        if self._broke_midway(event):
+        if self._broke_in_progress(event):
             self._outliers.part_lost(query, attempt.server)
         rejected_again = event.outcome == Outcome.REJECTED and part.attempts_made > 1
         if rejected_again and not self._retries.is_exhausted(part, now_ms):
-            # an attempt at once would find the same queues full
+            # An immediate retry would find the same queues still full.
             query.review_at_ms = min(query.review_at_ms, now_ms + TICK_MS)
             return
         not_sent = bool(part.in_flight) or not self._sender.send(part, now_ms)
-        if not_sent and self._completion.is_hopeless(query, now_ms):
-            self._completion.give_up(query, EndReason.NO_ATTEMPT_LEFT, now_ms)
+        if not_sent and self._completion.is_unanswerable(query, now_ms):
+            self._completion.end_incomplete(query, EndReason.NO_ATTEMPT_LEFT, now_ms)
--- a/badgerbend/decisions/budget.py
+++ b/badgerbend/decisions/budget.py
@@ -7,17 +7,18 @@
 from badgerbend.decisions.timing import TICK_MS
 
 HEDGE_SHARE = 0.05
-"""Hedged requests as a share of the parts accepted, where none of them is the first to answer."""
+"""Hedged requests per accepted part if no hedged request is ever the first to answer."""
 
 MAX_HEDGE_CREDIT = 5.0
-"""Hedged requests that can be saved up."""
+"""Largest number of hedged requests that credit can accumulate for."""
 
 HEDGE_REWARD = 1.5
-"""Credit for a hedged request that answered first. It pays for more than itself: two of three must win to go on."""
+"""Credit for a hedged request that answered first. It exceeds the cost of one, so hedging sustains itself while two of
+three hedged requests answer first."""
 
 
 class RetryBudget:
-    """The retry budget of the settings: retries within a window, as a share of what was accepted in it."""
+    """The retry budget of the settings: limits the retries within a window to a share of the accepted work."""
 
     def __init__(self, settings: api.Settings, rates: TrafficRates) -> None:
         self._window_ms = settings.retry_budget_window_ms
@@ -26,7 +27,7 @@
         self._rates = rates
 
     def allows_retry(self, now_ms: float) -> bool:
-        """Whether one more retry is within the budget, counted a tick to the safe side."""
+        """Whether one more retry is within the budget. The windows differ by a tick each, to err on the safe side."""
         if self._window_ms is None:
             return True
         retries = self._rates.retries.count(now_ms, self._window_ms + TICK_MS) + 1
@@ -34,22 +35,22 @@
 
 
 class HedgeBudget:
-    """Credit for hedged requests; it runs out where all servers are slow from load, which hedging would only add to.
+    """Credit for hedged requests. It runs out when all servers are slow under load, which hedging would increase.
 
-    credit: how many may be sent now.
+    credit: the number of hedged requests that may be sent now.
     """
 
     def __init__(self) -> None:
         self.credit = 1.0
 
     def earn(self) -> None:
-        """A part was accepted."""
+        """Adds credit for an accepted part."""
         self.credit = min(self.credit + HEDGE_SHARE, MAX_HEDGE_CREDIT)
 
     def spend(self) -> None:
-        """A hedged request was sent."""
+        """Deducts the credit for a hedged request that was sent."""
         self.credit -= 1
 
     def reward(self) -> None:
-        """A hedged request was the first to answer."""
+        """Adds credit for a hedged request that was the first to answer."""
         self.credit += HEDGE_REWARD
--- a/badgerbend/decisions/completion.py
+++ b/badgerbend/decisions/completion.py
@@ -1,4 +1,4 @@
-"""How queries end: with one final answer, rejection or failure each, in time."""
+"""The completion of queries: each ends in time with one final answer, rejection or failure."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class QueryCompletion:
-    """Answers queries, rejects them or lets them fail."""
+    """Answers, rejects or fails queries."""
 
     def __init__(
         self, context: DecisionContext, retries: RetryPolicy, outliers: OutlierDetector, cells: CellSuccess
@@ -26,8 +26,8 @@
         self._outliers = outliers
         self._cells = cells
 
-    def settle(self, query: QueryState, now_ms: float) -> None:
-        """Answers a query whose complete answer is in, or whose partial one is due."""
+    def answer_if_due(self, query: QueryState, now_ms: float) -> None:
+        """Answers a query if its complete answer is available or its partial answer is due."""
         is_complete = self._is_complete(query)
         if not is_complete and not self._is_partial_answer_due(query, now_ms):
             return
@@ -40,23 +40,23 @@
         else:
             self._finish(query, answer, now_ms)
 
-    def is_hopeless(self, query: QueryState, now_ms: float) -> bool:
-        """Whether no attempt in flight or allowed can bring a query to the least that it may be answered with."""
-        undone = [part for part in query.parts if not part.done]
-        is_stuck = self._outliers.is_suspect(query) and not any(part.in_flight for part in undone)
-        if is_stuck and not self._outliers.may_be_innocent(query, now_ms):
+    def is_unanswerable(self, query: QueryState, now_ms: float) -> bool:
+        """Whether neither attempts in flight nor further attempts can reach the least weight for an answer."""
+        unanswered = [part for part in query.parts if not part.done]
+        is_blocked = self._outliers.is_suspect(query) and not any(part.in_flight for part in unanswered)
+        if is_blocked and not self._outliers.may_be_cleared(query, now_ms):
             return True
         exhausted = sum(
-            part.weight for part in undone if not part.in_flight and self._retries.is_exhausted(part, now_ms)
+            part.weight for part in unanswered if not part.in_flight and self._retries.is_exhausted(part, now_ms)
         )
         query_class = query.query_class
         complete_weight = query_class.complete_weight if query.step == 1 else 1.0
         return exhausted > 1.0 - min(query_class.minimum_weight, complete_weight) + ROUNDING
 
-    def give_up(self, query: QueryState, reason: EndReason, now_ms: float) -> None:
-        """Ends a query without a complete answer: partially where its class allows it, else by rejection or failure.
+    def end_incomplete(self, query: QueryState, reason: EndReason, now_ms: float) -> None:
+        """Ends a query without a complete answer: by a partial answer if possible, else by rejection or failure.
 
-        It is rejected if a repeat by the client does no harm, and fails otherwise.
+        It is rejected if the client can retry it without harm, and fails otherwise.
         """
         query_class = query.query_class
         is_last_step = query.step == 2 or not query_class.follow_up_parts
@@ -71,22 +71,23 @@
         self._finish(query, final, now_ms)
 
     def client_disconnected(self, query_id: int) -> None:
-        """Ends the query of a client that has left, if it is open. It says nothing about its cells."""
+        """Ends the query of a client that has disconnected, if it is open. The success of its cells is not updated."""
         query = self._queries.by_id.get(query_id)
         if query is not None:
             self._close(query)
 
     def _is_complete(self, query: QueryState) -> bool:
-        """Whether all parts are in, or in the first step the weight that makes a complete answer."""
+        """Whether all parts are answered or, in the first step, enough weight for a complete answer."""
         if query.answered_parts == len(query.parts):
             return True
         complete_weight = query.query_class.complete_weight
         return query.step == 1 and complete_weight < 1 and query.answered_weight >= complete_weight - ROUNDING
 
     def _is_partial_answer_due(self, query: QueryState, now_ms: float) -> bool:
-        """Whether a partial answer is due: its objective is there, and it is worth more than a late complete answer.
+        """Whether a partial answer is due.
 
-        Ahead of a second step it is due a late part's time before the objective.
+        It is due at the latency objective if it has a higher value than a late complete answer. If a second step
+        follows, it is due earlier by the age at which a part is late, to leave time for that step.
         """
         query_class = query.query_class
         weight = query.answered_weight
--- a/badgerbend/decisions/connections.py
+++ b/badgerbend/decisions/connections.py
@@ -1,9 +1,9 @@
-"""Idle connections: which of them to trust, learned from the attempts that were sent on them.
+"""Decides which idle connections can be trusted, from the results of earlier attempts on idle connections.
 
-Something between broker and servers may drop connections that are idle for some time, without a word to either end. The
-next part sent on one is then lost, by a reset or by silence. Where most parts beyond some idle time are lost, older
-connections are closed before a send, for half a minute. The price is a handshake for each of them, so this is not
-done while handshakes fail.
+A middlebox between broker and servers may silently drop connections that have been idle for some time. The next part
+sent on such a connection is lost, with a reset or without any response. If most attempts on connections beyond some
+idle time are lost, connections with a longer idle time are closed before a send, for half a minute. The trade-off is an
+additional handshake for each of them, so this is not done while handshakes fail.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 from badgerbend.decisions.timing import REFRESH_INTERVAL_MS
 
 RECENT_ATTEMPTS = 40
-"""Attempts on idle connections that the threshold is derived from."""
+"""Number of attempts on idle connections that the threshold is derived from."""
 
 LOSS_SHARE = 0.2
-"""A larger share lost is neither chance nor a few servers that went down."""
+"""A larger share of lost attempts is neither chance nor caused by a few servers that went down."""
 
 LOSS_EXCESS = 4.0
-"""Losses beyond that share which are needed for a threshold: five in a row are not enough, six are."""
+"""Number of losses in excess of that share which sets a threshold: five losses in a row do not, six do."""
 
 DISTRUST_MS = 30_000.0
-"""How long a threshold holds, so that connections are trusted again once nothing drops them."""
+"""How long a threshold applies, so that connections are trusted again once they are no longer dropped."""
 
 HANDSHAKE_WEIGHT = 0.05
-"""Weight of the last handshake in the share that fails: the last twenty count."""
+"""Weight of the latest handshake in the share of failed ones; about the last twenty determine it."""
 
 
 class ConnectionMonitor:
-    """Judges idle connections.
+    """Decides whether idle connections are trusted.
 
     idle_threshold_ms: connections idle for longer are not trusted, until `distrusted_until_ms`.
-    handshake_failure_share: share of new connections that did not come up in time, a running mean.
+    handshake_failure_share: running mean of the share of handshakes that timed out.
     """
 
     def __init__(self, settings: api.Settings) -> None:
@@ -48,14 +48,15 @@
         self.handshake_failure_share = 0.0
 
     def idle_ms(self, server: Server, now_ms: float) -> float:
-        """How long the connection to a server has been idle; infinite where a new one is needed."""
+        """How long the connection to a server has been idle; infinite if a new one is needed."""
         idle_ms = 0.0 if server.in_flight else now_ms - server.connection_used_ms
         return idle_ms if idle_ms < self._closed_after_ms else inf
 
     def distrusts(self, idle_ms: float, part: PartState, now_ms: float) -> bool:
-        """Whether a part may not go on a connection that has been idle for so long.
+        """Whether a part must not be sent on a connection that has been idle for so long.
 
-        A part that must not run twice goes on none that was idle for a second: its loss can only be prevented.
+        A part that must not run twice is not sent on a connection that has been idle for more than a second: it cannot
+        be retried, so its loss can only be prevented.
         """
         if idle_ms == inf or self.handshake_failure_share >= LOSS_SHARE:
             return False
@@ -64,19 +65,19 @@
         return self.idle_threshold_ms <= idle_ms and now_ms < self.distrusted_until_ms
 
     def mark_used(self, server: Server, now_ms: float) -> None:
-        """Notes that the connection to a server was used, or was seen to work."""
+        """Records that the connection to a server was used or is known to work."""
         server.connection_used_ms = now_ms
 
     def mark_unusable(self, server: Server) -> None:
-        """Notes that the connection to a server is not to be trusted."""
+        """Records that the connection to a server must not be trusted."""
         server.connection_used_ms = -inf
 
     def record_handshake(self, *, failed: bool) -> None:
-        """Takes a new connection into the share that fails."""
+        """Updates the share of failed handshakes with a new connection."""
         self.handshake_failure_share += (failed - self.handshake_failure_share) * HANDSHAKE_WEIGHT
 
     def record_result(self, attempt: Attempt, now_ms: float, *, lost: bool) -> None:
-        """Notes whether an attempt was lost or late. One that was late and is answered after all ends the distrust."""
+        """Records whether an attempt was lost or late. If one that was late is answered after all, distrust ends."""
         wrongly_lost = bool(attempt.lost) and not lost and self.idle_threshold_ms <= attempt.idle_ms < inf
         if attempt.lost is None and attempt.idle_ms < inf:
             self._recent.append(attempt)
@@ -87,7 +88,7 @@
             self._find_threshold(now_ms)
 
     def _find_threshold(self, now_ms: float) -> None:
-        """Sets the threshold where the losses beyond it exceed `LOSS_SHARE` by the most."""
+        """Sets the threshold to the idle time beyond which losses exceed `LOSS_SHARE` by the most."""
         rows = sorted(((attempt.idle_ms, bool(attempt.lost)) for attempt in self._recent), reverse=True)
         excess = 0.0
         largest_excess = LOSS_EXCESS
--- a/badgerbend/decisions/context.py
+++ b/badgerbend/decisions/context.py
@@ -1,4 +1,4 @@
-"""What all decisions of one broker share."""
+"""The settings and state that the decisions of one broker share."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionContext:
-    """The settings and the state that most modules read.
+    """The settings and state that most modules use.
 
-    random: the source of all random choices. sites: preference among sites, if there is one. actions: those of the
-    current step, in order.
+    random: the source of all random choices.
+    sites: preference among sites, if there is one.
+    actions: the actions of the current step, in order.
     """
 
     settings: api.Settings
--- a/badgerbend/decisions/endpoints.py
+++ b/badgerbend/decisions/endpoints.py
@@ -1,8 +1,8 @@
-"""The endpoint list: servers, the replicas of each shard, and when discovery is polled.
+"""The endpoint list: the servers, the replicas of each shard, and the schedule of polls of discovery.
 
-A poll that failed is repeated after a random backoff that doubles up to the time within which the list must have been
-polled. Brokers that all polled again at once kept discovery out of reach for most of them. The price is that changes
-are heard of later once discovery is back.
+A failed poll is repeated after a random backoff, which doubles up to the interval within which the list must be polled.
+When all brokers repeated failed polls at once, discovery remained unreachable for most of them. The trade-off is that
+changes are learned later once discovery has recovered.
 """
 
 from __future__ import annotations
@@ -15,26 +15,27 @@
 from badgerbend.decisions.servers import Server
 
 FIRST_BACKOFF_DIVISOR = 8.0
-"""The first backoff is the poll interval divided by this."""
+"""The first backoff is the longest poll interval divided by this."""
 
 BACKOFF_DOUBLINGS = 3
-"""Failed polls after which the backoff has grown from an eighth of the poll interval to all of it."""
+"""Number of doublings after which the backoff has grown from an eighth of the poll interval to the whole interval."""
 
 BACKOFF_NOTIFICATION_SHARE = 1 / 3
-"""Largest backoff, as a share of the longest notification delay; the call before and the answer after take as much."""
+"""Largest backoff as a share of the longest notification delay; the failed call and the next one take as long each."""
 
 
 class ServerStart(NamedTuple):
-    """A start that the list stated first in this update; was_ready: the server was ready before it."""
+    """A start of a server that is new in this update. was_ready: the server was listed as ready before."""
 
     server: Server
     was_ready: bool
 
 
 class EndpointTracker:
-    """The servers of the list, and those that left it while attempts were in flight to them.
+    """The servers of the list, and removed servers that still have attempts in flight.
 
-    servers: by their number. available_count: ready servers that were not down, as of the last `refresh`.
+    servers: by node number.
+    available_count: number of ready servers that are not down, as of the last `refresh`.
     """
 
     def __init__(self, settings: api.Settings, random: Random) -> None:
@@ -43,20 +44,20 @@
         self._random = random
         self.servers: dict[int, Server] = {}
         self.available_count = 0
-        self._replicas_by_cell: dict[int, list[Server]] = {}  # ready servers of the cells that hold a shard
-        self._ready_by_cell: dict[int, list[tuple[int, Server]]] = {}  # with their place on the list
+        self._replicas_by_cell: dict[int, list[Server]] = {}  # ready servers that hold a shard, by its first cell
+        self._ready_by_cell: dict[int, list[tuple[int, Server]]] = {}  # with their position in the list
         self._poll_at_ms = -inf
         self._failed_polls = 0
 
     def poll_is_due(self, now_ms: float) -> bool:
-        """Whether discovery is to be polled now; if so, the next poll is due when this one stays unanswered."""
+        """Whether discovery must be polled now; if so, schedules another poll in case this one is not answered."""
         if not self._settings.polls_endpoint_list or now_ms < self._poll_at_ms:
             return False
         self._poll_at_ms = now_ms + self._settings.max_poll_interval_ms / 2
         return True
 
     def poll_failed(self, now_ms: float) -> None:
-        """Backs off after a failed poll, or after a watch that broke."""
+        """Schedules the next poll after a failed poll or a broken watch."""
         doublings = min(self._failed_polls, BACKOFF_DOUBLINGS)
         backoff_ms = self._settings.max_poll_interval_ms * 2.0**doublings / FIRST_BACKOFF_DIVISOR
         backoff_ms = min(backoff_ms, self._settings.max_notification_delay_ms * BACKOFF_NOTIFICATION_SHARE)
@@ -64,14 +65,14 @@
         self._failed_polls += 1
 
     def apply(self, update: api.EndpointUpdate) -> list[ServerStart]:
-        """Takes an update of the list, and gives the starts of servers that it stated."""
+        """Applies an update of the list and returns the server starts that are new in it."""
         if update.kind != api.UpdateKind.CACHED:
-            self._poll_at_ms = inf  # watched from now on
+            self._poll_at_ms = inf  # changes are pushed from now on
         self._failed_polls = 0
         changed = update.kind != api.UpdateKind.DELTA
         if changed:
             for server in self.servers.values():
-                server.ready = False  # a server that is missing from a complete list has left
+                server.ready = False  # a server that is missing from a complete list has been removed
         starts: list[ServerStart] = []
         for endpoint in update.endpoints:
             server = self._server(endpoint)
@@ -88,7 +89,7 @@
         return starts
 
     def refresh(self) -> None:
-        """Counts the available servers anew."""
+        """Recounts the available servers."""
         self.available_count = sum(1 for server in self.servers.values() if server.ready and not server.is_down)
 
     def replicas(self, shard: int) -> list[Server]:
@@ -106,10 +107,10 @@
         return server
 
     def _find_replicas(self, cell: int) -> list[Server]:
-        if not self._replicas_by_cell:  # the list has changed: one walk over it serves all shards
+        if not self._replicas_by_cell:  # the list has changed: one pass over it serves all shards
             self._ready_by_cell = {}
-            for place, server in enumerate(server for server in self.servers.values() if server.ready):
-                self._ready_by_cell.setdefault(server.cell, []).append((place, server))
+            for position, server in enumerate(server for server in self.servers.values() if server.ready):
+                self._ready_by_cell.setdefault(server.cell, []).append((position, server))
         cells = [(cell + i) % self._cell_count for i in range(self._settings.cells_per_shard)]
         rows = [row for near in cells for row in self._ready_by_cell.get(near, [])]
         replicas = [server for _, server in sorted(rows, key=lambda row: row[0])]
--- a/badgerbend/decisions/intake.py
+++ b/badgerbend/decisions/intake.py
@@ -1,4 +1,4 @@
-"""Intake: a query that arrived is rejected, or its first parts are sent; so are those of a second step."""
+"""Handles the arrival of queries and of follow-up parts: rejects queries or sends their parts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class QueryIntake:
-    """Takes queries and the parts of their second step."""
+    """Handles new queries and the parts of their second step."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._sites = context.sites
 
     def query_arrived(self, event: api.Query, now_ms: float) -> None:
-        """Admits a query and sends its first parts, or ends it."""
+        """Admits a query and sends its first parts, or rejects it."""
         query = QueryState(event, self._classes[event.class_index], now_ms)
         self._rates.queries.add(now_ms)
         self._rates.accepted.add(now_ms)
@@ -45,14 +45,14 @@
         self._add_parts(query, event.parts, now_ms)
         reason = self._admission.rejection(event, query, now_ms)
         if reason is not None:
-            self._completion.give_up(query, reason, now_ms)
+            self._completion.end_incomplete(query, reason, now_ms)
             return
         self._reserve_parts(query, now_ms)
         for _ in range(1 if query.has_canary else query.parts_to_send):
             self._sender.send(query.reserved_parts.pop(), now_ms)
 
     def follow_up_arrived(self, event: api.FollowUpParts, now_ms: float) -> None:
-        """Sends all parts of a query's second step. Those of a query that is over are ignored."""
+        """Sends all parts of a query's second step. Parts of a query that has ended are ignored."""
         query = self._queries.by_number.get(event.number)
         if query is None:
             return
@@ -69,9 +69,10 @@
             self._latency.add_cost_hint(state.cost_ms)
 
     def _reserve_parts(self, query: QueryState, now_ms: float) -> None:
-        """Puts all parts in the order in which they are sent, the last first.
+        """Orders all parts of a query so that they are sent from the end of the list, and sets how many are sent.
 
-        With sites the nearest come first, and surplus parts are sent only where they are at nobody's cost.
+        With a site preference, parts that a nearer site can answer are sent first, and surplus parts only where sites
+        have spare capacity for them.
         """
         fewest = query.fewest_parts(query.query_class.complete_weight)
         query.parts_to_send = self._redundancy.parts_to_send(fewest, len(query.parts), now_ms)
--- a/badgerbend/decisions/observations.py
+++ b/badgerbend/decisions/observations.py
@@ -1,7 +1,7 @@
-"""What this broker tells others of servers and latencies, and what it takes from them.
+"""Exchanges observations of servers and latencies with other brokers.
 
-Others' observations count only where this broker has none of its own. They keep their ages, so they fade as own ones
-do; the trade-off is that what holds elsewhere need not hold here, until the first own answer.
+Observations of others are used only where this broker has none of its own. They keep their ages, so they decay as its
+own do. The trade-off is that until the first own answer they may not apply to this broker.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 
 class ObservationExchange:
-    """Exports own observations, and imports those of others."""
+    """Exports this broker's observations and imports those of others."""
 
     def __init__(self, endpoints: EndpointTracker, latency: LatencyEstimate) -> None:
         self._endpoints = endpoints
         self._latency = latency
-        self._imported_ms = -inf  # when others' answers last went into the record
+        self._imported_ms = -inf  # when others' answers were last imported
 
     def export(self, now_ms: float) -> api.Observations:
-        """What this broker has observed itself; never what it was told. Changes nothing."""
+        """This broker's own observations, without imported ones. It does not change the state."""
         servers = tuple(
             api.EndpointObservation(s.id, s.response_time_ms, now_ms - s.response_time_at_ms, s.is_down)
             for s in self._endpoints.servers.values()
@@ -33,9 +33,9 @@
         return api.Observations(servers, answers)
 
     def learn(self, observations: api.Observations, now_ms: float) -> bool:
-        """Takes others' observations; whether their answers went into the record, so that estimates change."""
+        """Imports the observations of others; returns whether answers were imported, which changes the estimates."""
         for observed in observations.nodes:
-            self._learn_server(observed, now_ms)
+            self._import_server(observed, now_ms)
         imported = [
             LatencySample(now_ms - age_ms, latency_ms, censored)
             for age_ms, latency_ms, censored in observations.answers
@@ -48,8 +48,8 @@
         self._imported_ms = now_ms
         return True
 
-    def _learn_server(self, observed: api.EndpointObservation, now_ms: float) -> None:
-        """Takes a response time that is newer than what else is known, and than the server's start."""
+    def _import_server(self, observed: api.EndpointObservation, now_ms: float) -> None:
+        """Imports a response time if it is newer than the known one and than the server's start."""
         server = self._endpoints.servers.get(observed.node)
         if server is None:
             return
--- a/badgerbend/decisions/queries.py
+++ b/badgerbend/decisions/queries.py
@@ -1,4 +1,4 @@
-"""The open queries, their parts and the attempts in flight."""
+"""Open queries, their parts and the attempts in flight."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from badgerbend.decisions.timing import FINAL_ANSWER_MARGIN_MS
 
 ROUNDING = 5e-5
-"""Sums of weights may fall short by this much through rounding."""
+"""Tolerance for sums of weights that fall short through rounding."""
 
 
 class EndReason(Enum):
-    """Why a query ended without a complete answer, in the words of the log."""
+    """The reason why a query ended without a complete answer, as it is written to the log."""
 
     NO_SITE = "no site takes it"
     FORESEEN_LATE = "foreseen to be late"
-    UNLIKELY = "more likely lost than answered"
-    NO_ATTEMPT_LEFT = "no attempt is left"
-    SERVERS_DOWN = "servers died under it"
-    TIME_OVER = "its time is over"
+    UNLIKELY = "unlikely to be answered in time"
+    NO_ATTEMPT_LEFT = "no attempts left"
+    SERVERS_DOWN = "servers went down while processing it"
+    DEADLINE_EXCEEDED = "deadline exceeded"
 
 
 class Attempt:
     """One attempt of a part. Times are milliseconds.
 
-    idle_ms: how long its connection had been idle before it; infinite for a new connection.
-    lost: whether it was lost or late; None until that was judged.
+    idle_ms: how long its connection had been idle before the attempt; infinite for a new connection.
+    lost: whether the attempt was lost or late; None while that is unknown.
     """
 
     __slots__ = ("idle_ms", "lost", "sent_ms", "server")
@@ -44,8 +44,8 @@
 class PartState:
     """One part of an open query.
 
-    in_flight: attempts that are out, by their number.
-    may_have_run: when each attempt was sent that is not proven to have had no effect, by its number.
+    in_flight: attempts in flight, by attempt number.
+    may_have_run: send times of the attempts that may have had an effect, by attempt number.
     """
 
     __slots__ = (
@@ -79,15 +79,15 @@
 class QueryState:
     """One open query.
 
-    objective_at_ms: when its latency objective is over.
-    end_at_ms: when its final answer is due at the latest.
-    reserved_parts: surplus parts of a query that any m of k parts answer, which are not sent yet.
-    answered_weight, answered_parts: what is in, in this step.
-    failed_servers: servers that went down while they had a part of it.
-    cleared: a part of it was answered, so it is no poison request.
-    parts_to_send: how many parts the redundancy asks for.
-    has_canary: one part is sent ahead of the others.
-    complete: no answer so far was a partial one.
+    objective_at_ms: time of its latency objective.
+    end_at_ms: latest time for its final answer.
+    reserved_parts: parts that have not been sent yet, such as surplus parts if any m of k parts answer the query.
+    answered_weight, answered_parts: weight and number of parts answered in the current step.
+    failed_servers: servers that went down while they processed one of its parts.
+    cleared: whether a part was answered, which proves that the query is no poison request.
+    parts_to_send: number of parts that the redundancy policy sends.
+    has_canary: whether one part is sent before the others.
+    complete: whether no partial answer was given so far.
     """
 
     __slots__ = (
@@ -116,7 +116,7 @@
         self.objective_at_ms = now_ms + query_class.latency_objective_ms
         time_left_ms = event.time_left_ms if isfinite(event.time_left_ms) else 0.0
         self.end_at_ms = now_ms + time_left_ms - FINAL_ANSWER_MARGIN_MS
-        if query_class.late_value_share <= 0:  # worthless after its objective: ending it there frees its servers
+        if query_class.late_value_share <= 0:  # a late answer is worthless: ending the query frees its servers
             self.end_at_ms = min(self.end_at_ms, self.objective_at_ms)
         self.parts: list[PartState] = []
         self.reserved_parts: list[PartState] = []
@@ -132,29 +132,29 @@
 
     @property
     def allows_partial_answer(self) -> bool:
-        """Whether its class may be answered from less than a complete answer."""
+        """Whether its class allows a partial answer."""
         return self.query_class.minimum_weight < self.query_class.complete_weight
 
     @property
     def minimum_weight(self) -> float:
-        """The least weight of parts that its first answer may be made from."""
+        """The least weight of parts for its first answer."""
         return min(self.query_class.complete_weight, self.query_class.minimum_weight)
 
     def fewest_parts(self, weight: float) -> int:
-        """How many parts weigh at least this much, whichever they are."""
+        """The number of parts that have at least this weight whichever parts they are."""
         sums = accumulate(sorted(part.weight for part in self.parts))
         lighter = sum(1 for total in sums if weight >= 1 or total < weight - ROUNDING)
         return min(1 + lighter, len(self.parts))
 
     def begin_follow_up(self) -> None:
-        """Turns to the second step, whose parts are added afterwards."""
+        """Starts the second step; its parts are added afterwards."""
         self.step = 2
         self.answered_weight = 0.0
         self.answered_parts = 0
         self.clear_parts()
 
     def clear_parts(self) -> None:
-        """Gives up its parts. They refer back to it: else they would wait for the garbage collector."""
+        """Drops its parts, to break their reference cycles with it, which only the garbage collector would free."""
         self.parts = []
         self.reserved_parts = []
 
@@ -162,7 +162,7 @@
 class QueryTable:
     """All open queries by id and by number, their parts by id, and all attempts in flight.
 
-    attempts: also those that were cancelled or whose query is over, until they end.
+    attempts: includes attempts that were cancelled or whose query has ended, until they complete.
     """
 
     def __init__(self) -> None:
@@ -172,7 +172,7 @@
         self.attempts: dict[tuple[int, int], Attempt] = {}
 
     def add(self, query: QueryState) -> None:
-        """Opens a query."""
+        """Adds an open query."""
         self.by_id[query.id] = query
         self.by_number[query.number] = query
 
@@ -184,17 +184,17 @@
         return state
 
     def remove(self, query: QueryState) -> None:
-        """Closes a query."""
+        """Removes a query that has ended."""
         del self.by_id[query.id]
         del self.by_number[query.number]
 
     def remove_parts(self, query: QueryState) -> None:
-        """Forgets the parts of a query; their attempts stay until they end."""
+        """Removes the parts of a query; their attempts remain until they complete."""
         for part in query.parts:
             self.parts.pop(part.id, None)
 
     def next_end_ms(self, now_ms: float, latest_ms: float) -> float:
-        """The earliest time after now, and up to the latest given, at which a query has to end."""
+        """The earliest time after now at which a query must end, or `latest_ms` if there is none before it."""
         earliest = latest_ms
         for query in self.by_id.values():
             if now_ms < query.end_at_ms < earliest:
--- a/badgerbend/decisions/rates.py
+++ b/badgerbend/decisions/rates.py
@@ -1,4 +1,4 @@
-"""How often things happened lately: sliding windows of event times, and rates derived from them."""
+"""Recent event rates, derived from sliding windows of event times."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from badgerbend.decisions.timing import REFRESH_INTERVAL_MS, TICK_MS
 
 WINDOW_MS = 10_000.0
-"""Age limit of what rates and latencies are derived from: after a shift, what was before it is forgotten this soon."""
+"""Window of the events and samples that estimates are derived from, and so the time in which they adapt to a change."""
 
 
 class EventWindow:
@@ -25,7 +25,7 @@
         return len(self._times_ms)
 
     def add(self, now_ms: float) -> None:
-        """Counts one event."""
+        """Records an event."""
         times = self._times_ms
         oldest = now_ms - self._retention_ms
         while times and times[0] < oldest:
@@ -33,7 +33,7 @@
         times.append(now_ms)
 
     def count(self, now_ms: float, window_ms: float) -> int:
-        """The number of events in the window. Older ones are dropped: each kind is counted over one window alone."""
+        """The number of events in the window. Older events are dropped: a kind must always use the same window."""
         times = self._times_ms
         oldest = now_ms - window_ms
         while times and times[0] < oldest:
@@ -42,28 +42,28 @@
 
 
 class TrafficRates:
-    """Counts of queries, parts, attempts and retries at this broker."""
+    """Recent queries, parts, attempts and retries at this broker."""
 
     def __init__(self, settings: api.Settings) -> None:
         self._retention_ms = max(WINDOW_MS, settings.retry_budget_window_ms or 0.0) + TICK_MS
         self._began_ms = inf
         self.queries = EventWindow(self._retention_ms)
-        self.accepted = EventWindow(self._retention_ms)  # queries and parts, which the retry budget is a share of
+        self.accepted = EventWindow(self._retention_ms)  # queries and parts, the base of the retry budget
         self.attempts = EventWindow(self._retention_ms)
         self.retries = EventWindow(self._retention_ms)
         self.tenants: dict[int, EventWindow] = {}
 
     def begin(self, now_ms: float) -> None:
-        """Notes that the broker was running at this time."""
+        """Records that the broker is running; the first call sets the start of all rates."""
         self._began_ms = min(self._began_ms, now_ms)
 
     def tenant(self, tenant: int) -> EventWindow:
-        """The queries of one tenant."""
+        """The recent queries of a tenant."""
         window = self.tenants.get(tenant)
         if window is None:
             window = self.tenants[tenant] = EventWindow(self._retention_ms)
         return window
 
     def per_ms(self, events: EventWindow, now_ms: float) -> float:
-        """Events a millisecond, over the window or the shorter time since the broker began."""
+        """Events per millisecond over the window, or over the time since the broker started if that is shorter."""
         return events.count(now_ms, WINDOW_MS) / max(min(WINDOW_MS, now_ms - self._began_ms), REFRESH_INTERVAL_MS)
--- a/badgerbend/decisions/redundancy.py
+++ b/badgerbend/decisions/redundancy.py
@@ -1,12 +1,13 @@
-"""How many parts of a query are sent when any m of its k parts answer it.
+"""Decides how many parts of a query are sent if any m of its k parts are enough for an answer.
 
 G. Joshi, E. Soljanin, G. Wornell, "Efficient Redundancy Techniques for Latency Reduction in Cloud Systems", ACM TOMPECS
 2(2), 2017, section 8.2, Definition 8: of the r in m..k send the one that minimizes the latency
 
     T(r) = E[X_m:r] + L r E[X_m:r^2] / (2 (N - L r E[X_m:r]))    subject to    C(r) <= C(k),    C(r) = r E[X_m:r]
 
-where X_m:r is the m-th smallest of r part latencies, L is the arrival rate and N the number of servers. Departures:
-without samples r is k; where even r = m leaves no spare capacity r is m, since surplus parts feed an overload.
+where X_m:r is the m-th smallest of r part latencies, L is the arrival rate and N the number of servers. Deviations
+from the paper: without samples r is k; if even r = m leaves no spare capacity, r is m, because surplus parts would
+worsen an overload.
 """
 
 from __future__ import annotations
@@ -17,17 +18,19 @@
 from badgerbend.decisions.context import DecisionContext
 
 RESAMPLES = 100
-"""Resamples that the order statistics are taken from: the error of a mean is a tenth of the spread."""
+"""Number of resamples for the order statistics; the standard error of a mean is a tenth of the standard deviation."""
 
 PARTS_IN_PARALLEL = 2
-"""Guessed number of parts that a server serves at once: small servers have two cores."""
+"""Assumed number of parts that a server processes in parallel: small servers have two cores."""
 
 
 def fastest_redundancy(m: int, k: int, resamples: Sequence[Sequence[float]], rate: float, servers: float) -> int:
-    """The r in m..k with the least T(r) among those with C(r) <= C(k); m where none leaves spare capacity.
+    """The r in m..k with the least T(r) among those with C(r) <= C(k); m if none leaves spare capacity.
 
-    resamples: latencies of k parts each, in milliseconds; the first r of each serve for every r, so that the comparison
-    of two r is free of sampling noise. rate: L, in queries a millisecond. servers: N.
+    resamples: latencies of k parts each, in milliseconds; the first r of each are used for every r, so that the
+    comparison of different r is free of sampling noise.
+    rate: L, in queries per millisecond.
+    servers: N.
     """
     best = m
     least_latency_ms = inf
@@ -50,7 +53,7 @@
 
 
 class RedundancyPolicy:
-    """Chooses r for each (m, k), and keeps the choice until the estimates are refreshed."""
+    """Chooses r for each (m, k) and caches the choice until the estimates are refreshed."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._broker_count = context.settings.broker_count
@@ -66,11 +69,11 @@
         return self._chosen
 
     def reset(self) -> None:
-        """Forgets the choices; called when the estimates were refreshed."""
+        """Discards the choices; called after the estimates have been refreshed."""
         self._chosen = {}
 
     def parts_to_send(self, m: int, k: int, now_ms: float) -> int:
-        """How many of k parts to send where any m of them make a complete answer."""
+        """The number of parts to send if any m of k parts make a complete answer."""
         latencies, cumulative_weights = self._latency.distribution
         if m >= k or not latencies:
             return k
@@ -79,7 +82,7 @@
             choices = self._random.choices
             resamples = [choices(latencies, cum_weights=cumulative_weights, k=k) for _ in range(RESAMPLES)]
             rate = self._rates.per_ms(self._rates.queries, now_ms)
-            # the other brokers load the same servers alike
+            # The other brokers are assumed to put the same load on the servers.
             servers = self._endpoints.available_count * PARTS_IN_PARALLEL / self._broker_count
             chosen = self._chosen[m, k] = fastest_redundancy(m, k, resamples, rate, servers)
         return chosen
--- a/badgerbend/decisions/replicas.py
+++ b/badgerbend/decisions/replicas.py
@@ -1,7 +1,8 @@
-"""Which replica a part is sent to: the one with the fewest of this broker's calls in flight, ties at random.
+"""Chooses the replica for an attempt: the one with the fewest of this broker's calls in flight, ties broken randomly.
 
-Nothing is ejected. A server that is slow by its last answers, or by the age of what it owes, and one in a zone that is
-out of reach count as having more calls in flight; otherwise they would look idle and draw all parts.
+No server is ejected. Instead, servers that are slow by their last answers or by the age of their attempts in flight,
+and servers in an unreachable zone, count as having additional calls in flight. Otherwise they would appear idle and
+attract all parts.
 """
 
 from __future__ import annotations
@@ -10,17 +11,17 @@
 
 from badgerbend.decisions.connections import ConnectionMonitor
 from badgerbend.decisions.context import DecisionContext
-from badgerbend.decisions.latency import FADE_MS
+from badgerbend.decisions.latency import OBSERVATION_HALF_LIFE_MS
 from badgerbend.decisions.outliers import OutlierDetector
 from badgerbend.decisions.queries import PartState
 from badgerbend.decisions.servers import Server
 from badgerbend.decisions.slow_start import SlowStart
 
 EXPLORATION_SHARE = 0.03
-"""Share of choices among equals that take a server which is not proven, so that none stays idle for ever."""
+"""Share of choices among equally loaded servers that prefer an unproven one, so that no server stays idle forever."""
 
 MAX_PENALTY = 4.0
-"""Calls in flight that a slow server counts as having in addition, at most."""
+"""Largest number of additional calls in flight that a slow server counts as having."""
 
 
 class ReplicaSelector:
@@ -39,10 +40,10 @@
         self._sites = context.sites
 
     def choose(self, part: PartState, now_ms: float) -> Server | None:
-        """The server for the next attempt of a part, or None if no replica may be sent it now.
+        """The server for the next attempt of a part, or None if it must not be sent to any replica now.
 
-        Of equal servers one that the part was not tried at comes first, then one that this step's call goes to already,
-        then a proven one.
+        Servers that the part has not been sent to take precedence. Among equally loaded servers, those that a call of
+        this step already goes to are preferred, then proven ones.
         """
         busy = [attempt.server for attempt in part.in_flight.values()]
         admits = self._slow_start.admits
@@ -61,15 +62,16 @@
         return self._random.choice(preferred or least_loaded)
 
     def is_proven(self, server: Server, now_ms: float) -> bool:
-        """Whether a server answered this broker lately, on a connection that is still up.
+        """Whether a server recently answered this broker on a connection that is still open.
 
-        Of equal servers it is the better choice, and needs no handshake: a broker that sees little traffic would else
-        meet each bad server in its turn. A server that slow start admits, known to be new, is as good. The trade-off is
-        that a server which came warm waits longer for its share; `EXPLORATION_SHARE` gives it one.
+        Among equal servers it is preferred and needs no handshake; otherwise a broker with little traffic would try
+        each bad server in turn. A server that slow start admits is known to be new and counts as proven. The trade-off
+        is that a server which is warm when it joins waits longer for its share of traffic, which `EXPLORATION_SHARE`
+        provides.
         """
         if server.down_since_ms == inf and self._slow_start.capacity_fraction(server, now_ms) < 1.0:
             return True
-        if server.peer_observed or server.response_time_at_ms <= now_ms - FADE_MS / 2:
+        if server.peer_observed or server.response_time_at_ms <= now_ms - OBSERVATION_HALF_LIFE_MS / 2:
             return False
         return self._connections.idle_ms(server, now_ms) < inf
 
@@ -81,21 +83,21 @@
         return [server for server, load in zip(pool, loads, strict=True) if load == least]
 
     def _load(self, server: Server, now_ms: float) -> int:
-        """Calls in flight once a part is sent to a server, and a penalty in calls."""
+        """Calls in flight after sending one more part to a server, plus a penalty in calls."""
         latency = self._latency
         typical_ms = latency.typical_ms
         penalty = 0.0
         if typical_ms:
             penalty = min(latency.response_time_ms(server, now_ms) / typical_ms - 1.0, MAX_PENALTY)
         failure_share = self._connections.handshake_failure_share
-        if failure_share and self._connections.idle_ms(server, now_ms) == inf:  # it needs a handshake
+        if failure_share and self._connections.idle_ms(server, now_ms) == inf:  # a handshake is needed
             penalty += failure_share * MAX_PENALTY
         if self._outliers.is_zone_unreachable(server):
             penalty += MAX_PENALTY
         return self._calls_in_flight(server, now_ms) + round(penalty)
 
     def _calls_in_flight(self, server: Server, now_ms: float) -> int:
-        """Calls in flight with one more part. Parts sent in the same step share calls."""
+        """Calls in flight including one more part. Parts sent in the same step share calls."""
         in_flight = server.in_flight
         parts_per_call = self._parts_per_call
         if parts_per_call == 1 or not in_flight:
@@ -106,7 +108,7 @@
         return sum(-(-parts // parts_per_call) for parts in parts_by_time.values())
 
     def _eligible(self, part: PartState, pool: list[Server]) -> list[Server]:
-        """Those at the site that a part goes to, which is decided here; a server that is down only if all are."""
+        """The servers at the site chosen for a part; servers that are down are considered only if all are."""
         if not self._sites or not pool:
             return pool
         numbers = [server.id for server in pool if not server.is_down] or [server.id for server in pool]
--- a/badgerbend/decisions/retries.py
+++ b/badgerbend/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Whether a part may have another attempt: limits of its class, of the settings and of the retry budget."""
+"""Decides whether a part may be retried, by the limits of its class, the settings and the retry budget."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         return part.runs_once and bool(part.may_have_run)
 
     def start_before_ms(self, part: PartState) -> float:
-        """When the next attempt must have started: an idempotent part is repeated only within the servers' window."""
+        """The latest start of the next attempt: a keyed part is retried only within the servers' idempotency window."""
         if part.query.query_class.effect != "keyed" or not part.may_have_run:
             return inf
         window_ms = part.query.query_class.idempotency_window_ms
--- a/badgerbend/decisions/review.py
+++ b/badgerbend/decisions/review.py
@@ -1,4 +1,4 @@
-"""The review of open queries: partial answers that are due, late attempts, and queries whose time is over."""
+"""The periodic review of open queries: partial answers that are due, late attempts, and exceeded deadlines."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class QueryReview:
-    """Reviews all open queries; called once a tick."""
+    """Reviews all open queries; called once per tick."""
 
     def __init__(
         self, context: DecisionContext, results: AttemptResults, sender: PartSender, completion: QueryCompletion
@@ -25,13 +25,13 @@
         self._completion = completion
 
     def run(self, now_ms: float) -> None:
-        """Reviews each query once."""
+        """Reviews every open query."""
         for query in list(self._queries.by_id.values()):
             if query.parts and query.allows_partial_answer:
-                self._completion.settle(query, now_ms)
+                self._completion.answer_if_due(query, now_ms)
         for query in list(self._queries.by_id.values()):
             if now_ms >= query.end_at_ms:
-                self._completion.give_up(query, EndReason.TIME_OVER, now_ms)
+                self._completion.end_incomplete(query, EndReason.DEADLINE_EXCEEDED, now_ms)
             elif now_ms >= query.review_at_ms:
                 self._review_parts(query, now_ms)
 
@@ -42,19 +42,19 @@
             if now_ms < late_at_ms:
                 query.review_at_ms = min(query.review_at_ms, late_at_ms)
             else:
-                self._help_late_part(part, now_ms)
-        if self._completion.is_hopeless(query, now_ms):
-            self._completion.give_up(query, EndReason.SERVERS_DOWN, now_ms)
+                self._retry_late_part(part, now_ms)
+        if self._completion.is_unanswerable(query, now_ms):
+            self._completion.end_incomplete(query, EndReason.SERVERS_DOWN, now_ms)
 
     def _late_at_ms(self, part: PartState) -> float:
-        """When the last attempt of a part is late; long ago if none is in flight."""
+        """The time at which the last attempt of a part is late; -inf if none is in flight."""
         if not part.in_flight:
             return -inf
         sent_ms = max(attempt.sent_ms for attempt in part.in_flight.values())
         return sent_ms + self._latency.late_after_ms(part)
 
-    def _help_late_part(self, part: PartState, now_ms: float) -> None:
+    def _retry_late_part(self, part: PartState, now_ms: float) -> None:
         for number, attempt in list(part.in_flight.items()):
-            self._results.judge(attempt, now_ms, lost=True)  # until it is answered after all
+            self._results.record_result(attempt, now_ms, lost=True)  # unless it is answered after all
             self._sender.cancel_distrusted(part, number, now_ms)
         self._sender.send(part, now_ms)
--- a/badgerbend/decisions/sending.py
+++ b/badgerbend/decisions/sending.py
@@ -1,4 +1,4 @@
-"""Sending attempts of parts: first ones, retries and hedged requests."""
+"""Sends attempts of parts: first attempts, retries and hedged requests."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from badgerbend.decisions.slow_start import SlowStart
 
 MIN_TIMEOUT_MS = 1.0
-"""The least timeout that an attempt is sent with."""
+"""The shortest timeout of an attempt."""
 
 
 class PartSender:
-    """Sends attempts, where all limits allow it and a replica may be sent one."""
+    """Sends attempts if all limits allow it and a replica is available."""
 
     def __init__(
         self,
@@ -44,12 +44,12 @@
         self._sites = context.sites
 
     def send(self, part: PartState, now_ms: float) -> bool:
-        """Sends the next attempt of a part, or a reserved part in its place; whether it did."""
+        """Sends the next attempt of a part, or a reserved part instead; returns whether anything was sent."""
         query = part.query
         if now_ms >= query.end_at_ms or self._outliers.is_suspect(query):
             return False
         if part.attempts_made:
-            # a reserved part makes up for the failed or late one: as a first attempt it costs no budget
+            # A reserved part replaces the failed or late one: as a first attempt it needs no budget.
             if query.reserved_parts and self.send(query.reserved_parts.pop(), now_ms):
                 return True
             if (part.in_flight and self._hedges.credit < 1) or not self._retries.allows(part, now_ms):
@@ -67,7 +67,7 @@
         return True
 
     def cancel_distrusted(self, part: PartState, number: int, now_ms: float) -> None:
-        """Cancels a late attempt on a connection that is not trusted, if the part may be sent again."""
+        """Cancels a late attempt on a connection that is not trusted, if the part may be retried."""
         attempt = part.in_flight[number]
         if self._retries.allows(part, now_ms) and self._connections.distrusts(attempt.idle_ms, part, now_ms):
             self._actions.append(api.Cancel(part.id, number))
--- a/badgerbend/decisions/servers.py
+++ b/badgerbend/decisions/servers.py
@@ -1,4 +1,4 @@
-"""What this broker knows of one server. Nothing of it outlives a restart of the broker."""
+"""The state that this broker keeps of one server. It is lost when the broker restarts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Server:
-    """One server of the endpoint list. Each group of fields is written by the module that is named beside it."""
+    """One server of the endpoint list. Each group of fields is written by the modules named above it."""
 
     __slots__ = (
         "canary_failed",
@@ -35,25 +35,25 @@
         self.cell = endpoint.cell
         self.zone = endpoint.zone
         self.ready = False
-        self.started_ms = -1.0  # before any start that the list can state
+        self.started_ms = -1.0  # less than any start time in the list
         # slow_start
-        self.warming_since_ms = -inf  # -inf: warm since long ago
+        self.warming_since_ms = -inf  # -inf: it is not warming up
         self.tokens = 0.0
         self.tokens_at_ms = 0.0
         # sending, attempts
-        self.in_flight: dict[tuple[int, int], float] = {}  # when each attempt was sent, by part and number
+        self.in_flight: dict[tuple[int, int], float] = {}  # send times of attempts, by part and attempt number
         # outliers
-        self.down_since_ms = inf  # when it first refused or broke connections since it last answered; inf: it did not
-        self.refused_connection = False  # since then it refused one
-        self.canary_failed = False  # since then the canary of a query was lost there
+        self.down_since_ms = inf  # first refused or broken connection since its last answer; inf: none
+        self.refused_connection = False  # whether it has refused a connection since then
+        self.canary_failed = False  # whether the canary of a query has been lost there since then
         # latency
-        self.response_time_ms = 0.0  # what a typical part took there lately
-        self.response_time_at_ms = -inf  # when that was observed; -inf: never
-        self.peer_observed = False  # it was observed by other brokers alone
+        self.response_time_ms = 0.0  # recent response time for a typical part
+        self.response_time_at_ms = -inf  # time of that observation; -inf: none
+        self.peer_observed = False  # whether only other brokers have observed it
         # connections
-        self.connection_used_ms = -inf  # last use of our connection; -inf: there is none that can be trusted
+        self.connection_used_ms = -inf  # last use of this broker's connection; -inf: there is none that can be trusted
 
     @property
     def is_down(self) -> bool:
-        """Whether it refused or broke connections and has not answered since."""
+        """Whether it has refused or broken connections since its last answer."""
         return self.down_since_ms < inf
--- a/badgerbend/decisions/slow_start.py
+++ b/badgerbend/decisions/slow_start.py
@@ -1,9 +1,10 @@
-"""Slow start: what may be sent to a server that is warming up.
+"""Slow start: limits the rate at which parts are sent to a server that is warming up.
 
-Such a server gets tokens at the pace at which this broker sends to a warm one, times what it bears now of the multiple
-that would overload it. The sum over all brokers is bounded by that. The price is that shards with replicas that are all
-warming up wait. Where brokers share out the pace among them, the share that was given takes the place of the own one,
-but not for a server that went down in this broker's sight.
+Each such server has a token bucket. Its rate is the rate at which this broker sends to a warm server, times a share of
+the multiple that would overload the server at its current capacity; so all brokers together stay below the overload.
+The trade-off is that parts of a shard wait while all of its replicas are warming up. If brokers divide the rate among
+them by demand, the granted rate replaces the broker's own, except for a server that this broker itself found to be
+down.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 from badgerbend.decisions.servers import Server
 
 OVERLOAD_MARGIN = 0.75
-"""Share of the multiple that overloads a server; the rest is for chance and for other brokers' estimates."""
+"""Share of the overload factor that is used; the rest allows for random variation and other brokers' estimates."""
 
 
 class SlowStart:
     """Admits parts to servers that are warming up.
 
-    budget: what brokers share out among them; None where each keeps to its own share.
+    budget: the rates that are divided among brokers; None if each broker uses its own limit.
     """
 
     def __init__(self, context: DecisionContext, budget: api.SlowStartBudget | None) -> None:
@@ -37,13 +38,16 @@
         self.budget = budget
 
     def restart(self, server: Server, warming_since_ms: float, now_ms: float) -> None:
-        """A server has started, or is taken for started; its first token is not due at all brokers at once."""
+        """Starts the warm-up of a server that has started or may have restarted.
+
+        The bucket starts with a random fill level, so that the first tokens of different brokers are not due at once.
+        """
         server.warming_since_ms = warming_since_ms
         server.tokens = self._random.random()
         server.tokens_at_ms = now_ms
 
     def capacity_fraction(self, server: Server, now_ms: float) -> float:
-        """The share of its capacity that a server bears; one that is down may start at any moment, unseen."""
+        """The fraction of its capacity that a server has now; one that is down may restart unnoticed at any time."""
         if server.down_since_ms < inf:
             return min(1.0, self._initial_share)
         if server.warming_since_ms == -inf:
@@ -52,30 +56,30 @@
         return min(1.0, self._initial_share + self._growth * age_ms / self._duration_ms)
 
     def admits(self, server: Server, part: PartState, now_ms: float) -> bool:
-        """Whether a server may be sent a part now: it is warm, or has a token."""
+        """Whether a part may be sent to a server now, because it is warm or its bucket has a token."""
         if server.warming_since_ms == -inf and server.down_since_ms == inf:
             return True
         capacity_fraction = self.capacity_fraction(server, now_ms)
         if capacity_fraction >= 1.0:
             return True
-        pace = self._pace(server, part, capacity_fraction, now_ms)
-        server.tokens = min(1.0, server.tokens + pace * (now_ms - server.tokens_at_ms))
+        rate = self._rate(server, part, capacity_fraction, now_ms)
+        server.tokens = min(1.0, server.tokens + rate * (now_ms - server.tokens_at_ms))
         server.tokens_at_ms = now_ms
         return server.tokens >= 1.0
 
     def take_token(self, server: Server, now_ms: float) -> None:
-        """A part was sent to a server that admitted it."""
+        """Takes the token for a part that was sent."""
         if self.capacity_fraction(server, now_ms) < 1.0:
             server.tokens -= 1
 
     def grant_token(self, server: Server) -> None:
-        """Lets one part through at once."""
+        """Admits one part at once."""
         server.tokens = 1.0
 
-    def _pace(self, server: Server, part: PartState, capacity_fraction: float, now_ms: float) -> float:
-        """Parts a millisecond that may go to a server that is warming up."""
+    def _rate(self, server: Server, part: PartState, capacity_fraction: float, now_ms: float) -> float:
+        """The rate at which parts may be sent to a server that is warming up, per millisecond."""
         usual = self._rates.per_ms(self._rates.attempts, now_ms) / max(1, self._endpoints.available_count)
-        if self._sites:  # after an outage in which little was sent, what the site is allowed is the measure
+        if self._sites:  # after an outage with little traffic, the rate limit of the site is the better estimate
             usual = max(usual, self._sites.site_rate(server.id))
         share = capacity_fraction * self._overload_factor * OVERLOAD_MARGIN
         if self.budget and server.down_since_ms == inf:
--- a/tests/test_decisions_little_traffic.py
+++ b/tests/test_decisions_little_traffic.py
@@ -80,7 +80,7 @@
         ask(harness, parts=1, shard=2, outcome=Outcome.ERROR)
     rejected = sum(bool(actions_of(api.Reject, harness.query(ALL, parts=2, shard=2)[1])) for _ in range(40))
     assert 20 < rejected < 40  # now and then one is admitted, or nothing would be learned
-    assert {a.reason for a in actions_of(api.Reject, harness.actions)} >= {"more likely lost than answered"}
+    assert {a.reason for a in actions_of(api.Reject, harness.actions)} >= {"unlikely to be answered in time"}
     assert not any(actions_of(api.Reject, harness.query(ALL, parts=2, shard=0)[1]) for _ in range(10))  # other cells
     assert not any(
         actions_of(api.Reject, harness.query(ANY, parts=4, shard=0)[1]) for _ in range(10)
