--- a/tests/test_decisions_completion.py
+++ b/tests/test_decisions_completion.py
@@ -1,4 +1,4 @@
-"""How queries end: partial answers, hopeless queries, the final answer in time."""
+"""Completion of queries: partial answers, queries that cannot be answered, and the final answer in time."""
 
 from dataclasses import replace
 
@@ -8,8 +8,8 @@
 
 
 def test_the_final_answer_comes_by_a_timer_at_the_very_end_of_a_query():
-    # A look every 20 ms came too late for the end, so 30 ms of a client's time were kept back: a tenth of what
-    # impatient clients wait in all.
+    # With a review every 20 ms only, 30 ms before the deadline had to be reserved for the final answer, which was a
+    # tenth of the deadline of impatient clients.
     harness = Harness()
     began = harness.now
     q, actions = harness.query(ALL, time_left_ms=503.0)
@@ -21,7 +21,7 @@
     assert actions_of(api.Reject, actions) == [api.Reject(q, 0.0)]
 
 
-def test_a_rejection_has_a_retry_after_where_clients_obey_it():
+def test_a_rejection_has_a_retry_after_if_it_is_enabled():
     harness = Harness(retry_after=True)
     q, actions = harness.query(ALL, parts=0)
     assert actions_of(api.Reject, actions) == [api.Reject(q, 1000.0)]
@@ -43,7 +43,8 @@
 
 
 def test_a_partial_answer_is_given_at_the_latency_objective():
-    # It waited for the last of many parts until its time was up, worth nothing where nine tenths were in.
+    # Such a query waited for the last of many parts until its deadline, when an answer had no value, although nine
+    # tenths of its parts had been answered.
     harness = Harness()
     q, sends = harness.query(PARTIAL)
     for a in actions_of(api.Send, sends)[:3]:
@@ -79,7 +80,8 @@
 
 
 def test_a_query_whose_attempts_are_exhausted_is_ended_at_once():
-    # It was kept until its time was nearly up, though no attempt was left: the client could have asked again.
+    # Such a query was kept until shortly before its deadline although no attempt was left; the client could have
+    # retried it.
     harness = Harness(endpoints=[endpoint(10, 0)], cell_count=1, cells_per_shard=1, retry_budget_min=1000.0)
     q, sends = harness.query(ALL, parts=2)
     part, actions = actions_of(api.Send, sends)[0].part, []
--- a/tests/test_decisions_endpoints.py
+++ b/tests/test_decisions_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list, its polls, and events that should not be but are."""
+"""The endpoint list, polls of discovery, and invalid events."""
 
 import math
 
@@ -7,7 +7,7 @@
 from tests.conftest import ALL, ANY, Harness, actions_of, endpoint
 
 
-def test_a_drain_counts_for_all_that_is_decided_in_its_step():
+def test_a_drain_applies_to_all_decisions_of_its_step():
     harness = Harness(
         endpoints=[endpoint(10, 0), endpoint(11, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0
     )
@@ -22,28 +22,28 @@
 
 
 def test_failed_polls_of_the_list_back_off():
-    # Each of seventy brokers polled again at every failure, 150 times each, and so few ever got an answer.
+    # When seventy brokers repeated every failed poll at once, 150 times each, few of them ever got an answer.
     harness = Harness(polls_endpoint_list=True)
     harness.advance(40.0)
     assert actions_of(api.FollowEndpointList, harness.actions) == [api.FollowEndpointList(True)]
-    calls = []
+    intervals = []
     for _ in range(8):
         harness.actions.clear()
         assert not actions_of(api.FollowEndpointList, harness.step(api.EndpointUpdate(api.UpdateKind.FAILED, ())))
         began = harness.now
         while not actions_of(api.FollowEndpointList, harness.actions):
             harness.advance(100.0)
-        calls.append(harness.now - began)
-    assert calls[0] < 1500.0
-    assert 4900.0 <= calls[-1] <= 11_000.0
-    assert sum(calls) > 20_000.0
+        intervals.append(harness.now - began)
+    assert intervals[0] < 1500.0
+    assert 4900.0 <= intervals[-1] <= 11_000.0
+    assert sum(intervals) > 20_000.0
     harness.step(api.EndpointUpdate(api.UpdateKind.DELTA, ()))
     harness.actions.clear()
     harness.advance(30_000.0)
-    assert not actions_of(api.FollowEndpointList, harness.actions)  # subscribed
+    assert not actions_of(api.FollowEndpointList, harness.actions)  # the list is watched
     harness.step(api.EndpointUpdate(api.UpdateKind.FAILED, ()))
     harness.advance(1500.0)
-    assert actions_of(api.FollowEndpointList, harness.actions)  # the subscription broke
+    assert actions_of(api.FollowEndpointList, harness.actions)  # the watch broke
 
 
 def test_a_poll_of_the_list_that_is_never_answered_is_repeated():
@@ -53,7 +53,8 @@
 
 
 def test_polls_go_on_however_often_they_failed():
-    # 2.0 to the number of failed polls overflowed after 1,024 of them, half an hour or more without discovery.
+    # 2.0 to the power of the number of failed polls overflowed after 1,024 of them, which takes half an hour or more
+    # without discovery.
     harness = Harness(polls_endpoint_list=True)
     for _ in range(1100):
         harness.step(api.EndpointUpdate(api.UpdateKind.FAILED, ()))
@@ -62,8 +63,8 @@
     assert actions_of(api.FollowEndpointList, harness.actions)
 
 
-def test_servers_that_left_are_forgotten():
-    # Releases bring new ids: what was known of old ones was kept for ever.
+def test_removed_servers_are_forgotten():
+    # Deployments bring servers with new numbers: the state of removed servers was kept forever.
     harness = Harness()
     for i in range(50):
         old, new = endpoint(100 + i, 0, api.EndpointState.REMOVED), endpoint(101 + i, 0)
@@ -92,4 +93,4 @@
     assert actions_of(api.Reject, actions) == [api.Reject(q3, 0.0)]
     harness.query(ALL, shard=10_000)
     for _ in range(5):
-        harness.step(api.TimerFired(77))  # the clock stands still
+        harness.step(api.TimerFired(77))  # without advancing the clock
--- a/tests/test_decisions_invariants.py
+++ b/tests/test_decisions_invariants.py
@@ -1,4 +1,8 @@
-"""One test or more for each of the six rules; each fails when its guard is taken out."""
+"""Invariants of the decisions: each test fails if the code that enforces its invariant is removed.
+
+They cover: one end per query and in time, no unsafe repetition, no sends to draining or removed servers, slow start,
+the weight of answers, and the limits on attempts.
+"""
 
 import random
 from dataclasses import replace
@@ -9,7 +13,7 @@
 from badgerbend.api import Outcome
 
 
-def test_no_answer_still_ends_the_query_before_its_time_is_up():
+def test_a_query_without_answers_ends_before_its_deadline():
     harness = Harness()
     q, _ = harness.query(ALL, time_left_ms=700.0)
     actions = harness.advance(700.0)
@@ -33,7 +37,7 @@
     harness = Harness()
     q, sends = harness.query(UNSAFE, parts=1, time_left_ms=800.0)
     part = actions_of(api.Send, sends)[0].part
-    actions = harness.complete(part, Outcome.RESET)  # nothing more can be done, so it fails at once
+    actions = harness.complete(part, Outcome.RESET)  # no attempt is possible any more, so it fails at once
     assert not actions_of(api.Send, actions + harness.advance(800.0))
     assert actions_of(api.Fail, actions) == [api.Fail(q)]
     assert not actions_of(api.Reject, actions)
@@ -46,8 +50,8 @@
     assert [a.part for a in actions_of(api.Send, harness.complete(part, Outcome.REJECTED))] == [part]
 
 
-def test_unsafe_part_is_not_sent_again_whatever_window_its_settings_name():
-    # The window is the keyed class's alone; an embedding broker may fill it in for every class.
+def test_unsafe_part_is_not_sent_again_whatever_its_idempotency_window():
+    # The window applies only to keyed classes; an embedding broker may set it for every class.
     harness = Harness(classes=(replace(SETTINGS.classes[UNSAFE], idempotency_window_ms=5000.0),))
     q, sends = harness.query(ALL, parts=1, time_left_ms=800.0)
     actions = harness.complete(actions_of(api.Send, sends)[0].part, Outcome.ERROR)
@@ -56,7 +60,7 @@
 
 
 def test_unsafe_part_is_sent_again_and_rejected_while_each_attempt_is_proven_not_to_have_run():
-    # The proof was kept for a first attempt alone: a second one never made ended the part as a failure.
+    # Only a first attempt was checked for proof that it had not run: a second attempt that never ran failed the query.
     harness = Harness(retry_budget_min=1000.0)
     q, sends = harness.query(UNSAFE, parts=1, time_left_ms=800.0)
     part = actions_of(api.Send, sends)[0].part
@@ -68,7 +72,7 @@
     assert actions_of(api.Reject, harness.actions) == [api.Reject(q, 0.0)]
 
 
-def test_idempotent_part_is_repeated_only_within_its_window():
+def test_keyed_part_is_retried_only_within_its_window():
     harness = Harness()
     _, sends = harness.query(KEYED, parts=1)
     part = actions_of(api.Send, sends)[0].part
@@ -83,7 +87,7 @@
     assert actions_of(api.Send, sends)[0].start_within_ms == float("inf")
 
 
-def test_an_idempotent_query_is_over_with_its_window_though_its_client_would_wait():
+def test_a_keyed_query_fails_after_its_window_although_its_deadline_is_later():
     harness = Harness()
     _, sends = harness.query(KEYED, parts=1)
     part = actions_of(api.Send, sends)[0].part
@@ -104,41 +108,41 @@
         assert all(a.node != 10 for a in sends)
 
 
-def test_many_unequal_brokers_together_keep_a_server_that_warms_up_under_its_multiple():
-    # Sixty brokers, a few with ten times the traffic of most: what they send one server that warms up adds up.
+def test_brokers_with_unequal_traffic_do_not_overload_a_server_that_is_warming_up():
+    # Sixty brokers, some with ten times the traffic of the others, must stay within the limit of a server together.
     rng = random.Random(11)
     settings = {"cell_count": 8, "broker_count": 60, "retry_budget_min": 1000.0}
     endpoints = [endpoint(10 + c, c) for c in range(8)]
     brokers = [Harness(endpoints=endpoints, seed=i, **settings) for i in range(60)]
-    each = [0.02 if i % 10 else 0.2 for i in range(60)]  # queries in a step of 50 ms, one part each
-    out, cold, warm, started = [], [], [], 11_000.0
+    query_rates = [0.02 if i % 10 else 0.2 for i in range(60)]  # queries per step of 50 ms, with one part each
+    in_flight, warming_sends, warm_sends, started = [], [], [], 11_000.0
     for step in range(600):
         now = 1000.0 + 50.0 * step
         if now == started:
             for harness in brokers:
                 harness.step(api.EndpointUpdate(api.UpdateKind.DELTA, (endpoint(10, 0, started_ms=started),)))
-        for harness, rate in zip(brokers, each, strict=True):
+        for harness, rate in zip(brokers, query_rates, strict=True):
             harness.now = now
             actions = harness.step(api.TimerFired(0))
-            for due, part in [x for x in out if x[0] is harness]:
+            for due, part in [x for x in in_flight if x[0] is harness]:
                 harness.complete(part, Outcome.OK, harness.attempts[part] - 1)
-                out.remove((due, part))
+                in_flight.remove((due, part))
             if rng.random() < rate:
                 actions = actions + harness.query(ALL, parts=1, shard=rng.randrange(8))[1]
             for a in actions_of(api.Send, actions):
-                out.append((harness, a.part))
+                in_flight.append((harness, a.part))
                 if now >= started:
-                    cold.append(now) if a.node == 10 else warm.append(now)
-    rate = len(warm) / 7 / (now - started)  # what a warm server was sent, taken for half of what it can do
+                    warming_sends.append(now) if a.node == 10 else warm_sends.append(now)
+    rate = len(warm_sends) / 7 / (now - started)  # sends to a warm server, assumed to be half of its capacity
     for at in range(int(started), int(now) - 1000, 100):
         age = at - started
-        can = 2 * rate * 1000.0 * min(1.0, 0.2 + 0.8 * age / 10_000.0)
-        sent = sum(1 for t in cold if at <= t < at + 1000)
-        assert sent <= SETTINGS.overload_factor * can + 2 * can**0.5 + 1
-    assert sum(1 for t in cold if t < started + 5000) > 0.2 * 5000 * rate
+        capacity = 2 * rate * 1000.0 * min(1.0, 0.2 + 0.8 * age / 10_000.0)
+        sent = sum(1 for t in warming_sends if at <= t < at + 1000)
+        assert sent <= SETTINGS.overload_factor * capacity + 2 * capacity**0.5 + 1
+    assert sum(1 for t in warming_sends if t < started + 5000) > 0.2 * 5000 * rate
 
 
-def test_answer_rests_on_weight_not_on_count():
+def test_an_answer_depends_on_weight_and_not_on_the_number_of_parts():
     harness = Harness()
     q, sends = harness.query(ANY, weights=[0.4, 0.3, 0.2, 0.1])
     ids = {a.part - q - 1: a.part for a in actions_of(api.Send, sends)}
@@ -147,7 +151,7 @@
     assert actions_of(api.Answer, harness.complete(ids[1])) == [api.Answer(q, True)]
 
 
-def test_a_repeated_outcome_counts_once():
+def test_a_duplicate_completion_counts_once():
     harness = Harness()
     q, sends = harness.query(ANY)
     part = actions_of(api.Send, sends)[0].part
@@ -169,7 +173,7 @@
     assert actions_of(api.Reject, actions)
 
 
-def test_second_step_is_complete_only_when_all_of_it_landed():
+def test_second_step_is_complete_only_when_all_its_parts_are_answered():
     harness = Harness()
     q, sends = harness.query(TWO_STEP)
     for a in actions_of(api.Send, sends):
@@ -183,19 +187,19 @@
     assert actions_of(api.Answer, harness.complete(902)) == [api.Answer(q, True)]
 
 
-def test_further_attempts_stay_within_the_budget():
+def test_retries_stay_within_the_budget():
     harness = Harness()
-    taken, extra = 0, 0
+    accepted, retries = 0, 0
     for _ in range(20):
         _, sends = harness.query(ALL)
-        taken += 5
-        todo = actions_of(api.Send, sends)
-        while todo:
-            a = todo.pop()
+        accepted += 5
+        pending = actions_of(api.Send, sends)
+        while pending:
+            a = pending.pop()
             again = actions_of(api.Send, harness.complete(a.part, Outcome.REJECTED, harness.attempts[a.part] - 1))
-            extra += len(again)
-            todo += again
-    assert 5 <= extra <= SETTINGS.retry_budget_min + SETTINGS.retry_budget_share * taken
+            retries += len(again)
+            pending += again
+    assert 5 <= retries <= SETTINGS.retry_budget_min + SETTINGS.retry_budget_share * accepted
 
 
 def test_attempts_for_one_part_stay_within_their_limit():
--- a/tests/test_decisions_outliers.py
+++ b/tests/test_decisions_outliers.py
@@ -1,4 +1,4 @@
-"""Servers that are down, warm up or restart, and poison requests."""
+"""Servers that are down, warming up or restarted, and poison requests."""
 
 import math
 
@@ -17,7 +17,7 @@
     part = actions_of(api.Send, sends)[0].part
     harness.complete(part, Outcome.CONNECT_FAILED)
     harness.advance(40.0)
-    assert harness.attempts[part] == 1  # by token, not at once
+    assert harness.attempts[part] == 1  # the retry waits for a token
     node = harness.aggregator.endpoints.servers[10]
     assert harness.aggregator.slow_start.capacity_fraction(node, harness.now) == 0.2
     harness.advance(1500.0)
@@ -28,31 +28,29 @@
 
 
 def break_all_connections(harness, query, sends):
-    """Breaks the connections of all parts in flight, as a poison request does; the servers that it was sent to."""
-    todo, down = actions_of(api.Send, sends), set()
-    while todo:
-        a = todo.pop(0)
+    """Breaks the connections of all parts in flight, as a poison request does; returns the servers it was sent to."""
+    pending, down = actions_of(api.Send, sends), set()
+    while pending:
+        a = pending.pop(0)
         down.add(a.node)
         harness.advance(10.0)
         more = harness.complete(a.part, Outcome.RESET, harness.attempts[a.part] - 1)
-        todo += [x for x in actions_of(api.Send, more) if x.part > query]
+        pending += [x for x in actions_of(api.Send, more) if x.part > query]
     return down
 
 
-def test_a_poison_request_is_not_sent_round_the_other_replicas():
-    # Each part was sent on to every holder in turn: one query and its repeats brought down half the fleet.
+def test_a_poison_request_is_not_sent_to_all_replicas():
+    # Each part was retried at every replica in turn: one query and its retries crashed half of the servers.
     endpoints = [endpoint(10 + i, i % 4) for i in range(16)]
     harness = Harness(endpoints=endpoints, retry_budget_min=1000.0)
     harness.learn_latency()
     q, sends = harness.query(ALL)
     assert len(break_all_connections(harness, q, sends)) == 4
-    harness.advance(300.0)  # for so long it may have been the connections alone
+    harness.advance(300.0)  # until then only the connections may have failed
     assert actions_of(api.Reject, harness.actions) == [api.Reject(q, 0.0)]
     harness.actions.clear()
     harness.step(api.EndpointUpdate(api.UpdateKind.DELTA, (endpoint(10, 0, started_ms=harness.now),)))
-    q, sends = harness.query(
-        ALL
-    )  # the list shows a restart: one part goes ahead, and no other when its server goes down
+    q, sends = harness.query(ALL)  # the restart in the list causes a canary, and its loss stops the other parts
     assert len(actions_of(api.Send, sends)) == 1
     assert len(break_all_connections(harness, q, sends)) == 1
     harness.advance(300.0)
@@ -60,8 +58,8 @@
 
 
 def test_a_connection_that_breaks_at_once_was_refused_and_its_server_is_not_down():
-    # Servers broke a third of all connections within a round trip and served the rest: nothing can have been
-    # begun by then, so neither the query nor the process is to blame, and no canary need go ahead.
+    # Servers broke a third of all connections within a round trip and served the rest. No part can have started that
+    # soon, so neither the query nor the server is the cause, and no canary is needed.
     harness = Harness(retry_budget_min=1000.0)
     harness.learn_latency()
     _, sends = harness.query(ALL)
@@ -74,7 +72,7 @@
 
 
 def break_first_part(harness, canary=False):
-    """A part whose connection broke midway; the part, its server, and what is sent at once in its place."""
+    """Breaks the connection of a query's only part after it may have started; returns the server."""
     ps = (api.Part(9001, 0, 1.0, None),)
     (first,) = actions_of(api.Send, harness.step(api.Query(9000, 999, ALL, 0, 0, 3000.0, canary, None, ps)))
     harness.advance(20.0)
@@ -83,14 +81,14 @@
 
 
 def test_a_server_that_answers_right_after_its_connection_broke_is_not_down():
-    # Where the network cut connections midway, each cut made a warm server count as warming up for the full time:
-    # its shards' queries waited for tokens until they were rejected, with the servers idle.
+    # When the network broke connections, each broken connection made a warm server count as warming up for the whole
+    # slow start: queries of its shards waited for tokens until they were rejected, while the servers were idle.
     harness = Harness(endpoints=[endpoint(10, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0)
     harness.learn_latency(queries=10)
     number = break_first_part(harness)
     node = harness.aggregator.endpoints.servers[number]
     assert node.down_since_ms < math.inf
-    harness.advance(100.0)  # the next look sends it again, for which one token is there
+    harness.advance(100.0)  # the next review retries the part, for which one token is available
     assert harness.attempts[9001] == 2
     assert harness.sent[9001, 1][1] <= node.down_since_ms + 100.0
     harness.complete(9001, Outcome.OK, 1)
@@ -111,9 +109,9 @@
     assert 9000 in harness.aggregator.queries.by_id
     ps = tuple(api.Part(9101 + i, 0, 0.25, None) for i in range(4))
     sends = actions_of(api.Send, harness.step(api.Query(9100, 1000, ALL, 0, 0, 3000.0, False, None, ps)))
-    there = [a.part for a in sends if a.node == number]
-    assert there
-    harness.complete(there[0], Outcome.CONNECT_FAILED)
+    parts_there = [a.part for a in sends if a.node == number]
+    assert parts_there
+    harness.complete(parts_there[0], Outcome.CONNECT_FAILED)
     assert harness.aggregator.outliers.poison_seen_ms == harness.now
     assert harness.aggregator.endpoints.servers[number].refused_connection
     harness.advance(100.0)
@@ -147,7 +145,7 @@
 
 
 def test_a_query_with_an_answer_is_no_suspect_and_is_retried():
-    # A crash takes several servers at once: a query that lost parts there waits for word of its others.
+    # When several servers crash at once, a query that lost parts there waits for the results of its other parts.
     endpoints = [endpoint(10 + i, i % 4) for i in range(16)]
     harness = Harness(endpoints=endpoints)
     harness.learn_latency()
@@ -174,7 +172,7 @@
 
 
 def test_a_crash_of_several_servers_at_once_sends_no_canaries():
-    # Canaries went ahead of every query for half a minute after any death: a quarter of the queries came late.
+    # When every query sent a canary first for half a minute after any crash, a quarter of the queries were late.
     harness = Harness(endpoints=[endpoint(10 + i, i % 4) for i in range(16)], retry_budget_min=1000.0)
     harness.learn_latency()
     _, sends = harness.query(ALL)
@@ -188,8 +186,8 @@
     assert len(actions_of(api.Send, sends)) == 4
 
 
-def test_a_restart_that_was_not_missed_sends_canaries():
-    # Processes that a poison request brings down are back before the list misses them; a broker sees few itself.
+def test_a_restart_of_a_server_that_was_still_listed_sends_canaries():
+    # Servers that a poison request crashes restart before the list shows it, and a single broker observes few crashes.
     harness = Harness()
     harness.learn_latency()
     harness.step(api.EndpointUpdate(api.UpdateKind.DELTA, (endpoint(10, 0, started_ms=harness.now - 500.0),)))
--- a/tests/test_decisions_package.py
+++ b/tests/test_decisions_package.py
@@ -1,4 +1,4 @@
-"""Guards on the package of the decisions: what it may import, its size, and who may touch which state."""
+"""Checks of the package of the decisions: its imports, the size of its units, and access to private state."""
 
 import ast
 import tomllib
@@ -28,7 +28,7 @@
 modules = pytest.mark.parametrize("module", MODULES, ids=lambda module: module.name)
 
 
-def imported(module):
+def imported_modules(module):
     names = set()
     for node in ast.walk(ast.parse(module.read_text())):
         if isinstance(node, ast.Import):
@@ -39,24 +39,24 @@
 
 
 @modules
-def test_module_stays_within_the_projects_width(module):
+def test_lines_of_a_module_are_not_too_long(module):
     assert max(map(len, module.read_text().splitlines())) <= 120
 
 
-def test_module_names_its_interface_first():
+def test_the_package_docstring_names_its_interface():
     lines = (PACKAGE / "__init__.py").read_text().splitlines()
     docstring = lines[: lines.index('"""') + 1]
     assert "badgerbend/api.py" in "\n".join(docstring)
 
 
 @modules
-def test_module_reads_no_clock(module):
+def test_a_module_imports_only_allowed_modules(module):
     own = {"badgerbend", "badgerbend.api"} | {f"badgerbend.decisions.{other.stem}" for other in MODULES}
-    assert imported(module) <= STANDARD | own
+    assert imported_modules(module) <= STANDARD | own
 
 
 @modules
-def test_module_touches_no_private_state_of_another(module):
+def test_a_module_uses_no_private_state_of_another(module):
     tree = ast.parse(module.read_text())
     private = [n for n in ast.walk(tree) if isinstance(n, ast.Attribute) and n.attr.startswith("_")]
     assert [ast.unparse(n) for n in private if not (isinstance(n.value, ast.Name) and n.value.id == "self")] == []
--- a/tests/test_decisions_redundancy.py
+++ b/tests/test_decisions_redundancy.py
@@ -1,4 +1,4 @@
-"""The arithmetic of the mechanism, and the replica choice."""
+"""The choice of the redundancy, and which parts are sent to which replicas."""
 
 from conftest import ALL, ANY, Harness, actions_of, endpoint
 
@@ -8,7 +8,8 @@
 from badgerbend.decisions.redundancy import fastest_redundancy
 
 
-def ready(values, brokers=2, queries=0):
+def parts_to_send(values, brokers=2, queries=0):
+    """The policy's choice by m and k for these latencies, after a number of queries within the last ten seconds."""
     harness = Harness(broker_count=brokers)
     weights = [(i + 1) / len(values) for i in range(len(values))]
     harness.aggregator.latency.distribution = LatencyDistribution(list(values), weights)
@@ -18,7 +19,7 @@
     return lambda m, k: harness.aggregator.redundancy.parts_to_send(m, k, harness.now)
 
 
-def test_without_samples_all_parts_are_asked():
+def test_without_samples_all_parts_are_sent():
     harness = Harness()
     _, sends = harness.query(ANY)
     assert len(actions_of(api.Send, sends)) == 4
@@ -26,26 +27,26 @@
 
 def test_equal_latencies_leave_the_least_cost_only_with_r_equal_to_m():
     # All X alike: T(r) grows with r through the load term alone, so the least T is at m.
-    assert ready([100.0] * 30, queries=10)(2, 4) == 2
+    assert parts_to_send([100.0] * 30, queries=10)(2, 4) == 2
 
 
-def test_a_long_tail_asks_for_spares_while_load_is_light():
+def test_a_long_tail_leads_to_surplus_parts_at_low_load():
     values = [50.0] * 24 + [2000.0] * 6
-    assert ready(values, queries=2)(2, 4) > 2
+    assert parts_to_send(values, queries=2)(2, 4) > 2
 
 
-def test_no_room_for_even_m_asks_for_m_only():
+def test_without_spare_capacity_only_m_parts_are_sent():
     values = [500.0] * 24 + [3000.0] * 6
-    assert ready(values, queries=5000)(2, 4) == 2
+    assert parts_to_send(values, queries=5000)(2, 4) == 2
 
 
 def test_cost_stays_within_that_of_all_parts():
-    # Two thirds slow: m of k waits for a slow part at small r, and each r must cost no more than k does.
+    # Two thirds of the parts are slow: with a small r an answer waits for a slow part, and no r may cost more than k.
     values = [10.0] * 10 + [1000.0] * 20
-    assert ready(values, queries=1)(1, 4) == 4
+    assert parts_to_send(values, queries=1)(1, 4) == 4
 
 
-def test_cancelled_parts_do_not_make_the_record_fast():
+def test_cancelled_parts_do_not_bias_the_distribution_towards_fast_answers():
     harness = Harness()
     for ms in (50.0,) * 10 + (400.0,) * 10:
         harness.aggregator.latency.add(harness.now, ms, censored=False)
@@ -56,7 +57,7 @@
     fast = sum(1 for v in values if v < 100)
     assert sums[-1] > 0.999
     assert abs(sums[fast - 1] - 0.5) < 0.3
-    assert sums[fast - 1] <= plain[1][9] + 1e-9  # called off at 60: they belong to the slow half
+    assert sums[fast - 1] <= plain[1][9] + 1e-9  # cancelled at 60 ms: they belong to the slow half
 
 
 def test_answers_at_m_and_cancels_the_rest():
@@ -69,26 +70,26 @@
     assert {a.part for a in actions_of(api.Cancel, actions)} == set(parts[2:])
 
 
-def test_each_part_goes_to_the_holder_with_fewest_out():
+def test_each_part_goes_to_the_replica_with_the_fewest_calls_in_flight():
     harness = Harness()
     _, sends = harness.query(ALL)
     assert sorted(a.node for a in actions_of(api.Send, sends)) == [10, 11, 12, 13]
 
 
-def test_parts_that_can_share_a_call_ride_together():
+def test_parts_that_can_share_a_call_go_to_the_same_server():
     harness = Harness(parts_per_call=16)
     _, sends = harness.query(ALL)
     assert len({a.node for a in actions_of(api.Send, sends)}) == 1
 
 
-def test_only_holders_are_asked():
+def test_parts_are_sent_only_to_servers_that_hold_their_shard():
     harness = Harness(cells_per_shard=1)
     _, sends = harness.query(ALL)
     q = min(a.part for a in actions_of(api.Send, sends)) - 1
     assert all(a.node == 10 + a.part - q - 1 for a in actions_of(api.Send, sends))
 
 
-def test_reserved_part_replaces_a_failed_one_without_budget():
+def test_a_reserved_part_replaces_a_failed_one_without_retry_budget():
     harness = Harness(retry_budget_min=0.0, retry_budget_share=0.0)
     harness.learn_latency()
     harness.aggregator.redundancy._chosen[2, 4] = 2
@@ -100,7 +101,7 @@
     assert again[0].part not in {a.part for a in first}
 
 
-def test_same_events_same_actions():
+def test_the_same_events_and_seed_give_the_same_actions():
     runs = []
     for _ in range(2):
         harness = Harness(seed=3)
@@ -111,7 +112,7 @@
     assert runs[0] == runs[1]
 
 
-def test_a_list_with_no_holder_of_a_shard_does_not_lose_the_query():
+def test_a_query_for_a_shard_without_replicas_still_ends():
     harness = Harness(endpoints=[endpoint(10, 0)], cells_per_shard=1)
     q, sends = harness.query(ALL, parts=2, time_left_ms=500.0)
     assert len(actions_of(api.Send, sends)) == 1
--- a/tests/test_decisions_replicas.py
+++ b/tests/test_decisions_replicas.py
@@ -1,4 +1,4 @@
-"""Replica choice: slow, full and hung servers, zones out of reach."""
+"""Choice of replicas: slow, full and hung servers, and unreachable zones."""
 
 from badgerbend import api
 from badgerbend.api import Outcome
@@ -7,12 +7,12 @@
 
 
 def test_a_hung_server_gets_few_parts_and_these_are_hedged():
-    # A fifth of the servers hung: hedged requests must answer queries within their latency objective, and a server that
-    # owes an answer counts as busy by the time it has owed it, without any health check or ejection.
+    # With hung servers, hedged requests must answer queries within their latency objective. A server counts as busier
+    # the older its oldest attempt in flight is, without any health check or ejection.
     harness = Harness()
     harness.learn_latency()
     before = len(harness.sent)
-    run_traffic(harness, silent={10}, ms=4000.0)
+    run_traffic(harness, silent={10}, duration_ms=4000.0)
     sent = [node for node, _ in list(harness.sent.values())[before:]]
     assert sent.count(10) < 0.1 * len(sent)
     assert len(actions_of(api.Answer, harness.actions)) >= harness.number - 20 - 4
@@ -21,12 +21,12 @@
 
 
 def parts_by_server(harness, sends):
-    """How many of the sends went to each server."""
+    """The number of sends to each server."""
     return {n: sum(1 for a in sends if a.node == n) for n in (10, 11, 12, 13)}
 
 
 def test_a_full_server_does_not_draw_the_traffic():
-    # It has none of our parts out, so fewest-out would pick it again at once.
+    # A server that rejects parts has none in flight, so that by calls in flight alone it would be chosen again at once.
     harness = Harness(retry_budget_min=1000.0)
     harness.learn_latency()
     _, sends = harness.query(ALL)
@@ -38,7 +38,7 @@
 
 
 def test_a_slow_server_counts_as_busier_and_is_tried_again_later():
-    # With dozens of brokers a server sees few of our parts: its last answers must count while they are fresh.
+    # With dozens of brokers, each sends few parts to a server: its recent answers must count while they are fresh.
     harness = Harness(hedging=False)
     harness.learn_latency()
     _, sends = harness.query(ALL)
@@ -61,38 +61,38 @@
     assert parts_by_server(harness, actions_of(api.Send, sends))[10] == 1
 
 
-def test_work_a_part_does_not_grow_with_the_fleet():
-    # At 90 servers walks over all of them for each part got a day cut off for CPU.
-    looked = 0
+def test_work_per_part_does_not_grow_with_the_fleet():
+    # Iterating over all servers for each part used too much CPU time with 90 servers.
+    visited = 0
 
     class Counting(dict):
         def values(self):
-            nonlocal looked
-            looked += len(self)
+            nonlocal visited
+            visited += len(self)
             return super().values()
 
-    def walks(servers):
-        nonlocal looked
+    def visits(servers):
+        nonlocal visited
         harness = Harness(endpoints=[endpoint(10 + i, i) for i in range(servers)], cell_count=servers)
         harness.learn_latency()
         harness.aggregator.endpoints.servers = Counting(harness.aggregator.endpoints.servers)
-        looked = 0
+        visited = 0
         for _ in range(50):
             harness.query(ALL)
             answer_all(harness)
-        return looked
+        return visited
 
-    assert walks(200) == walks(8) == 0
+    assert visits(200) == visits(8) == 0
 
 
-def test_a_zone_out_of_reach_is_avoided_before_each_of_its_servers_was_tried():
-    # Half the servers, a whole room, were silent at once: a broker with few parts lost one at each of them.
+def test_an_unreachable_zone_is_avoided_before_each_of_its_servers_was_tried():
+    # When a whole zone with half of the servers fell silent, a broker with few parts lost one part at each of them.
     endpoints = [api.Endpoint(10 + i, i % 4, api.EndpointState.READY, 0.0, i // 200, 0, 1.0) for i in range(400)]
     harness = Harness(endpoints=endpoints, retry_budget_min=1000.0)
     harness.learn_latency()
     silent = set(range(10, 210))
-    run_traffic(harness, silent, ms=2500.0)
+    run_traffic(harness, silent, duration_ms=2500.0)
     before = len(harness.sent)
-    run_traffic(harness, silent, ms=1000.0)
+    run_traffic(harness, silent, duration_ms=1000.0)
     sent = [node for node, _ in list(harness.sent.values())[before:]]
     assert sum(node in silent for node in sent) < 0.1 * len(sent)
--- a/tests/test_decisions_retries.py
+++ b/tests/test_decisions_retries.py
@@ -1,4 +1,4 @@
-"""Retries, hedged requests and when a part is late."""
+"""Retries, hedged requests and the age at which a part is late."""
 
 from dataclasses import replace
 from types import SimpleNamespace
@@ -25,33 +25,34 @@
 
 
 def test_hedged_requests_stop_when_they_are_not_first_to_answer():
-    # In an overload all parts are late: copies that lose only feed it, above all where a cancel stops no work.
-    def copies(win):
+    # In an overload all parts are late. Hedged requests that lose only worsen it, above all if cancelling does not stop
+    # the work.
+    def hedged_requests(win):
         harness = Harness(retry_budget_min=1000.0)
         harness.learn_latency(latency_ms=40.0)
         harness.aggregator.hedges.credit = 1.0
-        made = 0
+        sent = 0
         for _ in range(30):
             _, sends = harness.query(ALL, parts=1)
             part = actions_of(api.Send, sends)[0].part
-            made += len(actions_of(api.Send, harness.advance(300.0)))
+            sent += len(actions_of(api.Send, harness.advance(300.0)))
             harness.complete(part, Outcome.OK, harness.attempts[part] - 1 if win else 0)
-        return made
+        return sent
 
-    assert copies(win=True) >= 30
-    assert copies(win=False) <= 3
+    assert hedged_requests(win=True) >= 30
+    assert hedged_requests(win=False) <= 3
 
 
 def test_a_part_rejected_twice_waits_a_tick_and_does_not_spend_its_attempts_on_full_queues():
-    # Near capacity both holders of a shard were full at one moment: all four attempts went in a few milliseconds, and
-    # the query was rejected, where a queue has room again a few milliseconds later.
+    # Near capacity both replicas of a shard had full queues at the same time: all four attempts were used within a few
+    # milliseconds and the query was rejected, although a queue has space again a few milliseconds later.
     harness = Harness(
         endpoints=[endpoint(10, 0), endpoint(11, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0
     )
     harness.learn_latency(queries=10)
     _, sends = harness.query(ALL, parts=1)
     part = actions_of(api.Send, sends)[0].part
-    assert actions_of(api.Send, harness.complete(part, Outcome.REJECTED, 0))  # the other holder at once
+    assert actions_of(api.Send, harness.complete(part, Outcome.REJECTED, 0))  # at once to the other replica
     harness.advance(2.0)
     assert not actions_of(api.Send, harness.complete(part, Outcome.REJECTED, 1))
     assert not actions_of(api.Reject, harness.actions)
@@ -61,7 +62,7 @@
 
 
 def test_an_attempt_that_times_out_with_its_query_is_not_retried():
-    # It was sent to every other holder for one millisecond each, work that no one could use.
+    # It was retried at every other replica with a timeout of one millisecond, which was useless work.
     harness = Harness()
     q, sends = harness.query(ALL, time_left_ms=500.0)
     harness.now += 495.0
@@ -69,8 +70,8 @@
         assert not actions_of(api.Send, harness.complete(a.part, Outcome.TIMEOUT))
 
 
-def test_counted_events_do_not_pile_up():
-    # Times noted for a count that a quiet broker never asks for were kept for ever.
+def test_event_windows_do_not_grow_without_bound():
+    # Event times were kept forever in windows that a broker with little traffic never counted.
     harness = Harness()
     for _ in range(60):
         _, sends = harness.query(ALL)
@@ -83,7 +84,7 @@
 
 
 @pytest.mark.parametrize("write_delay_ms", [0.0, 150.0])
-def test_a_repeat_leaves_the_time_that_its_process_may_be_held_up_for(write_delay_ms):
+def test_a_retry_of_a_keyed_part_leaves_time_for_a_delayed_write(write_delay_ms):
     settings = replace(SETTINGS, max_write_delay_ms=write_delay_ms)
     query_class = next(c for c in settings.classes if c.effect == "keyed")
     policy = RetryPolicy(settings, RetryBudget(settings, TrafficRates(settings)))
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on hand-built frames."""
+"""The simulator's adapter, tested with frames that are built here."""
 
 import io
 import struct
@@ -8,7 +8,7 @@
 
 from badgerbend import api, benchlink, platform_settings
 
-FACTS = {
+SETTINGS_LINES = {
     "categories.count": "1",
     "categories.0.aimMs": "1000.0",
     "categories.0.hardLimitMs": "3000.0",
@@ -40,39 +40,42 @@
 }
 
 
-def rec(code, fmt="", *values):
+def record(code, fmt="", *values):
     return (bytes([code]) + struct.pack(">" + fmt, *values)).ljust(48, b"\0")
 
 
-def frame(now, records, tail=b""):
-    body = struct.pack(">d", now) + b"".join(records) + tail
+def frame(now, records, payload=b""):
+    body = struct.pack(">d", now) + b"".join(records) + payload
     return struct.pack(">II", len(records), len(body)) + body
 
 
-def lines(*rows):
+def endpoint_list(*rows):
+    """An encoded endpoint list. rows: cell, node and state."""
     return b"".join(struct.pack(">HIdHBfB", cell, node, 0.0, 0, 0, 1.0, state) for cell, node, state in rows)
 
 
-def boot(adapter, instance=3, facts=None, rows=((0, 71, 1), (1, 72, 1)), slot=0):
-    text = "\n".join(f"{k}={v}" for k, v in (facts or FACTS).items()).encode()
-    sheet = lines(*rows)
+def start(adapter, instance=3, settings=None, rows=((0, 71, 1), (1, 72, 1)), slot=0):
+    """Starts an instance with an endpoint list; returns the reply."""
+    text = "\n".join(f"{k}={v}" for k, v in (settings or SETTINGS_LINES).items()).encode()
+    endpoints = endpoint_list(*rows)
     records = [
-        rec(8, "I", instance),
-        rec(5, "QII", 9, 0, len(text)),
-        rec(3, "III", slot, len(text), len(rows)),
-        rec(2, "BQI", 2, 41, slot),
+        record(8, "I", instance),
+        record(5, "QII", 9, 0, len(text)),
+        record(3, "III", slot, len(text), len(rows)),
+        record(2, "BQI", 2, 41, slot),
     ]
-    return adapter.process_batch(frame(100.0, records, text + sheet))
+    return adapter.process_batch(frame(100.0, records, text + endpoints))
 
 
 def parse(reply):
+    """The action records and the payload of a reply."""
     count, size = struct.unpack_from(">II", reply)
     assert size == len(reply) - 8
     return [reply[8 + i * 24 : 32 + i * 24] for i in range(count)], reply[8 + count * 24 :]
 
 
-def submit(rid, shard, number, amount, left=3000.0, bits=1):
-    return rec(4, "IQfdHBdHff", rid, 0, shard, left, bits, 0, 12.0, 0, number, amount)
+def submit(record_id, shard, number, weight, time_left_ms=3000.0, flags=1):
+    return record(4, "IQfdHBdHff", record_id, 0, shard, time_left_ms, flags, 0, 12.0, 0, number, weight)
 
 
 def test_empty_batch():
@@ -81,59 +84,59 @@
 
 def test_query_is_sent_and_answered():
     adapter = benchlink.Adapter()
-    boot(adapter)
-    acts, _ = parse(
+    start(adapter)
+    actions, _ = parse(
         adapter.process_batch(
-            frame(105.0, [rec(8, "I", 3), submit(1, -1, 7, 2), submit(2, 0, 7, 0.5), submit(3, 1, 7, 0.5)])
+            frame(105.0, [record(8, "I", 3), submit(1, -1, 7, 2), submit(2, 0, 7, 0.5), submit(3, 1, 7, 0.5)])
         )
     )
-    assert acts[0][:5] == struct.pack(">BI", 78, 3)
-    sends = [struct.unpack_from(">BIId", a) for a in acts if a[0] == 65]
+    assert actions[0][:5] == struct.pack(">BI", 78, 3)
+    sends = [struct.unpack_from(">BIId", a) for a in actions if a[0] == 65]
     assert sorted((s[1], s[3] > 2000) for s in sends) == [(2, True), (3, True)]
-    done = [rec(6, "IHIHdBB4f", s[1], 0, s[2], 0, 20.0, 1, 0, 0, 0, 0, 0) for s in sends]
-    acts, _ = parse(adapter.process_batch(frame(125.0, [rec(8, "I", 3), *done])))
-    assert [a for a in acts if a[0] == 77] == [struct.pack(">BIB18x", 77, 1, 1)]
+    done = [record(6, "IHIHdBB4f", s[1], 0, s[2], 0, 20.0, 1, 0, 0, 0, 0, 0) for s in sends]
+    actions, _ = parse(adapter.process_batch(frame(125.0, [record(8, "I", 3), *done])))
+    assert [a for a in actions if a[0] == 77] == [struct.pack(">BIB18x", 77, 1, 1)]
 
 
 def test_instances_share_nothing_and_a_slot_is_reused_in_one_batch():
     adapter = benchlink.Adapter()
-    boot(adapter, 3, rows=((0, 71, 1), (1, 72, 1)))
-    boot(adapter, 4, rows=((0, 81, 1), (1, 82, 1)))
-    sheets = lines((0, 71, 0)) + lines((0, 81, 2))
+    start(adapter, 3, rows=((0, 71, 1), (1, 72, 1)))
+    start(adapter, 4, rows=((0, 81, 1), (1, 82, 1)))
+    endpoints = endpoint_list((0, 71, 0)) + endpoint_list((0, 81, 2))
     adapter.process_batch(
         frame(
             110.0,
             [
-                rec(8, "I", 3),
-                rec(3, "III", 0, 0, 1),
-                rec(2, "BQI", 0, 42, 0),
-                rec(8, "I", 4),
-                rec(3, "III", 0, 22, 1),
-                rec(2, "BQI", 0, 42, 0),
+                record(8, "I", 3),
+                record(3, "III", 0, 0, 1),
+                record(2, "BQI", 0, 42, 0),
+                record(8, "I", 4),
+                record(3, "III", 0, 22, 1),
+                record(2, "BQI", 0, 42, 0),
             ],
-            sheets,
+            endpoints,
         )
     )
     assert {n.id for n in adapter.instances[3].endpoints.servers.values() if n.ready} == {72}
     assert {n.id for n in adapter.instances[4].endpoints.servers.values() if n.ready} == {82}
 
 
-def test_exit_then_start_in_one_batch_begins_anew():
+def test_a_stop_and_a_start_in_one_batch_create_a_new_instance():
     adapter = benchlink.Adapter()
-    boot(adapter)
+    start(adapter)
     old = adapter.instances[3]
-    text = "\n".join(f"{k}={v}" for k, v in FACTS.items()).encode()
+    text = "\n".join(f"{k}={v}" for k, v in SETTINGS_LINES.items()).encode()
     adapter.process_batch(
         frame(
             120.0,
             [
-                rec(8, "I", 3),
-                rec(10),
-                rec(5, "QII", 10, 0, len(text)),
-                rec(3, "III", 0, len(text), 1),
-                rec(2, "BQI", 2, 43, 0),
+                record(8, "I", 3),
+                record(10),
+                record(5, "QII", 10, 0, len(text)),
+                record(3, "III", 0, len(text), 1),
+                record(2, "BQI", 2, 43, 0),
             ],
-            text + lines((0, 71, 1)),
+            text + endpoint_list((0, 71, 1)),
         )
     )
     assert adapter.instances[3] is not old
@@ -150,44 +153,44 @@
         ("categories.0.idempotency", "?"),
     ],
 )
-def test_a_bad_setting_is_named_in_one_line(change):
+def test_an_invalid_setting_is_named_in_a_single_line(change):
     key, value = change
-    facts = {k: v for k, v in FACTS.items() if k != key} | ({key: value} if value else {})
-    acts, tail = parse(boot(benchlink.Adapter(), facts=facts))
-    assert [a[0] for a in acts] == [78, 74]
-    assert key in tail.decode()
-    assert "\n" not in tail.decode()
+    settings = {k: v for k, v in SETTINGS_LINES.items() if k != key} | ({key: value} if value else {})
+    actions, payload = parse(start(benchlink.Adapter(), settings=settings))
+    assert [a[0] for a in actions] == [78, 74]
+    assert key in payload.decode()
+    assert "\n" not in payload.decode()
 
 
-def test_an_exception_becomes_a_panic_with_its_text(monkeypatch):
+def test_an_exception_is_reported_with_its_text(monkeypatch):
     adapter = benchlink.Adapter()
-    boot(adapter)
+    start(adapter)
 
     def broken(now, events):
         raise ZeroDivisionError("by nothing")
 
     monkeypatch.setattr(adapter.instances[3], "step", broken)
-    acts, tail = parse(adapter.process_batch(frame(130.0, [rec(8, "I", 3), rec(1, "Q", 0)])))
-    assert acts[-1][0] == 74
-    assert b"ZeroDivisionError: by nothing" in tail
+    actions, payload = parse(adapter.process_batch(frame(130.0, [record(8, "I", 3), record(1, "Q", 0)])))
+    assert actions[-1][0] == 74
+    assert b"ZeroDivisionError: by nothing" in payload
 
 
 @pytest.mark.parametrize(
     "bad",
     [
-        frame(1.0, [rec(8, "I", 3), rec(99)]),
-        frame(1.0, [rec(1, "Q", 0)]),
-        frame(1.0, [rec(3, "III", 0, 0, 5)]),
+        frame(1.0, [record(8, "I", 3), record(99)]),
+        frame(1.0, [record(1, "Q", 0)]),
+        frame(1.0, [record(3, "III", 0, 0, 5)]),
         frame(float("nan"), []),
         struct.pack(">IId", 9, 8, 1.0),
     ],
 )
-def test_impossible_frames_are_named(bad):
+def test_an_invalid_frame_is_an_error_that_names_its_place(bad):
     with pytest.raises(benchlink.WireError, match="record|header"):
         benchlink.Adapter().process_batch(bad)
 
 
-def test_truncated_input_is_an_error_and_its_end_is_not():
+def test_truncated_input_is_an_error_and_the_end_of_input_is_not():
     sink = io.BytesIO()
     benchlink.serve(io.BytesIO(frame(1.0, []) * 2), sink)
     assert sink.getvalue() == bytes(16)
@@ -195,7 +198,7 @@
         benchlink.serve(io.BytesIO(frame(1.0, [])[:-3]), io.BytesIO())
 
 
-def test_every_action_has_its_record():
+def test_every_action_has_a_record():
     reply = benchlink.Reply()
     reply.add_actions(
         [
@@ -213,22 +216,27 @@
             api.Log("two servers known"),
         ]
     )
-    acts, tail = parse(reply.frame())
-    assert [a[0] for a in acts] == [65, 69, 68, 77, 66, 67, 70, 71, 72, 75, 76, 73]
-    assert acts[8][:13] == struct.pack(">BIII", 72, 0xFFFFFFFF, 0, 4)
-    assert tail == b"hi 7two servers known"
-
-
-def test_settings_reach_the_module():
-    got = platform_settings.read_settings(FACTS)
-    assert (got.cell_count, got.cells_per_shard, got.retry_budget_min, got.retry_budget_window_ms) == (2, 2, None, None)
-    assert got.classes[0].effect == "safe"
-    assert type(got) is type(SETTINGS)
-
-
-def test_settings_of_partial_answers_connections_and_asking_reach_the_module():
-    got = platform_settings.read_settings(
-        FACTS
+    actions, payload = parse(reply.frame())
+    assert [a[0] for a in actions] == [65, 69, 68, 77, 66, 67, 70, 71, 72, 75, 76, 73]
+    assert actions[8][:13] == struct.pack(">BIII", 72, 0xFFFFFFFF, 0, 4)
+    assert payload == b"hi 7two servers known"
+
+
+def test_settings_reach_the_decisions():
+    settings = platform_settings.read_settings(SETTINGS_LINES)
+    assert (
+        settings.cell_count,
+        settings.cells_per_shard,
+        settings.retry_budget_min,
+        settings.retry_budget_window_ms,
+    ) == (2, 2, None, None)
+    assert settings.classes[0].effect == "safe"
+    assert type(settings) is type(SETTINGS)
+
+
+def test_settings_of_partial_answers_connections_and_polling_reach_the_decisions():
+    settings = platform_settings.read_settings(
+        SETTINGS_LINES
         | {
             "specifics.classPartial": "0.9",
             "ceilings.connIdleMs": "15000.0",
@@ -237,13 +245,17 @@
             "obligations.mustAskInMs": "10000.0",
         }
     )
-    assert got.classes[0].partial_value == 0.9
-    assert (got.connection_idle_ms, got.connect_timeout_ms, got.max_poll_interval_ms) == (15000.0, 250.0, 10000.0)
-    assert got.polls_endpoint_list
-    assert not got.tenants
-    absent = platform_settings.read_settings(FACTS)
-    assert absent.classes[0].partial_value == 1.0
-    assert absent.connection_idle_ms == absent.connect_timeout_ms == absent.max_poll_interval_ms == float("inf")
+    assert settings.classes[0].partial_value == 0.9
+    assert (settings.connection_idle_ms, settings.connect_timeout_ms, settings.max_poll_interval_ms) == (
+        15000.0,
+        250.0,
+        10000.0,
+    )
+    assert settings.polls_endpoint_list
+    assert not settings.tenants
+    defaults = platform_settings.read_settings(SETTINGS_LINES)
+    assert defaults.classes[0].partial_value == 1.0
+    assert defaults.connection_idle_ms == defaults.connect_timeout_ms == defaults.max_poll_interval_ms == float("inf")
 
 
 @pytest.mark.parametrize(
@@ -257,6 +269,6 @@
         {"registryMode": "ask", "obligations.mustAskInMs": "0"},
     ],
 )
-def test_absurd_settings_of_these_are_named(change):
+def test_invalid_values_of_these_settings_are_named(change):
     with pytest.raises(platform_settings.SettingError, match="classPartial|connIdleMs|connectTimeoutMs|mustAskInMs"):
-        platform_settings.read_settings(FACTS | change)
+        platform_settings.read_settings(SETTINGS_LINES | change)
