--- a/tests/test_decisions_admission.py
+++ b/tests/test_decisions_admission.py
@@ -49,8 +49,8 @@
 def test_a_query_with_hardly_any_time_left_is_ended_at_once():
     # For a client whose deadline is a few milliseconds away, the next review would be too late for the final answer.
     harness = Harness()
-    q, actions = harness.query(ALL, time_left_ms=9.0)
-    assert actions_of(api.Reject, actions) == [api.Reject(q, 0.0)]
+    query_id, actions = harness.query(ALL, time_left_ms=9.0)
+    assert actions_of(api.Reject, actions) == [api.Reject(query_id, 0.0)]
     assert not actions_of(api.Send, actions)
 
 
@@ -59,8 +59,8 @@
     harness = Harness()
     harness.learn_latency(latency_ms=60.0, queries=30)
     harness.query(ALL)
-    q, actions = harness.query(ALL, time_left_ms=65.0)
-    assert actions_of(api.Reject, actions) == [api.Reject(q, 0.0)]
+    query_id, actions = harness.query(ALL, time_left_ms=65.0)
+    assert actions_of(api.Reject, actions) == [api.Reject(query_id, 0.0)]
     _, actions = harness.query(ALL, time_left_ms=800.0)
     assert len(actions_of(api.Send, actions)) == 4
 
@@ -80,8 +80,8 @@
     sent = [len(actions_of(api.Send, harness.query(ANY, time_left_ms=61.5)[1])) for _ in range(20)]
     assert any(sent)
     # A retry first sends one part as a canary, so that the whole query takes twice as long.
-    ps = tuple(api.Part(9001 + i, i, 0.25, None) for i in range(4))
-    actions = harness.step(api.Query(9000, 999, ALL, 0, 0, 90.0, True, None, ps))
+    parts = tuple(api.Part(9001 + i, i, 0.25, None) for i in range(4))
+    actions = harness.step(api.Query(9000, 999, ALL, 0, 0, 90.0, True, None, parts))
     assert not actions_of(api.Send, actions)
     assert actions_of(api.Reject, actions)
 
--- a/tests/test_decisions_connections.py
+++ b/tests/test_decisions_connections.py
@@ -82,14 +82,14 @@
     for n in range(8):
         _, sends = harness.query(ANY)  # queries that need all parts are hardly admitted after losses
         harness.advance(250.0)
-        for a in actions_of(api.Send, sends):
-            harness.complete(a.part, Outcome.OK if a.node == 13 and n else Outcome.CONNECT_FAILED)
+        for send in actions_of(api.Send, sends):
+            harness.complete(send.part, Outcome.OK if send.node == 13 and n else Outcome.CONNECT_FAILED)
         answer_all(harness, silent={10, 11, 12})  # only one server's handshakes succeed
         harness.advance(4000.0)
     assert all(n.down_since_ms == math.inf for n in harness.aggregator.endpoints.servers.values())
     _, actions = harness.query(ANY, parts=2)
     assert not actions_of(api.CloseIdleConnections, actions)
-    assert {a.node for a in actions_of(api.Send, actions)} == {13}
+    assert {send.node for send in actions_of(api.Send, actions)} == {13}
 
 
 def test_a_late_attempt_on_a_distrusted_connection_is_cancelled_and_retried():
@@ -98,7 +98,7 @@
     harness = Harness(endpoints=EIGHT_SERVERS, retry_budget_min=1000.0)
     harness.learn_latency(queries_at_once=2)
     harness.advance(2000.0)
-    q, _ = harness.query(ALL, parts=8)
+    query_id, _ = harness.query(ALL, parts=8)
     harness.aggregator.hedges.credit = 0.0
     actions = harness.advance(400.0)
     assert len(actions_of(api.Cancel, actions)) >= 4
@@ -112,8 +112,8 @@
     _, actions = harness.query(ALL, parts=8)
     harness.advance(160.0)
     assert harness.aggregator.connections.distrusted_until_ms > harness.now
-    for a in actions_of(api.Send, actions):
-        harness.complete(a.part)
+    for send in actions_of(api.Send, actions):
+        harness.complete(send.part)
     assert harness.aggregator.connections.distrusted_until_ms < harness.now
 
 
--- a/tests/test_decisions_endpoints.py
+++ b/tests/test_decisions_endpoints.py
@@ -18,7 +18,7 @@
     other = 21 - first.node
     failed = api.AttemptCompleted(first.part, 0, first.node, Outcome.ERROR, 20.0, ())
     drain = api.EndpointUpdate(api.UpdateKind.DELTA, (endpoint(other, 0, api.EndpointState.DRAINING),))
-    assert all(a.node != other for a in actions_of(api.Send, harness.step(failed, drain)))
+    assert all(send.node != other for send in actions_of(api.Send, harness.step(failed, drain)))
 
 
 def test_failed_polls_of_the_list_back_off():
@@ -75,10 +75,10 @@
 def test_invalid_events_are_ignored():
     harness = Harness()
     nan, inf = math.nan, math.inf
-    q, sends = harness.query(ANY, cost_ms=nan)
+    query_id, sends = harness.query(ANY, cost_ms=nan)
     harness.step(
         api.AttemptCompleted(5, 0, 10, Outcome.OK, 1.0, (nan, -1.0)),
-        api.AttemptCompleted(q + 1, 9, 10, Outcome.OK, -5.0, ()),
+        api.AttemptCompleted(query_id + 1, 9, 10, Outcome.OK, -5.0, ()),
         api.HealthCheckCompleted(12345, Outcome.OK, 1.0, (inf,)),
         api.ClientDisconnected(987654),
         api.FollowUpParts(4321, (api.Part(50, 0, 1.0, None),)),
@@ -87,10 +87,10 @@
         api.EndpointUpdate(api.UpdateKind.DELTA, ()),
         api.EndpointUpdate(api.UpdateKind.FAILED, ()),
     )
-    q2, actions = harness.query(ALL, parts=0)
-    assert actions_of(api.Reject, actions) == [api.Reject(q2, 0.0)]
-    q3, actions = harness.query(ALL, time_left_ms=nan)
-    assert actions_of(api.Reject, actions) == [api.Reject(q3, 0.0)]
+    second_id, actions = harness.query(ALL, parts=0)
+    assert actions_of(api.Reject, actions) == [api.Reject(second_id, 0.0)]
+    third_id, actions = harness.query(ALL, time_left_ms=nan)
+    assert actions_of(api.Reject, actions) == [api.Reject(third_id, 0.0)]
     harness.query(ALL, shard=10_000)
     for _ in range(5):
         harness.step(api.TimerFired(77))  # without advancing the clock
--- a/tests/test_decisions_invariants.py
+++ b/tests/test_decisions_invariants.py
@@ -15,19 +15,19 @@
 
 def test_a_query_without_answers_ends_before_its_deadline():
     harness = Harness()
-    q, _ = harness.query(ALL, time_left_ms=700.0)
+    query_id, _ = harness.query(ALL, time_left_ms=700.0)
     actions = harness.advance(700.0)
     ends = [a for a in actions if isinstance(a, api.Reject | api.Fail | api.Answer)]
-    assert ends == [api.Reject(q, 0.0)]
+    assert ends == [api.Reject(query_id, 0.0)]
     assert not actions_of(api.Send, harness.advance(500.0))
 
 
 def test_an_answered_query_ends_once_and_sends_nothing_more():
     harness = Harness()
-    q, sends = harness.query(ALL)
+    query_id, sends = harness.query(ALL)
     for a in actions_of(api.Send, sends):
         harness.complete(a.part)
-    assert actions_of(api.Answer, harness.actions) == [api.Answer(q, True)]
+    assert actions_of(api.Answer, harness.actions) == [api.Answer(query_id, True)]
     harness.actions.clear()
     harness.advance(4000.0)
     assert not [a for a in harness.actions if isinstance(a, api.Send | api.Answer | api.Reject | api.Fail)]
@@ -35,11 +35,11 @@
 
 def test_unsafe_part_that_may_have_run_is_not_sent_again_nor_rejected():
     harness = Harness()
-    q, sends = harness.query(UNSAFE, parts=1, time_left_ms=800.0)
+    query_id, sends = harness.query(UNSAFE, parts=1, time_left_ms=800.0)
     part = actions_of(api.Send, sends)[0].part
     actions = harness.complete(part, Outcome.RESET)  # no attempt is possible any more, so it fails at once
     assert not actions_of(api.Send, actions + harness.advance(800.0))
-    assert actions_of(api.Fail, actions) == [api.Fail(q)]
+    assert actions_of(api.Fail, actions) == [api.Fail(query_id)]
     assert not actions_of(api.Reject, actions)
 
 
@@ -47,29 +47,29 @@
     harness = Harness()
     _, sends = harness.query(UNSAFE, parts=1)
     part = actions_of(api.Send, sends)[0].part
-    assert [a.part for a in actions_of(api.Send, harness.complete(part, Outcome.REJECTED))] == [part]
+    assert [send.part for send in actions_of(api.Send, harness.complete(part, Outcome.REJECTED))] == [part]
 
 
 def test_unsafe_part_is_not_sent_again_whatever_its_idempotency_window():
     # The window applies only to keyed classes; an embedding broker may set it for every class.
     harness = Harness(classes=(replace(SETTINGS.classes[UNSAFE], idempotency_window_ms=5000.0),))
-    q, sends = harness.query(ALL, parts=1, time_left_ms=800.0)
+    query_id, sends = harness.query(ALL, parts=1, time_left_ms=800.0)
     actions = harness.complete(actions_of(api.Send, sends)[0].part, Outcome.ERROR)
     assert not actions_of(api.Send, actions + harness.advance(800.0))
-    assert actions_of(api.Fail, harness.actions) == [api.Fail(q)]
+    assert actions_of(api.Fail, harness.actions) == [api.Fail(query_id)]
 
 
 def test_unsafe_part_is_sent_again_and_rejected_while_each_attempt_is_proven_not_to_have_run():
     # Only a first attempt was checked for proof that it had not run: a second attempt that never ran failed the query.
     harness = Harness(retry_budget_min=1000.0)
-    q, sends = harness.query(UNSAFE, parts=1, time_left_ms=800.0)
+    query_id, sends = harness.query(UNSAFE, parts=1, time_left_ms=800.0)
     part = actions_of(api.Send, sends)[0].part
     assert actions_of(api.Send, harness.complete(part, Outcome.REJECTED))
     assert actions_of(api.Send, harness.complete(part, Outcome.REJECTED, 1) + harness.advance(20.0))
     assert actions_of(api.Send, harness.complete(part, Outcome.NOT_SENT, 2))
     harness.complete(part, Outcome.REJECTED, 3)
     harness.advance(800.0)
-    assert actions_of(api.Reject, harness.actions) == [api.Reject(q, 0.0)]
+    assert actions_of(api.Reject, harness.actions) == [api.Reject(query_id, 0.0)]
 
 
 def test_keyed_part_is_retried_only_within_its_window():
@@ -103,9 +103,9 @@
     ):
         harness = Harness()
         harness.step(update)
-        sends = [a for _ in range(10) for a in actions_of(api.Send, harness.query(ALL)[1])]
+        sends = [send for _ in range(10) for send in actions_of(api.Send, harness.query(ALL)[1])]
         assert sends
-        assert all(a.node != 10 for a in sends)
+        assert all(send.node != 10 for send in sends)
 
 
 def test_brokers_with_unequal_traffic_do_not_overload_a_server_that_is_warming_up():
@@ -129,10 +129,10 @@
                 in_flight.remove((due, part))
             if rng.random() < rate:
                 actions = actions + harness.query(ALL, parts=1, shard=rng.randrange(8))[1]
-            for a in actions_of(api.Send, actions):
-                in_flight.append((harness, a.part))
+            for send in actions_of(api.Send, actions):
+                in_flight.append((harness, send.part))
                 if now >= started:
-                    warming_sends.append(now) if a.node == 10 else warm_sends.append(now)
+                    warming_sends.append(now) if send.node == 10 else warm_sends.append(now)
     rate = len(warm_sends) / 7 / (now - started)  # sends to a warm server, assumed to be half of its capacity
     for at in range(int(started), int(now) - 1000, 100):
         age = at - started
@@ -144,16 +144,16 @@
 
 def test_an_answer_depends_on_weight_and_not_on_the_number_of_parts():
     harness = Harness()
-    q, sends = harness.query(ANY, weights=[0.4, 0.3, 0.2, 0.1])
-    ids = {a.part - q - 1: a.part for a in actions_of(api.Send, sends)}
+    query_id, sends = harness.query(ANY, weights=[0.4, 0.3, 0.2, 0.1])
+    ids = {send.part - query_id - 1: send.part for send in actions_of(api.Send, sends)}
     assert not actions_of(api.Answer, harness.complete(ids[3]))
     assert not actions_of(api.Answer, harness.complete(ids[2]))
-    assert actions_of(api.Answer, harness.complete(ids[1])) == [api.Answer(q, True)]
+    assert actions_of(api.Answer, harness.complete(ids[1])) == [api.Answer(query_id, True)]
 
 
 def test_a_duplicate_completion_counts_once():
     harness = Harness()
-    q, sends = harness.query(ANY)
+    query_id, sends = harness.query(ANY)
     part = actions_of(api.Send, sends)[0].part
     harness.complete(part)
     assert not actions_of(api.Answer, harness.complete(part))
@@ -161,12 +161,12 @@
 
 def test_below_the_minimum_weight_no_answer_above_it_a_partial_one():
     harness = Harness()
-    q, sends = harness.query(PARTIAL, time_left_ms=900.0)
-    parts = [a.part for a in actions_of(api.Send, sends)]
+    query_id, sends = harness.query(PARTIAL, time_left_ms=900.0)
+    parts = [send.part for send in actions_of(api.Send, sends)]
     harness.complete(parts[0])
     harness.complete(parts[1])
-    assert actions_of(api.Answer, harness.advance(900.0)) == [api.Answer(q, False)]
-    q, sends = harness.query(PARTIAL, time_left_ms=900.0)
+    assert actions_of(api.Answer, harness.advance(900.0)) == [api.Answer(query_id, False)]
+    query_id, sends = harness.query(PARTIAL, time_left_ms=900.0)
     harness.complete(actions_of(api.Send, sends)[0].part)
     actions = harness.advance(900.0)
     assert not actions_of(api.Answer, actions)
@@ -175,16 +175,16 @@
 
 def test_second_step_is_complete_only_when_all_its_parts_are_answered():
     harness = Harness()
-    q, sends = harness.query(TWO_STEP)
-    for a in actions_of(api.Send, sends):
-        harness.complete(a.part)
-    assert actions_of(api.Answer, harness.actions) == [api.Answer(q, True)]
+    query_id, sends = harness.query(TWO_STEP)
+    for send in actions_of(api.Send, sends):
+        harness.complete(send.part)
+    assert actions_of(api.Answer, harness.actions) == [api.Answer(query_id, True)]
     harness.actions.clear()
     more = (api.Part(901, 0, 0.5, None), api.Part(902, 1, 0.5, None))
     sends = actions_of(api.Send, harness.step(api.FollowUpParts(harness.number, more)))
-    assert {a.part for a in sends} == {901, 902}
+    assert {send.part for send in sends} == {901, 902}
     assert not actions_of(api.Answer, harness.complete(901))
-    assert actions_of(api.Answer, harness.complete(902)) == [api.Answer(q, True)]
+    assert actions_of(api.Answer, harness.complete(902)) == [api.Answer(query_id, True)]
 
 
 def test_retries_stay_within_the_budget():
--- a/tests/test_decisions_little_traffic.py
+++ b/tests/test_decisions_little_traffic.py
@@ -14,10 +14,10 @@
     """Runs a query whose attempts all end with the same outcome; returns the servers that they were sent to."""
     sent, (_, actions) = [], harness.query(class_index, parts=parts, shard=shard, time_left_ms=time_left_ms)
     while sends := actions_of(api.Send, actions):
-        sent += [a.node for a in sends]
+        sent += [send.node for send in sends]
         actions = harness.advance(latency_ms)
-        for a in sends:
-            actions += harness.complete(a.part, outcome, harness.attempts[a.part] - 1)
+        for send in sends:
+            actions += harness.complete(send.part, outcome, harness.attempts[send.part] - 1)
     return sent
 
 
@@ -50,10 +50,10 @@
     first = run_query(harness, parts=1)[0]
     harness.query(ALL, parts=1)
     _, actions = harness.query(ALL, parts=1)  # one query is in flight at each of the two servers
-    busy = [n.id for n in harness.aggregator.endpoints.servers.values() if n.in_flight]
+    busy = [server.id for server in harness.aggregator.endpoints.servers.values() if server.in_flight]
     assert sorted(busy) == [10, 14]
     assert first in busy
-    for part in [a.part for a in actions_of(api.Send, actions)]:
+    for part in [send.part for send in actions_of(api.Send, actions)]:
         harness.complete(part)
 
 
--- a/tests/test_decisions_observations.py
+++ b/tests/test_decisions_observations.py
@@ -14,17 +14,17 @@
 def test_a_peers_observation_is_used_only_until_the_first_own_answer():
     harness = Harness()
     learn(harness, (10, 300.0, 100.0), answers=[(200.0, 20.0, False)] * 30)
-    node = harness.aggregator.endpoints.servers[10]
+    server = harness.aggregator.endpoints.servers[10]
     assert harness.aggregator.latency.late_ms == 60.0
-    assert node.peer_observed
-    assert node.response_time_ms == 300.0
+    assert server.peer_observed
+    assert server.response_time_ms == 300.0
     # Observations of peers are never exported.
     assert harness.aggregator.observations() == api.Observations((), ())
-    node.response_time_ms = 25.0
-    node.response_time_at_ms = harness.now - 5000.0
-    node.peer_observed = False
+    server.response_time_ms = 25.0
+    server.response_time_at_ms = harness.now - 5000.0
+    server.peer_observed = False
     learn(harness, (10, 300.0, 0.0))
-    assert node.response_time_ms == 25.0  # the own answer is five seconds old, the observation is new
+    assert server.response_time_ms == 25.0  # the own answer is five seconds old, the observation is new
 
 
 def test_an_old_observation_decays_and_old_answers_are_not_imported():
--- a/tests/test_decisions_outliers.py
+++ b/tests/test_decisions_outliers.py
@@ -18,13 +18,13 @@
     harness.complete(part, Outcome.CONNECT_FAILED)
     harness.advance(40.0)
     assert harness.attempts[part] == 1  # the retry waits for a token
-    node = harness.aggregator.endpoints.servers[10]
-    assert harness.aggregator.slow_start.capacity_fraction(node, harness.now) == 0.2
+    server = harness.aggregator.endpoints.servers[10]
+    assert harness.aggregator.slow_start.capacity_fraction(server, harness.now) == 0.2
     harness.advance(1500.0)
     assert 2 <= harness.attempts[part] < 6
     harness.complete(part, Outcome.OK, harness.attempts[part] - 1)
-    assert node.down_since_ms == math.inf
-    assert 0.2 < harness.aggregator.slow_start.capacity_fraction(node, harness.now) < 1.0
+    assert server.down_since_ms == math.inf
+    assert 0.2 < harness.aggregator.slow_start.capacity_fraction(server, harness.now) < 1.0
 
 
 def break_all_connections(harness, query, sends):
@@ -44,17 +44,17 @@
     endpoints = [endpoint(10 + i, i % 4) for i in range(16)]
     harness = Harness(endpoints=endpoints, retry_budget_min=1000.0)
     harness.learn_latency()
-    q, sends = harness.query(ALL)
-    assert len(break_all_connections(harness, q, sends)) == 4
+    query_id, sends = harness.query(ALL)
+    assert len(break_all_connections(harness, query_id, sends)) == 4
     harness.advance(300.0)  # until then only the connections may have failed
-    assert actions_of(api.Reject, harness.actions) == [api.Reject(q, 0.0)]
+    assert actions_of(api.Reject, harness.actions) == [api.Reject(query_id, 0.0)]
     harness.actions.clear()
     harness.step(api.EndpointUpdate(api.UpdateKind.DELTA, (endpoint(10, 0, started_ms=harness.now),)))
-    q, sends = harness.query(ALL)  # the restart in the list causes a canary, and its loss stops the other parts
+    query_id, sends = harness.query(ALL)  # the restart in the list causes a canary, and its loss stops the other parts
     assert len(actions_of(api.Send, sends)) == 1
-    assert len(break_all_connections(harness, q, sends)) == 1
+    assert len(break_all_connections(harness, query_id, sends)) == 1
     harness.advance(300.0)
-    assert actions_of(api.Reject, harness.actions) == [api.Reject(q, 0.0)]
+    assert actions_of(api.Reject, harness.actions) == [api.Reject(query_id, 0.0)]
 
 
 def test_a_connection_that_breaks_at_once_was_refused_and_its_server_is_not_down():
@@ -63,18 +63,18 @@
     harness = Harness(retry_budget_min=1000.0)
     harness.learn_latency()
     _, sends = harness.query(ALL)
-    for a in actions_of(api.Send, sends):
-        assert actions_of(api.Send, harness.complete(a.part, Outcome.RESET))
+    for send in actions_of(api.Send, sends):
+        assert actions_of(api.Send, harness.complete(send.part, Outcome.RESET))
     answer_all(harness)
     _, sends = harness.query(ALL)
     assert len(actions_of(api.Send, sends)) == 4
-    assert all(n.down_since_ms == math.inf for n in harness.aggregator.endpoints.servers.values())
+    assert all(server.down_since_ms == math.inf for server in harness.aggregator.endpoints.servers.values())
 
 
 def break_first_part(harness, canary=False):
     """Breaks the connection of a query's only part after it may have started; returns the server."""
-    ps = (api.Part(9001, 0, 1.0, None),)
-    (first,) = actions_of(api.Send, harness.step(api.Query(9000, 999, ALL, 0, 0, 3000.0, canary, None, ps)))
+    parts = (api.Part(9001, 0, 1.0, None),)
+    (first,) = actions_of(api.Send, harness.step(api.Query(9000, 999, ALL, 0, 0, 3000.0, canary, None, parts)))
     harness.advance(20.0)
     harness.complete(9001, Outcome.RESET)
     return first.node
@@ -86,14 +86,14 @@
     harness = Harness(endpoints=[endpoint(10, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0)
     harness.learn_latency(queries=10)
     number = break_first_part(harness)
-    node = harness.aggregator.endpoints.servers[number]
-    assert node.down_since_ms < math.inf
+    server = harness.aggregator.endpoints.servers[number]
+    assert server.down_since_ms < math.inf
     harness.advance(100.0)  # the next review retries the part, for which one token is available
     assert harness.attempts[9001] == 2
-    assert harness.sent[9001, 1][1] <= node.down_since_ms + 100.0
+    assert harness.sent[9001, 1][1] <= server.down_since_ms + 100.0
     harness.complete(9001, Outcome.OK, 1)
-    assert node.down_since_ms == math.inf
-    assert harness.aggregator.slow_start.capacity_fraction(node, harness.now) == 1.0
+    assert server.down_since_ms == math.inf
+    assert harness.aggregator.slow_start.capacity_fraction(server, harness.now) == 1.0
     assert harness.aggregator.outliers.poison_seen_ms == -math.inf
     _, sends = harness.query(ALL)
     assert len(actions_of(api.Send, sends)) == 4
@@ -107,9 +107,9 @@
     number = break_first_part(harness, canary=True)
     assert harness.aggregator.outliers.poison_seen_ms == -math.inf
     assert 9000 in harness.aggregator.queries.by_id
-    ps = tuple(api.Part(9101 + i, 0, 0.25, None) for i in range(4))
-    sends = actions_of(api.Send, harness.step(api.Query(9100, 1000, ALL, 0, 0, 3000.0, False, None, ps)))
-    parts_there = [a.part for a in sends if a.node == number]
+    parts = tuple(api.Part(9101 + i, 0, 0.25, None) for i in range(4))
+    sends = actions_of(api.Send, harness.step(api.Query(9100, 1000, ALL, 0, 0, 3000.0, False, None, parts)))
+    parts_there = [send.part for send in sends if send.node == number]
     assert parts_there
     harness.complete(parts_there[0], Outcome.CONNECT_FAILED)
     assert harness.aggregator.outliers.poison_seen_ms == harness.now
@@ -126,20 +126,20 @@
     number = break_first_part(harness)
     harness.complete(9001, Outcome.REJECTED, 1)
     harness.advance(400.0)
-    node = harness.aggregator.endpoints.servers[number]
+    server = harness.aggregator.endpoints.servers[number]
     last = harness.attempts[9001] - 1
     assert last >= 1
-    assert harness.sent[9001, last][1] > node.down_since_ms + 100.0
+    assert harness.sent[9001, last][1] > server.down_since_ms + 100.0
     harness.complete(9001, Outcome.OK, last)
-    assert node.down_since_ms == math.inf
-    assert harness.aggregator.slow_start.capacity_fraction(node, harness.now) < 0.3
+    assert server.down_since_ms == math.inf
+    assert harness.aggregator.slow_start.capacity_fraction(server, harness.now) < 0.3
 
 
 def test_a_retry_sends_a_canary_and_the_rest_when_it_is_answered():
     harness = Harness()
     harness.learn_latency()
-    ps = tuple(api.Part(9001 + i, i, 0.25, None) for i in range(4))
-    sends = actions_of(api.Send, harness.step(api.Query(9000, 999, ALL, 0, 0, 3000.0, True, None, ps)))
+    parts = tuple(api.Part(9001 + i, i, 0.25, None) for i in range(4))
+    sends = actions_of(api.Send, harness.step(api.Query(9000, 999, ALL, 0, 0, 3000.0, True, None, parts)))
     assert len(sends) == 1
     assert len(actions_of(api.Send, harness.complete(sends[0].part))) == 3
 
@@ -150,13 +150,13 @@
     harness = Harness(endpoints=endpoints)
     harness.learn_latency()
     _, sends = harness.query(ALL)
-    parts = [a.part for a in actions_of(api.Send, sends)]
+    parts = [send.part for send in actions_of(api.Send, sends)]
     harness.advance(20.0)
     assert not actions_of(api.Send, harness.complete(parts[0], Outcome.RESET))
     assert not actions_of(api.Send, harness.complete(parts[1], Outcome.RESET))
     harness.complete(parts[2])
     harness.complete(parts[3])
-    again = {a.part for a in actions_of(api.Send, harness.advance(200.0))}
+    again = {send.part for send in actions_of(api.Send, harness.advance(200.0))}
     assert again == set(parts[:2])
 
 
@@ -177,8 +177,8 @@
     harness.learn_latency()
     _, sends = harness.query(ALL)
     harness.advance(30.0)
-    for a in actions_of(api.Send, sends)[:3]:
-        harness.complete(a.part, Outcome.RESET)
+    for send in actions_of(api.Send, sends)[:3]:
+        harness.complete(send.part, Outcome.RESET)
     harness.complete(actions_of(api.Send, sends)[3].part)
     harness.advance(200.0)
     answer_all(harness)
--- a/tests/test_decisions_redundancy.py
+++ b/tests/test_decisions_redundancy.py
@@ -62,38 +62,38 @@
 
 def test_answers_at_m_and_cancels_the_rest():
     harness = Harness()
-    q, sends = harness.query(ANY)
+    query_id, sends = harness.query(ANY)
     parts = [a.part for a in actions_of(api.Send, sends)]
     harness.complete(parts[0])
     actions = harness.complete(parts[1])
-    assert actions_of(api.Answer, actions) == [api.Answer(q, True)]
+    assert actions_of(api.Answer, actions) == [api.Answer(query_id, True)]
     assert {a.part for a in actions_of(api.Cancel, actions)} == set(parts[2:])
 
 
 def test_each_part_goes_to_the_replica_with_the_fewest_calls_in_flight():
     harness = Harness()
     _, sends = harness.query(ALL)
-    assert sorted(a.node for a in actions_of(api.Send, sends)) == [10, 11, 12, 13]
+    assert sorted(send.node for send in actions_of(api.Send, sends)) == [10, 11, 12, 13]
 
 
 def test_parts_that_can_share_a_call_go_to_the_same_server():
     harness = Harness(parts_per_call=16)
     _, sends = harness.query(ALL)
-    assert len({a.node for a in actions_of(api.Send, sends)}) == 1
+    assert len({send.node for send in actions_of(api.Send, sends)}) == 1
 
 
 def test_parts_are_sent_only_to_servers_that_hold_their_shard():
     harness = Harness(cells_per_shard=1)
     _, sends = harness.query(ALL)
-    q = min(a.part for a in actions_of(api.Send, sends)) - 1
-    assert all(a.node == 10 + a.part - q - 1 for a in actions_of(api.Send, sends))
+    query_id = min(send.part for send in actions_of(api.Send, sends)) - 1
+    assert all(send.node == 10 + send.part - query_id - 1 for send in actions_of(api.Send, sends))
 
 
 def test_a_reserved_part_replaces_a_failed_one_without_retry_budget():
     harness = Harness(retry_budget_min=0.0, retry_budget_share=0.0)
     harness.learn_latency()
     harness.aggregator.redundancy._chosen[2, 4] = 2
-    q, sends = harness.query(ANY)
+    query_id, sends = harness.query(ANY)
     first = actions_of(api.Send, sends)
     assert len(first) == 2
     again = actions_of(api.Send, harness.complete(first[0].part, Outcome.ERROR))
@@ -114,9 +114,9 @@
 
 def test_a_query_for_a_shard_without_replicas_still_ends():
     harness = Harness(endpoints=[endpoint(10, 0)], cells_per_shard=1)
-    q, sends = harness.query(ALL, parts=2, time_left_ms=500.0)
+    query_id, sends = harness.query(ALL, parts=2, time_left_ms=500.0)
     assert len(actions_of(api.Send, sends)) == 1
-    assert actions_of(api.Reject, harness.advance(500.0)) == [api.Reject(q, 0.0)]
+    assert actions_of(api.Reject, harness.advance(500.0)) == [api.Reject(query_id, 0.0)]
 
 
 def test_without_load_the_largest_r_of_equal_latency_and_cost_is_taken():
--- a/tests/test_decisions_replicas.py
+++ b/tests/test_decisions_replicas.py
@@ -22,7 +22,7 @@
 
 def parts_by_server(harness, sends):
     """The number of sends to each server."""
-    return {n: sum(1 for a in sends if a.node == n) for n in (10, 11, 12, 13)}
+    return {n: sum(1 for send in sends if send.node == n) for n in (10, 11, 12, 13)}
 
 
 def test_a_full_server_does_not_draw_the_traffic():
@@ -30,7 +30,7 @@
     harness = Harness(retry_budget_min=1000.0)
     harness.learn_latency()
     _, sends = harness.query(ALL)
-    full = [a for a in actions_of(api.Send, sends) if a.node == 10]
+    full = [send for send in actions_of(api.Send, sends) if send.node == 10]
     harness.complete(full[0].part, Outcome.REJECTED)
     answer_all(harness)
     _, sends = harness.query(ALL, parts=3)
@@ -42,11 +42,11 @@
     harness = Harness(hedging=False)
     harness.learn_latency()
     _, sends = harness.query(ALL)
-    slow = next(a for a in actions_of(api.Send, sends) if a.node == 10)
+    slow = next(send for send in actions_of(api.Send, sends) if send.node == 10)
     harness.advance(40.0)
-    for a in actions_of(api.Send, sends):
-        if a is not slow:
-            harness.complete(a.part)
+    for send in actions_of(api.Send, sends):
+        if send is not slow:
+            harness.complete(send.part)
     harness.advance(300.0)
     harness.complete(slow.part)
     answer_all(harness)
--- a/tests/test_decisions_retries.py
+++ b/tests/test_decisions_retries.py
@@ -56,7 +56,7 @@
     harness.advance(2.0)
     assert not actions_of(api.Send, harness.complete(part, Outcome.REJECTED, 1))
     assert not actions_of(api.Reject, harness.actions)
-    assert [a.part for a in actions_of(api.Send, harness.advance(40.0))] == [part]
+    assert [send.part for send in actions_of(api.Send, harness.advance(40.0))] == [part]
     harness.complete(part, Outcome.OK, 2)
     assert actions_of(api.Answer, harness.actions)
 
@@ -64,10 +64,10 @@
 def test_an_attempt_that_times_out_with_its_query_is_not_retried():
     # It was retried at every other replica with a timeout of one millisecond, which was useless work.
     harness = Harness()
-    q, sends = harness.query(ALL, time_left_ms=500.0)
+    query_id, sends = harness.query(ALL, time_left_ms=500.0)
     harness.now += 495.0
-    for a in actions_of(api.Send, sends):
-        assert not actions_of(api.Send, harness.complete(a.part, Outcome.TIMEOUT))
+    for send in actions_of(api.Send, sends):
+        assert not actions_of(api.Send, harness.complete(send.part, Outcome.TIMEOUT))
 
 
 def test_event_windows_do_not_grow_without_bound():
@@ -75,8 +75,8 @@
     harness = Harness()
     for _ in range(60):
         _, sends = harness.query(ALL)
-        for a in actions_of(api.Send, sends):
-            harness.complete(a.part)
+        for send in actions_of(api.Send, sends):
+            harness.complete(send.part)
         harness.advance(1000.0)
     rates = harness.aggregator.rates
     windows = [rates.queries, rates.accepted, rates.attempts, rates.retries, *rates.tenants.values()]
