--- a/tests/simfleet.py
+++ b/tests/simfleet.py
@@ -61,9 +61,8 @@
         self.capacity = rng.choice([2, 4]) / self.work_ms  # of a warm server, in parts per millisecond
         self.load = rng.uniform(0.3, 0.7)
         weights = [rng.paretovariate(1.5) for _ in range(broker_count)]
-        total_rate = (
-            self.load * self.capacity * len(self.servers) / 3.0
-        )  # queries per millisecond, with three parts each
+        # Queries per millisecond, with three parts each.
+        total_rate = self.load * self.capacity * len(self.servers) / 3.0
         self.rates = [total_rate * weight / sum(weights) for weight in weights]
         self.restarting_servers = rng.sample(self.servers, rng.choice([1, 2, len(self.servers) // 2]))
         self.restarting_brokers = {i for i in range(broker_count) if rng.random() < rng.choice([0.0, 0.1, 0.7])}
--- a/tests/test_decisions_connections.py
+++ b/tests/test_decisions_connections.py
@@ -47,9 +47,8 @@
     assert lost <= 12
     assert closed >= 0.4 * sent
     harness.advance(60_000.0)
-    assert (
-        send_after_idle_times(harness, set(), Outcome.RESET)[0] == 0
-    )  # the threshold has expired, since handshakes are costly
+    # The threshold expires, because every closed connection costs a handshake.
+    assert send_after_idle_times(harness, set(), Outcome.RESET)[0] == 0
 
 
 def test_a_server_that_is_down_among_many_closes_no_connections():
--- a/tests/test_decisions_invariants.py
+++ b/tests/test_decisions_invariants.py
@@ -124,9 +124,9 @@
         for harness, rate in zip(brokers, query_rates, strict=True):
             harness.now = now
             actions = harness.step(api.TimerFired(0))
-            for due, part in [x for x in in_flight if x[0] is harness]:
+            for owner, part in [row for row in in_flight if row[0] is harness]:
                 harness.complete(part, Outcome.OK, harness.attempts[part] - 1)
-                in_flight.remove((due, part))
+                in_flight.remove((owner, part))
             if rng.random() < rate:
                 actions = actions + harness.query(ALL, parts=1, shard=rng.randrange(8))[1]
             for send in actions_of(api.Send, actions):
--- a/tests/test_decisions_little_traffic.py
+++ b/tests/test_decisions_little_traffic.py
@@ -83,9 +83,8 @@
     assert 20 < rejected < 40  # some are admitted, so that a recovery is noticed
     assert {a.reason for a in actions_of(api.Reject, harness.actions)} >= {"unlikely to be answered in time"}
     assert not any(actions_of(api.Reject, harness.query(ALL, parts=2, shard=0)[1]) for _ in range(10))  # other cells
-    assert not any(
-        actions_of(api.Reject, harness.query(ANY, parts=4, shard=0)[1]) for _ in range(10)
-    )  # it does not need all parts
+    # Queries that do not need all parts are admitted.
+    assert not any(actions_of(api.Reject, harness.query(ANY, parts=4, shard=0)[1]) for _ in range(10))
     harness.advance(3500.0)  # all of these queries end without an answer
     harness.advance(40_000.0)
     assert harness.aggregator.cells.share(2, harness.now) > 0.95
--- a/tests/test_decisions_observations.py
+++ b/tests/test_decisions_observations.py
@@ -71,7 +71,7 @@
     exported = harness.aggregator.observations()
     assert exported.nodes
     assert all(s.age_ms >= 999.0 and not s.is_down for s in exported.nodes)
-    assert all(ms >= 29.0 and age >= 999.0 for age, ms, _ in exported.answers)
+    assert all(latency_ms >= 29.0 and age_ms >= 999.0 for age_ms, latency_ms, _ in exported.answers)
 
 
 # -- invariants that no observation may break
--- a/tests/test_decisions_redundancy.py
+++ b/tests/test_decisions_redundancy.py
@@ -26,7 +26,7 @@
 
 
 def test_equal_latencies_leave_the_least_cost_only_with_r_equal_to_m():
-    # All X alike: T(r) grows with r through the load term alone, so the least T is at m.
+    # With equal latencies T(r) grows with r through the load term alone, so the least T is at m.
     assert parts_to_send([100.0] * 30, queries=10)(2, 4) == 2
 
 
