--- a/badgerbend/lease_service/health_check_duty.py
+++ b/badgerbend/lease_service/health_check_duty.py
@@ -15,7 +15,7 @@
 from badgerbend.leases.health_checks import HealthChecker, observations_of, suspected_servers, suspicion_report
 from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.messages import ProbeReport, SuspicionReport
-from badgerbend.net.client import End, Pool, Reply
+from badgerbend.net.client import CallResult, Pool, Reply
 from badgerbend.net.udp import Address, address_text
 from badgerbend.runtime.driver import Driver
 
@@ -100,7 +100,7 @@
             self.checker.receive_suspicions(self.clock(), report, address_text(source))
 
     def _report_suspicions(self, holder: LeaseHolder) -> None:
-        suspected = suspected_servers(self.driver.known(), self.directory.names)
+        suspected = suspected_servers(self.driver.observations(), self.directory.names)
         if not suspected:
             return
         report = suspicion_report(suspected, self.broker, self.duty)
@@ -117,7 +117,7 @@
             self._checking_since = NEVER
             return
         for server in self.checker.start_due_checks(self.clock()):
-            known = self.directory.known.get(server)
+            known = self.directory.servers.get(server)
             pool = self.pool_of(known.number) if known is not None else None
             if pool is None:
                 self._finish(server, served=False, took_ms=0.0)  # it is not listed any more
@@ -161,9 +161,9 @@
         if report.duty != self.duty or not self.fence.admits(report.duty, report.epoch):
             return
         self.results_received += len(report.results)
-        known = self.directory.known
+        known = self.directory.servers
         numbers = {row.server: known[row.server].number for row in report.results if row.server in known}
-        self.driver.learn(observations_of(report, numbers))
+        self.driver.add_observations(observations_of(report, numbers))
 
 
 class _HealthCheck:
@@ -185,7 +185,7 @@
         self._call.abort()
 
     def _handle_reply(self, reply: Reply) -> None:
-        self._finish(reply.end is End.ANSWER and reply.status == 200)
+        self._finish(reply.result is CallResult.ANSWER and reply.status == 200)
 
     def _finish(self, served: bool) -> None:
         if not self._finished:
--- a/badgerbend/lease_service/service.py
+++ b/badgerbend/lease_service/service.py
@@ -44,9 +44,9 @@
     ProbeReport,
     SuspicionReport,
 )
-from badgerbend.log import get
+from badgerbend.log import get_logger
 from badgerbend.net.client import Pool
-from badgerbend.net.seal import Seal, read_key
+from badgerbend.net.seal import DatagramSealer, read_key
 from badgerbend.net.udp import Address, SealedSocket, address_text
 from badgerbend.runtime.driver import Driver
 from badgerbend.slow_start_budget.broker import BrokerBudget
@@ -82,8 +82,8 @@
         self.incarnation = int(time.time() * 1000)
         self.name = broker_name(settings)
         self.keys = tuple(read_key(folder / path) for path in duties.key)
-        super().__init__(Seal(self.keys, self.incarnation))
-        self.log = get(part="duties")
+        super().__init__(DatagramSealer(self.keys, self.incarnation))
+        self.log = get_logger(part="duties")
         self.timing = lease_timing(duties)
         self.voter_addresses = {voter.name: parse_address(voter.address) for voter in duties.voter}
         self.messenger = LeaseMessenger(self, self.name, self.voter_addresses, self._handle_own_reply)
@@ -110,7 +110,7 @@
             self.local_voter = self._open_local_voter(self.folder / self.duties.store)
         port = await self.open(self.duties.host, self.duties.port)
         if self.duties.advertise is not None:
-            self.own = parse_address(self.duties.advertise)
+            self.own_address = parse_address(self.duties.advertise)
         self.holder = self._create_holder()
         self.duty_socket.holder = self.holder
         if self.duties.probing:
@@ -135,7 +135,7 @@
         if self.local_voter is not None:
             await self.local_voter.transfer_leadership_within(TRANSFER_TIMEOUT_S)
             self.local_voter.close()
-        self.shut()
+        self.close_socket()
 
     def _open_local_voter(self, store_path: Path) -> LocalVoter:
         local_voter = LocalVoter(
@@ -155,7 +155,7 @@
 
     def _create_holder(self) -> LeaseHolder:
         duties = candidacies(self.settings, self.duties, shares_budget=self.slow_start is not None)
-        address = address_text(self.own)
+        address = address_text(self.own_address)
         voters = tuple(self.voter_addresses)
         seed = random_seed(self.settings, self.incarnation, HOLDER_SEED)
         return LeaseHolder(self.name, address, duties, voters, self.timing, seed, self.clock())
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -23,7 +23,7 @@
     LosesALease,
     VotesBeforePersisting,
 )
-from tests.simvoters import Broken, Chaos, World
+from tests.simvoters import Chaos, InvariantViolation, World
 
 # -- random faults in simulated time
 
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("name", MUTANTS)
 def test_each_mutant_is_found_and_the_product_passes_the_same_run(name):
     kinds, chaos, seed = MUTANTS[name]
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantViolation):
         World(seed, chaos, **kinds).run(10)
     World(seed, chaos).run(10)
 
@@ -88,7 +88,7 @@
 
 
 def test_search_finds_a_vote_that_does_not_wait_for_the_disk():
-    with pytest.raises(Broken, match="term 1 is led by a and by"):
+    with pytest.raises(InvariantViolation, match="term 1 is led by a and by"):
         search(9, VotesBeforePersisting)
 
 
@@ -96,7 +96,7 @@
     """A leader finds an entry of an earlier term on most voters; another, who never had it, leads after it."""
     monkeypatch.setattr(replication, "MAX_MESSAGE_BYTES", replication.MESSAGE_OVERHEAD_BYTES)  # one entry a message
     state = State(kind)
-    state.limits = {"stand": 9, "propose": 0, "crash": 0}
+    state.limits = {"campaign": 9, "propose": 0, "crash": 0}
 
     def age(packet):
         message = voting.decode(packet.data)
@@ -141,7 +141,7 @@
     state = figure_8(Raft, monkeypatch)
     assert state.rafts["a"].commit_index == 0
     assert state.rafts["c"].commit_index == 2
-    with pytest.raises(Broken, match="committed another entry 1"):
+    with pytest.raises(InvariantViolation, match="committed another entry 1"):
         figure_8(CommitsEntriesOfEarlierTerms, monkeypatch)
 
 
@@ -271,34 +271,34 @@
     assert leader.log.snapshot_index > 100
     assert len(leader.log.snapshot.state) > 4 * voting.MAX_MESSAGE_BYTES
     removed = next(n for n in NAMES if n != leader.name)
-    assert leader.change_membership(cluster.now, "d", votes=True) is None
-    assert leader.change_membership(cluster.now, removed, votes=False) == "another change is under way"
+    assert leader.change_membership(cluster.now, "d", add=True) is None
+    assert leader.change_membership(cluster.now, removed, add=False) == "another change is under way"
     cluster.run(3)
     assert cluster.rafts["d"].voters == (*NAMES, "d")
     assert len(cluster.tables["d"].facts) == 150
-    assert leader.change_membership(cluster.now, removed, votes=False) is None
+    assert leader.change_membership(cluster.now, removed, add=False) is None
     cluster.run(1)
     cluster.isolated = {removed, next(n for n in NAMES if n not in (removed, leader.name))}
     cluster.put("after")
     cluster.run(0.5)  # followers learn of the commit with the next heartbeat
     assert "after" in cluster.tables["d"].facts  # two of three: the new voter counts, the removed one does not
-    assert leader.change_membership(cluster.now, removed, votes=False) == "nothing to change"
+    assert leader.change_membership(cluster.now, removed, add=False) == "nothing to change"
 
 
 def test_leader_that_removes_itself_steps_down_once_that_is_committed():
     cluster = Cluster()
     cluster.run(5)
     old = cluster.leader()
-    assert old.change_membership(cluster.now, old.name, votes=False) is None
+    assert old.change_membership(cluster.now, old.name, add=False) is None
     cluster.run(6)
     new = cluster.leader()
     assert new is not old
     assert set(new.voters) == set(NAMES) - {old.name}
     for name in list(new.voters):
         if name != new.name:
-            assert new.change_membership(cluster.now, name, votes=False) is None
+            assert new.change_membership(cluster.now, name, add=False) is None
             cluster.run(1)
-    assert new.change_membership(cluster.now, new.name, votes=False) == "the last voter stays"
+    assert new.change_membership(cluster.now, new.name, add=False) == "the last voter stays"
 
 
 def test_single_voter_leads_and_commits_once_its_own_disk_has_the_entry():
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -12,10 +12,10 @@
 from badgerbend.graphql.documents import Template
 from badgerbend.graphql.fetch import FetchTransport
 from badgerbend.graphql.fields import Asked, Fetch
-from badgerbend.net.client import End, Reply
+from badgerbend.net.client import CallResult, Reply
 from badgerbend.net.server import HttpServer, ServerLimits, _Connection
 from badgerbend.runtime.ports import Attempt, PartPlan
-from tests.sockets import Stage, run
+from tests.sockets import BrokerFixture, run
 
 ASKED = Asked("0" * 32, None, False)
 
@@ -61,7 +61,7 @@
 @given(st.binary(max_size=60) | json.map(msgspec.json.encode), st.sampled_from([200, 200, 400, 503]))
 def test_any_answer_ends_each_part_once_and_counts_only_rows(body, status):
     wire, ends = sent([1, 2, 3])
-    wire.reply(Reply(End.ANSWER, status, {}, body))
+    wire.reply(Reply(CallResult.ANSWER, status, {}, body))
     assert sorted(e[0] for e in ends) == [1, 2, 3]
     for _, outcome, rows in ends:
         if outcome == Outcome.OK:
@@ -77,7 +77,7 @@
     wire, ends = sent(list(range(len(bad))))
     rows = [None if b else {"_bb_rows": [{"id": "a"}]} for b in bad]
     errors = [{"message": "no", "path": ["g0", i, "_bb_rows"]} for i, b in enumerate(bad) if b]
-    wire.reply(Reply(End.ANSWER, 200, {}, msgspec.json.encode({"data": {"g0": rows}, "errors": errors})))
+    wire.reply(Reply(CallResult.ANSWER, 200, {}, msgspec.json.encode({"data": {"g0": rows}, "errors": errors})))
     assert [o == Outcome.ERROR for _, o, _ in sorted(ends, key=lambda e: e[0])] == bad
 
 
@@ -88,7 +88,7 @@
         (500, {b"badgerbend-not-run": b"1"}, Outcome.ERROR),
     ):
         wire, ends = sent([1])
-        wire.reply(Reply(End.ANSWER, status, headers, b""))
+        wire.reply(Reply(CallResult.ANSWER, status, headers, b""))
         assert ends[0][1] == outcome
 
 
@@ -165,7 +165,7 @@
 
 def test_tenants_are_asked_for_where_they_are_set():
     async def main():
-        async with Stage(tenant=(Tenant("a", 1000.0), Tenant("b", 1000.0))) as s:
+        async with BrokerFixture(tenant=(Tenant("a", 1000.0), Tenant("b", 1000.0))) as s:
             text = "{ fullQuote(blocks: [1], amount: 5) { id } }"
             assert (await s.client.query(text))[0] == 403
             assert (await s.client.query(text, badgerbend_tenant="c"))[0] == 403
