--- a/badgerbend/decisions/queries.py
+++ b/badgerbend/decisions/queries.py
@@ -19,10 +19,10 @@
 
     NO_SITE = "no site takes it"
     FORESEEN_LATE = "foreseen to be late"
-    UNLIKELY = "unlikely to be answered in time"
-    NO_ATTEMPT_LEFT = "no attempts left"
-    SERVERS_DOWN = "servers went down while processing it"
-    DEADLINE_EXCEEDED = "deadline exceeded"
+    UNLIKELY = "more likely lost than answered"
+    NO_ATTEMPT_LEFT = "no attempt is left"
+    SERVERS_DOWN = "servers died under it"
+    DEADLINE_EXCEEDED = "its time is over"
 
 
 class Attempt:
--- a/tests/test_decisions_little_traffic.py
+++ b/tests/test_decisions_little_traffic.py
@@ -81,7 +81,7 @@
         run_query(harness, parts=1, shard=2, outcome=Outcome.ERROR)
     rejected = sum(bool(actions_of(api.Reject, harness.query(ALL, parts=2, shard=2)[1])) for _ in range(40))
     assert 20 < rejected < 40  # some are admitted, so that a recovery is noticed
-    assert {a.reason for a in actions_of(api.Reject, harness.actions)} >= {"unlikely to be answered in time"}
+    assert {a.reason for a in actions_of(api.Reject, harness.actions)} >= {"more likely lost than answered"}
     assert not any(actions_of(api.Reject, harness.query(ALL, parts=2, shard=0)[1]) for _ in range(10))  # other cells
     # Queries that do not need all parts are admitted.
     assert not any(actions_of(api.Reject, harness.query(ANY, parts=4, shard=0)[1]) for _ in range(10))
