--- a/badgerbend/leases/messages.py
+++ b/badgerbend/leases/messages.py
@@ -16,7 +16,7 @@
 MAX_REQUEST_DELAY_S = 60.0
 MAX_SERVERS = 16  # named in one datagram
 MAX_KEY_BYTES = 64
-MAX_VALUE_BYTES = MAX_COMMAND_BYTES - 200  # of a fact: the command around it takes the rest
+MAX_VALUE_BYTES = MAX_COMMAND_BYTES - 200  # the rest is left for the command around the value
 Load = Annotated[float, msgspec.Meta(ge=0, le=1e9)]  # parts in flight at a broker
 Key = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_KEY_BYTES)]
 Duration = Annotated[float, msgspec.Meta(ge=0, le=1e9)]  # milliseconds
@@ -44,11 +44,11 @@
     epoch: Number
 
 
-class PutFact(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Puts a fact that the fleet agrees on, such as the version in force. An empty value removes it.
+class PutValue(msgspec.Struct, array_like=True, frozen=True, tag=3):
+    """Stores a value that the fleet agrees on, such as the version in force. An empty value removes the key.
 
-    previous_index: of the entry that put the fact which this replaces, 0 if there must be none; the command has no
-    effect if it is another.
+    previous_index: the index of the log entry that stored the value to be replaced, 0 if there must be none. The
+    command has no effect if the present value is from another entry.
     """
 
     key: Key
@@ -56,7 +56,7 @@
     previous_index: Number
 
 
-Command = GrantLease | ReleaseLease | PutFact
+Command = GrantLease | ReleaseLease | PutValue
 
 # -- between brokers and voters
 
--- a/badgerbend/leases/table.py
+++ b/badgerbend/leases/table.py
@@ -1,8 +1,8 @@
-"""The table of leases and facts: the state machine that the voters' log drives. Pure.
+"""The table of leases and of agreed values: the state machine of the voters' log. Pure.
 
 It knows nothing of time: a lease lasts until a command ends it. When to propose that command is the leading voter's
 decision, see `badgerbend.leases.manager`. Why it is safe: every voter applies the same commands in the same order, and
-a command states which lease or fact it replaces, so that one which was overtaken changes nothing.
+a command states which lease or value it replaces, so that one which was overtaken changes nothing.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import msgspec
 
 from badgerbend.consensus.messages import MalformedMessageError
-from badgerbend.leases.messages import GrantLease, PutFact, ReleaseLease, decode_command
+from badgerbend.leases.messages import GrantLease, PutValue, ReleaseLease, decode_command
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,8 +24,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fact:
-    """A value that the fleet agrees on, and the index of the log's entry that put it."""
+class VersionedValue:
+    """A value that the fleet has agreed on, and the index of the log entry that stored it."""
 
     value: bytes
     index: int
@@ -33,7 +33,7 @@
 
 class _Snapshot(msgspec.Struct, array_like=True):
     leases: list[tuple[str, str, int]]
-    facts: list[tuple[str, bytes, int]]
+    values: list[tuple[str, bytes, int]]
 
 
 NO_LEASE = Lease()
@@ -47,7 +47,7 @@
 
     def __init__(self) -> None:
         self.leases: dict[str, Lease] = {}
-        self.facts: dict[str, Fact] = {}
+        self.values: dict[str, VersionedValue] = {}
 
     def lease(self, duty: str) -> Lease:
         """The last lease on a duty; one without holder and with epoch 0 if there never was any."""
@@ -67,7 +67,7 @@
                 self._grant(index, command)
             case ReleaseLease():
                 self._release(command)
-            case PutFact():
+            case PutValue():
                 self._put(index, command)
 
     def _grant(self, index: int, command: GrantLease) -> None:
@@ -80,24 +80,24 @@
         if lease.holder and lease.epoch == command.epoch:
             self.leases[command.duty] = Lease("", command.epoch)
 
-    def _put(self, index: int, command: PutFact) -> None:
-        fact = self.facts.get(command.key)
-        present_index = 0 if fact is None else fact.index
+    def _put(self, index: int, command: PutValue) -> None:
+        present = self.values.get(command.key)
+        present_index = 0 if present is None else present.index
         if present_index != command.previous_index:
             return
         if command.value:
-            self.facts[command.key] = Fact(command.value, index)
+            self.values[command.key] = VersionedValue(command.value, index)
         else:
-            self.facts.pop(command.key, None)
+            self.values.pop(command.key, None)
 
     def dump(self) -> bytes:
         """The complete state, for a snapshot of the log."""
         leases = [(duty, lease.holder, lease.epoch) for duty, lease in sorted(self.leases.items())]
-        facts = [(key, fact.value, fact.index) for key, fact in sorted(self.facts.items())]
-        return msgspec.msgpack.encode(_Snapshot(leases, facts))
+        values = [(key, present.value, present.index) for key, present in sorted(self.values.items())]
+        return msgspec.msgpack.encode(_Snapshot(leases, values))
 
     def load(self, state: bytes) -> None:
         """Replaces the state by one that `dump` gave. Raises msgspec.MsgspecError if it cannot be read."""
         snapshot = msgspec.msgpack.decode(state, type=_Snapshot)
         self.leases = {duty: Lease(holder, epoch) for duty, holder, epoch in snapshot.leases}
-        self.facts = {key: Fact(value, index) for key, value, index in snapshot.facts}
+        self.values = {key: VersionedValue(value, index) for key, value, index in snapshot.values}
--- a/benchmarks/scale/duties.py
+++ b/benchmarks/scale/duties.py
@@ -10,7 +10,7 @@
 from badgerbend.consensus import messages as voting
 from badgerbend.lease_service.budget_exchange import SLOW_START_DUTY
 from badgerbend.leases.manager import LeaseManager
-from badgerbend.leases.messages import Candidacy, LeaseRequest, PutFact, decode, encode
+from badgerbend.leases.messages import Candidacy, LeaseRequest, PutValue, decode, encode
 from badgerbend.leases.table import LeaseTable
 from badgerbend.leases.voter import Voter
 from scale.dutyfleet import TERMS, VOTERS, DutyFleet, Use, duties_of
@@ -221,7 +221,7 @@
         for i in range(REPEATS):
             self.now += STEP_S
             began = time.process_time()
-            index = self.leader.propose_command(self.now, PutFact("version", b"%d" % i, over))
+            index = self.leader.propose_command(self.now, PutValue("version", b"%d" % i, over))
             self.spent_s += time.process_time() - began
             if index is None:
                 raise RuntimeError("the leader took no command")
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -155,7 +155,7 @@
     def dump(self):
         incomplete = LeaseTable()
         incomplete.leases = dict(list(self.leases.items())[:-1])
-        incomplete.facts = self.facts
+        incomplete.values = self.values
         return LeaseTable.dump(incomplete)
 
 
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -12,7 +12,7 @@
 from badgerbend.consensus.persistent_state import PersistentState
 from badgerbend.consensus.raft import BecameLeader, EntryApplied, Raft, RaftConfig, ReadConfirmed, Role
 from badgerbend.leases.holder import LeaseHolder
-from badgerbend.leases.messages import GrantLease, LeaseId, LeaseReply, LeaseState, PutFact, ReleaseLease, encode
+from badgerbend.leases.messages import GrantLease, LeaseId, LeaseReply, LeaseState, PutValue, ReleaseLease, encode
 from badgerbend.leases.table import Lease, LeaseTable
 from badgerbend.leases.timing import LeaseTiming
 from tests.modelvoters import NAMES, Action, Kind, State, clone, search
@@ -197,7 +197,7 @@
         return found[0]
 
     def put(self, key, value=b"1", over=0):
-        index = self.leader().propose(self.now, encode(PutFact(key, value, over)))
+        index = self.leader().propose(self.now, encode(PutValue(key, value, over)))
         self.settle()
         return index
 
@@ -207,15 +207,15 @@
     cluster.run(5)
     index = cluster.put("version", b"7")
     cluster.run(1)
-    assert {t.facts["version"].value for t in cluster.tables.values()} == {b"7"}
+    assert {t.values["version"].value for t in cluster.tables.values()} == {b"7"}
     leader = cluster.leader()
     assert sum(isinstance(e, BecameLeader) for es in cluster.events.values() for e in es) == 1
     assert [e.entry.index for e in cluster.events[leader.name] if isinstance(e, EntryApplied)][-1] == index
     cluster.put("version", b"8", over=index)
     cluster.put("version", b"9", over=index)  # another proposal was committed before
-    assert cluster.tables[leader.name].facts["version"].value == b"8"
+    assert cluster.tables[leader.name].values["version"].value == b"8"
     cluster.put("version", b"", over=index + 1)
-    assert not cluster.tables[leader.name].facts
+    assert not cluster.tables[leader.name].values
 
 
 def isolate_leader(kind=Raft):
@@ -228,7 +228,7 @@
     assert ReadConfirmed(1) in cluster.events[old.name]
     cluster.isolated = {old.name}
     assert old.read_index(cluster.now, 2)
-    assert old.propose(cluster.now, encode(PutFact("k", b"v", 0)))
+    assert old.propose(cluster.now, encode(PutValue("k", b"v", 0)))
     cluster.run(6)
     return cluster, old
 
@@ -245,7 +245,7 @@
     cluster.run(3)
     assert cluster.leader() is new
     assert new.term == term
-    assert [set(t.facts) for t in cluster.tables.values()] == [{"other"}] * 3
+    assert [set(t.values) for t in cluster.tables.values()] == [{"other"}] * 3
 
 
 def test_leadership_transfer_takes_no_time():
@@ -255,7 +255,7 @@
     to = next(n for n in NAMES if n != old.name)
     before = cluster.now
     assert old.transfer_leadership(cluster.now, to)
-    assert old.propose(cluster.now, encode(PutFact("k", b"v", 0))) is None
+    assert old.propose(cluster.now, encode(PutValue("k", b"v", 0))) is None
     cluster.settle()
     assert cluster.leader().name == to
     assert cluster.now == before
@@ -275,13 +275,13 @@
     assert leader.change_membership(cluster.now, removed, add=False) == "another change is under way"
     cluster.run(3)
     assert cluster.rafts["d"].voters == (*NAMES, "d")
-    assert len(cluster.tables["d"].facts) == 150
+    assert len(cluster.tables["d"].values) == 150
     assert leader.change_membership(cluster.now, removed, add=False) is None
     cluster.run(1)
     cluster.isolated = {removed, next(n for n in NAMES if n not in (removed, leader.name))}
     cluster.put("after")
     cluster.run(0.5)  # followers learn of the commit with the next heartbeat
-    assert "after" in cluster.tables["d"].facts  # two of three: the new voter counts, the removed one does not
+    assert "after" in cluster.tables["d"].values  # two of three: the new voter counts, the removed one does not
     assert leader.change_membership(cluster.now, removed, add=False) == "nothing to change"
 
 
@@ -305,7 +305,7 @@
     cluster = Cluster(("a",))
     cluster.run(3)
     cluster.put("k")
-    assert cluster.tables["a"].facts
+    assert cluster.tables["a"].values
     assert cluster.leader().read_index(cluster.now, 1)
     cluster.run(0.3)
     assert ReadConfirmed(1) in cluster.events["a"]
--- a/tests/test_stored_bytes_feed.py
+++ b/tests/test_stored_bytes_feed.py
@@ -10,8 +10,8 @@
 from badgerbend.feed.messages import Change, Checkpoint, Publication, SnapshotBegin, decode_changes, signed_bytes
 from badgerbend.feed.signature import Ed25519Signer, Ed25519Verifier
 from badgerbend.feed.snapshot import SnapshotAssembly, SnapshotImage
-from badgerbend.leases.messages import GrantLease, PutFact, encode
-from badgerbend.leases.table import Fact, Lease
+from badgerbend.leases.messages import GrantLease, PutValue, encode
+from badgerbend.leases.table import Lease, VersionedValue
 from tests.wire_bytes import DATA
 
 SIGNER = Ed25519Signer(bytes(range(32)))
@@ -57,7 +57,7 @@
     machine = FeedStateMachine(RETENTION)
     commands = [
         encode(GrantLease(duty="publish", holder="c1", previous_epoch=0)),
-        encode(PutFact(key="version", value=b"\x00v2\xff", previous_index=0)),
+        encode(PutValue(key="version", value=b"\x00v2\xff", previous_index=0)),
     ]
     first, second, third = (split_publication(publication) for publication in publications())
     for index, command in enumerate([*commands, *first, *second, *third[1:]], 1):
@@ -129,7 +129,7 @@
     machine = FeedStateMachine(RETENTION)
     machine.load(MACHINE_STATE.read_bytes())
     assert machine.table.leases == {"publish": Lease("c1", EPOCH)}
-    assert machine.table.facts == {"version": Fact(b"\x00v2\xff", 2)}
+    assert machine.table.values == {"version": VersionedValue(b"\x00v2\xff", 2)}
     assert machine.log.checkpoint == publications()[1].checkpoint
     assert dict(machine.log.content.items()) == {"large/1": LARGE_VALUE, "server/s2": b"second"}
     assert machine.dump() == MACHINE_STATE.read_bytes()
--- a/tests/test_stored_bytes_wal.py
+++ b/tests/test_stored_bytes_wal.py
@@ -5,8 +5,8 @@
 import pytest
 
 from badgerbend.consensus.messages import Entry, EntryKind, HardState, LogEntries, Snapshot, encode_voters
-from badgerbend.leases.messages import GrantLease, PutFact, ReleaseLease, encode
-from badgerbend.leases.table import Fact, Lease, LeaseTable
+from badgerbend.leases.messages import GrantLease, PutValue, ReleaseLease, encode
+from badgerbend.leases.table import Lease, LeaseTable, VersionedValue
 from badgerbend.wal.identity import read_identity
 from badgerbend.wal.store import Store, create_store, read_store
 from tests.wire_bytes import DATA
@@ -18,7 +18,7 @@
 
 GRANT = encode(GrantLease(duty="probe:north", holder="b1", previous_epoch=0))
 FREE = encode(ReleaseLease(duty="probe:north", epoch=2))
-PUT = encode(PutFact(key="version", value=b"\x00v2\xff", previous_index=0))
+PUT = encode(PutValue(key="version", value=b"\x00v2\xff", previous_index=0))
 
 # The state after the first two commands, as the snapshot in the store holds it.
 SNAPSHOT_STATE = bytes.fromhex("929193ab70726f62653a6e6f727468a262310290")
@@ -145,6 +145,6 @@
         if entry.kind is EntryKind.COMMAND:
             table.apply(entry.index, entry.data)
     assert table.leases == {"probe:north": Lease("", 2)}
-    assert table.facts == {"version": Fact(b"\x00v2\xff", 5)}
+    assert table.values == {"version": VersionedValue(b"\x00v2\xff", 5)}
     expected = "929193ab70726f62653a6e6f727468a0029193a776657273696f6ec404007632ff05"
     assert table.dump().hex() == expected
--- a/tests/test_wire_bytes_leases.py
+++ b/tests/test_wire_bytes_leases.py
@@ -22,7 +22,7 @@
     PeerMessage,
     ProbeReport,
     ProbeResult,
-    PutFact,
+    PutValue,
     ReleaseLease,
     SuspicionReport,
     decode,
@@ -36,8 +36,8 @@
 COMMANDS = {
     "duties/command/grant": GrantLease(duty="probe:north", holder="b1", previous_epoch=17),
     "duties/command/free": ReleaseLease(duty="probe:north", epoch=18),
-    "duties/command/put": PutFact(key="version", value=b"\x00v2\xff", previous_index=19),
-    "duties/command/put-empty": PutFact(key="version", value=b"", previous_index=20),
+    "duties/command/put": PutValue(key="version", value=b"\x00v2\xff", previous_index=19),
+    "duties/command/put-empty": PutValue(key="version", value=b"", previous_index=20),
 }
 
 MESSAGES = {
