--- a/benchmarks/allowance.py
+++ b/benchmarks/allowance.py
@@ -51,7 +51,7 @@
 def one_play(job: tuple[str, str, int]) -> dict[str, float]:
     scene, way, seed = job
     dealt, held = WAYS[way]
-    return SCENES[scene](seed, dealt, held=held)  # type: ignore[no-any-return]
+    return SCENES[scene](seed, dealt, has_allocator=held)  # type: ignore[no-any-return]
 
 
 def gain(count: int) -> int:
--- a/tests/simslowstart.py
+++ b/tests/simslowstart.py
@@ -21,9 +21,9 @@
 
     settings = {"overload_factor": OVERLOAD_FACTOR, "slow_start_from": SLOW_START_FROM}  # noqa: RUF012
 
-    def __init__(self, seed, dealt=True, brokers=(12, 4), servers=16, **changes):
+    def __init__(self, seed, shares_budget=True, brokers=(12, 4), servers=16, **changes):
         self.budgets = {}
-        self.shares_budget = dealt
+        self.shares_budget = shares_budget
         self.arrivals = defaultdict(list)
         super().__init__(seed=seed, brokers=brokers, servers=servers, **changes)
         self.allocator = BudgetAllocator("allocator", "cold", TIMING)
@@ -81,7 +81,7 @@
         return most
 
 
-def fared(world, since):
+def summarize_queries(world, since):
     """What became of the queries of the first site's brokers: asked, share answered, mean time in ms, peak at a cold
     server, and parts that went to the site's servers."""
     ends = [(how, ms) for t, who, _, how, ms in world.ends if t >= since and world.brokers[who].home == 0]
@@ -96,10 +96,10 @@
     }
 
 
-def return_of_a_site(seed, dealt, held=True, skew=3.0):
+def return_of_a_site(seed, shares_budget, has_allocator=True, skew=3.0):
     """A site is lost and back, and some of its brokers have most of its clients."""
-    world = SlowStartWorld(seed, dealt)
-    world.set_allocating(held)
+    world = SlowStartWorld(seed, shares_budget)
+    world.set_allocating(has_allocator)
     world.add_load(0, 140.0, weights=[1.0 / (1 + i) ** skew for i in range(12)])
     world.add_load(1, 40.0)
     world.run(12_000)
@@ -108,13 +108,13 @@
     world.restart_site(0)
     back = world.now
     world.run(8_000)
-    return fared(world, back)
+    return summarize_queries(world, back)
 
 
-def release_and_shift(seed, dealt, held=True):
+def release_and_shift(seed, shares_budget, has_allocator=True):
     """All servers start anew at once, and in that moment the clients of most brokers go to a few others."""
-    world = SlowStartWorld(seed, dealt, brokers=(12, 1))
-    world.set_allocating(held)
+    world = SlowStartWorld(seed, shares_budget, brokers=(12, 1))
+    world.set_allocating(has_allocator)
     weights = [1.0] * 10 + [0.2] * 2
     world.add_load(0, 110.0, weights=weights)
     world.run(12_000)
@@ -125,4 +125,4 @@
     world.publish_endpoints()
     since = world.now
     world.run(8_000)
-    return fared(world, since)
+    return summarize_queries(world, since)
--- a/tests/test_budget_exchange.py
+++ b/tests/test_budget_exchange.py
@@ -11,7 +11,7 @@
 from badgerbend.standin.client import Client
 from badgerbend.standin.scene import Scene
 from tests.sockets import until
-from tests.test_scenes import play
+from tests.test_duty_failover import play
 
 QUERY = "{ fullQuote(blocks: [0], amount: 5) { id } }"
 
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -348,8 +348,8 @@
 
 
 def test_clients_that_moved_to_a_few_brokers_while_all_was_cold_are_served_sooner():
-    each, dealt = release_and_shift(1, dealt=False), release_and_shift(1, dealt=True)
-    assert dealt["ms"] < 0.9 * each["ms"]
-    assert dealt["answered"] > each["answered"]
-    assert dealt["peak"] < 1.0
-    assert each["peak"] < 1.0
+    separate, shared = release_and_shift(1, shares_budget=False), release_and_shift(1, shares_budget=True)
+    assert shared["ms"] < 0.9 * separate["ms"]
+    assert shared["answered"] > separate["answered"]
+    assert shared["peak"] < 1.0
+    assert separate["peak"] < 1.0
