--- a/badgerbend/leases/__init__.py
+++ b/badgerbend/leases/__init__.py
@@ -1,4 +1,7 @@
-"""Leases on duties: work that one broker at a time does for all. Epochs of leases only grow, and fence late acts off.
+"""Leases on duties.
 
-Nothing here opens a socket or a file, or reads a clock; `badgerbend.lease_service` does.
+A duty is work that one broker at a time does for the whole fleet: the broker that holds the lease on it. Every lease
+on a duty has a higher epoch than the one before, so that receivers can reject messages of an earlier holder (fencing).
+
+This package opens no socket or file and reads no clock; `badgerbend.lease_service` does.
 """
--- a/badgerbend/leases/health_checks.py
+++ b/badgerbend/leases/health_checks.py
@@ -1,7 +1,8 @@
-"""Health checks as a duty: one broker checks the servers that others suspect, and reports to those what it found. Pure.
+"""Health checks as a duty: one broker checks the servers that others suspect, and reports the results to them.
 
-Without a holder nothing is checked, and each broker goes on by the outcomes of its own requests, as it does anyway. Why
-that is safe: a report can eject no server. It is used only where a broker has observed nothing itself.
+While the duty has no holder no server is checked, and each broker relies on the outcomes of its own requests, as it
+always does first. This is safe because a report cannot eject a server: a broker uses it only for servers of which it
+has no observations of its own.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 from badgerbend import api
 from badgerbend.leases.messages import MAX_SERVERS, ProbeReport, ProbeResult, SuspicionReport
 
-SLOW_FACTOR = 3.0  # a server this many times as slow as the median server is suspected
-SUSPICION_TTL_S = 5.0  # seconds that a suspicion counts if it is not reported again
-MAX_SUBSCRIBERS = 4096  # brokers that are notified of the checks of one server: more than a fleet has
+SLOW_FACTOR = 3.0  # a server is suspected if its response time is above this multiple of the median
+SUSPICION_TTL_S = 5.0  # a suspicion expires after this time if it is not reported again
+MAX_SUBSCRIBERS = 4096  # brokers notified of the checks of one server; more than any fleet has
 
 
 def suspected_servers(observed: api.Observations, names: dict[int, str]) -> list[str]:
-    """The servers that a broker itself observed to be dead or far slower than the others, the worst first.
+    """Returns the servers that a broker itself observed to be down or far slower than the others, the worst first.
 
-    names: of the servers by number; a server without a name is left out.
+    names: the names of the servers by number. A server without a name is left out.
     """
     times_ms = sorted(server.response_time_ms for server in observed.nodes)
     median_ms = times_ms[len(times_ms) // 2] if times_ms else 0.0
@@ -36,12 +37,12 @@
 
 
 def suspicion_report(servers: Sequence[str], name: str, duty: str) -> SuspicionReport:
-    """A broker's report on suspected servers, the worst first: as many of them as one datagram names."""
+    """Builds a broker's report. servers: the suspected servers, the worst first; the report names the first of them."""
     return SuspicionReport(name, duty, tuple(servers[:MAX_SERVERS]))
 
 
 def observations_of(report: ProbeReport, numbers: dict[str, int]) -> api.Observations:
-    """A report as an event for the decisions. numbers: of the servers by name; others are left out."""
+    """Converts a report to an event for the decisions. numbers: of known servers by name; others are left out."""
     observed = tuple(
         api.EndpointObservation(numbers[result.server], result.latency_ms, result.age_ms, not result.succeeded)
         for result in report.results
@@ -52,29 +53,30 @@
 
 @dataclass(slots=True)
 class SuspectedServer:
-    """A server that somebody suspects. Times are seconds of the checker's clock."""
+    """A server that at least one broker suspects. Times are in seconds of the checker's clock."""
 
-    subscribers: dict[str, float] = field(default_factory=dict)  # addresses to notify, and until when each counts
+    subscribers: dict[str, float] = field(default_factory=dict)  # the brokers' addresses, and when each expires
     check_started_at: float = -math.inf
     check_in_flight: bool = False
 
     def drop_expired_subscribers(self, now: float) -> None:
-        """Forgets the brokers that did not report their suspicion again."""
+        """Removes the brokers that did not report their suspicion again."""
         self.subscribers = {address: until for address, until in self.subscribers.items() if until > now}
 
 
 class OutboundReport(NamedTuple):
-    """A report, and the address of the broker that it is for."""
+    """A report and the address of the broker to send it to."""
 
     address: str
     report: ProbeReport
 
 
 class HealthChecker:
-    """The lease holder's side: it checks each suspected server at one interval, however many brokers suspect it.
+    """The lease holder's side: schedules the checks of suspected servers and builds the reports on their results.
 
-    name: of this broker. interval_s: seconds between two checks of one server. max_in_flight: checks that may run at
-    once, over all servers. All times are seconds of this broker's clock.
+    Each server is checked at the same interval however many brokers suspect it. name: of this broker. interval_s: time
+    between two checks of one server. max_in_flight: limit on concurrent checks, over all servers. Times are in seconds
+    of this broker's clock.
     """
 
     def __init__(self, duty: str, name: str, interval_s: float, max_in_flight: int) -> None:
@@ -86,14 +88,14 @@
         self.checks_started = 0
 
     def receive_suspicions(self, now: float, report: SuspicionReport, address: str) -> None:
-        """Takes in a broker's report. address: where that broker is notified of the checks."""
+        """Records a broker's report. address: where to send that broker the results of the checks."""
         for name in report.servers:
             server = self.servers.setdefault(name, SuspectedServer())
             if len(server.subscribers) < MAX_SUBSCRIBERS or address in server.subscribers:
                 server.subscribers[address] = now + SUSPICION_TTL_S
 
     def start_due_checks(self, now: float) -> list[str]:
-        """The servers to check now; the caller owes a call of `finish_check` for each."""
+        """Returns the servers to check now. The caller must call `finish_check` for each of them."""
         due: list[str] = []
         in_flight = sum(server.check_in_flight for server in self.servers.values())
         for name, server in sorted(self.servers.items(), key=lambda item: item[1].check_started_at):
@@ -112,9 +114,9 @@
     def finish_check(
         self, now: float, epoch: int, name: str, succeeded: bool, latency_ms: float
     ) -> list[OutboundReport]:
-        """Ends a server's check; gives the reports to send, one to each broker that suspects the server.
+        """Ends a server's check and returns the reports to send, one for each broker that suspects the server.
 
-        epoch: of the lease under which the reports are sent. Nothing is reported of a check that was not in flight.
+        epoch: of the lease under which the reports are sent. A check that was not in flight leads to no report.
         """
         server = self.servers.get(name)
         if server is None or not server.check_in_flight:
@@ -127,5 +129,5 @@
         return [OutboundReport(address, report) for address in server.subscribers]
 
     def clear(self) -> None:
-        """Forgets all suspicions, once this broker holds the lease no more: they are reported to the next holder."""
+        """Removes all suspicions when this broker loses the lease. Brokers report them again to the next holder."""
         self.servers = {}
--- a/badgerbend/leases/holder.py
+++ b/badgerbend/leases/holder.py
@@ -1,10 +1,10 @@
-"""A broker's side of leases: its candidacies, the leases that it holds, and when it may act under them. Pure.
+"""A broker's side of leases: its candidacies, the leases that it holds, and when it may act under them.
 
-Why at most one broker acts on a duty at a time: a lease counts from before the request that renewed it was sent, by
-the broker's own clock, and is shortened by the bound on the drift of clocks, while the leading voter counts it from
-when the request arrived and lengthens it by that bound. `LeaseHolder.may_act` must be called right before every act.
-A broker whose event loop did not run for longer than `LeaseTiming.stall_threshold_s` may act only under renewals that
-it requested after that.
+At most one broker acts on a duty at a time, for this reason: the holder counts a lease from the moment at which it
+sent the request that renewed it, and shortens it by the bound on clock drift. The leading voter counts it from the
+arrival of that request, and lengthens it by the bound. `LeaseHolder.may_act` must be called right before every action
+on a duty. After the event loop has stalled for longer than `LeaseTiming.stall_threshold_s`, the broker may act only
+under renewals that it requested after the stall.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
 from badgerbend.leases.timing import LeaseTiming
 from badgerbend.leases.voter_selection import VoterSelection
 
-MAX_REQUESTS_REMEMBERED = 64  # requests whose time of sending is kept, to count a renewal from
-RENEWALS_PER_LEASE = 4  # requests of a holder while one lease lasts: three of them may be lost
-MAX_RETRY_TIMEOUTS = 4  # the pause before a retry grows with each missed reply, up to so many reply timeouts
-MAX_REDIRECT_DELAY_S = 0.02  # a redirected request follows within this time, and not from all brokers at once
-MIN_JITTER = 0.8  # each pause is shortened at random, down to this share of it, so that brokers do not fall into step
-MIN_RETRY_JITTER = 0.5  # the same, for the pause before another voter is asked
+MAX_REQUESTS_REMEMBERED = 64  # requests whose send time is kept, from which a renewal counts
+RENEWALS_PER_LEASE = 4  # requests of a holder during one lease, so that three of them may be lost
+MAX_RETRY_TIMEOUTS = 4  # the delay before a retry grows with each missed reply, up to so many timeouts
+MAX_REDIRECT_DELAY_S = 0.02  # spreads the requests that brokers send to a new leader
+MIN_JITTER = 0.8  # each interval is multiplied by a random factor of at least this, so that brokers do not synchronize
+MIN_RETRY_JITTER = 0.5  # the same for the delay before a request to another voter
 
 
 class OutboundRequest(NamedTuple):
-    """A message to a voter, and the name of that voter."""
+    """A message to a voter and the name of that voter."""
 
     to: str
     message: LeaseRequest | LeaseReturn
 
 
 class LeaseHolder:
-    """One broker as a candidate for duties, and as the holder of leases. `drain_output` after each call.
+    """One broker as a candidate for duties and as a holder of leases. Call `drain_output` after each other call.
 
-    address: where other brokers reach it. duties: what it is a candidate for, and whether it is at the duty's own
-    site. Times are seconds of the broker's own clock, which must not go backwards.
+    address: where other brokers reach this one. duties: the duties that it is a candidate for, each with whether the
+    broker is at the duty's own site. Times are in seconds of the broker's own clock, which must be monotonic.
     """
 
     def __init__(
@@ -57,17 +57,17 @@
         self.timing = timing
         self.rng = random.Random(seed)
         self.duties = {duty: DutyState(is_local) for duty, is_local in duties.items()}
-        self.load = 0.0  # reported with each candidacy: the least loaded candidate is chosen
+        self.load = 0.0  # sent with each request: among equally placed candidates the least loaded is chosen
         self.is_shut_down = False
         self._output: list[OutboundRequest] = []
-        self._seq = self.rng.getrandbits(48)  # a reply to an earlier incarnation of this name fits no request of ours
-        self._sent_at: OrderedDict[int, float] = OrderedDict()  # by `seq`
+        self._seq = self.rng.getrandbits(48)  # a random start: replies to an earlier incarnation match no request
+        self._sent_at: OrderedDict[int, float] = OrderedDict()  # by sequence number
         self.voter_selection = VoterSelection(voters, self.rng)
         self._last_run_at = now
-        self._next_at = now + self.rng.random() * timing.reply_timeout_s  # brokers that start together spread out
+        self._next_at = now + self.rng.random() * timing.reply_timeout_s  # jitter for brokers that start together
 
     def may_act(self, now: float, duty: str) -> int | None:
-        """The epoch under which the broker may act on a duty right now; None if it may not."""
+        """Returns the epoch under which the broker may act on a duty now, or None if it may not."""
         self._check_stall(now)
         state = self.duties.get(duty)
         if state is None or not state.may_act(now):
@@ -75,21 +75,21 @@
         return state.epoch
 
     def set_failing(self, duty: str, is_failing: bool) -> None:
-        """Reports with the next candidacy whether the broker's acts on a duty have no effect."""
+        """Sets what the next candidacy reports: whether the broker's work on a duty has no effect."""
         self.duties[duty].is_failing = is_failing
 
     def granted_leases(self) -> list[LeaseId]:
-        """The leases granted to this broker, whether it may act under them at this moment or not."""
+        """Returns the leases granted to this broker, including those under which it may not act at the moment."""
         return [LeaseId(duty, state.epoch) for duty, state in self.duties.items() if state.epoch]
 
     @property
     def leader(self) -> str:
-        """The leading voter as last stated by a voter; empty while it is not known."""
+        """The leading voter as last reported by a voter; empty while it is not known."""
         return self.voter_selection.leader
 
     @property
     def next_at(self) -> float:
-        """When `tick` has to be called next."""
+        """The time at which `tick` must be called next."""
         return self._next_at
 
     def tick(self, now: float) -> None:
@@ -99,7 +99,7 @@
             self._send_request(now)
 
     def receive_reply(self, now: float, reply: LeaseReply) -> None:
-        """Takes in a voter's reply, or a notification that answers no request."""
+        """Handles a voter's reply, or a notification that answers no request."""
         self._check_stall(now)
         if self.is_shut_down:
             return
@@ -125,7 +125,7 @@
             self._next_at = max(self._next_at, now + delay_s)
 
     def _redirect(self, now: float, leader: str) -> None:
-        """A voter that does not lead has replied, and named the leader if it knows one."""
+        """Handles the reply of a voter that does not lead. leader: which it named; empty if none."""
         if self.voter_selection.is_redirect(leader):
             self.voter_selection.follow(leader)
             self._send_within(now, self.rng.random() * MAX_REDIRECT_DELAY_S)
@@ -134,14 +134,15 @@
             self._send_within(now, self.timing.reply_timeout_s * self.rng.uniform(MIN_RETRY_JITTER, 1.0))
 
     def _apply_lease_state(self, now: float, state: LeaseState, sent_at: float | None) -> None:
-        """sent_at: when the request was sent that this answers; None if it answers none."""
+        """Applies the reported state of a duty. sent_at: send time of the answered request; None for a notification."""
         duty = self.duties.get(state.duty)
-        if duty is None or duty.is_overtaken(state):
+        if duty is None or duty.is_outdated(state):
             return
         is_first = not duty.is_known
         duty.record_holder(state)
         if is_first and state.holder == self.name:
-            # An earlier incarnation's. Its return may still be on the way, and would end the lease under this one.
+            # The lease is of an earlier incarnation. That incarnation's return of it may still be in flight, and would
+            # end the lease while this incarnation acts under it.
             duty.returned_epoch = state.epoch
             self._send_return(now, (LeaseId(state.duty, state.epoch),), is_departing=False)
         if state.holder != self.name or state.epoch <= duty.returned_epoch:
@@ -150,31 +151,31 @@
             return
         if duty.epoch != state.epoch:
             duty.accept_grant(state.epoch)
-            self._next_at = now  # to renew it at once: a grant alone lets nobody act
+            self._next_at = now  # renew at once: the broker may act only after a renewal
         if state.renewed and sent_at is not None:
             duty.extend(sent_at + self._lease_length())
 
     def _lease_length(self) -> float:
-        """How long a renewal counts, in seconds from when it was requested."""
+        """The validity of a renewal, in seconds from when it was requested."""
         return self.timing.holder_lease_s
 
     # -- returning leases
 
     def release(self, now: float, duties: Iterable[str] | None = None) -> None:
-        """Stops acting on these duties, or on all, and returns their leases at once."""
+        """Gives up the leases on these duties, or on all duties, and returns them at once."""
         leases = tuple(lease for lease in self.granted_leases() if duties is None or lease.duty in duties)
         if leases:
             self._give_up(now, leases, is_departing=False)
 
     def shut_down(self, now: float) -> None:
-        """Returns all leases, and ends all candidacies for good."""
+        """Returns all leases and ends all candidacies for good."""
         leases = tuple(self.granted_leases())
         self._give_up(now, leases, is_departing=True)
         self.is_shut_down = True
         self._next_at = math.inf
 
     def drain_output(self) -> list[OutboundRequest]:
-        """The messages to be sent since the last call, each with the voter that it goes to."""
+        """Removes and returns the messages to send, each with the voter to send it to."""
         output = self._output
         self._output = []
         return output
@@ -185,13 +186,13 @@
         self._send_return(now, leases, is_departing=is_departing)
 
     def _check_stall(self, now: float) -> None:
-        """Must run before anything else: it finds out whether the event loop has stood still."""
+        """Detects an event loop that stalled. Must run before anything else in a call."""
         if now - self._last_run_at > self.timing.stall_threshold_s:
             self._suspend_leases(now)
         self._last_run_at = max(self._last_run_at, now)
 
     def _suspend_leases(self, now: float) -> None:
-        """No reply to a request that was sent before this renews anything: the times of sending are forgotten."""
+        """Forbids acting until a renewal. Send times are discarded, so that earlier requests can renew nothing."""
         for duty in self.duties.values():
             duty.suspend()
         self._sent_at.clear()
@@ -213,7 +214,7 @@
         self._next_at = now + self._request_interval() * self.rng.uniform(MIN_JITTER, 1.0)
 
     def _request_interval(self) -> float:
-        """The longest pause until the next request, in seconds, if no reply changes it."""
+        """The time until the next request in seconds, before jitter, unless a reply changes it."""
         is_holder = bool(self.granted_leases())
         interval_s = (
             self.timing.lease_duration_s / RENEWALS_PER_LEASE if is_holder else self.timing.candidacy_interval_s
@@ -224,7 +225,7 @@
         return interval_s
 
     def _send_return(self, now: float, leases: tuple[LeaseId, ...], *, is_departing: bool) -> None:
-        """Sends it to all voters, since it may never be repeated: one of them leads."""
+        """Sends a return to all voters, one of which leads, since there may be no chance to send it again."""
         self._seq += 1
         message = LeaseReturn(self.name, self._seq, leases, is_departing=is_departing)
         for voter in self.voter_selection.voters:
--- a/badgerbend/leases/messages.py
+++ b/badgerbend/leases/messages.py
@@ -1,7 +1,7 @@
-"""Messages about leases, the commands of the voters' log, and messages between brokers for the duties. Pure.
+"""Messages about leases, commands of the voters' log, and messages between brokers for the duties.
 
-All are arrays in MessagePack, so that field names are not on the wire, but their order is. Every size is bounded when a
-message is decoded, before anything in it is believed.
+All are encoded as MessagePack arrays: the names of fields are not on the wire, but their order is. Decoding checks the
+bounds of every size before anything in a message is used.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 
 from badgerbend.consensus.messages import MAX_COMMAND_BYTES, Number, Text, TextOrNone, decode_typed
 
-MAX_DUTIES = 16  # of one broker: a message about all of them fits into a datagram
+MAX_DUTIES = 16  # per broker, so that a message about all of them fits into a datagram
 MAX_REQUEST_DELAY_S = 60.0
-MAX_SERVERS = 16  # named in one datagram
+MAX_SERVERS = 16  # per datagram
 MAX_KEY_BYTES = 64
 MAX_VALUE_BYTES = MAX_COMMAND_BYTES - 200  # the rest is left for the command around the value
 Load = Annotated[float, msgspec.Meta(ge=0, le=1e9)]  # parts in flight at a broker
@@ -27,9 +27,10 @@
 
 
 class GrantLease(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Grants a duty that is free to a broker; the index of the log's entry is the epoch of the lease.
+    """Grants a free duty to a broker. The index of the log entry becomes the epoch of the lease.
 
-    previous_epoch: of the last lease on the duty, 0 if there was none; the command has no effect if it is another.
+    previous_epoch: of the last lease on the duty, 0 if there was none. The command has no effect if the table has
+    another epoch.
     """
 
     duty: Text
@@ -62,10 +63,10 @@
 
 
 class Candidacy(msgspec.Struct, array_like=True, frozen=True):
-    """A broker's candidacy for one duty, or the renewal of its lease on it.
+    """A broker's candidacy for one duty, or its request to renew its lease on the duty.
 
     epoch: of the lease that it holds, 0 if it holds none. is_local: whether the broker is at the duty's own site.
-    is_failing: the broker runs, but its acts on the duty have no effect.
+    is_failing: the broker runs, but its work on the duty has no effect.
     """
 
     duty: Text
@@ -75,9 +76,9 @@
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A broker states its candidacies, and asks for a renewal of the leases that it holds.
+    """A broker's candidacies, and its request to renew the leases that it holds.
 
-    seq: the broker's own number, sent back in the reply. address: where other brokers reach it.
+    seq: the sender's number of the request, returned in the reply. address: where other brokers reach the sender.
     """
 
     source: Text
@@ -89,14 +90,14 @@
 
 
 class LeaseId(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """One lease: no two leases on a duty have the same epoch."""
+    """The identity of a lease: no two leases on a duty have the same epoch."""
 
     duty: Text
     epoch: Number
 
 
 class LeaseReturn(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """A broker returns leases under which it acts no more. is_departing: it is a candidate for nothing any more."""
+    """A broker's return of leases that it no longer uses. is_departing: it also ends all of its candidacies."""
 
     source: Text
     seq: Number
@@ -105,10 +106,10 @@
 
 
 class LeaseState(msgspec.Struct, array_like=True, frozen=True):
-    """Who holds a lease, as the leader states it, and the holder's address where that is known.
+    """The holder of a duty's lease as the leader knows it, with the holder's address if that is known.
 
-    renewed: the lease runs anew from when the answered `LeaseRequest` was sent. should_yield: another candidate is
-    better placed, and the holder is asked to return the lease.
+    renewed: the lease was renewed and counts from when the answered `LeaseRequest` was sent. should_yield: the holder
+    is to return the lease, because another candidate is better placed or because the holder fails at the duty.
     """
 
     duty: Text
@@ -120,11 +121,11 @@
 
 
 class LeaseReply(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """A voter's reply. seq: of the `LeaseRequest` or `LeaseReturn`, 0 where it answers none.
+    """A voter's reply. seq: of the `LeaseRequest` or `LeaseReturn`; 0 for a notification that answers neither.
 
-    leader: the voter to send requests to; empty while there is none. is_leader: whether that is the sender.
-    request_delay_s: how long a broker that holds nothing may wait before its next request, since there are enough
-    other candidates that send theirs often.
+    leader: the voter to send requests to; empty while there is none. is_leader: whether the sender leads.
+    request_delay_s: how long a broker without a lease may wait before its next request, because enough other
+    candidates send requests frequently.
     """
 
     source: Text
@@ -141,7 +142,7 @@
 
 
 class SuspicionReport(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Servers, by name, that a broker suspects; sent to the broker that checks the health of servers."""
+    """The names of servers that a broker suspects, sent to the broker that runs the health checks."""
 
     source: Text
     duty: Text
@@ -158,7 +159,7 @@
 
 
 class ProbeReport(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """An act of the broker that checks the health of servers: its results, under the epoch of its lease."""
+    """Results of health checks, sent by the broker that runs them, under the epoch of its lease."""
 
     source: Text
     duty: Text
@@ -167,11 +168,11 @@
 
 
 class BudgetDemand(msgspec.Struct, array_like=True, frozen=True):
-    """What a broker would send to a server that is warming up, or to a recovering site, and what its own share is.
+    """A broker's demand for a server that is warming up or a site that recovers, and its own rate for it.
 
-    started_ms: when the server started, as the endpoint list states it, so that a message about an earlier start of
-    the same server means nothing now; 0 for a site. acknowledged_request: the number of the request whose grant the
-    broker goes by, 0 if it has none.
+    started_ms: the start time of the server from the endpoint list, so that messages about an earlier start of the
+    same server do not apply; 0 for a site. acknowledged_request: the number of the request whose grant binds the
+    broker, 0 if none does.
     """
 
     resource: Text
@@ -182,7 +183,7 @@
 
 
 class BudgetRequest(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """A broker's demands, sent to the allocator. seq: the broker's own number, sent back in the reply."""
+    """A broker's demands, sent to the allocator. seq: the sender's number of the request, returned in the reply."""
 
     source: Text
     duty: Text
@@ -191,7 +192,7 @@
 
 
 class BudgetGrant(msgspec.Struct, array_like=True, frozen=True):
-    """What a broker may send to a resource, in place of its own share."""
+    """The rate at which a broker may send to a resource, in place of its own rate."""
 
     resource: Text
     started_ms: Timestamp
@@ -199,7 +200,7 @@
 
 
 class BudgetReply(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """An act of the allocator, in reply to a `BudgetRequest`: its grants count from when that was sent."""
+    """The allocator's reply to a `BudgetRequest`, under the epoch of its lease. Its grants count from that request."""
 
     source: Text
     duty: Text
@@ -217,20 +218,20 @@
 
 
 def encode(message: Message | Command | PeerMessage) -> bytes:
-    """The bytes of a message or command."""
+    """Encodes a message or command."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Reads a message between brokers and voters. Raises MalformedMessageError."""
+    """Decodes a message between brokers and voters. Raises MalformedMessageError."""
     return decode_typed(_message_decoder, data)
 
 
 def decode_peer_message(data: bytes) -> PeerMessage:
-    """Reads a message between brokers. Raises MalformedMessageError."""
+    """Decodes a message between brokers. Raises MalformedMessageError."""
     return decode_typed(_peer_message_decoder, data)
 
 
 def decode_command(data: bytes) -> Command:
-    """Reads a command of the log. Raises MalformedMessageError."""
+    """Decodes a command of the log. Raises MalformedMessageError."""
     return decode_typed(_command_decoder, data)
--- a/badgerbend/leases/table.py
+++ b/badgerbend/leases/table.py
@@ -1,8 +1,8 @@
-"""The table of leases and of agreed values: the state machine of the voters' log. Pure.
+"""The table of leases and of agreed values: the state machine of the voters' log.
 
-It knows nothing of time: a lease lasts until a command ends it. When to propose that command is the leading voter's
-decision, see `badgerbend.leases.manager`. Why it is safe: every voter applies the same commands in the same order, and
-a command states which lease or value it replaces, so that one which was overtaken changes nothing.
+It contains no times: a lease lasts until a command ends it. The leading voter decides when to propose that command, see
+`badgerbend.leases.manager`. Every voter applies the same commands in the same order, and each command states which
+lease or value it replaces, so that a command that is out of date changes nothing.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """The last lease on a duty. holder: empty where the duty is free; the epoch is then that of the last holder."""
+    """The last lease on a duty. holder: empty if the duty is free; the epoch is then still that of the last holder."""
 
     holder: str = ""
     epoch: int = 0
@@ -42,7 +42,8 @@
 class LeaseTable:
     """Implements `badgerbend.consensus.types.StateMachine`.
 
-    A lease's epoch is the index of the log's entry that granted it: epochs grow over all duties, and never repeat.
+    The epoch of a lease is the index of the log entry that granted it. Epochs therefore grow, and never repeat, across
+    all duties.
     """
 
     def __init__(self) -> None:
@@ -50,13 +51,13 @@
         self.values: dict[str, VersionedValue] = {}
 
     def lease(self, duty: str) -> Lease:
-        """The last lease on a duty; one without holder and with epoch 0 if there never was any."""
+        """Returns the last lease on a duty; a lease without a holder and with epoch 0 if there never was one."""
         return self.leases.get(duty, NO_LEASE)
 
     def apply(self, index: int, data: bytes) -> None:
-        """Applies an entry of the log. A command that does not fit the present state changes nothing.
+        """Applies a log entry. A command that does not match the present state changes nothing.
 
-        Nor does one that cannot be read: all voters skip a command of a later version alike.
+        A command that cannot be decoded changes nothing either: all voters skip a command of a later version alike.
         """
         try:
             command = decode_command(data)
@@ -91,13 +92,13 @@
             self.values.pop(command.key, None)
 
     def dump(self) -> bytes:
-        """The complete state, for a snapshot of the log."""
+        """Encodes the complete state for a snapshot of the log."""
         leases = [(duty, lease.holder, lease.epoch) for duty, lease in sorted(self.leases.items())]
         values = [(key, present.value, present.index) for key, present in sorted(self.values.items())]
         return msgspec.msgpack.encode(_Snapshot(leases, values))
 
     def load(self, state: bytes) -> None:
-        """Replaces the state by one that `dump` gave. Raises msgspec.MsgspecError if it cannot be read."""
+        """Replaces the state with one that `dump` encoded. Raises msgspec.MsgspecError if it cannot be decoded."""
         snapshot = msgspec.msgpack.decode(state, type=_Snapshot)
         self.leases = {duty: Lease(holder, epoch) for duty, holder, epoch in snapshot.leases}
         self.values = {key: VersionedValue(value, index) for key, value, index in snapshot.values}
--- a/badgerbend/leases/timing.py
+++ b/badgerbend/leases/timing.py
@@ -1,7 +1,7 @@
-"""The lengths of time that holders and leaders of leases agree on.
+"""The durations of leases, on which holders and leading voters agree.
 
-Why two lengths are derived from one lease: no clock is right, so the holder counts a shorter lease than the leader
-does. With both within `clock_drift_bound` of real time, the holder's is over before the leader's is.
+Two lengths are derived from one lease duration, because clocks drift: the holder counts a shorter lease than the
+leader. If both clocks stay within `clock_drift_bound` of real time, the holder's lease ends before the leader's does.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """Times in seconds, the same for the whole fleet.
+    """Durations in seconds, the same for the whole fleet.
 
-    lease_duration_s: how long a lease lasts; its holder renews it every quarter of that.
-    clock_drift_bound: how much faster or slower than real time any clock may run, as a fraction.
-    candidacy_interval_s: time between two requests of a candidate that holds nothing.
-    reply_timeout_s: a request without a reply is sent again after this long.
-    stall_threshold_s: a holder whose event loop did not run for longer than this trusts none of its leases.
+    lease_duration_s: the nominal duration of a lease; its holder renews it every quarter of that.
+    clock_drift_bound: the largest relative deviation of any clock from real time, as a fraction.
+    candidacy_interval_s: time between two requests of a candidate that holds no lease.
+    reply_timeout_s: a request without a reply is repeated after this time.
+    stall_threshold_s: after a longer stall of its event loop, a holder acts under no lease until it is renewed.
     """
 
     lease_duration_s: float = 2.0
@@ -28,10 +28,10 @@
 
     @property
     def holder_lease_s(self) -> float:
-        """How long a holder may count on a lease, by its own clock."""
+        """How long a holder may use a lease, by its own clock."""
         return self.lease_duration_s * (1.0 - self.clock_drift_bound)
 
     @property
     def leader_lease_s(self) -> float:
-        """How long a leader waits before a lease is over, by its own clock."""
+        """How long a leader waits before it treats a lease as expired, by its own clock."""
         return self.lease_duration_s * (1.0 + self.clock_drift_bound)
--- a/badgerbend/leases/voter.py
+++ b/badgerbend/leases/voter.py
@@ -1,7 +1,7 @@
-"""One voter: consensus on the log, the table of leases that the log drives, and its manager while it leads. Pure.
+"""One voter: consensus on the log, the lease table that the log drives, and the lease manager while the voter leads.
 
-Time, messages of voters and brokers, and notifications of what was persisted go in; what is to be persisted and sent
-comes out. Why renewals are safe without the log, see `badgerbend.leases.manager`.
+The input is the time, messages of voters and brokers, and notifications of persisted records. The output is records to
+persist and messages to send. `badgerbend.leases.manager` explains why renewals are safe without the log.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 from badgerbend.leases.timing import LeaseTiming
 from badgerbend.leases.voter_output import LogLine, OutboundReply, VoterOutput
 
-LEASE_CHECK_INTERVAL_S = 0.05  # how often a leader looks for leases that expire: often, beside any lease's duration
-MAX_PENDING_RENEWALS = 4096  # requests that wait for a round of heartbeats; more are dropped, and sent again
+LEASE_CHECK_INTERVAL_S = 0.05  # how often a leader looks for expired leases: short compared with a lease
+MAX_PENDING_RENEWALS = 4096  # requests waiting for a round of heartbeats; brokers repeat those that are dropped
 
 
 class LeaseStateMachine(StateMachine, Protocol):
-    """A state machine of the log that contains the table of leases beside state of its own."""
+    """A state machine of the log that contains the lease table and possibly more state."""
 
     @property
     def table(self) -> LeaseTable:
-        """The table, to which the machine applies the commands about leases."""
+        """The lease table, to which the state machine applies the commands about leases."""
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRenewal:
-    """A request that is answered once a round of heartbeats has confirmed that this voter leads."""
+    """A request that will be answered when a round of heartbeats has confirmed that this voter leads."""
 
     received_at: float
     request: LeaseRequest
@@ -45,16 +45,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingConfirmation:
-    """A call of `Voter.confirm` that a round of heartbeats has not answered yet. token: of `Raft.read_index`."""
+    """A call of `Voter.confirm` that still waits for its round of heartbeats. token: of `Raft.read_index`."""
 
     token: int
     requested_at: float
 
 
 class Voter:
-    """One voter. `drain_output` after each call; times are seconds of a clock that does not go backwards.
+    """One voter. Call `drain_output` after each other call. Times are in seconds of a monotonic clock.
 
-    persistent_state: what its disk holds. state_machine: what the log drives; a bare table of leases unless given.
+    persistent_state: as read from disk. state_machine: to which the log is applied; by default only a lease table.
     """
 
     raft_class: type[Raft] = Raft
@@ -75,16 +75,16 @@
         machine = self.table if state_machine is None else state_machine
         self.raft = self.raft_class(name, persistent_state, machine, raft_config, seed, now)
         self.manager = self.manager_class(self.table, timing, seed + 1)
-        self.renewals = 0  # requests that were answered by a renewal since this voter started
+        self.renewals = 0  # requests answered with a renewal since this voter started
         self.confirmed_at = -math.inf
-        """The latest time at which the state machine is known to have held all that was agreed on.
-
-        A leader's own is exact: the time of a call of `confirm` that a round of heartbeats answered. A follower takes
-        the time at which it heard its leader, if it has applied all that the leader had committed, and an entry of the
-        leader's own term is among that. A leader that is cut off from the majority goes on sending until check-quorum
-        makes it step down, so that a follower's time may be too late: by at most 2 * election_timeout_s, and by as
-        long as the majority's last replies and the leader's message were on their way, or waited in a process that
-        stood still. The voter cannot observe the latter.
+        """The latest time at which the state machine is known to have contained all committed entries.
+
+        On a leader it is exact: the time of a call of `confirm` that a round of heartbeats has confirmed. A follower
+        uses the time at which it received a message of its leader, provided that it has applied all that the leader
+        had committed and that this includes an entry of the leader's own term. A leader that is cut off from the
+        majority keeps sending until check-quorum makes it step down, so that a follower's time may be too late: by at
+        most 2 * election_timeout_s, plus the time for which the majority's last replies and the leader's message were
+        in flight or waited in a stalled process. The voter cannot observe the latter.
         """
         self._replies: list[OutboundReply] = []
         self._log_lines: list[LogLine] = []
@@ -93,17 +93,17 @@
         self._last_token = 0
         self._next_lease_check_at = now
 
-    # -- what goes in
+    # -- input
 
     def receive_from_voter(self, now: float, message: ConsensusMessage) -> None:
-        """Takes in a message of another voter."""
+        """Handles a message of another voter."""
         self.raft.step(now, message)
         if isinstance(message, AppendEntries):
             self._confirm_by_leader(now, message)
         self._handle_events(now)
 
     def receive_from_broker(self, now: float, message: LeaseRequest | LeaseReturn) -> None:
-        """Takes in a message of a broker; a voter that does not lead replies who does."""
+        """Handles a message of a broker. A voter that does not lead replies with the leader's name."""
         if not self.is_leader:
             self._reply(message)
         else:
@@ -118,12 +118,12 @@
         self._handle_events(now)
 
     def persisted(self, now: float, sequence: int) -> None:
-        """Takes note that all records up to this number are on disk, and will survive a crash."""
+        """Records that all records up to this sequence number are on disk and will survive a crash."""
         self.raft.persisted(now, sequence)
         self._handle_events(now)
 
     def tick(self, now: float) -> None:
-        """Does what is due by now."""
+        """Runs the actions that are due."""
         self.raft.tick(now)
         if self.is_leader and now >= self._next_lease_check_at:
             self._next_lease_check_at = now + LEASE_CHECK_INTERVAL_S
@@ -131,17 +131,17 @@
         self._handle_events(now)
 
     def propose_command(self, now: float, command: Command) -> int | None:
-        """Proposes a command; gives the index of its entry, or None if this voter does not lead."""
+        """Proposes a command. Returns the index of its log entry, or None if this voter does not lead."""
         return self.propose(now, encode(command))
 
     def propose(self, now: float, data: bytes) -> int | None:
-        """Proposes an encoded command; gives the index of its entry, or None if this voter does not lead."""
+        """Proposes an encoded command. Returns the index of its log entry, or None if this voter does not lead."""
         index = self.raft.propose(now, data)
         self._handle_events(now)
         return index
 
     def confirm(self, now: float) -> None:
-        """Asks for a round of heartbeats that moves `confirmed_at`; does nothing if this voter does not lead."""
+        """Starts a round of heartbeats that will advance `confirmed_at`. Does nothing if this voter does not lead."""
         if self._pending_confirmation is not None or not self.is_leader:
             return
         token = self._last_token + 1
@@ -149,27 +149,27 @@
             self._last_token = token
             self._pending_confirmation = PendingConfirmation(token, now)
 
-    # -- what comes out
+    # -- output
 
     @property
     def is_leader(self) -> bool:
-        """Whether this voter leads, and its table holds all that was agreed on before its election."""
+        """Whether this voter leads and its table contains all entries that were committed before its election."""
         return self.manager.is_leading and self.raft.is_established_leader
 
     @property
     def next_at(self) -> float:
-        """When `tick` has to be called next."""
+        """The time at which `tick` must be called next."""
         return min(self.raft.next_at, self._next_lease_check_at) if self.is_leader else self.raft.next_at
 
     def drain_output(self) -> VoterOutput:
-        """What is to be persisted, sent and logged since the last call."""
+        """Removes and returns what is to be persisted, sent and logged."""
         ready = self.raft.take_ready()
         output = VoterOutput(ready.records, ready.messages, self._replies, self._log_lines)
         self._replies = []
         self._log_lines = []
         return output
 
-    # -- inside
+    # -- internals
 
     def _receive_request(self, now: float, request: LeaseRequest) -> None:
         renews = self.manager.receive_request(now, request)
@@ -195,7 +195,7 @@
         self._replies.append(OutboundReply(message.source, reply))
 
     def _handle_events(self, now: float) -> None:
-        """Handles the events of the log in their order, and those that this leads to."""
+        """Handles the events of the log in order, including those that handling them leads to."""
         while events := self.raft.take_events():
             for event in events:
                 self._handle_event(now, event)
@@ -219,7 +219,11 @@
                 assert_never(event)
 
     def _confirm_by_leader(self, now: float, message: AppendEntries) -> None:
-        """A leader knows all that was agreed on once it has committed an entry of its own term, and not before."""
+        """Advances `confirmed_at` on a message of the leader, if this voter has applied all committed entries.
+
+        The message proves that only if the leader has committed an entry of its own term: before that, a leader may
+        not know of all committed entries.
+        """
         raft = self.raft
         is_from_leader = raft.role is Role.FOLLOWER and (raft.term, raft.leader) == (message.term, message.source)
         leader_knows_all = raft.log.term_at(message.commit_index) == message.term
@@ -242,10 +246,10 @@
             return
         for duty in self.manager.table_changed(now):
             self._announce_grant(duty)
-        self._next_lease_check_at = now  # a duty that has become free is granted at once
+        self._next_lease_check_at = now  # so that a duty that has become free is granted at once
 
     def _announce_grant(self, duty: str) -> None:
-        """Notifies the new holder, and the candidates that would otherwise learn of it late."""
+        """Notifies the new holder, and the candidates that would otherwise learn of the grant late."""
         lease = self.table.lease(duty)
         self._log_lines.append(LogLine("granted", {"duty": duty, "holder": lease.holder, "epoch": lease.epoch}))
         notification = LeaseReply(self.name, 0, self.name, True, (self.manager.lease_state(duty),))
--- a/badgerbend/leases/voter_output.py
+++ b/badgerbend/leases/voter_output.py
@@ -1,4 +1,4 @@
-"""What a voter wants done: records to persist, messages to send, and lines for the log of the process."""
+"""The output of a voter: records to persist, messages to send, and lines for the process's log."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class OutboundReply(NamedTuple):
-    """A reply or notification, and the name of the broker that it is for."""
+    """A reply or notification and the name of the broker to send it to."""
 
     to: str
     reply: LeaseReply
 
 
 class LogLine(NamedTuple):
-    """A line for the log of the process: what happened, and the fields beside it."""
+    """A structured line for the process's log."""
 
     event: str
     fields: dict[str, object]
@@ -25,9 +25,9 @@
 
 @dataclass(slots=True)
 class VoterOutput:
-    """The work that has gathered since the last call of `Voter.drain_output`, to be done in this order.
+    """The output since the last call of `Voter.drain_output`, to be processed in this order.
 
-    records: to be persisted, and reported to `Voter.persisted`. to_voters, to_brokers: to be sent now, without waiting
+    records: to persist, then to report to `Voter.persisted`. to_voters, to_brokers: to send at once, without waiting
     for the records.
     """
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -7,7 +7,7 @@
 from badgerbend.leases.fencing import FencingGuard
 from badgerbend.leases.health_checks import HealthChecker, observations_of, suspected_servers, suspicion_report
 from badgerbend.leases.holder import LeaseHolder
-from badgerbend.leases.manager import HANDOVER_LEASES, UNCONFIRMED_GRANT_TIMEOUTS, LeaseManager
+from badgerbend.leases.manager import HANDOVER_LEASE_DURATIONS, UNCONFIRMED_GRANT_TIMEOUTS, LeaseManager
 from badgerbend.leases.messages import (
     Candidacy,
     GrantLease,
@@ -147,11 +147,11 @@
     leading.run(3)
     assert leading.holder == "a"
     leading.requests["a"] = msgspec.structs.replace(leading.requests["a"], load=1e6)
-    leading.run(4 * HANDOVER_LEASES * TIMING.lease_duration_s)
+    leading.run(4 * HANDOVER_LEASE_DURATIONS * TIMING.lease_duration_s)
     assert leading.holder == "a"
     assert not leading.states["a"].should_yield
     leading.is_local = {"a": False, "b": True}
-    leading.run(HANDOVER_LEASES * TIMING.lease_duration_s - 1)
+    leading.run(HANDOVER_LEASE_DURATIONS * TIMING.lease_duration_s - 1)
     assert not leading.states["a"].should_yield
     leading.run(3)
     assert leading.states["a"].should_yield
@@ -176,7 +176,7 @@
     other = leading.holder
     leading.failing = {old.holder, other}
     leading.run(10)
-    assert leading.holder == other  # there is no sound candidate to try
+    assert leading.holder == other  # there is no healthy candidate
 
 
 def test_a_lease_that_is_being_released_and_one_of_another_epoch_are_not_renewed():
