--- a/badgerbend/cli_leases.py
+++ b/badgerbend/cli_leases.py
@@ -1,4 +1,4 @@
-"""The commands `badgerbend duties` and `badgerbend voters`: status of leases and voters, and operators' changes."""
+"""The commands `badgerbend duties` and `badgerbend voters`: the status of leases and voters, and changes to them."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from badgerbend.wal.identity import read_identity
 from badgerbend.wal.store import create_store, read_store
 
-duties = typer.Typer(no_args_is_help=True, help="Duties that one broker holds at a time: who holds them, hand-over.")
-voters = typer.Typer(no_args_is_help=True, help="Those who agree on duties: their stores, their state, who votes.")
-Ports = Annotated[list[int], typer.Option("--port", help="A broker's port; give it for each broker.")]
+duties = typer.Typer(no_args_is_help=True, help="Show which broker holds which duty, and hand duties over.")
+voters = typer.Typer(no_args_is_help=True, help="Manage the voters: their stores, their status and their membership.")
+Ports = Annotated[list[int], typer.Option("--port", help="A broker's port; repeat the option for each broker.")]
 Port = Annotated[int, typer.Option(help="The broker's port.")]
 Host = Annotated[str, typer.Option(help="The broker's host.")]
 DutiesKey = Annotated[Path, typer.Option(help="The file with the duties' key.")]
 
-REPORT_WIDTH = 140  # columns where the output is no terminal
+REPORT_WIDTH = 140  # columns, if the output is not a terminal
 
 
 @duties.command("list")
 def duties_list(port: Port = 8080, host: Host = "127.0.0.1") -> None:
-    """Shows who holds which duty, as a broker was last told."""
+    """Shows which broker holds which duty, as last reported to the queried broker."""
     status = _status(port, host)
     table = Table(title=f"{status['name']} at {port}; leader {status['leader'] or 'not known'}")
     for heading in ("duty", "holder", "epoch", "here for ms"):
@@ -43,28 +43,28 @@
 
 @duties.command("show")
 def duties_show(port: Port = 8080, host: Host = "127.0.0.1") -> None:
-    """Prints all that a broker knows of duties and votes, as JSON."""
+    """Prints the complete status of a broker's leases and voter as JSON."""
     print(json.dumps(_status(port, host), indent=2))
 
 
 @duties.command("hand-over")
 def duties_hand_over(key: DutiesKey, port: Port = 8080, host: Host = "127.0.0.1") -> None:
-    """Lets a broker give back what it holds; another takes it."""
+    """Makes a broker return its leases, so that other brokers take over its duties."""
     print(_command(port, host, "hand-over", key))
 
 
 @voters.command("create")
 def voters_create(
     folder: Annotated[Path, typer.Argument(help="A new folder for the voter's store.")],
-    name: Annotated[str, typer.Option(help="The voter's name, as broker-0; never used by another.")],
+    name: Annotated[str, typer.Option(help="The voter's name, such as broker-0; no other voter may ever have had it.")],
     voter: Annotated[
-        list[str], typer.Option(help="A voter the fleet begins with; once for each. None for one that joins later.")
+        list[str], typer.Option(help="An initial voter; repeat for each. Omit it for a voter that joins later.")
     ] = [],  # noqa: B006
 ) -> None:
-    """Makes a voter's store, once: in the same way on each of those that a fleet begins with."""
+    """Creates a voter's store. Run it once on each initial voter, with the same list of voters."""
     if voter and name not in voter:
         exit_with_error(
-            f"{name} is none of the voters that are named; for one that joins later name none", BAD_SETTINGS
+            f"{name} is none of the voters given with --voter; omit --voter for a voter that joins later", BAD_SETTINGS
         )
     try:
         create_store(folder, name, voter)
@@ -75,7 +75,7 @@
 
 @voters.command("check")
 def voters_check(folder: Path) -> None:
-    """Reads a voter's store and changes nothing; status 2 where it would be refused."""
+    """Reads a voter's store without changing it. The exit status is 2 if the store cannot be used."""
     try:
         identity = read_identity(folder)
         segment, state, size = read_store(folder)
@@ -89,7 +89,7 @@
 
 @voters.command("status")
 def voters_status(port: Ports = [8080], host: Host = "127.0.0.1") -> None:  # noqa: B006
-    """Shows how voters stand with each other; status 1 if none of those asked leads."""
+    """Shows the state of the voters. The exit status is 1 if none of the queried brokers leads."""
     table = Table(title="voters")
     for heading in ("broker", "role", "term", "leader", "commit", "last", "voters", "others: match, silent for ms"):
         table.add_column(heading)
@@ -116,13 +116,13 @@
 
 @voters.command("add")
 def voters_add(name: str, key: DutiesKey, port: Port = 8080, host: Host = "127.0.0.1") -> None:
-    """Lets a broker vote that has a store of its own and runs; ask the leader's port."""
+    """Adds a running broker that has a store to the voters. Send it to the leader's port."""
     print(_command(port, host, f"voters/add/{name}", key))
 
 
 @voters.command("remove")
 def voters_remove(name: str, key: DutiesKey, port: Port = 8080, host: Host = "127.0.0.1") -> None:
-    """Lets a broker vote no longer, whether it runs or not; ask the leader's port."""
+    """Removes a broker from the voters, whether it runs or not. Send it to the leader's port."""
     print(_command(port, host, f"voters/remove/{name}", key))
 
 
--- a/badgerbend/slow_start_budget/allocator.py
+++ b/badgerbend/slow_start_budget/allocator.py
@@ -1,4 +1,4 @@
-"""The allocator's side of the slow-start budget: it grants rate that one broker leaves unused to others. Pure."""
+"""The allocator's side of the slow-start budget: it grants other brokers the rate that a broker leaves unused."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IssuedGrant:
-    """A rate in parts a millisecond, and when it was granted, by the allocator's clock."""
+    """A granted rate in parts per millisecond, and when it was granted by the allocator's clock."""
 
     rate: float
     issued_ms: float
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class BrokerAllocation(RateDemand):
-    """What the allocator knows of one broker and one resource. grants: by the number of the broker's request."""
+    """The allocator's state for one broker and one resource. grants: by the number of the broker's request."""
 
     acknowledged_request: int = 0
     last_request: int = 0
@@ -29,7 +29,7 @@
     grants: dict[int, IssuedGrant] = field(default_factory=dict)
 
     def update(self, now_ms: float, request_number: int, demand: BudgetDemand) -> None:
-        """Takes what a new request reports; grants before the acknowledged one are no longer in force."""
+        """Updates the demand from a new request, and drops the grants that the acknowledged one has superseded."""
         self.own_rate = demand.own_rate
         self.demand_rate = demand.demand_rate
         self.acknowledged_request = demand.acknowledged_request
@@ -42,7 +42,7 @@
 
 
 class BudgetAllocator:
-    """The allocations of all brokers, by resource. Times are milliseconds of the allocator's own clock."""
+    """The allocations of all brokers, by resource. Times are in milliseconds of the allocator's own clock."""
 
     def __init__(self, name: str, duty: str, timing: BudgetTiming) -> None:
         self.name = name
@@ -54,17 +54,20 @@
         self.grants_issued = 0
 
     def start(self, now_ms: float) -> None:
-        """This broker became the leader: what its predecessor granted is not known."""
+        """Starts allocating, without knowledge of the grants of the previous allocator."""
         self.allocations = {}
         self.leader_since_ms = now_ms
 
     def stop(self) -> None:
-        """This broker is no longer the leader."""
+        """Stops allocating, when this broker loses the lease."""
         self.allocations = {}
         self.leader_since_ms = math.inf
 
     def handle_request(self, now_ms: float, epoch: int, request: BudgetRequest) -> BudgetReply | None:
-        """The reply to a broker's request, to be sent at once; None while grants of a predecessor may be in force."""
+        """Returns the reply to a broker's request, to be sent at once, or None if nothing is granted.
+
+        Nothing is granted while grants of the previous allocator may still be in force.
+        """
         self._sweep(now_ms)
         grants = list[BudgetGrant]()
         for demand in request.demands:
@@ -72,7 +75,7 @@
             initial = BrokerAllocation(demand.own_rate, demand.demand_rate)
             allocation = self.allocations.setdefault(key, {}).setdefault(request.source, initial)
             if request.seq <= allocation.last_request:
-                continue  # a duplicate or overtaken: a second grant for it might be in force beside the first
+                continue  # duplicated or reordered: a second grant for it might be in force along with the first
             allocation.update(now_ms, request.seq, demand)
             if now_ms >= self.leader_since_ms + self.timing.allocator_grant_ms:
                 grants.append(self._grant(now_ms, key, request))
@@ -82,7 +85,7 @@
         return BudgetReply(self.name, self.duty, epoch, request.seq, tuple(grants))
 
     def max_usable_rate(self, now_ms: float, allocation: BrokerAllocation) -> float:
-        """The most that a broker may use at any time while a grant issued now lasts."""
+        """Returns the highest rate that a broker may use at any time during a grant that is issued now."""
         live_rate = self._max_live_rate(now_ms, allocation)
         acknowledged = allocation.grants.get(allocation.acknowledged_request)
         if acknowledged is None or not self._is_capped(now_ms, acknowledged):
@@ -94,18 +97,18 @@
         return max(live_rate, min(capped_rate, allocation.own_rate))
 
     def _max_live_rate(self, now_ms: float, allocation: BrokerAllocation) -> float:
-        """The largest of the grants that may be in force at a broker."""
+        """Returns the largest of the grants that may be in force at a broker."""
         oldest_ms = self.timing.allocator_grant_ms
         rates = [grant.rate for grant in allocation.grants.values() if now_ms < grant.issued_ms + oldest_ms]
         return max(rates, default=0.0)
 
     def _is_capped(self, now_ms: float, acknowledged: IssuedGrant) -> bool:
-        """Whether the broker stays below its own rate for as long as a grant issued now lasts."""
+        """Returns whether the broker stays capped for the duration of a grant that is issued now."""
         grant_end_ms = now_ms + self.timing.allocator_grant_ms
         return grant_end_ms <= acknowledged.issued_ms + self.timing.allocator_cap_ms
 
     def _grant(self, now_ms: float, key: ResourceKey, request: BudgetRequest) -> BudgetGrant:
-        """Grants a broker its fair rate, as far as the others leave it now."""
+        """Grants a broker its fair rate, limited to what the other brokers leave free now."""
         allocations = self.allocations[key]
         free_rate = sum(allocation.own_rate for allocation in allocations.values())
         free_rate -= sum(
@@ -118,7 +121,7 @@
         return BudgetGrant(key.name, key.started_ms, rate)
 
     def _sweep(self, now_ms: float) -> None:
-        """Forgets grants that are over, and brokers that request no more: they are back at their own rates."""
+        """Drops expired grants, and brokers that no longer send requests and have returned to their own rates."""
         if now_ms < self.last_sweep_ms + self.timing.grant_ms:
             return
         self.last_sweep_ms = now_ms
--- a/badgerbend/slow_start_budget/broker.py
+++ b/badgerbend/slow_start_budget/broker.py
@@ -1,4 +1,4 @@
-"""A broker's side of the slow-start budget: it reports its demand, and knows which rates it may use now. Pure."""
+"""A broker's side of the slow-start budget: it reports its demand and determines which rates it may use."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from badgerbend.slow_start_budget.resources import ResourceKey
 from badgerbend.slow_start_budget.timing import BudgetTiming
 
-MAX_REQUESTS = 8  # datagrams that a broker sends at once: 128 resources, those of the largest difference first
-REQUEST_NUMBER_BITS = 20  # 1,048,576 requests of one incarnation; at four a second a day has 345,600
+MAX_REQUESTS = 8  # datagrams sent at once: 128 resources, those with the largest difference of demand and own rate
+REQUEST_NUMBER_BITS = 20  # 1,048,576 numbers for each incarnation; four requests a second use 345,600 a day
 MAX_COUNTED_PARTS = 4096  # parts counted as demand for one resource between two requests
 MIN_RATE_MULTIPLIER = 1e-6
 
@@ -20,8 +20,9 @@
 class ResourceBudget:
     """One broker's view of a resource.
 
-    Rates are parts a millisecond; those of a server are as if it were warm. Times are milliseconds of the broker's
-    clock. A server's demand is counted in parts since the last request, a site's is a rate.
+    Rates are in parts per millisecond; those of a server are converted to the rates of a server that is fully warm.
+    Times are in milliseconds of the broker's clock. The demand for a server is counted in parts since the last request,
+    the demand for a site is a rate.
     """
 
     key: ResourceKey
@@ -32,22 +33,22 @@
     counted_parts: set[int] = field(default_factory=set)
     granted_rate: float = 0.0
     granted_until_ms: float = -math.inf
-    capped_until_ms: float = -math.inf  # the rate stays at or below the last grant until then, also once that expired
-    granted_request: int = 0  # number of the request whose grant is in force
+    capped_until_ms: float = -math.inf  # until then the rate stays at or below the last grant, also once that expired
+    granted_request: int = 0  # the number of the request whose grant is in force
 
     def acknowledged_request(self, now_ms: float) -> int:
-        """The request whose grant still binds the broker; 0 for none."""
+        """Returns the number of the request whose grant still binds the broker; 0 for none."""
         return self.granted_request if now_ms < self.capped_until_ms else 0
 
 
 class BrokerBudget:
-    """One broker's budget, the `api.SlowStartBudget` of its decisions.
+    """One broker's budget: the `api.SlowStartBudget` that its decisions use.
 
-    Times are milliseconds of the decisions' clock.
+    Times are in milliseconds of the decisions' clock.
     """
 
     def __init__(self, name: str, duty: str, timing: BudgetTiming, incarnation: int) -> None:
-        """incarnation: greater than that of any earlier process of this name, as the start time in ms."""
+        """incarnation: greater than that of any earlier process of this name, such as the start time in ms."""
         self.name = name
         self.duty = duty
         self.timing = timing
@@ -55,7 +56,9 @@
         self.sites: dict[str, ResourceBudget] = {}
         self.request_times: dict[int, float] = {}  # by number of the request
         self.grants_applied = 0
-        self._last_request = incarnation << REQUEST_NUMBER_BITS  # replies to earlier incarnations match no request
+        self._last_request = (
+            incarnation << REQUEST_NUMBER_BITS
+        )  # so that replies to earlier incarnations match no request
 
     # -- called by the decisions
 
@@ -89,20 +92,20 @@
     # -- requests and replies
 
     def update_warming_servers(self, now_ms: float, warming: Mapping[int, ResourceKey]) -> None:
-        """Sets which servers are warming up, by number. A grant for an earlier start of a server is dropped."""
+        """Sets which servers are warming up, by number. Grants for an earlier start of a server are dropped."""
         for number, key in warming.items():
             server = self.servers.get(number)
             if server is None or server.key != key:
                 self.servers[number] = ResourceBudget(key, demand_since_ms=now_ms)
-        # A server that is still capped is kept: the list may name it again, and the allocator counts on the cap.
-        warm = [n for n, server in self.servers.items() if n not in warming and now_ms >= server.capped_until_ms]
-        for number in warm:
+        # A server that is still capped is kept: it may be listed again, and the allocator relies on the cap.
+        warmed_up = [n for n, server in self.servers.items() if n not in warming and now_ms >= server.capped_until_ms]
+        for number in warmed_up:
             del self.servers[number]
 
     def create_requests(self, now_ms: float) -> list[BudgetRequest]:
-        """What to send to the allocator now; empty where nothing is warming up.
+        """Returns the requests to send to the allocator now; none if nothing is warming up.
 
-        Resources without demand are reported too: their rate is what others may be granted.
+        Resources without demand are reported too, since their unused rate can be granted to other brokers.
         """
         demands = self._server_demands(now_ms) + self._site_demands(now_ms)
         demands.sort(key=lambda demand: (-abs(demand.demand_rate - demand.own_rate), demand.resource))
@@ -117,7 +120,7 @@
         return requests
 
     def apply_reply(self, now_ms: float, reply: BudgetReply) -> None:
-        """Takes the grants of a reply that passed the fence. Replies to unknown or expired requests are ignored."""
+        """Applies the grants of a reply that fencing admitted. Ignores replies to unknown or expired requests."""
         requested_ms = self.request_times.get(reply.seq)
         if requested_ms is None:
             return
@@ -152,7 +155,7 @@
             if site.own_rate > 0.0:
                 acknowledged = site.acknowledged_request(now_ms)
                 demands.append(BudgetDemand(*site.key, site.own_rate, site.demand_rate, acknowledged))
-                site.own_rate = 0.0  # set again by the decisions as long as the site recovers
+                site.own_rate = 0.0  # the decisions set it again for as long as the site recovers
             elif now_ms >= site.capped_until_ms:
                 del self.sites[site.key.name]
         return demands
--- a/badgerbend/slow_start_budget/resources.py
+++ b/badgerbend/slow_start_budget/resources.py
@@ -1,4 +1,4 @@
-"""What the slow-start budget is for. Pure."""
+"""The resources that the slow-start budget covers."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class ResourceKey(NamedTuple):
-    """A server that is warming up, or a site that recovers, by name.
+    """Identifies a server that is warming up, or a site that recovers.
 
-    started_ms: the server's start as the endpoint list states it, so that each start is another resource; 0 for a site.
+    started_ms: the server's start time in the endpoint list, so that each start is a different resource; 0 for a site.
     """
 
     name: str
