--- a/badgerbend/lease_service/__init__.py
+++ b/badgerbend/lease_service/__init__.py
@@ -1,1 +1,5 @@
-"""Duties on sockets: a broker's part in them, its vote where it has one, and what a person sees of both."""
+"""Leases on duties over the network.
+
+This package connects `badgerbend.leases` to sockets, clocks and files: a broker's candidacies and duties, its voter if
+it has one, and the status, commands and metrics of both.
+"""
--- a/badgerbend/lease_service/budget_exchange.py
+++ b/badgerbend/lease_service/budget_exchange.py
@@ -1,6 +1,7 @@
-"""One broker's part in sharing the slow-start budget: its requests, and the allocator while it is the leader.
+"""One broker's part in sharing the slow-start budget: its requests, and the allocator while it holds the lease.
 
-The broker that holds the lease on the slow-start duty runs the allocator, and requests from itself as from any other.
+The holder of the lease on the slow-start duty runs the allocator. It also handles its own requests, like those of any
+other broker.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 from badgerbend.slow_start_budget.resources import ResourceKey
 from badgerbend.slow_start_budget.timing import BudgetTiming
 
-SLOW_START_DUTY = "cold"  # on the wire; one for the whole fleet, since brokers of all sites may send to a server
-REQUESTS_PER_GRANT = 4.0  # requests during the duration of a grant: three of them may be lost
+SLOW_START_DUTY = "cold"  # on the wire; one duty for the whole fleet, since brokers of all sites may send to a server
+REQUESTS_PER_GRANT = 4.0  # requests during one grant, so that three of them may be lost
 
 
 def broker_name(settings: Settings) -> str:
-    """A broker's name among those that share duties."""
+    """Returns a broker's name among the candidates and voters."""
     return f"broker-{settings.identity.index}"
 
 
 def create_broker_budget(settings: Settings) -> BrokerBudget | None:
-    """The budget that a broker's decisions ask; None where the settings have none shared."""
+    """Creates the budget that a broker's decisions use, or returns None if the settings do not share the budget."""
     duties = settings.duties
     if duties is None or not duties.dealing:
         return None
@@ -36,27 +37,27 @@
 
 
 class BudgetExchange:
-    """The budget and the allocator of one broker, without the socket."""
+    """The budget and the allocator of one broker, independent of the socket."""
 
     def __init__(
         self, broker_budget: BrokerBudget, directory: Directory, slow_start_ms: float, now_ms: Callable[[], float]
     ) -> None:
-        """slow_start_ms: how long a server is warming up. now_ms: the decisions' clock, which grants are counted by."""
+        """slow_start_ms: how long a server warms up. now_ms: the decisions' clock, which times the broker's grants."""
         self.broker_budget = broker_budget
         self.directory = directory
         self.slow_start_ms = slow_start_ms
         self.now_ms = now_ms
         self.allocator = BudgetAllocator(broker_budget.name, SLOW_START_DUTY, broker_budget.timing)
-        self.epoch = 0  # under which this broker allocates; 0: it does not
+        self.epoch = 0  # of the lease under which this broker allocates; 0 if it does not
         self.unanswered_requests = 0
 
     @property
     def request_interval_s(self) -> float:
-        """How often to send requests, before jitter."""
+        """The interval between requests, before jitter."""
         return self.broker_budget.timing.grant_ms / 1000.0 / REQUESTS_PER_GRANT
 
     def create_requests(self) -> list[BudgetRequest]:
-        """What to send to the allocator now; empty while no server is warming up."""
+        """Returns the requests to send to the allocator now; none if nothing is warming up."""
         now_ms = self.now_ms()
         self.broker_budget.update_warming_servers(now_ms, self._warming_servers(now_ms))
         requests = self.broker_budget.create_requests(now_ms)
@@ -73,9 +74,9 @@
         }
 
     def handle_request(self, clock_ms: float, epoch: int | None, request: BudgetRequest) -> BudgetReply | None:
-        """The reply to a broker's request, if any.
+        """Returns the reply to a broker's request, or None.
 
-        clock_ms: the clock of the leases. epoch: under which this broker may act on the duty now, None if it may not.
+        clock_ms: time of the leases' clock. epoch: under which this broker may act on the duty now, None if it may not.
         """
         if request.duty != SLOW_START_DUTY:
             return None
@@ -88,12 +89,12 @@
         return self.allocator.handle_request(clock_ms, epoch, request)
 
     def stop_allocating(self) -> None:
-        """This broker does not hold the lease."""
+        """Stops the allocator, since this broker does not hold the lease."""
         if self.epoch:
             self.epoch = 0
             self.allocator.stop()
 
     def apply_reply(self, reply: BudgetReply) -> None:
-        """Takes the grants of a reply that passed the fence."""
+        """Applies the grants of a reply that fencing admitted."""
         self.unanswered_requests = 0
         self.broker_budget.apply_reply(self.now_ms(), reply)
--- a/badgerbend/lease_service/commands.py
+++ b/badgerbend/lease_service/commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands to a lease service, as the path of an HTTP request names them, and what came of one."""
+"""Operators' commands to a lease service: parsing them from the path of an HTTP request, and executing them."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOver:
-    """Give back all leases that this broker holds."""
+    """Return all leases that this broker holds."""
 
 
 @dataclass(frozen=True, slots=True)
 class AddVoter:
-    """Let a broker vote that has a store of its own."""
+    """Add a broker that has a voter's store to the voters."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class RemoveVoter:
-    """Let a broker vote no longer."""
+    """Remove a broker from the voters."""
 
     name: str
 
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """accepted: whether the command is carried out. message: for the operator, why not or what follows."""
+    """accepted: whether the command is carried out. message: tells the operator the outcome or the reason."""
 
     accepted: bool
     message: str
 
 
 def parse_command(path: str) -> Command | None:
-    """The command of a path as `hand-over`, `voters/add/NAME` or `voters/remove/NAME`; None for any other path."""
+    """Parses `hand-over`, `voters/add/NAME` or `voters/remove/NAME`. Returns None for any other path."""
     match path.split("/"):
         case ["hand-over"]:
             return HandOver()
@@ -52,7 +52,7 @@
 
 
 def execute(service: LeaseService, command: Command) -> CommandResult:
-    """Carries out an operator's command, or says why that cannot be."""
+    """Executes an operator's command, or returns why it is rejected."""
     match command:
         case HandOver():
             return _hand_over(service)
@@ -66,16 +66,16 @@
 
 def _hand_over(service: LeaseService) -> CommandResult:
     if not service.release_leases():
-        return CommandResult(accepted=False, message="nothing is held here")
-    return CommandResult(accepted=True, message="given back")
+        return CommandResult(accepted=False, message="this broker holds no lease")
+    return CommandResult(accepted=True, message="leases returned")
 
 
 def _change_voters(service: LeaseService, name: str, *, add: bool) -> CommandResult:
     if service.local_voter is None or not service.local_voter.is_leader:
         leader = service.holder.leader if service.holder is not None else ""
-        return CommandResult(accepted=False, message=f"not the leader; that is {leader}")
+        return CommandResult(accepted=False, message=f"this broker's voter does not lead; leader: {leader}")
     rejection = service.local_voter.change_membership(name, add=add)
     service.send_and_schedule()
     if rejection:
         return CommandResult(accepted=False, message=rejection)
-    return CommandResult(accepted=True, message="on the way; see the status")
+    return CommandResult(accepted=True, message="the change is in progress; see the status")
--- a/badgerbend/lease_service/duty_socket.py
+++ b/badgerbend/lease_service/duty_socket.py
@@ -1,4 +1,4 @@
-"""What the duties of a broker use of its lease service: the socket, and the leases that it holds."""
+"""The part of a lease service that the duties use: the socket, and the leases that the broker holds."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 
 class DutySocket:
-    """Sends datagrams between brokers for a duty, and says whether this broker may act on one.
+    """Sends datagrams between brokers for the duties, and tells whether this broker may act on a duty.
 
-    holder: None until the service has started; nothing may be done until then. clock: of the leases, in seconds.
+    holder: None until the service has started; until then the broker may not act and sends nothing to holders.
+    clock: of the leases, in seconds.
     """
 
     def __init__(self, socket: SealedSocket, clock: Callable[[], float]) -> None:
@@ -23,24 +24,24 @@
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The loop on which the socket is used."""
+        """The event loop of the socket."""
         return self._socket.loop
 
     @property
-    def own(self) -> Address:
-        """The address where others reach this broker."""
+    def own_address(self) -> Address:
+        """The address where other brokers reach this one."""
         return self._socket.own_address
 
     def may_act(self, duty: str) -> int | None:
-        """The epoch under which this broker may act on a duty now, None if it may not."""
+        """Returns the epoch under which this broker may act on a duty now, or None if it may not."""
         return self.holder.may_act(self._clock(), duty) if self.holder is not None else None
 
-    def send(self, address: Address, body: bytes, still: Callable[[], bool] | None = None) -> None:
-        """Sends a datagram. still: asked last of all, nothing is sent where it says False."""
-        self._socket.send(address, body, still)
+    def send(self, address: Address, body: bytes, still_valid: Callable[[], bool] | None = None) -> None:
+        """Sends a datagram. still_valid: called right before sending; if it returns False, nothing is sent."""
+        self._socket.send(address, body, still_valid)
 
     def send_to_holder(self, duty: str, body: bytes) -> None:
-        """Sends to the holder of a duty's lease as last notified; nothing is sent where that is not known."""
+        """Sends a datagram to the holder of a duty's lease, if the holder and its address are known."""
         if self.holder is None:
             return
         lease = self.holder.duties[duty]
--- a/badgerbend/lease_service/health_check_duty.py
+++ b/badgerbend/lease_service/health_check_duty.py
@@ -1,4 +1,4 @@
-"""The health-check duty on the socket: a broker reports suspected servers, and checks them while it holds the lease."""
+"""The health-check duty on the socket: a broker reports suspected servers, and checks them if it holds the lease."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from badgerbend.net.udp import Address, address_text
 from badgerbend.runtime.driver import Driver
 
-HEALTH_CHECK_DUTY = "probe"  # on the wire; where there are sites, every one has a duty of its own
-REPORT_INTERVAL_S = 1.0  # suspected servers are reported so often, for as long as they are suspected
-MIN_JITTER = 0.8  # of the interval between reports
+HEALTH_CHECK_DUTY = "probe"  # on the wire; if there are sites, each site has its own duty
+REPORT_INTERVAL_S = 1.0  # between two reports, for as long as there are suspected servers
+MIN_JITTER = 0.8  # factor of the interval between reports
 MAX_JITTER = 1.2
 CHECK_TIMEOUT_S = 1.0
-DUE_CHECKS_INTERVAL_S = 0.05  # how often the holder looks which checks are due
-FAILING_AFTER_S = 2.0  # a holder none of whose checks was answered for so long reports that it fails
-NEVER = -1.0  # before any time of the clock
+DUE_CHECKS_INTERVAL_S = 0.05  # how often the holder looks for checks that are due
+FAILING_AFTER_S = 2.0  # a holder reports that it fails if no check has succeeded for this long
+NEVER = -1.0  # earlier than any time of the clock
 _BODY = b'{"query":"{ __typename }"}'
 _HEAD = (
     b"POST /graphql HTTP/1.1\r\nhost: %s:%d\r\nuser-agent: badgerbend/probe\r\n"
@@ -35,7 +35,11 @@
 
 
 class HealthCheckDuty:
-    """duty: its name at this broker's site. pool_of: connections to a server, by its number. clock: in seconds."""
+    """Sends this broker's reports of suspected servers, and runs the checks while it holds the lease.
+
+    duty: the name of the duty at this broker's site. pool_of: returns the connections to a server, by its number.
+    clock: of the leases, in seconds.
+    """
 
     def __init__(
         self,
@@ -67,7 +71,7 @@
         self._checks_in_flight: set[_HealthCheck] = set()
 
     def start(self, holder: LeaseHolder) -> None:
-        """Reports and checks from now on. holder: whose random numbers the intervals are drawn from."""
+        """Starts reports and checks. holder: whose random generator the jitter is drawn from."""
         reports = RepeatingTimer(
             self.socket.loop,
             partial(self._report_suspicions, holder),
@@ -81,7 +85,7 @@
         checks.start(DUE_CHECKS_INTERVAL_S)
 
     def close(self) -> None:
-        """Reports and checks no more; checks in flight are cancelled."""
+        """Stops reports and checks, and cancels the checks in flight."""
         self._closed = True
         for timer in self._timers:
             timer.cancel()
@@ -89,13 +93,13 @@
             check.cancel()
 
     def may_act(self) -> int | None:
-        """The epoch under which this broker may check servers now, None if it may not."""
+        """Returns the epoch under which this broker may check servers now, or None if it may not."""
         return self.socket.may_act(self.duty)
 
     # -- suspicions
 
     def handle_suspicion(self, report: SuspicionReport, source: Address) -> None:
-        """Takes in which servers a broker suspects, while this one checks servers."""
+        """Handles a broker's report, if this broker runs the checks."""
         if report.duty == self.duty and self.may_act() is not None:
             self.checker.receive_suspicions(self.clock(), report, address_text(source))
 
@@ -105,7 +109,7 @@
             return
         report = suspicion_report(suspected, self.broker, self.duty)
         if self.may_act() is not None:
-            self.handle_suspicion(report, self.socket.own)
+            self.handle_suspicion(report, self.socket.own_address)
         elif holder.duties[self.duty].holder != self.broker:
             self.socket.send_to_holder(self.duty, wire.encode_peer_message(report))
 
@@ -120,13 +124,16 @@
             known = self.directory.servers.get(server)
             pool = self.pool_of(known.number) if known is not None else None
             if pool is None:
-                self._finish(server, served=False, took_ms=0.0)  # it is not listed any more
+                self._finish(server, succeeded=False, latency_ms=0.0)  # the server is no longer listed
             else:
                 self._checks_in_flight.add(_HealthCheck(self, server, pool))
         self._report_own_failure(holder)
 
     def _report_own_failure(self, holder: LeaseHolder) -> None:
-        """A holder that gets no answer from any server, though others suspect only some, reports that it fails."""
+        """Reports that this holder fails, if no server has answered its checks for a while.
+
+        Other brokers suspect only some of the servers, so that the cause is probably at the holder.
+        """
         now = self.clock()
         if not self.checker.servers:
             self._checking_since = NEVER
@@ -136,38 +143,38 @@
         failing = self._checking_since >= 0 and now - answered_at > FAILING_AFTER_S
         holder.set_failing(self.duty, failing)
 
-    def handle_check_end(self, check: _HealthCheck, served: bool) -> None:
-        """A check was answered or timed out."""
+    def handle_check_end(self, check: _HealthCheck, succeeded: bool) -> None:
+        """Handles the end of a check, which was answered or timed out."""
         self._checks_in_flight.discard(check)
-        self._finish(check.server, served, (self.clock() - check.started_at) * 1000.0)
+        self._finish(check.server, succeeded, (self.clock() - check.started_at) * 1000.0)
 
-    def _finish(self, server: str, served: bool, took_ms: float) -> None:
-        """Reports a result under the epoch that is in force now, or not at all."""
-        if served:
+    def _finish(self, server: str, succeeded: bool, latency_ms: float) -> None:
+        """Reports a result under the current epoch, if this broker still holds the lease."""
+        if succeeded:
             self._answered_at = self.clock()
         epoch = self.may_act()
         if epoch is None or self._closed:
             return
-        for address, report in self.checker.finish_check(self.clock(), epoch, server, served, took_ms):
+        for address, report in self.checker.finish_check(self.clock(), epoch, server, succeeded, latency_ms):
             self.reports_sent += 1
-            if address == address_text(self.socket.own):
+            if address == address_text(self.socket.own_address):
                 self.handle_report(report)
             else:
                 body = wire.encode_peer_message(report)
                 self.socket.send(parse_address(address), body, lambda: self.may_act() == epoch)
 
     def handle_report(self, report: ProbeReport) -> None:
-        """Takes in results of checks, unless a newer epoch was seen."""
+        """Handles results of checks, unless a newer epoch was seen."""
         if report.duty != self.duty or not self.fence.admits(report.duty, report.epoch):
             return
         self.results_received += len(report.results)
         known = self.directory.servers
-        numbers = {row.server: known[row.server].number for row in report.results if row.server in known}
+        numbers = {result.server: known[result.server].number for result in report.results if result.server in known}
         self.driver.add_observations(observations_of(report, numbers))
 
 
 class _HealthCheck:
-    """One request to one server, which ends once: by its reply, its timeout, or when it is cancelled."""
+    """One request to one server. It ends once: by its reply, by its timeout or by cancellation."""
 
     def __init__(self, duty: HealthCheckDuty, server: str, pool: Pool) -> None:
         self.duty = duty
@@ -179,7 +186,7 @@
         self._finished = False
 
     def cancel(self) -> None:
-        """Ends it without a result."""
+        """Ends the check without a result."""
         self._finished = True
         self._timeout.cancel()
         self._call.abort()
@@ -187,7 +194,7 @@
     def _handle_reply(self, reply: Reply) -> None:
         self._finish(reply.result is CallResult.ANSWER and reply.status == 200)
 
-    def _finish(self, served: bool) -> None:
+    def _finish(self, succeeded: bool) -> None:
         if not self._finished:
             self.cancel()
-            self.duty.handle_check_end(self, served)
+            self.duty.handle_check_end(self, succeeded)
--- a/badgerbend/lease_service/local_voter.py
+++ b/badgerbend/lease_service/local_voter.py
@@ -1,4 +1,4 @@
-"""The voter of this process: the pure `Voter` between its store on disk and the socket."""
+"""The voter of this process: connects `badgerbend.leases.voter.Voter` to its store on disk and to the socket."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from badgerbend.wal.group_commit import GroupCommitWriter
 from badgerbend.wal.store import Store
 
-MAX_BROKER_ADDRESSES = 4096  # brokers whose addresses are remembered, those heard last
+MAX_BROKER_ADDRESSES = 4096  # the brokers whose messages arrived last
 TRANSFER_CHECK_INTERVAL_S = 0.01
 
-LogEvent = Callable[..., None]  # an event and its fields, as structlog's `info`
+LogEvent = Callable[..., None]  # takes an event and its fields, like structlog's `info`
 
 
 class LocalVoter:
-    """Runs one voter. Raises StoreError or OSError where its store cannot be used.
+    """Runs one voter. Raises StoreError or OSError if its store cannot be used.
 
-    on_saved: called when records reached the disk, after what follows from that was sent. state_machine: what the
-    replicated log drives; a table of leases alone unless given.
+    on_saved: called after records were written to disk and the messages that waited for that were sent.
+    state_machine: to which the replicated log is applied; by default only a lease table.
     """
 
     def __init__(
@@ -52,27 +52,27 @@
         self.writer = GroupCommitWriter(
             store, asyncio.get_running_loop(), self._handle_saved, self._handle_write_failure
         )
-        self.failure: str | None = None  # why the store failed, if it did
+        self.failure: str | None = None  # the reason why the store failed, if it did
         self.broker_addresses: OrderedDict[str, Address] = OrderedDict()
 
     @property
     def next_at(self) -> float:
-        """When `tick` has something to do, by the clock in seconds."""
+        """The time at which `tick` must be called next, in seconds of the clock."""
         return self.voter.next_at if self.failure is None else float("inf")
 
     @property
     def is_leader(self) -> bool:
-        """Whether this voter leads the others and may grant leases."""
+        """Whether this voter leads and may grant leases."""
         return self.voter.is_leader
 
     def handle_consensus_message(self, message: consensus_messages.Message) -> None:
-        """Takes another voter's message."""
+        """Handles a message of another voter."""
         if self.failure is None:
             self.voter.receive_from_voter(self.clock(), message)
             self.flush()
 
     def handle_lease_message(self, message: LeaseRequest | LeaseReturn, source: Address) -> None:
-        """Takes a candidate's message. source: where the reply goes."""
+        """Handles a candidate's message. source: where to send the reply."""
         if self.failure is not None:
             return
         self._remember_address(message.source, source)
@@ -80,31 +80,31 @@
         self.flush()
 
     def tick(self) -> None:
-        """Does what is due by now."""
+        """Runs the actions that are due."""
         if self.failure is None:
             self.voter.tick(self.clock())
             self.flush()
 
     def propose(self, command: bytes) -> None:
-        """Proposes a command of the owner's state machine; nothing comes of it where this voter does not lead."""
+        """Proposes a command for the state machine. Has no effect if this voter does not lead."""
         if self.failure is None:
             self.voter.propose(self.clock(), command)
             self.flush()
 
     def change_membership(self, name: str, *, add: bool) -> str | None:
-        """Adds or removes a voter; why that cannot be done, None where it is under way."""
+        """Adds or removes a voter. Returns the reason if that is rejected, or None once it is in progress."""
         rejection = self.voter.raft.change_membership(self.clock(), name, add=add)
         self.flush()
         return rejection
 
     def transfer_leadership(self) -> bool:
-        """Lets another voter lead before this process ends; False where there is nothing to transfer."""
+        """Makes another voter lead before this process ends. Returns False if there is no leadership to transfer."""
         started = self.failure is None and self.voter.raft.transfer_leadership(self.clock())
         self.flush()
         return started
 
     async def transfer_leadership_within(self, timeout_s: float) -> None:
-        """Transfers leadership and waits until another voter has taken it, at most for `timeout_s` seconds."""
+        """Transfers leadership and waits for at most `timeout_s` seconds until this voter no longer leads."""
         if not self.transfer_leadership():
             return
         loop = asyncio.get_running_loop()
@@ -113,7 +113,7 @@
             await asyncio.sleep(TRANSFER_CHECK_INTERVAL_S)
 
     def flush(self) -> None:
-        """Writes, sends and logs what the voter has put out."""
+        """Writes, sends and logs the output of the voter."""
         output = self.voter.drain_output()
         if output.records:
             self.writer.write(output.records)
@@ -126,7 +126,7 @@
             self.log_event(event, **fields)
 
     def close(self) -> None:
-        """Ends the store's writer."""
+        """Closes the writer of the store."""
         self.writer.close()
 
     def _remember_address(self, broker: str, address: Address) -> None:
@@ -142,6 +142,6 @@
             self.on_saved()
 
     def _handle_write_failure(self, reason: str) -> None:
-        """What the disk holds is not known: this voter takes no part until the process is restarted."""
+        """Stops this voter until the process is restarted, since the content of the disk is unknown."""
         self.failure = reason
         self.log_event("voter stopped", why=reason)
--- a/badgerbend/lease_service/messenger.py
+++ b/badgerbend/lease_service/messenger.py
@@ -1,4 +1,4 @@
-"""Sends a process's messages to voters and lease candidates, whether they are reached by datagram or are itself."""
+"""Sends a process's messages to voters and lease candidates, by datagram or within the process itself."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class LeaseRequestHandler(Protocol):
-    """The voter of this process."""
+    """What a messenger needs of the voter of this process."""
 
     def handle_lease_message(self, message: LeaseRequest | LeaseReturn, source: Address) -> None:
-        """Takes a candidate's message. source: where the reply goes."""
+        """Handles a candidate's message. source: where to send the reply."""
 
 
 class LeaseMessenger:
-    """Messages to the process itself need no socket: requests are handed to its own voter, replies to `on_own_reply`.
+    """Sends messages to other processes by datagram, and those to the process itself without the socket.
 
-    name: of this process among the voters, if it is one. on_own_reply: called from the loop, never while a message is
-    sent.
+    Requests to the process itself go to its own voter, replies to `on_own_reply`, which is called by the event loop and
+    never while a message is being sent. name: of this process among the voters, if it is a voter.
     """
 
     def __init__(
@@ -40,11 +40,11 @@
         self._closed = False
 
     def close(self) -> None:
-        """Drops replies to the process itself from now on."""
+        """Drops later replies to the process itself."""
         self._closed = True
 
     def send_to_voter(self, name: str, message: consensus_messages.Message) -> None:
-        """Sends a consensus message; nothing for a voter whose address is not configured."""
+        """Sends a consensus message. Sends nothing if the address of the voter is not configured."""
         address = self.voter_addresses.get(name)
         if address is not None:
             self.socket.send(address, wire.encode_consensus_message(message))
@@ -57,7 +57,7 @@
             self.socket.send(address, wire.encode_lease_message(reply))
 
     def send_pending_requests(self, holder: LeaseHolder, own_voter: LeaseRequestHandler | None) -> bool:
-        """Sends what the lease holder has for voters; whether there was anything."""
+        """Sends the lease holder's messages to voters. Returns whether there were any."""
         pending = holder.drain_output()
         for voter, message in pending:
             if voter == self.name and own_voter is not None:
--- a/badgerbend/lease_service/service.py
+++ b/badgerbend/lease_service/service.py
@@ -1,7 +1,7 @@
-"""One broker's part in the leases of its fleet: candidacy for duties, the duties it holds, and its vote if it has one.
+"""One broker's lease service: its candidacies, the duties on which it holds leases, and its voter if it has one.
 
-Datagrams arrive in `LeaseService.body`, which decodes them; `_dispatch` hands each message to the part that owns it. No
-query ever waits for any of this.
+`LeaseService.body` receives and decodes datagrams; `_dispatch` passes each message to the component that handles it. No
+query ever waits for this service.
 """
 
 from __future__ import annotations
@@ -52,15 +52,14 @@
 from badgerbend.slow_start_budget.broker import BrokerBudget
 from badgerbend.wal.errors import StoreOwnerError
 
-TRANSFER_TIMEOUT_S = 0.3  # how long the end of the process waits for another voter to lead
+TRANSFER_TIMEOUT_S = 0.3  # how long `close` waits for another voter to lead
 MIN_WAKE_UP_DELAY_S = 0.001
 
 
 class LeaseService(SealedSocket):
-    """Built and used on one running loop. Raises KeyFileError, StoreError or OSError where it cannot start.
+    """Created and used on one running event loop. Raises KeyFileError, StoreError or OSError if it cannot start.
 
-    folder: what files named in the settings are relative to. clock: in seconds; tests let a broker's clock run fast or
-    slow by it.
+    folder: the base of relative paths in the settings. clock: in seconds; tests use it to make a broker's clock drift.
     """
 
     def __init__(
@@ -102,10 +101,10 @@
         self._wake_up: asyncio.TimerHandle | None = None
         self._closed = False
 
-    # -- start and end
+    # -- start and close
 
     async def start(self) -> int:
-        """Binds, votes where this broker has a store, and becomes a candidate for its duties; returns the port."""
+        """Binds the socket, starts the voter if there is a store, and becomes a candidate. Returns the port."""
         if self.duties.store is not None:
             self.local_voter = self._open_local_voter(self.folder / self.duties.store)
         port = await self.open(self.duties.host, self.duties.port)
@@ -121,7 +120,7 @@
         return port
 
     async def close(self) -> None:
-        """Gives back the leases it holds, lets another voter lead, and ends."""
+        """Returns the leases, transfers the voters' leadership and closes the socket."""
         self._closed = True
         self.messenger.close()
         self.health_checks.close()
@@ -163,7 +162,7 @@
     # -- datagrams
 
     def body(self, body: bytes, source: Address) -> None:
-        """Takes the content of a datagram whose seal is good."""
+        """Handles the body of a datagram whose seal is valid."""
         try:
             message = wire.decode(body)
         except wire.MalformedMessageError:
@@ -225,7 +224,7 @@
     # -- time
 
     def send_and_schedule(self) -> None:
-        """Sends what the lease holder has for voters, and wakes up when there is something to do next."""
+        """Sends the lease holder's messages to voters, and schedules the next wake-up."""
         if self._closed or self.holder is None:
             return
         self.messenger.send_pending_requests(self.holder, self.local_voter)
@@ -248,7 +247,7 @@
         self.send_and_schedule()
 
     def release_leases(self) -> bool:
-        """Gives back all leases at once; False where this broker holds none."""
+        """Returns all leases at once. Returns False if this broker holds none."""
         if self.holder is None or not self.holder.granted_leases():
             return False
         self.holder.release(self.clock())
--- a/badgerbend/lease_service/service_metrics.py
+++ b/badgerbend/lease_service/service_metrics.py
@@ -1,4 +1,4 @@
-"""The lease service's gauges, brought up to date when Prometheus collects them."""
+"""The gauges of the lease service, updated when Prometheus collects them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def update_metrics(service: LeaseService, metrics: Metrics) -> None:
-    """Sets the gauges of a broker's leases, its health checks, its budget and its vote."""
+    """Sets the gauges of a broker's leases, health checks, slow-start budget and voter."""
     for lease in lease_statuses(service):
         metrics.duties.labels(lease.duty, "held here").set(lease.may_act)
         metrics.duties.labels(lease.duty, "epoch").set(lease.epoch)
--- a/badgerbend/lease_service/setup.py
+++ b/badgerbend/lease_service/setup.py
@@ -1,4 +1,4 @@
-"""What a lease service's parts are made of, from the settings."""
+"""Derives the configuration of a lease service's components from the settings."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from badgerbend.lease_service.health_check_duty import HEALTH_CHECK_DUTY
 from badgerbend.leases.timing import LeaseTiming
 
-VOTER_SEED = 1  # streams of random numbers
+VOTER_SEED = 1  # numbers of the streams of random numbers
 HOLDER_SEED = 2
 
 
 def lease_timing(duties: Duties) -> LeaseTiming:
-    """The timing of leases."""
+    """Returns the timing of leases."""
     return LeaseTiming(
         duties.lease_ms / 1000.0,
         duties.clock_rate,
@@ -25,12 +25,12 @@
 
 
 def raft_config(duties: Duties) -> RaftConfig:
-    """The timing of elections among the voters."""
+    """Returns the timing of elections among the voters."""
     return RaftConfig(duties.election_ms / 1000.0, duties.beat_ms / 1000.0)
 
 
 def health_check_duty_name(settings: Settings) -> str:
-    """The health-check duty of this broker's site; of the whole fleet where it has no site."""
+    """Returns the health-check duty of this broker's site, or that of the whole fleet if it has no site."""
     if settings.sites is None:
         return HEALTH_CHECK_DUTY
     home = settings.sites.home(settings.identity.zone)
@@ -38,7 +38,7 @@
 
 
 def candidacies(settings: Settings, duties: Duties, *, shares_budget: bool) -> dict[str, bool]:
-    """The duties that a broker is a candidate for, and whether each is at its own site, which all are."""
+    """Returns the duties that a broker is a candidate for, each with whether it is at its own site; all of them are."""
     names = []
     if duties.probing:
         names.append(health_check_duty_name(settings))
@@ -48,6 +48,6 @@
 
 
 def random_seed(settings: Settings, incarnation: int, stream: int) -> int:
-    """The seed of one stream of random numbers in one incarnation of a broker."""
+    """Returns the seed of one stream of random numbers in one incarnation of a broker."""
     broker_seed = settings.seed * 1_000_003 + settings.identity.index
     return broker_seed * 4 + stream + (incarnation << 64)
--- a/badgerbend/lease_service/slow_start_duty.py
+++ b/badgerbend/lease_service/slow_start_duty.py
@@ -1,4 +1,4 @@
-"""The slow-start duty on the socket: requests to its leader at jittered intervals, and its replies."""
+"""The slow-start duty on the socket: requests to the allocator at jittered intervals, and its replies."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from badgerbend.leases.messages import BudgetReply, BudgetRequest
 from badgerbend.net.udp import Address
 
-MIN_JITTER = 0.8  # of the interval between requests
+MIN_JITTER = 0.8  # factor of the interval between requests
 MAX_JITTER = 1.2
 
 
 class SlowStartDuty:
-    """Sends this broker's requests, answers those of others while it holds the lease, and takes in replies.
+    """Sends this broker's requests, handles the replies, and replies to requests while it holds the lease.
 
     clock: of the leases, in seconds.
     """
@@ -34,7 +34,7 @@
         self._timer: RepeatingTimer | None = None
 
     def start(self, holder: LeaseHolder) -> None:
-        """Sends requests from now on. holder: whose random numbers the intervals are drawn from."""
+        """Starts sending requests. holder: whose random generator the jitter is drawn from."""
         interval_s = self.exchange.request_interval_s
         self._timer = RepeatingTimer(
             self.socket.loop, self._send_requests, lambda: interval_s * holder.rng.uniform(MIN_JITTER, MAX_JITTER)
@@ -42,19 +42,19 @@
         self._timer.start(interval_s * holder.rng.random())
 
     def close(self) -> None:
-        """Sends no further request."""
+        """Stops sending requests."""
         if self._timer is not None:
             self._timer.cancel()
 
     def handle_request(self, request: BudgetRequest, source: Address) -> None:
-        """Replies under the epoch that is in force now, or not at all."""
+        """Replies to a broker's request under the current epoch, if this broker holds the lease."""
         reply = self.exchange.handle_request(self.clock() * 1000.0, self._epoch(), request)
         if reply is not None:
             self.replies_sent += 1
             self.socket.send(source, wire.encode_peer_message(reply), lambda: self._epoch() == reply.epoch)
 
     def handle_reply(self, reply: BudgetReply) -> None:
-        """Takes a reply, unless a newer epoch was seen."""
+        """Handles a reply, unless a newer epoch was seen."""
         if reply.duty == SLOW_START_DUTY and self.fence.admits(reply.duty, reply.epoch):
             self.exchange.apply_reply(reply)
 
--- a/badgerbend/lease_service/status.py
+++ b/badgerbend/lease_service/status.py
@@ -1,4 +1,4 @@
-"""The status page of a broker's leases and of its vote, as `/duties` shows it in JSON."""
+"""The status of a broker's leases and of its voter, which `/duties` returns as JSON."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class DutyStatus(msgspec.Struct, frozen=True):
-    """A duty's lease as this broker was last notified. remaining_ms: how long the broker may still act on it."""
+    """A duty's lease as last reported to this broker. remaining_ms: how long the broker may still act under it."""
 
     duty: str
     holder: str
@@ -37,14 +37,14 @@
 
 
 class FollowerStatus(msgspec.Struct, frozen=True):
-    """What a leader knows of another voter. match_index: the last log entry known to be on its disk."""
+    """A leader's view of another voter. match_index: the last log entry known to be on that voter's disk."""
 
     match_index: int = msgspec.field(name="match")
     silent_ms: int
 
 
 class LeaseStatus(msgspec.Struct, frozen=True):
-    """A lease in the replicated table. holder: empty where nobody holds it."""
+    """A lease in the replicated table. holder: empty if the duty is free."""
 
     duty: str
     holder: str
@@ -52,7 +52,7 @@
 
 
 class VoterStatus(msgspec.Struct, frozen=True):
-    """This broker's voter. failure: why it stopped, if it did. followers: by name, while it leads."""
+    """This broker's voter. failure: the reason if it has stopped. followers: by name, while it leads."""
 
     name: str
     role: str
@@ -69,7 +69,10 @@
 
 
 class ResourceStatus(msgspec.Struct, frozen=True):
-    """A server that is warming up, or a site that recovers. Rates are parts a second; granted: None without a grant."""
+    """A server that is warming up, or a site that recovers. Rates are in parts per second.
+
+    granted_rate: None while no grant is in force.
+    """
 
     name: str = msgspec.field(name="thing")
     own_rate: float = msgspec.field(name="own_per_s")
@@ -77,7 +80,7 @@
 
 
 class BudgetStatus(msgspec.Struct, frozen=True):
-    """The slow-start budget: what holds here, and what this broker's allocator did."""
+    """The slow-start budget: this broker's rates, and the counters of its budget and of its allocator."""
 
     resources: list[ResourceStatus] = msgspec.field(name="cold")
     grants_applied: int = msgspec.field(name="slices")
@@ -87,7 +90,10 @@
 
 
 class LeaseServiceStatus(msgspec.Struct, frozen=True):
-    """voter: None where this broker has no store. budget: None where the slow-start budget is not shared."""
+    """The complete status of a lease service.
+
+    voter: None if this broker has no store. budget: None if the slow-start budget is not shared.
+    """
 
     name: str
     leader: str
@@ -105,7 +111,7 @@
 
 
 def service_status(service: LeaseService) -> LeaseServiceStatus:
-    """The status of a lease service now."""
+    """Returns the current status of a lease service."""
     slow_start = service.slow_start
     budget_replies = slow_start.replies_sent if slow_start is not None else 0
     return LeaseServiceStatus(
@@ -126,7 +132,7 @@
 
 
 def lease_statuses(service: LeaseService) -> list[DutyStatus]:
-    """Each duty that this broker is a candidate for, and who holds its lease."""
+    """Returns the lease of each duty that this broker is a candidate for."""
     if service.holder is None:
         return []
     now = service.clock()
--- a/badgerbend/lease_service/timers.py
+++ b/badgerbend/lease_service/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the lease service on the asyncio loop."""
+"""Timers of the lease service on the asyncio event loop."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 
 
 class RepeatingTimer:
-    """Calls a function again and again until it is cancelled.
+    """Calls a function repeatedly until it is cancelled.
 
-    next_delay_s: asked before each call for the time until the one after it, so that each delay can be jittered.
+    next_delay_s: called before each call of the function; returns the time until the one after it, so that each delay
+    can have its own jitter.
     """
 
     def __init__(
@@ -25,7 +26,7 @@
         self._handle = self._loop.call_later(first_delay_s, self._run)
 
     def cancel(self) -> None:
-        """Makes no further call."""
+        """Cancels all further calls."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -265,7 +265,7 @@
     """A duty whose lease this broker holds under epoch 7, and one server that another broker suspects."""
 
     def __init__(self):
-        self.loop, self.own, self.now, self.epoch = Loop(), ("127.0.0.1", 7000), 0.0, 7
+        self.loop, self.own_address, self.now, self.epoch = Loop(), ("127.0.0.1", 7000), 0.0, 7
         self.sent, self.learned, self.pool = [], [], Pool()
         directory = SimpleNamespace(servers={"s1": SimpleNamespace(number=4)}, names={4: "s1"})
         self.duty = HealthCheckDuty(
@@ -287,8 +287,8 @@
     def may_act(self, duty):
         return self.epoch
 
-    def send(self, address, body, still):
-        if still():
+    def send(self, address, body, still_valid):
+        if still_valid():
             self.sent.append((address, wire.decode(body)))
 
     def observations(self):
