--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -1,4 +1,4 @@
-"""The lease service's datagrams, settings and commands."""
+"""The lease service: datagrams, settings, commands, timers, messages and health checks."""
 
 import subprocess
 import sys
@@ -35,7 +35,7 @@
 from tests.sockets import EXAMPLE
 
 
-def test_what_is_no_datagram_of_leases_is_rejected():
+def test_malformed_datagrams_and_addresses_are_rejected():
     for body in (
         b"",
         b"s",
@@ -55,11 +55,13 @@
 
 # -- settings and commands
 
-THREE = tuple(VoterAt(f"broker-{i}", f"127.0.0.1:{7000 + i}") for i in range(3))
-WRONG = {
-    "2 voters; 1, 3, 5 or 7": {"voter": THREE[:2]},
-    "two voters have the name broker-0": {"voter": (THREE[0], VoterAt("broker-0", "127.0.0.1:9"), THREE[1])},
-    "two voters have the address": {"voter": (THREE[0], THREE[1], VoterAt("x", THREE[0].address))},
+THREE_VOTERS = tuple(VoterAt(f"broker-{i}", f"127.0.0.1:{7000 + i}") for i in range(3))
+INVALID_SETTINGS = {  # by the error message that each must cause
+    "2 voters; 1, 3, 5 or 7": {"voter": THREE_VOTERS[:2]},
+    "two voters have the name broker-0": {
+        "voter": (THREE_VOTERS[0], VoterAt("broker-0", "127.0.0.1:9"), THREE_VOTERS[1])
+    },
+    "two voters have the address": {"voter": (THREE_VOTERS[0], THREE_VOTERS[1], VoterAt("x", THREE_VOTERS[0].address))},
     "at least twice stall-ms": {"lease_ms": 900.0},
     "three times beat-ms": {"election_ms": 200.0},
     "advertise here is not HOST:PORT": {"advertise": "here"},
@@ -67,33 +69,33 @@
 }
 
 
-@pytest.mark.parametrize("text", WRONG)
-def test_settings_that_do_not_fit_are_named(text):
-    with pytest.raises(ValueError, match=text):
-        Duties(**{"key": ("k",), "voter": THREE} | WRONG[text])
+@pytest.mark.parametrize("message", INVALID_SETTINGS)
+def test_invalid_settings_are_named_in_the_error(message):
+    with pytest.raises(ValueError, match=message):
+        Duties(**{"key": ("k",), "voter": THREE_VOTERS} | INVALID_SETTINGS[message])
 
 
-def test_settings_as_they_are_written():
+def test_settings_are_read_from_their_text():
     text = EXAMPLE.read_text().rstrip().removesuffix(")")
-    voters = " ".join(f'(voter {v.name} (address "{v.address}"))' for v in THREE)
-    got = parse(f'{text} (duties (key "k") {voters} (store "v") (lease-ms 3000) (clock-rate 0.02)))', "f").duties
-    assert got == Duties(("k",), THREE, store="v", lease_ms=3000.0, clock_rate=0.02)
-    timing = lease_timing(got)
+    voters = " ".join(f'(voter {v.name} (address "{v.address}"))' for v in THREE_VOTERS)
+    duties = parse(f'{text} (duties (key "k") {voters} (store "v") (lease-ms 3000) (clock-rate 0.02)))', "f").duties
+    assert duties == Duties(("k",), THREE_VOTERS, store="v", lease_ms=3000.0, clock_rate=0.02)
+    timing = lease_timing(duties)
     assert (timing.lease_duration_s, timing.holder_lease_s, timing.leader_lease_s) == (3.0, 3.0 * 0.98, 3.0 * 1.02)
     assert replace(timing, clock_drift_bound=0.0).holder_lease_s == 3.0
     with pytest.raises(SettingsError, match="address nowhere is not HOST:PORT"):
         parse(f'{text} (duties (key "k") (voter a (address "nowhere"))))', "f")
 
 
-def badgerbend(*words):
-    return subprocess.run([sys.executable, "-m", "badgerbend", *map(str, words)], capture_output=True, text=True)
+def badgerbend(*arguments):
+    return subprocess.run([sys.executable, "-m", "badgerbend", *map(str, arguments)], capture_output=True, text=True)
 
 
-def test_a_voter_s_store_is_made_checked_and_refused_by_command(tmp_path):
+def test_a_voter_s_store_is_created_checked_and_rejected_by_the_commands(tmp_path):
     folder = tmp_path / "v0"
-    made = badgerbend("voters", "create", folder, "--name", "broker-0", "--voter", "broker-0", "--voter", "broker-1")
-    assert made.returncode == 0
-    assert "the store of broker-0, one of 2" in made.stdout
+    created = badgerbend("voters", "create", folder, "--name", "broker-0", "--voter", "broker-0", "--voter", "broker-1")
+    assert created.returncode == 0
+    assert "the store of broker-0, one of 2" in created.stdout
     again = badgerbend("voters", "create", folder, "--name", "broker-0")
     assert again.returncode == 2
     assert "made once" in again.stderr
@@ -105,16 +107,16 @@
     data = bytearray((folder / "log.1").read_bytes())
     data[-1] ^= 1
     (folder / "log.1").write_bytes(data)
-    spoilt = badgerbend("voters", "check", folder)
-    assert spoilt.returncode == 2
-    assert "log.1: damaged at byte" in spoilt.stderr
-    assert spoilt.stderr.count("\n") == 1
+    damaged = badgerbend("voters", "check", folder)
+    assert damaged.returncode == 2
+    assert "log.1: damaged at byte" in damaged.stderr
+    assert damaged.stderr.count("\n") == 1
     other = badgerbend("voters", "create", tmp_path / "x", "--name", "broker-9", "--voter", "broker-0")
     assert other.returncode == 2
     assert "is none of the voters" in other.stderr
-    silent = badgerbend("duties", "list", "--port", 1)
-    assert silent.returncode == 3
-    assert "no answer from 127.0.0.1:1" in silent.stderr
+    unreachable = badgerbend("duties", "list", "--port", 1)
+    assert unreachable.returncode == 3
+    assert "no answer from 127.0.0.1:1" in unreachable.stderr
 
 
 # -- operators' commands
@@ -132,7 +134,7 @@
         ("", None),
     ],
 )
-def test_a_path_names_a_command_or_none(path, command):
+def test_a_path_is_parsed_as_a_command_or_rejected(path, command):
     assert parse_command(path) == command
 
 
@@ -140,7 +142,7 @@
 
 
 class Loop:
-    """Keeps what is scheduled, and runs it when a test says so."""
+    """An event loop that runs scheduled calls only when the test asks for the next one."""
 
     def __init__(self):
         self.scheduled = []
@@ -161,6 +163,8 @@
 
 
 class Handle:
+    """A scheduled call, which can be cancelled."""
+
     def __init__(self, delay_s, callback):
         self.delay_s, self.callback, self.cancelled = delay_s, callback, False
 
@@ -168,7 +172,7 @@
         self.cancelled = True
 
 
-def test_a_repeating_timer_asks_for_each_delay_before_it_calls_and_ends_when_it_is_cancelled():
+def test_a_repeating_timer_gets_the_next_delay_before_each_call_and_stops_when_cancelled():
     loop, events, delays = Loop(), [], iter((2.0, 3.0, 5.0))
 
     def next_delay():
@@ -185,7 +189,9 @@
     assert len(events) == 4
 
 
-class Socket:
+class RecordingSocket:
+    """Records the datagrams that are sent."""
+
     def __init__(self):
         self.own_address, self.loop, self.sent = ("127.0.0.1", 7000), Loop(), []
 
@@ -194,6 +200,8 @@
 
 
 class RecordingVoter:
+    """Records the messages that it receives."""
+
     def __init__(self):
         self.messages = []
 
@@ -205,12 +213,12 @@
 REPLY = LeaseReply("broker-0", 0, "broker-0", True, ())
 
 
-def test_requests_go_to_the_own_voter_without_the_socket_and_to_others_by_datagram():
-    socket, voter = Socket(), RecordingVoter()
+def test_requests_to_the_own_voter_bypass_the_socket_and_others_are_sent_as_datagrams():
+    socket, voter = RecordingSocket(), RecordingVoter()
     messenger = LeaseMessenger(socket, "broker-0", VOTERS, lambda reply: None)
     holder = LeaseHolder("broker-0", "127.0.0.1:7000", {"probe": True}, tuple(VOTERS), LeaseTiming(), 1, 0.0)
     assert not messenger.send_pending_requests(holder, voter)
-    holder.shut_down(0.0)  # says so to every voter
+    holder.shut_down(0.0)  # sends a return to every voter
     assert messenger.send_pending_requests(holder, voter)
     ((own, source),) = voter.messages
     assert isinstance(own, LeaseReturn)
@@ -219,12 +227,12 @@
     assert address == VOTERS["broker-1"]
     assert wire.decode(body) == own
     holder.shut_down(0.0)
-    assert messenger.send_pending_requests(holder, None)  # it does not vote, though a voter has its name
+    assert messenger.send_pending_requests(holder, None)  # without a voter of its own, though one has its name
     assert [address for address, _ in socket.sent[1:]] == list(VOTERS.values())
 
 
-def test_replies_to_the_process_itself_come_from_the_loop_and_not_after_it_closed():
-    socket, replies = Socket(), []
+def test_replies_to_the_process_itself_are_delivered_by_the_loop_unless_it_has_closed():
+    socket, replies = RecordingSocket(), []
     messenger = LeaseMessenger(socket, "broker-0", VOTERS, replies.append)
     messenger.send_reply(socket.own_address, REPLY)
     assert replies == []
@@ -245,7 +253,7 @@
 
 
 class Pool:
-    """Connections to one server; a test answers the request or leaves it."""
+    """Connections to one server. The test answers a request by calling one of `replies`."""
 
     host, port = "127.0.0.1", 9000
 
@@ -262,14 +270,26 @@
 
 
 class HealthCheckStage:
-    """A duty whose lease this broker holds under epoch 7, and one server that another broker suspects."""
+    """A duty on which this broker holds the lease under epoch 7, and one server that another broker suspects.
+
+    The stage acts as the duty's socket and driver. sent: the reports sent to other brokers. learned: the observations
+    passed to the driver.
+    """
 
     def __init__(self):
         self.loop, self.own_address, self.now, self.epoch = Loop(), ("127.0.0.1", 7000), 0.0, 7
         self.sent, self.learned, self.pool = [], [], Pool()
         directory = SimpleNamespace(servers={"s1": SimpleNamespace(number=4)}, names={4: "s1"})
         self.duty = HealthCheckDuty(
-            self, Duties(("k",), THREE), "probe", "broker-0", FencingGuard(), self, directory, self.pool_of, self.clock
+            self,
+            Duties(("k",), THREE_VOTERS),
+            "probe",
+            "broker-0",
+            FencingGuard(),
+            self,
+            directory,
+            self.pool_of,
+            self.clock,
         )
         holder = LeaseHolder("broker-0", "127.0.0.1:7000", {"probe": True}, tuple(VOTERS), LeaseTiming(), 1, 0.0)
         self.duty.start(holder)
@@ -301,7 +321,7 @@
 ANSWER = SimpleNamespace(result=CallResult.ANSWER, status=200)
 
 
-def test_the_result_of_a_check_goes_to_the_broker_that_suspects_the_server_once():
+def test_the_result_of_a_check_is_sent_once_to_the_broker_that_suspects_the_server():
     stage = HealthCheckStage()
     stage.now = 0.02
     stage.pool.replies[0](ANSWER)
@@ -329,7 +349,7 @@
     assert stage.duty.reports_sent == 0
 
 
-def test_a_report_under_an_older_epoch_than_was_seen_is_not_learned():
+def test_a_report_under_an_older_epoch_than_one_seen_before_is_ignored():
     stage = HealthCheckStage()
     results = (ProbeResult("s1", False, 1000.0, 50.0), ProbeResult("unknown", True, 1.0, 1.0))
     stage.duty.handle_report(ProbeReport("broker-1", "probe", 8, results))
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases by hand, without processes: placement, renewal and fencing, and the health checks of suspected servers."""
+"""Unit tests of leases: placement of holders, renewal, fencing, and the health checks of suspected servers."""
 
 import msgspec
 
@@ -29,11 +29,14 @@
 
 TIMING = LeaseTiming(lease_duration_s=2.0, clock_drift_bound=0.01, candidacy_interval_s=1.0, reply_timeout_s=0.25)
 DUTY = "probe"
-STEP_S = 0.25  # between two requests of each broker
+REQUEST_INTERVAL_S = 0.25  # between two requests of each broker
 
 
 class LeadingManager:
-    """A manager that leads, and whose proposals are applied at once, before brokers that renew what they hold."""
+    """A manager of a leading voter, whose proposals are applied at once, and brokers that renew their leases.
+
+    failing: the brokers that report that they fail at the duty.
+    """
 
     def __init__(self, *brokers):
         self.table = LeaseTable()
@@ -47,7 +50,7 @@
         }
         self.is_local = dict.fromkeys(brokers, True)
         self.failing = set()
-        self.states = {}  # by broker: the last reply to it
+        self.states = {}  # by broker: the lease state in the last reply
 
     def apply(self, commands):
         for command in commands:
@@ -57,10 +60,10 @@
         return commands
 
     def run(self, seconds, silent=()):
-        """Let time pass, with requests of all brokers but the silent; give the commands that were applied."""
+        """Advances the time while all but the silent brokers send requests. Returns the applied commands."""
         commands = []
-        for _ in range(round(seconds / STEP_S)):
-            self.now += STEP_S
+        for _ in range(round(seconds / REQUEST_INTERVAL_S)):
+            self.now += REQUEST_INTERVAL_S
             for name in self.requests:
                 if name not in silent:
                     self._request(name)
@@ -158,7 +161,7 @@
     assert leading.states["a"].renewed
 
 
-def test_a_failing_holder_is_asked_to_return_its_lease_which_else_has_to_expire():
+def test_a_failing_holder_is_told_to_return_its_lease_and_otherwise_the_lease_expires():
     leading = LeadingManager("a", "b")
     leading.run(3)
     old = leading.lease
@@ -195,8 +198,8 @@
     assert leading.manager.renew(leading.now, request)[0].renewed
 
 
-def test_the_lowest_name_of_a_membership_is_two_holders_under_a_partition():
-    """Why SWIM's view alone is not used: the alternative in docs/leases.md."""
+def test_choosing_the_lowest_member_name_gives_two_holders_under_a_partition():
+    """Shows why leases do not rely on the SWIM membership alone: each side of a partition would choose a holder."""
     network = Network(3, SwimConfig())
     names = [f"b{number}" for number in range(8)]
     for name in names:
@@ -214,7 +217,7 @@
 
 
 def receive_candidacies(manager, now, names, is_local=True):
-    """Receive one request of each; give by name how long it may wait before the next."""
+    """Passes one request of each broker to the manager. Returns by name the delay until the next request."""
     delays = {}
     for number, name in enumerate(names, start=1):
         candidacies = (Candidacy(DUTY, 0, is_local, False),)
@@ -231,18 +234,20 @@
     frequent = [name for name, delay in delays.items() if not delay]
     assert len(frequent) == MAX_FREQUENT_CANDIDATES
     assert len(manager.candidates.infrequent(DUTY)) == 200 - MAX_FREQUENT_CANDIDATES
-    # without this bound each of the 200 would wait for 12.5 s
+    # Without this limit each of the 200 candidates would wait for 12.5 s.
     assert max(delays.values()) == TIMING.candidacy_interval_s * MAX_REQUEST_INTERVALS
-    assert receive_candidacies(manager, 1.0, frequent) == dict.fromkeys(frequent, 0.0)  # they stay the frequent ones
-    lost_at = 1.0 + 3.1 * TIMING.candidacy_interval_s  # by then all of them are silent: a site was lost
+    assert receive_candidacies(manager, 1.0, frequent) == dict.fromkeys(frequent, 0.0)  # they stay frequent
+    lost_at = (
+        1.0 + 3.1 * TIMING.candidacy_interval_s
+    )  # by then all frequent candidates are silent, as after the loss of a site
     later = receive_candidacies(manager, lost_at, ["b150", "b151", "b152"])
     assert list(later.values()) == [0.0] * 3
     (grant,) = manager.due_commands(leading.now + 4.2)
     assert isinstance(grant, GrantLease)
-    assert grant.holder in later  # none of the lost
+    assert grant.holder in later  # not one of the silent candidates
 
 
-def test_better_placed_candidates_take_the_place_of_worse_ones():
+def test_better_placed_candidates_replace_worse_placed_frequent_ones():
     manager = LeadingManager().manager
     receive_candidacies(manager, 0.0, [f"far{number}" for number in range(30)], is_local=False)
     assert receive_candidacies(manager, 0.1, ["near"]) == {"near": 0.0}
@@ -250,23 +255,23 @@
     assert "near" in manager.candidates.frequent[DUTY]
 
 
-def test_a_broker_waits_as_the_leader_says_but_not_if_there_is_no_reply():
+def test_a_broker_waits_as_long_as_the_leader_says_unless_a_request_has_no_reply():
     holder = LeaseHolder("b1", "127.0.0.1:1", {DUTY: True}, ("v1",), TIMING, 1, 0.0)
     holder.tick(holder.next_at)
     ((_, request),) = holder.drain_output()
-    of_another = LeaseState(DUTY, "b9", "", 4, False, False)
-    holder.receive_reply(0.3, LeaseReply("v1", request.seq, "v1", True, (of_another,), 9.0))
+    held_by_other = LeaseState(DUTY, "b9", "", 4, False, False)
+    holder.receive_reply(0.3, LeaseReply("v1", request.seq, "v1", True, (held_by_other,), 9.0))
     assert 0.3 + 0.8 * 9.0 <= holder.next_at <= 0.3 + 9.0
-    for number in range(1, 19):  # its event loop does not stand still
+    for number in range(1, 19):  # often enough that the event loop does not count as stalled
         holder.tick(0.3 + 0.4 * number)
     assert not holder.drain_output()
     while not (output := holder.drain_output()):
         holder.tick(min(holder.next_at, holder._last_run_at + 0.4))
     assert len(output) == 1
-    assert holder.next_at < 10.5  # a request without a reply so far
+    assert holder.next_at < 10.5  # the request has no reply yet, so that the retry is soon
     granted = LeaseState(DUTY, "b1", "", 7, False, False)
     holder.receive_reply(9.6, LeaseReply("v1", 0, "v1", True, (granted,), 0.0))
-    assert holder.next_at == 9.6  # renewed at once, however long it was to wait
+    assert holder.next_at == 9.6  # the grant is renewed at once, whatever the delay was
 
 
 # -- fencing
@@ -286,16 +291,16 @@
 # -- health checks
 
 
-def observation(node, time_ms, dead=False):
-    return api.EndpointObservation(node, time_ms, 10.0, dead)
+def observation(node, response_time_ms, is_down=False):
+    return api.EndpointObservation(node, response_time_ms, 10.0, is_down)
 
 
-def test_dead_and_far_slower_servers_are_suspected_the_worst_first():
+def test_servers_that_are_down_or_far_slower_are_suspected_the_worst_first():
     observations = (
         observation(1, 20.0),
         observation(2, 25.0),
         observation(3, 400.0),
-        observation(4, 30.0, dead=True),
+        observation(4, 30.0, is_down=True),
         observation(9, 900.0),
     )
     names = {1: "s1", 2: "s2", 3: "s3", 4: "s4"}
@@ -304,7 +309,7 @@
     assert len(suspicion_report([f"s{number}" for number in range(100)], "b0", DUTY).servers) == 16
 
 
-def test_a_server_is_checked_at_one_interval_however_many_suspect_it_and_all_are_notified():
+def test_a_server_is_checked_at_one_interval_however_many_brokers_suspect_it_and_all_are_notified():
     checker = HealthChecker(DUTY, "b0", interval_s=0.5, max_in_flight=2)
     for number in range(50):
         report = SuspicionReport(f"b{number}", DUTY, ("s1", "s2", "s3"))
@@ -314,15 +319,15 @@
     reports = checker.finish_check(0.2, 7, "s1", succeeded=True, latency_ms=12.0)
     assert len(reports) == 50
     assert reports[0] == ("127.0.0.1:1", ProbeReport("b0", DUTY, 7, (ProbeResult("s1", True, 12.0, 200.0),)))
-    assert checker.finish_check(0.2, 7, "s1", succeeded=True, latency_ms=12.0) == []  # the check has ended already
+    assert checker.finish_check(0.2, 7, "s1", succeeded=True, latency_ms=12.0) == []  # the check has already ended
     assert checker.start_due_checks(0.3) == ["s3"]
-    assert checker.start_due_checks(0.6) == []  # two are in flight
+    assert checker.start_due_checks(0.6) == []  # two checks are in flight
     checker.finish_check(0.6, 7, "s2", succeeded=False, latency_ms=1000.0)
     assert checker.start_due_checks(0.7) == ["s1"]
     for server in ("s1", "s3"):
         checker.finish_check(1.0, 7, server, succeeded=True, latency_ms=1.0)
     assert checker.start_due_checks(20.0) == []
-    assert not checker.servers  # nobody suspects them any more
+    assert not checker.servers  # all suspicions have expired
     assert checker.checks_started == 4
 
 
