--- a/tests/simbudget.py
+++ b/tests/simbudget.py
@@ -1,7 +1,7 @@
-"""Allocators and brokers of the slow-start budget in simulated time.
+"""A simulation of allocators and brokers of the slow-start budget.
 
-Messages are lost, late, duplicated and reordered, clocks are off by the stated bound, allocators stall, are replaced
-and resume. The sum of usable rates is measured at every event.
+Messages are lost, delayed, duplicated and reordered, clocks drift up to the bound, and allocators stall, are replaced
+and resume. The sum of usable rates is checked at every event.
 """
 
 import random
@@ -18,15 +18,15 @@
 NODE = 7
 SERVER = "s7"
 START = 12.0
-ROUNDING = 1e-6
+ROUNDING_TOLERANCE = 1e-6
 
 
 class BudgetExceededError(AssertionError):
-    """Brokers may use more together than the sum of their own rates."""
+    """The usable rates of the brokers sum up to more than their own rates."""
 
 
 class DriftingClock:
-    """Milliseconds of a clock that runs `rate` times as fast as real time."""
+    """A clock in milliseconds that runs `rate` times as fast as real time."""
 
     def __init__(self, world, rate):
         self.world, self.rate = world, rate
@@ -38,8 +38,9 @@
 class World(Clock):
     """One server that is warming up, and brokers that each may become the allocator.
 
-    budget, allocator, fence: the classes to simulate. checks: how often the sum was measured; max_used: the largest sum
-    as a fraction of the budget; replies: those that allocators sent.
+    budget, allocator, fence: the classes to simulate. clock_rate: the deviation of the clocks from real time.
+    checks: how often the sum was checked. max_used: the largest sum, as a fraction of the budget. replies: the number
+    of replies that allocators sent.
     """
 
     def __init__(
@@ -50,18 +51,18 @@
         budget=BrokerBudget,
         allocator=BudgetAllocator,
         fence=FencingGuard,
-        rate=TIMING.clock_rate,
+        clock_rate=TIMING.clock_rate,
     ):
         super().__init__()
         self.rng, self.loss = random.Random(seed), loss
         self.own_rates = [self.rng.choice((0.2, 1.0, 4.0)) for _ in range(brokers)]
         self.demands = [self.rng.choice((0.0, 0.1, 3.0, 20.0)) for _ in range(brokers)]
-        self.clocks = [DriftingClock(self, 1.0 + self.rng.choice((-1, 0, 1)) * rate) for _ in range(brokers)]
+        self.clocks = [DriftingClock(self, 1.0 + self.rng.choice((-1, 0, 1)) * clock_rate) for _ in range(brokers)]
         self.budgets = [budget(f"b{i}", DUTY, TIMING, seed * 100 + i) for i in range(brokers)]
         self.fences = [fence() for _ in range(brokers)]
         self.allocators = [allocator(f"b{i}", DUTY, TIMING) for i in range(brokers)]
         self.holder, self.epoch = 0, 1
-        self.stalled = {}  # allocators that act under an old epoch until a time
+        self.stalled = {}  # by stalled allocator: the old epoch that it uses, and when it resumes
         self.allocators[0].start(self.clocks[0]())
         self.checks = self.max_used = self.replies = 0
         for i in range(brokers):
@@ -77,11 +78,11 @@
         budget = sum(self.own_rates)
         total = sum(self.usable_rate(i) for i in range(len(self.own_rates)))
         self.max_used = max(self.max_used, total / budget)
-        if total > budget + ROUNDING:
+        if total > budget + ROUNDING_TOLERANCE:
             raise BudgetExceededError(f"{total:.3f} of {budget:.3f} at {self.now:.0f} ms")
 
     def send(self, deliver):
-        """A message on its way: lost, late, duplicated."""
+        """Sends a message, which may be lost, delayed or duplicated."""
         for _ in range(self.rng.choice((1, 1, 1, 2))):
             if self.rng.random() >= self.loss:
                 delay = self.rng.choice((1, 5, 30, 30, 300, 1500)) * self.rng.random()
@@ -99,7 +100,7 @@
         self.check()
 
     def receive_request(self, allocator, i, request):
-        """An allocator that stalled acts under its old epoch when it resumes: it looked at its lease before."""
+        """Handles a request. A stalled allocator does so when it resumes, under the epoch that it checked before."""
         if allocator in self.stalled:
             epoch, until = self.stalled[allocator]
             if self.now < until:
@@ -121,7 +122,7 @@
         self.check()
 
     def change_holder(self):
-        """Another holds the lease; the last holder stopped allocating before, or stalls in the middle of an act."""
+        """Gives the lease to another broker. The last holder stops allocating, or stalls while it handles requests."""
         old = self.holder
         self.holder = (old + self.rng.randrange(1, len(self.own_rates))) % len(self.own_rates)
         self.epoch += 1
--- a/tests/simslowstart.py
+++ b/tests/simslowstart.py
@@ -1,4 +1,4 @@
-"""A site that recovers and a fleet restarted at once, in simulated time: what sharing the slow-start budget gains."""
+"""A simulation of what sharing the slow-start budget gains when a site recovers or all servers restart at once."""
 
 from collections import defaultdict
 
@@ -10,14 +10,14 @@
 
 TIMING = BudgetTiming(1000.0, 0.01)
 OVERLOAD_FACTOR = 2.0
-SLOW_START_FROM = 0.25  # of its normal load a server takes right after its start
+SLOW_START_FROM = 0.25  # fraction of its normal load that a server can take right after its start
 SLOW_START_MS = 5000.0
-OVERLOAD_WINDOW_MS = 1000.0  # a server fails where it is overloaded for so long
-LATENCY_MS = 2.0  # of a message from one broker to another
+OVERLOAD_WINDOW_MS = 1000.0  # a server fails after an overload of this duration
+LATENCY_MS = 2.0  # of a message between brokers
 
 
 class SlowStartWorld(World):
-    """shares_budget: whether brokers share it; `set_allocating(False)` leaves them without an allocator."""
+    """shares_budget: whether brokers share the budget. `set_allocating(False)` leaves them without an allocator."""
 
     settings = {"overload_factor": OVERLOAD_FACTOR, "slow_start_from": SLOW_START_FROM}  # noqa: RUF012
 
@@ -67,8 +67,8 @@
         self.arrivals[server.node].append(self.now)
 
     def peak(self, since, until):
-        """The most that came to a cold server within the time that fells one, over what the settings let it bear."""
-        most = 0.0
+        """Returns the largest load of a server that is warming up, over any overload window, relative to its limit."""
+        peak = 0.0
         for server in self.servers.values():
             times = [t for t in self.arrivals[server.node] if since <= t <= until]
             first = 0
@@ -77,27 +77,30 @@
                     first += 1
                 warmth = min(1.0, SLOW_START_FROM + (1 - SLOW_START_FROM) * (t - server.started) / SLOW_START_MS)
                 if warmth < 1.0:
-                    most = max(most, (n - first + 1) / (OVERLOAD_FACTOR * warmth * SERVER_RATE * OVERLOAD_WINDOW_MS))
-        return most
+                    peak = max(peak, (n - first + 1) / (OVERLOAD_FACTOR * warmth * SERVER_RATE * OVERLOAD_WINDOW_MS))
+        return peak
 
 
 def summarize_queries(world, since):
-    """What became of the queries of the first site's brokers: asked, share answered, mean time in ms, peak at a cold
-    server, and parts that went to the site's servers."""
-    ends = [(how, ms) for t, who, _, how, ms in world.ends if t >= since and world.brokers[who].home == 0]
-    well = [ms for how, ms in ends if how in ("whole", "part")]
-    own = sum(1 for node, times in world.arrivals.items() if node < 100 for t in times if t >= since)
+    """Summarizes the queries of the first site's brokers.
+
+    The keys are the number of queries, the fraction that was answered, the mean time in ms, the peak load of a server
+    that was warming up, and the number of parts that went to the site's own servers.
+    """
+    ends = [(outcome, ms) for t, broker, _, outcome, ms in world.ends if t >= since and world.brokers[broker].home == 0]
+    answered_ms = [ms for outcome, ms in ends if outcome in ("whole", "part")]
+    parts_at_home = sum(1 for node, times in world.arrivals.items() if node < 100 for t in times if t >= since)
     return {
         "asked": len(ends),
-        "answered": len(well) / max(len(ends), 1),
-        "ms": sum(well) / max(len(well), 1),
+        "answered": len(answered_ms) / max(len(ends), 1),
+        "ms": sum(answered_ms) / max(len(answered_ms), 1),
         "peak": world.peak(since, since + SLOW_START_MS),
-        "at home": own,
+        "at home": parts_at_home,
     }
 
 
 def return_of_a_site(seed, shares_budget, has_allocator=True, skew=3.0):
-    """A site is lost and back, and some of its brokers have most of its clients."""
+    """Simulates a site that fails and returns, where a few of its brokers have most of its clients."""
     world = SlowStartWorld(seed, shares_budget)
     world.set_allocating(has_allocator)
     world.add_load(0, 140.0, weights=[1.0 / (1 + i) ** skew for i in range(12)])
@@ -106,13 +109,13 @@
     world.crash_site(0)
     world.run(6_000)
     world.restart_site(0)
-    back = world.now
+    returned_at = world.now
     world.run(8_000)
-    return summarize_queries(world, back)
+    return summarize_queries(world, returned_at)
 
 
 def release_and_shift(seed, shares_budget, has_allocator=True):
-    """All servers start anew at once, and in that moment the clients of most brokers go to a few others."""
+    """Simulates a restart of all servers at once, when the clients of most brokers also move to a few others."""
     world = SlowStartWorld(seed, shares_budget, brokers=(12, 1))
     world.set_allocating(has_allocator)
     weights = [1.0] * 10 + [0.2] * 2
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -1,4 +1,4 @@
-"""The slow-start budget: usable rates never sum up to more than the own rates, whatever is lost or late."""
+"""The slow-start budget: the usable rates never exceed the sum of own rates, even if messages are lost or late."""
 
 from dataclasses import replace
 
@@ -29,7 +29,7 @@
 
 
 class CountsUnacknowledgedCaps(BudgetAllocator):
-    """Counts on a cap that the broker has not acknowledged."""
+    """Relies on a cap before the broker has acknowledged the grant."""
 
     def max_usable_rate(self, now_ms, allocation):
         if allocation.grants and allocation.acknowledged_request not in allocation.grants:
@@ -38,7 +38,7 @@
 
 
 class CountsOnlyTheLastGrant(BudgetAllocator):
-    """Forgets that an earlier grant may still be in force."""
+    """Ignores that an earlier grant may still be in force."""
 
     def max_usable_rate(self, now_ms, allocation):
         all_grants = allocation.grants
@@ -64,13 +64,15 @@
 
 
 class GrantsAtOnce(BudgetAllocator):
+    """Issues grants while those of the previous allocator may still be in force."""
+
     def start(self, now_ms):
         super().start(now_ms)
         self.leader_since_ms = -1e9
 
 
 class CountsFromTheReply(BrokerBudget):
-    """Counts a grant from when the reply arrived, not from when it was requested."""
+    """Counts a grant from the arrival of the reply instead of from before the request was sent."""
 
     def apply_reply(self, now_ms, reply):
         if reply.seq in self.request_times:
@@ -79,7 +81,7 @@
 
 
 class IgnoresTheCap(BrokerBudget):
-    """Goes back to its own rate as soon as its grant has expired."""
+    """Returns to its own rate as soon as its grant has expired."""
 
     def _usable_rate(self, resource, now_ms, own_rate):
         resource.own_rate = own_rate
@@ -87,12 +89,14 @@
 
 
 class NeverExpires(BrokerBudget):
+    """Uses a grant forever."""
+
     def _usable_rate(self, resource, now_ms, own_rate):
         resource.own_rate = own_rate
         return resource.granted_rate if resource.granted_until_ms > 0 else own_rate
 
 
-def test_usable_rates_stay_within_the_own_rates_whatever_is_lost_late_or_replaced():
+def test_usable_rates_never_exceed_the_own_rates_despite_loss_delay_and_new_allocators():
     max_used = replies = 0
     for seed in range(150):
         world = World(seed, loss=(0.0, 0.2, 0.6)[seed % 3])
@@ -101,11 +105,11 @@
         max_used = max(max_used, world.max_used)
         replies += world.replies
     assert replies > 10_000
-    assert max_used > 0.99  # the budget is used up, not left idle
+    assert max_used > 0.99  # the budget is also fully used
 
 
 @pytest.mark.parametrize(
-    "kinds",
+    "changes",
     [
         {"allocator": CountsUnacknowledgedCaps},
         {"allocator": CountsOnlyTheLastGrant},
@@ -114,23 +118,23 @@
         {"budget": CountsFromTheReply},
         {"budget": IgnoresTheCap},
         {"budget": NeverExpires},
-        {"rate": 0.4},
+        {"clock_rate": 0.4},
     ],
-    ids=lambda kinds: "clocks beyond the bound" if "rate" in kinds else next(iter(kinds.values())).__name__,
+    ids=lambda changes: "clocks beyond the bound" if "clock_rate" in changes else next(iter(changes.values())).__name__,
 )
-def test_each_defect_exceeds_the_budget(kinds):
+def test_each_defect_exceeds_the_budget(changes):
     for seed in range(300):
         try:
-            World(seed, loss=0.2, **kinds).run(20_000)
+            World(seed, loss=0.2, **changes).run(20_000)
         except BudgetExceededError:
             return
-    pytest.fail("no seed shows it")
+    pytest.fail("no seed exceeds the budget")
 
 
 def exchange(allocator, budgets, now, demands, own_rates, rounds=4):
-    """Brokers send requests in turn, and every reply arrives. Returns the rates that they may use then."""
-    for r in range(rounds):
-        at = now + r * 200.0
+    """Brokers send requests in turn, and every reply arrives. Returns the rates that they may use after that."""
+    for number in range(rounds):
+        at = now + number * 200.0
         for budget, demand, own_rate in zip(budgets, demands, own_rates, strict=True):
             budget.update_warming_servers(at, {NODE: ResourceKey(SERVER, START)})
             budget.server_rate(at, NODE, own_rate, 1.0, 1, 1)
@@ -148,29 +152,29 @@
     return [budget.server_rate(at, NODE, own, 1.0, 1, 1) for budget, own in zip(budgets, own_rates, strict=True)]
 
 
-def fleet(n):
+def allocator_and_budgets(broker_count):
     allocator = BudgetAllocator("d", DUTY, TIMING)
     allocator.start(0.0)
-    return allocator, [BrokerBudget(f"b{i}", DUTY, TIMING, i) for i in range(n)]
+    return allocator, [BrokerBudget(f"b{i}", DUTY, TIMING, i) for i in range(broker_count)]
 
 
 def test_rate_that_some_brokers_leave_unused_is_granted_to_those_that_need_more():
-    allocator, budgets = fleet(4)
-    got = exchange(allocator, budgets, 2000.0, demands=[0.0, 0.0, 10.0, 1.5], own_rates=[1.0] * 4)
-    assert got == pytest.approx([0.0, 0.0, 2.5, 1.5])
-    # All need less: each gets its own rate back in the end.
-    got = exchange(allocator, budgets, 2900.0, demands=[0.1] * 4, own_rates=[1.0] * 4, rounds=12)
-    assert got == pytest.approx([1.0] * 4)
+    allocator, budgets = allocator_and_budgets(4)
+    rates = exchange(allocator, budgets, 2000.0, demands=[0.0, 0.0, 10.0, 1.5], own_rates=[1.0] * 4)
+    assert rates == pytest.approx([0.0, 0.0, 2.5, 1.5])
+    # When all need less, each gets its own rate back in the end.
+    rates = exchange(allocator, budgets, 2900.0, demands=[0.1] * 4, own_rates=[1.0] * 4, rounds=12)
+    assert rates == pytest.approx([1.0] * 4)
 
 
 def test_without_an_allocator_and_soon_after_it_started_brokers_use_their_own_rates():
-    allocator, budgets = fleet(3)
+    allocator, budgets = allocator_and_budgets(3)
     own_rates = [1.0, 2.0, 3.0]
     assert exchange(allocator, budgets, 10.0, demands=[0.0, 5.0, 5.0], own_rates=own_rates, rounds=1) == own_rates
     assert allocator.grants_issued == 0
-    got = exchange(allocator, budgets, 2000.0, demands=[0.0, 5.0, 5.0], own_rates=own_rates)
-    assert got == pytest.approx([0.0, 2.5, 3.5])
-    # No more replies: grants expire, caps hold on for a while, then all is as before.
+    rates = exchange(allocator, budgets, 2000.0, demands=[0.0, 5.0, 5.0], own_rates=own_rates)
+    assert rates == pytest.approx([0.0, 2.5, 3.5])
+    # Without further replies the grants expire, caps stay for a while, and then each broker uses its own rate.
     for at, usable in (
         (2600.0 + TIMING.broker_grant_ms, [0.0, 2.0, 3.0]),
         (2600.0 + TIMING.broker_cap_ms, [1.0, 2.0, 3.0]),
@@ -178,24 +182,24 @@
         assert usable_rates(budgets, at, own_rates) == usable
 
 
-def test_a_restarted_server_is_another_resource_and_a_warm_one_is_none():
-    allocator, budgets = fleet(2)
+def test_a_restarted_server_is_a_new_resource_and_a_warm_server_is_none():
+    allocator, budgets = allocator_and_budgets(2)
     assert exchange(allocator, budgets, 2000.0, demands=[0.0, 9.0], own_rates=[1.0, 1.0])[1] == pytest.approx(2.0)
     budgets[1].update_warming_servers(2700.0, {NODE: ResourceKey(SERVER, START + 1.0)})
     assert budgets[1].server_rate(2700.0, NODE, 1.0, 1.0, 1, 1) == 1.0
     late = BudgetReply("d", DUTY, 5, next(iter(budgets[1].request_times)), (BudgetGrant(SERVER, START, 9.0),))
-    budgets[1].apply_reply(2700.0, late)  # for the start before
+    budgets[1].apply_reply(2700.0, late)  # of the previous start
     assert budgets[1].server_rate(2700.0, NODE, 1.0, 1.0, 1, 1) == 1.0
     budgets[0].update_warming_servers(9000.0, {})
     assert budgets[0].server_rate(9000.0, NODE, 1.0, 1.0, 1, 1) == 1.0
     assert not budgets[0].create_requests(9000.0)
 
 
-def test_demand_counts_each_part_once_divided_by_the_servers_it_may_go_to():
+def test_demand_counts_each_part_once_divided_by_the_number_of_replicas():
     budget = BrokerBudget("b", DUTY, TIMING, 1)
     budget.update_warming_servers(0.0, {1: ResourceKey("one", 1.0), 2: ResourceKey("two", 1.0)})
     for part in (10, 11):
-        for _ in range(5):  # looked at again and again while it waits
+        for _ in range(5):  # the decisions ask repeatedly while a part waits
             budget.server_rate(100.0, 1, 0.5, 0.25, part, 2)
             budget.server_rate(100.0, 2, 0.5, 0.25, part, 2)
     (request,) = budget.create_requests(1000.0)
@@ -204,7 +208,7 @@
     assert all(demand.own_rate == 0.5 and demand.acknowledged_request == 0 for demand in request.demands)
 
 
-def test_many_servers_take_several_requests_the_largest_differences_first():
+def test_many_servers_are_reported_in_several_requests_with_the_largest_differences_first():
     budget = BrokerBudget("b", DUTY, TIMING, 1)
     budget.update_warming_servers(0.0, {i: ResourceKey(f"s{i:03}", 1.0) for i in range(400)})
     budget.server_rate(10.0, 300, 1.0, 1.0, 1, 1)
@@ -215,42 +219,49 @@
     assert len({request.seq for request in requests}) == 8
 
 
-def test_a_recovering_site_has_a_budget_as_a_server_has():
-    allocator, budgets = fleet(2)
-    for r in range(4):
-        at = 2000.0 + r * 200.0
+def test_a_recovering_site_has_a_budget_like_a_server():
+    allocator, budgets = allocator_and_budgets(2)
+    for number in range(4):
+        at = 2000.0 + number * 200.0
         for budget, demand in zip(budgets, (0.1, 4.0), strict=True):
             budget.recovering_site_rate(at, "east", 1.0, demand)
             for request in budget.create_requests(at):
                 budget.apply_reply(at, allocator.handle_request(at, 5, request))
     assert [budget.recovering_site_rate(2700.0, "east", 1.0, 1.0) for budget in budgets] == pytest.approx([0.1, 1.9])
-    assert not budgets[0].create_requests(2800.0) or budgets[0].sites  # reported once more, then it has recovered
+    assert (
+        not budgets[0].create_requests(2800.0) or budgets[0].sites
+    )  # reported once more before it counts as recovered
     assert not budgets[0].create_requests(9000.0)
     assert not budgets[0].sites
 
 
 def test_fair_rates_are_max_min_fair_and_sum_up_to_the_own_rates():
-    book = {"a": RateDemand(2.0, 0.5), "b": RateDemand(1.0, 1.2), "c": RateDemand(1.0, 9.0), "d": RateDemand(0.0, 9.0)}
-    parts = {b: fair_rate(book, b) for b in book}
-    assert sum(parts.values()) == pytest.approx(4.0)
-    assert parts["a"] == pytest.approx(0.5)
-    assert parts["b"] == pytest.approx(1.2)
-    assert parts["c"] - 1.0 == pytest.approx(parts["d"])
+    demands = {
+        "a": RateDemand(2.0, 0.5),
+        "b": RateDemand(1.0, 1.2),
+        "c": RateDemand(1.0, 9.0),
+        "d": RateDemand(0.0, 9.0),
+    }
+    rates = {broker: fair_rate(demands, broker) for broker in demands}
+    assert sum(rates.values()) == pytest.approx(4.0)
+    assert rates["a"] == pytest.approx(0.5)
+    assert rates["b"] == pytest.approx(1.2)
+    assert rates["c"] - 1.0 == pytest.approx(rates["d"])
 
 
 def test_messages_of_the_budget_are_decoded_or_rejected():
-    ask = BudgetRequest("b", DUTY, 3, (BudgetDemand(SERVER, START, 1.0, 2.0, 0),))
-    assert decode_peer_message(encode(ask)) == ask
-    dealt = BudgetReply("d", DUTY, 9, 3, (BudgetGrant(SERVER, START, 2.0),))
-    assert decode_peer_message(encode(dealt)) == dealt
-    for server, own in ((SERVER, -1.0), (SERVER, float("nan")), ("", 1.0)):
-        bad = BudgetDemand(server, START, own, 1.0, 0)
+    request = BudgetRequest("b", DUTY, 3, (BudgetDemand(SERVER, START, 1.0, 2.0, 0),))
+    assert decode_peer_message(encode(request)) == request
+    reply = BudgetReply("d", DUTY, 9, 3, (BudgetGrant(SERVER, START, 2.0),))
+    assert decode_peer_message(encode(reply)) == reply
+    for server, own_rate in ((SERVER, -1.0), (SERVER, float("nan")), ("", 1.0)):
+        invalid = BudgetDemand(server, START, own_rate, 1.0, 0)
         with pytest.raises(MalformedMessageError):
-            decode_peer_message(encode(BudgetRequest("b", DUTY, 3, (bad,))))
+            decode_peer_message(encode(BudgetRequest("b", DUTY, 3, (invalid,))))
 
 
 def test_allocations_of_silent_brokers_are_dropped():
-    allocator, budgets = fleet(3)
+    allocator, budgets = allocator_and_budgets(3)
     exchange(allocator, budgets, 2000.0, demands=[0.0, 9.0, 9.0], own_rates=[1.0] * 3)
     late = BrokerBudget("x", DUTY, TIMING, 9)
     for at in (2600.0 + 2 * TIMING.allocator_cap_ms, 2600.0 + 6 * TIMING.allocator_cap_ms):
@@ -262,68 +273,80 @@
 
 
 def test_durations_leave_time_for_the_drift_of_both_clocks():
-    lengths = BudgetTiming(1000.0, 0.1)
-    assert lengths.broker_grant_ms / (1 - 0.1) <= lengths.allocator_grant_ms / (1 + 0.1) + 1e-9
-    assert lengths.allocator_cap_ms / (1 - 0.1) <= lengths.broker_cap_ms / (1 + 0.1) + 1e-9
+    timing = BudgetTiming(1000.0, 0.1)
+    assert timing.broker_grant_ms / (1 - 0.1) <= timing.allocator_grant_ms / (1 + 0.1) + 1e-9
+    assert timing.allocator_cap_ms / (1 - 0.1) <= timing.broker_cap_ms / (1 + 0.1) + 1e-9
 
 
 # -- the decisions use the budget
 
 
 class FixedBudget:
-    """Allows the same rate everywhere, and records what it was asked."""
+    """A budget that gives the same rate for every server, and records the arguments of its calls."""
 
-    def __init__(self, pace):
-        self.pace, self.asked = pace, []
+    def __init__(self, rate):
+        self.rate, self.calls = rate, []
 
-    def server_rate(self, now_ms, node, own, times, part, among):
-        self.asked.append((node, own, times, part, among))
-        return self.pace
+    def server_rate(self, now_ms, node, own_rate, rate_multiplier, part, replica_count):
+        self.calls.append((node, own_rate, rate_multiplier, part, replica_count))
+        return self.rate
 
 
-def cold_bench(allowance):
-    """One server, warm while the record is made, then started anew."""
-    b = Harness(endpoints=[endpoint(10, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0, max_attempts=50)
-    b.aggregator.slow_start.budget = allowance
-    b.learn_latency(queries=10)
-    b.step(api.EndpointUpdate(api.UpdateKind.DELTA, (endpoint(10, 0, started_ms=b.now),)))
-    return b
+def harness_with_restarted_server(budget):
+    """One server, whose latency is learned while it is warm, and which then restarts."""
+    harness = Harness(
+        endpoints=[endpoint(10, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0, max_attempts=50
+    )
+    harness.aggregator.slow_start.budget = budget
+    harness.learn_latency(queries=10)
+    harness.step(api.EndpointUpdate(api.UpdateKind.DELTA, (endpoint(10, 0, started_ms=harness.now),)))
+    return harness
 
 
-def sent_in(b, ms):
+def attempts_sent_within(harness, ms):
+    """Submits 20 queries and returns how many attempts are sent within this time."""
     for _ in range(20):
-        b.query(ALL, parts=1)
-    b.actions.clear()
-    return len(actions_of(api.Send, b.advance(ms)))
-
-
-def test_a_cold_server_gets_what_was_dealt_in_the_place_of_the_own_share():
-    own = sent_in(cold_bench(None), 900.0)
-    much, little = FixedBudget(0.1), FixedBudget(1e-6)
-    assert sent_in(cold_bench(much), 900.0) > own >= sent_in(cold_bench(little), 900.0)
-    assert {(node, among) for node, *_, among in much.asked} == {(10, 1)}
-    assert len({part for *_, part, _ in much.asked}) == 20  # each part that would go there is named
-    assert all(0.2 * 2.0 * 0.75 <= times < 2.0 for _, _, times, _, _ in much.asked)
+        harness.query(ALL, parts=1)
+    harness.actions.clear()
+    return len(actions_of(api.Send, harness.advance(ms)))
+
+
+def test_the_budget_replaces_the_own_rate_of_a_server_that_is_warming_up():
+    sent_without_budget = attempts_sent_within(harness_with_restarted_server(None), 900.0)
+    large, small = FixedBudget(0.1), FixedBudget(1e-6)
+    assert (
+        attempts_sent_within(harness_with_restarted_server(large), 900.0)
+        > sent_without_budget
+        >= attempts_sent_within(harness_with_restarted_server(small), 900.0)
+    )
+    assert {(node, replica_count) for node, *_, replica_count in large.calls} == {(10, 1)}
+    assert len({part for *_, part, _ in large.calls}) == 20  # one for each part that would go to the server
+    assert all(0.2 * 2.0 * 0.75 <= multiplier < 2.0 for _, _, multiplier, _, _ in large.calls)
 
 
-def test_a_server_that_died_in_own_sight_is_fed_by_the_own_share_whatever_was_dealt():
-    b, much = (
+def test_a_server_whose_failure_the_broker_observed_gets_the_own_rate_despite_the_budget():
+    harness, large = (
         Harness(endpoints=[endpoint(10, 0)], cells_per_shard=1, cell_count=1, retry_budget_min=1000.0, max_attempts=50),
         FixedBudget(10.0),
     )
-    b.aggregator.slow_start.budget = much
-    b.learn_latency(queries=10)
-    _, sends = b.query(ALL, parts=1)
-    b.complete(actions_of(api.Send, sends)[0].part, api.Outcome.CONNECT_FAILED)
-    b.advance(500.0)
-    assert much.asked == []
-    assert b.aggregator.slow_start.capacity_fraction(b.aggregator.endpoints.servers[10], b.now) == 0.2
-
-
-def test_a_returning_site_of_ones_own_is_let_in_by_what_was_dealt():
-    def pace(dealt):
+    harness.aggregator.slow_start.budget = large
+    harness.learn_latency(queries=10)
+    _, sends = harness.query(ALL, parts=1)
+    harness.complete(actions_of(api.Send, sends)[0].part, api.Outcome.CONNECT_FAILED)
+    harness.advance(500.0)
+    assert large.calls == []
+    assert harness.aggregator.slow_start.capacity_fraction(harness.aggregator.endpoints.servers[10], harness.now) == 0.2
+
+
+def test_the_budget_replaces_the_own_rate_of_the_own_site_while_it_recovers():
+    def site_rate(budget_rate):
+        """Returns the rate for the own site, where the budget returns `budget_rate(own_rate, demand_rate)`."""
         preference = LocalityPreference(site_policy(brokers=(4, 4)), 1)
-        budget = type("Dealt", (), {"recovering_site_rate": lambda self, now, name, own, wanted: dealt(own, wanted)})()
+        budget = type(
+            "Budget",
+            (),
+            {"recovering_site_rate": lambda self, now, name, own_rate, demand_rate: budget_rate(own_rate, demand_rate)},
+        )()
         preference.use_slow_start_budget(budget)
         availability = preference.own.availability
         availability.state = SiteState.RECOVERING
@@ -341,13 +364,13 @@
         preference.observe(200.0, [])
         return preference.own.bucket.rate
 
-    asked = []
-    own = pace(lambda own, wanted: asked.append((own, wanted)) or own)
-    assert pace(lambda own, wanted: 2.0 * own) == pytest.approx(2.0 * own)
-    assert asked[-1][1] > 2.0 * asked[-1][0]
+    calls = []
+    own = site_rate(lambda own_rate, demand_rate: calls.append((own_rate, demand_rate)) or own_rate)
+    assert site_rate(lambda own_rate, demand_rate: 2.0 * own_rate) == pytest.approx(2.0 * own)
+    assert calls[-1][1] > 2.0 * calls[-1][0]
 
 
-def test_clients_that_moved_to_a_few_brokers_while_all_was_cold_are_served_sooner():
+def test_sharing_the_budget_helps_clients_that_move_to_a_few_brokers_while_all_servers_warm_up():
     separate, shared = release_and_shift(1, shares_budget=False), release_and_shift(1, shares_budget=True)
     assert shared["ms"] < 0.9 * separate["ms"]
     assert shared["answered"] > separate["answered"]
