--- a/tests/test_budget_exchange.py
+++ b/tests/test_budget_exchange.py
@@ -1,4 +1,4 @@
-"""The slow-start budget shared by brokers as processes, while servers restart and the allocator stalls."""
+"""Broker processes share the slow-start budget while servers restart and the allocator stalls."""
 
 import asyncio
 import signal
@@ -11,19 +11,23 @@
 from badgerbend.standin.client import Client
 from badgerbend.standin.scene import Scene
 from tests.sockets import until
-from tests.test_duty_failover import play
+from tests.test_duty_failover import run_scene
 
 QUERY = "{ fullQuote(blocks: [0], amount: 5) { id } }"
 
 
 def grants(stage, since):
-    """Replies with grants: sender, receiver and message."""
-    found = [(r, message_of(r["data"])) for r in stage.lines[since:] if r["k"] == "passed"]
-    return [(str(r["from"]), str(r["to"]), m) for r, m in found if isinstance(m, BudgetReply) and m.grants]
+    """Returns the delivered replies that contain grants: sender, receiver and message."""
+    delivered = [(row, message_of(row["data"])) for row in stage.lines[since:] if row["k"] == "passed"]
+    return [
+        (str(row["from"]), str(row["to"]), message)
+        for row, message in delivered
+        if isinstance(message, BudgetReply) and message.grants
+    ]
 
 
 def own_rates(stage, name):
-    """A broker's own rate for each resource, as last reported."""
+    """Returns a broker's own rate for each resource, as last reported."""
     rates = {}
     for row in stage.lines:
         message = message_of(row["data"]) if row["from"] == name else None
@@ -33,7 +37,7 @@
 
 
 class Traffic:
-    """Many clients at one broker, one now and then at the others."""
+    """Many busy clients at one broker, and one client with few queries at each of the others."""
 
     def __init__(self, stage, busy):
         self.outcomes = []
@@ -59,10 +63,10 @@
 
 
 def test_the_busy_broker_is_granted_what_others_leave_unused_and_a_stalled_allocator_does_no_harm(tmp_path):
-    seen = {}
+    results = {}
 
     async def main(stage):
-        busy = stage.names[0]  # a voter: the lease goes to others in the end
+        busy = stage.names[0]  # a voter, so that other brokers are preferred as holders of the lease
         traffic = Traffic(stage, busy)
 
         async def restart_servers():
@@ -70,7 +74,7 @@
                 await stage.world.restart(name)
 
         def large_grants(since):
-            """Senders of replies that granted the busy broker more than its own rate."""
+            """Returns the senders of replies that granted the busy broker more than its own rate."""
             own = own_rates(stage, busy)
             return [
                 sender
@@ -79,44 +83,45 @@
                 and any(grant.rate > 1.2 * own.get(grant.resource, 1e9) > 0 for grant in reply.grants)
             ]
 
-        def others(since, but):
-            return [sender for sender in large_grants(since) if sender != but]
+        def large_grants_of_others(since, excluded):
+            return [sender for sender in large_grants(since) if sender != excluded]
 
-        async def until_large_grant(but=""):
-            """Waits for such a reply of another sender than `but`, and returns the sender.
+        async def until_large_grant(excluded=""):
+            """Waits for such a reply of a sender other than `excluded`, and returns the sender.
 
-            Servers are restarted again whenever they have warmed up before.
+            The servers are restarted again if they have warmed up by then.
             """
             since = len(stage.lines)
-            while not others(since, but):
+            while not large_grants_of_others(since, excluded):
                 await restart_servers()
                 for _ in range(400):
-                    if others(since, but):
+                    if large_grants_of_others(since, excluded):
                         break
                     await asyncio.sleep(0.01)
-            return others(since, but)[0]
+            return large_grants_of_others(since, excluded)[0]
 
         await until(lambda: traffic.outcomes.count("answered") > 200)
-        allocator = await until_large_grant(but=busy)
+        allocator = await until_large_grant(excluded=busy)
         stage.processes[allocator].send(signal.SIGSTOP)
-        await until_large_grant(but=allocator)
+        await until_large_grant(excluded=allocator)
         since = len(stage.lines)
         stage.processes[allocator].send(signal.SIGCONT)
-        await until(lambda: any(r["from"] == allocator for r in stage.lines[since:]))
+        await until(lambda: any(row["from"] == allocator for row in stage.lines[since:]))
         await until_large_grant()
         await traffic.stop()
-        seen.update(outcomes=traffic.outcomes, finding=judge_deals(stage.lines, 1000.0))
+        results.update(outcomes=traffic.outcomes, finding=judge_deals(stage.lines, 1000.0))
 
-    judged, _ = play(tmp_path, main, Scene(seconds=1.0, brokers=4, voters=3, drift=0.01))
-    finding = seen["finding"]
+    judged, _ = run_scene(tmp_path, main, Scene(seconds=1.0, brokers=4, voters=3, drift=0.01))
+    finding = results["finding"]
     assert finding.checked > 20
     assert finding.cases == []
     assert {holding.duty for holding in judged.holdings} >= {SLOW_START_DUTY}
-    assert seen["outcomes"].count("broken") == 0
-    assert seen["outcomes"].count("answered") > 200
+    assert results["outcomes"].count("broken") == 0
+    assert results["outcomes"].count("answered") > 200
 
 
-def line(t, source, to, message):
+def delivered_datagram(t, source, to, message):
+    """Returns the rig's record of a datagram that arrived."""
     data = bytes(HEADER.size) + wire.encode_peer_message(message) + bytes(MAC_BYTES)
     return {"k": "passed", "t": t, "from": source, "to": to, "data": data}
 
@@ -124,7 +129,7 @@
 def test_the_auditor_finds_grants_beyond_the_own_rates():
     def lines(rate):
         requests = [
-            line(
+            delivered_datagram(
                 float(i),
                 f"b{i}",
                 "d",
@@ -134,12 +139,14 @@
         ]
         return [
             *requests,
-            line(10.0, "d", "b1", BudgetReply("d", SLOW_START_DUTY, 4, 1, (BudgetGrant("s", 1.0, rate),))),
+            delivered_datagram(
+                10.0, "d", "b1", BudgetReply("d", SLOW_START_DUTY, 4, 1, (BudgetGrant("s", 1.0, rate),))
+            ),
         ]
 
     assert judge_deals(lines(1.0), 1000.0).cases == []
     assert len(judge_deals(lines(1.5), 1000.0).cases) == 1
-    less = line(9.0, "d", "b0", BudgetReply("d", SLOW_START_DUTY, 4, 1, (BudgetGrant("s", 1.0, 0.5),)))
-    assert judge_deals([*lines(1.5), less], 1000.0).cases == []  # another may use what one gave up
-    late = line(5000.0, "d", "b2", BudgetReply("d", SLOW_START_DUTY, 4, 1, (BudgetGrant("s", 1.0, 9.0),)))
-    assert judge_deals([*lines(1.0), late], 1000.0).cases == []  # expired before it arrived
+    less = delivered_datagram(9.0, "d", "b0", BudgetReply("d", SLOW_START_DUTY, 4, 1, (BudgetGrant("s", 1.0, 0.5),)))
+    assert judge_deals([*lines(1.5), less], 1000.0).cases == []  # one broker may use what another gave up
+    late = delivered_datagram(5000.0, "d", "b2", BudgetReply("d", SLOW_START_DUTY, 4, 1, (BudgetGrant("s", 1.0, 9.0),)))
+    assert judge_deals([*lines(1.0), late], 1000.0).cases == []  # the grant has expired before it arrives
--- a/tests/test_duty_failover.py
+++ b/tests/test_duty_failover.py
@@ -1,4 +1,8 @@
-"""Brokers as processes with a rig between them: who acts, judged by what passed. Waits are for that, not for times."""
+"""Failover of a duty among broker processes: at most one broker acts on it at a time, whatever fails.
+
+A rig between the processes records their datagrams, from which the auditor judges who acted. The tests wait for
+recorded events and not for fixed times.
+"""
 
 import asyncio
 import signal
@@ -14,141 +18,148 @@
 from badgerbend.standin.scene import Scene, Stage
 from tests.sockets import until
 
-LIMIT_S = 100.0  # a test that hangs fails by this; no verdict rests on it otherwise
+TIMEOUT_S = 100.0  # ends a test that hangs; no other verdict depends on it
+
+
+def run_scene(tmp_path, main, scene):
+    """Runs `main` on the started stage of a scene. Returns the auditor's judgement and the brokers' exit statuses.
 
+    Fails if a rule of the auditor was broken, or had nothing to check.
+    """
 
-def play(tmp_path, main, scene):
-    async def staged():
-        async with asyncio.timeout(LIMIT_S):
+    async def run_stage():
+        async with asyncio.timeout(TIMEOUT_S):
             stage = Stage(scene, tmp_path, {"probe_every_ms": 40.0})
             try:
                 await stage.start()
                 await main(stage)
             finally:
-                ends = await stage.stop()
-            return judge(stage.lines), ends
+                exit_statuses = await stage.stop()
+            return judge(stage.lines), exit_statuses
 
-    judged, ends = uvloop.run(staged())
-    assert [(f.name, f.cases) for f in judged.findings if f.cases] == []
-    assert all(f.checked for f in judged.findings)
-    return judged, ends
+    judged, exit_statuses = uvloop.run(run_stage())
+    assert [(finding.name, finding.cases) for finding in judged.findings if finding.cases] == []
+    assert all(finding.checked for finding in judged.findings)
+    return judged, exit_statuses
 
 
-def acts_of(stage, name, since):
-    return any(r["from"] == name and r["k"] == "passed" and r["to"] == "doubter" for r in stage.lines[since:])
+def has_acted(stage, name, since):
+    """Whether a broker has sent a report of health checks, since this line, to the process that suspects servers."""
+    return any(row["from"] == name and row["k"] == "passed" and row["to"] == "doubter" for row in stage.lines[since:])
 
 
-def told_to_hold(stage, name):
-    """Whether a leader's last word to a broker said that it holds the lease of probing."""
-    messages = (message_of(r["data"]) for r in reversed(stage.lines) if r["to"] == name and r["k"] == "passed")
+def was_notified_as_holder(stage, name):
+    """Whether a broker holds the lease on health checks according to the last reply of a leader to it."""
+    messages = (message_of(row["data"]) for row in reversed(stage.lines) if row["to"] == name and row["k"] == "passed")
     leases = (lease for m in messages if isinstance(m, LeaseReply) and m.is_leader for lease in m.leases)
     return next((lease.holder == name for lease in leases if lease.duty == "probe"), False)
 
 
-def gave_back(stage, name, since):
-    """Whether a broker has told all other voters that it departs, and that it returns its lease of probing."""
-    messages = ((r["to"], message_of(r["data"])) for r in stage.lines[since:] if r["from"] == name)
+def has_returned_lease(stage, name, since):
+    """Whether a broker has sent all other voters its departure and the return of its lease on health checks."""
+    messages = ((row["to"], message_of(row["data"])) for row in stage.lines[since:] if row["from"] == name)
     returns = ((to, m) for to, m in messages if isinstance(m, LeaseReturn) and m.is_departing)
     notified = {to for to, message in returns if "probe" in {lease.duty for lease in message.returned_leases}}
     return notified >= set(stage.voters) - {name}
 
 
-async def another_holds(stage, old):
-    """Until somebody else's acts arrive; who that is."""
+async def wait_for_new_holder(stage, old):
+    """Waits until a report of a broker other than `old` arrives, and returns the holder."""
     since = len(stage.lines)
-    await until(lambda: any(acts_of(stage, n, since) for n in stage.names if n != old))
+    await until(lambda: any(has_acted(stage, name, since) for name in stage.names if name != old))
     return stage.holder()
 
 
-def test_the_holder_stops_ends_is_killed_and_cut_off_and_one_acts_at_a_time(tmp_path):
+def test_one_broker_acts_at_a_time_when_the_holder_stalls_stops_is_killed_or_is_partitioned(tmp_path):
     async def main(stage):
-        old = stage.holder()  # it stands still, for longer than its lease, and goes on
+        old = stage.holder()  # stalls for longer than its lease, and resumes
         stage.processes[old].send(signal.SIGSTOP)
-        new = await another_holds(stage, old)
+        new = await wait_for_new_holder(stage, old)
         since = len(stage.lines)
         stage.processes[old].send(signal.SIGCONT)
-        await until(lambda: any(r["from"] == old for r in stage.lines[since:]))  # it speaks again, and acts no more
-        await until(lambda: acts_of(stage, new, since))
-        assert not acts_of(stage, old, since)
+        await until(lambda: any(row["from"] == old for row in stage.lines[since:]))  # it sends again, but no reports
+        await until(lambda: has_acted(stage, new, since))
+        assert not has_acted(stage, old, since)
 
-        old = new  # it is told to end: what it holds goes on at once, and not after its lease
+        old = new  # shuts down: the duty is handed over at once instead of after the lease
         since = len(stage.lines)
         ended = asyncio.ensure_future(stage.processes[old].ended())
-        new = await another_holds(stage, old)
+        new = await wait_for_new_holder(stage, old)
         assert await ended == 0
-        assert any(r["from"] == old and r["to"] in stage.voters for r in stage.lines[since:])
+        assert any(row["from"] == old and row["to"] in stage.voters for row in stage.lines[since:])
         await stage.processes[old].start()
 
-        old = new
+        old = new  # is killed
         await stage.processes[old].killed()
-        new = await another_holds(stage, old)
+        new = await wait_for_new_holder(stage, old)
         await stage.processes[old].start()
 
-        old = new  # cut off from the others, voters or not, and from nobody else
-        stage.rig.between([old], [n for n in stage.names if n != old], cut=True)
-        new = await another_holds(stage, old)
+        old = new  # is partitioned from all other brokers, voters included, but from nothing else
+        stage.rig.between([old], [name for name in stage.names if name != old], cut=True)
+        new = await wait_for_new_holder(stage, old)
         stage.rig.heal()
         since = len(stage.lines)
-        await until(lambda: any(r["from"] == old and r["to"] in stage.voters for r in stage.lines[since:]))
-        await until(lambda: acts_of(stage, new, len(stage.lines) - 50 if len(stage.lines) > 50 else 0))
+        await until(lambda: any(row["from"] == old and row["to"] in stage.voters for row in stage.lines[since:]))
+        await until(lambda: has_acted(stage, new, len(stage.lines) - 50 if len(stage.lines) > 50 else 0))
 
-    judged, ends = play(tmp_path, main, Scene(seconds=1.0, drift=0.01))
+    judged, exit_statuses = run_scene(tmp_path, main, Scene(seconds=1.0, drift=0.01))
     assert len(judged.holdings) >= 5
-    assert ends == [0] * 5
+    assert exit_statuses == [0] * 5
 
 
-def test_the_leader_goes_and_two_of_three_voters_and_the_duty_is_held_again(tmp_path):
+def test_a_duty_gets_a_holder_again_after_the_loss_of_the_leader_and_then_of_two_of_three_voters(tmp_path):
     async def main(stage):
         leader = stage.leader()
         await stage.processes[leader].killed()
 
-        def leads(since):
-            found = [message_of(r["data"]) for r in stage.lines[since:] if r["k"] == "passed"]
-            return {m.source for m in found if isinstance(m, LeaseReply) and m.is_leader}
+        def leaders(since):
+            """Returns the voters that have replied as the leader since this line."""
+            messages = [message_of(row["data"]) for row in stage.lines[since:] if row["k"] == "passed"]
+            return {message.source for message in messages if isinstance(message, LeaseReply) and message.is_leader}
 
         since = len(stage.lines)
-        await until(lambda: leads(since) - {leader})
+        await until(lambda: leaders(since) - {leader})
         await stage.processes[leader].start()
-        pair = [*[n for n in stage.voters if n != stage.leader()][:1], stage.leader()]
+        pair = [*[name for name in stage.voters if name != stage.leader()][:1], stage.leader()]
         holder = stage.holder()
-        await asyncio.gather(*(stage.processes[n].killed() for n in pair))
+        await asyncio.gather(*(stage.processes[name].killed() for name in pair))
         since = len(stage.lines)
-        await until(lambda: sum(r["to"] in stage.voters for r in stage.lines[since:]) > 100)
-        assert not leads(since)  # no majority: nobody is given anything, and whoever held has stopped or will
-        await asyncio.gather(*(stage.processes[n].start() for n in pair))
+        await until(lambda: sum(row["to"] in stage.voters for row in stage.lines[since:]) > 100)
+        assert not leaders(since)  # without a majority no lease is granted or renewed, so that the holder stops
+        await asyncio.gather(*(stage.processes[name].start() for name in pair))
         since = len(stage.lines)
-        await until(lambda: any(acts_of(stage, n, since) for n in stage.names))
+        await until(lambda: any(has_acted(stage, name, since) for name in stage.names))
         assert holder in stage.names
 
-    play(tmp_path, main, Scene(seconds=1.0, brokers=4))
+    run_scene(tmp_path, main, Scene(seconds=1.0, brokers=4))
 
 
-def test_a_rolling_restart_hands_all_over_and_a_forged_act_takes_no_effect(tmp_path):
+def test_a_rolling_restart_hands_the_duty_over_and_a_forged_report_has_no_effect(tmp_path):
     async def main(stage):
         for name in stage.names:
-            since, acted, held = len(stage.lines), stage.holder() == name, told_to_hold(stage, name)
+            since, is_acting, was_holder = len(stage.lines), stage.holder() == name, was_notified_as_holder(stage, name)
             assert await stage.processes[name].ended() == 0
-            if acted:  # back only once another acts: a leader elected a moment ago would choose it once more
-                await another_holds(stage, name)
-                assert gave_back(stage, name, since) or not held
+            if is_acting:  # restart it only when another acts: a leader elected just now could choose it again
+                await wait_for_new_holder(stage, name)
+                assert has_returned_lease(stage, name, since) or not was_holder
             await stage.processes[name].start()
         since = len(stage.lines)
-        await until(lambda: any(acts_of(stage, n, since) for n in stage.names))
-        # an act under an epoch of the far future, from one without the key; and an old datagram once more
+        await until(lambda: any(has_acted(stage, name, since) for name in stage.names))
+        # A report under a very high epoch, sealed with a wrong key, and a replayed datagram.
         name = stage.names[0]
         target, front = stage.rig.fronts[name].real, stage.rig.fronts["doubter"].transport
-        act = wire.encode_peer_message(ProbeReport("doubter", "probe", 1 << 40, ()))
+        report = wire.encode_peer_message(ProbeReport("doubter", "probe", 1 << 40, ()))
         front.sendto(
-            DatagramSealer((b"another key, not theirs",), 1).seal(act, sender_id(stage.doubter.own_address)), target
+            DatagramSealer((b"another key, not theirs",), 1).seal(report, sender_id(stage.doubter.own_address)), target
         )
-        said = [r["data"] for r in stage.lines if (r["from"], r["to"]) == ("doubter", name)]
-        front.sendto(said[-1], target)
+        recorded = [row["data"] for row in stage.lines if (row["from"], row["to"]) == ("doubter", name)]
+        front.sendto(recorded[-1], target)
         port = stage.processes[name].settings.listen.port
         while (await fetch(port, "/duties"))["refused"] < 2:
             await asyncio.sleep(0.01)
         since = len(stage.lines)
-        await until(lambda: any(acts_of(stage, n, since) for n in stage.names))
+        await until(lambda: any(has_acted(stage, name, since) for name in stage.names))
 
-    judged, ends = play(tmp_path, main, Scene(seconds=1.0, brokers=4))
-    assert len({h.holder for h in judged.holdings}) >= 2
-    assert ends == [0] * 4
+    judged, exit_statuses = run_scene(tmp_path, main, Scene(seconds=1.0, brokers=4))
+    assert len({holding.holder for holding in judged.holdings}) >= 2
+    assert exit_statuses == [0] * 4
--- a/tests/test_wire_bytes_leases.py
+++ b/tests/test_wire_bytes_leases.py
@@ -1,4 +1,7 @@
-"""Commands, messages and acts of duties, and the datagrams around them, keep their bytes."""
+"""The encoding of the commands and messages of leases, and of their datagrams, stays the same.
+
+A changed encoding would make brokers and voters of two versions misread each other during a rolling upgrade.
+"""
 
 import typing
 
@@ -76,7 +79,7 @@
     ),
 }
 
-ACTS = {
+PEER_MESSAGES = {
     "duties/act/suspects": SuspicionReport(source="b2", duty="probe:north", servers=("s1", "s2")),
     "duties/act/probe-results": ProbeReport(
         source="b1",
@@ -117,26 +120,26 @@
     assert_same_bytes(key, MESSAGES[key], encode, decode)
 
 
-@pytest.mark.parametrize("key", ACTS)
-def test_act_keeps_its_bytes(key):
-    assert_same_bytes(key, ACTS[key], encode, decode_peer_message)
+@pytest.mark.parametrize("key", PEER_MESSAGES)
+def test_peer_message_keeps_its_bytes(key):
+    assert_same_bytes(key, PEER_MESSAGES[key], encode, decode_peer_message)
 
 
-def test_response_without_wait_is_decoded_with_its_default():
+def test_reply_without_a_request_delay_is_decoded_with_the_default():
     expected = LeaseReply(source="v0", seq=7, leader="", is_leader=False, leases=(), request_delay_s=0.0)
     assert decode(bytes.fromhex("9603a2763007a0c290")) == expected
 
 
-def test_every_command_message_and_act_has_a_fixture():
+def test_every_command_and_message_has_a_fixture():
     assert {type(command) for command in COMMANDS.values()} == set(typing.get_args(Command))
     assert {type(message) for message in MESSAGES.values()} == set(typing.get_args(Message))
-    assert {type(act) for act in ACTS.values()} == set(typing.get_args(PeerMessage))
+    assert {type(message) for message in PEER_MESSAGES.values()} == set(typing.get_args(PeerMessage))
     assert fixture_keys("duties/command/") == set(COMMANDS)
     assert fixture_keys("duties/message/") == set(MESSAGES)
-    assert fixture_keys("duties/act/") == set(ACTS)
+    assert fixture_keys("duties/act/") == set(PEER_MESSAGES)
 
 
-# -- datagrams: a letter before the message
+# -- datagrams: a one-byte tag before the message
 
 
 @pytest.mark.parametrize("key", CONSENSUS_MESSAGES)
@@ -154,8 +157,8 @@
     assert wire.decode(expected) == MESSAGES[key]
 
 
-@pytest.mark.parametrize("key", ACTS)
+@pytest.mark.parametrize("key", PEER_MESSAGES)
 def test_datagram_between_brokers(key):
     expected = b"a" + fixture_bytes(key)
-    assert wire.encode_peer_message(ACTS[key]) == expected
-    assert wire.decode(expected) == ACTS[key]
+    assert wire.encode_peer_message(PEER_MESSAGES[key]) == expected
+    assert wire.decode(expected) == PEER_MESSAGES[key]
