--- a/badgerbend/consensus/__init__.py
+++ b/badgerbend/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Consensus on one replicated log among a few voters: Raft, without a clock, a socket or a disk of its own."""
+"""Consensus on one replicated log among a few voters: Raft as a state machine without a clock, sockets or disk I/O."""
--- a/badgerbend/consensus/durability.py
+++ b/badgerbend/consensus/durability.py
@@ -1,6 +1,7 @@
 """Records that are not on disk yet, and the messages that wait for them.
 
-Records are numbered in their order. The owner persists them and reports up to which number they are on disk.
+Records are numbered in the order in which they are written. The owner of the voter persists them and reports the number
+up to which they are on disk.
 """
 
 from __future__ import annotations
@@ -31,8 +32,8 @@
 class Durability:
     """Tracks which records are on disk, and releases messages that wait for one.
 
-    last_sequence: the number of the last record. persisted_sequence: of the last one on disk. persisted_index: the
-    index of the last entry on disk. records, messages: what was not taken yet.
+    last_sequence: the number of the last record. persisted_sequence: the number of the last one on disk.
+    persisted_index: the index of the last entry on disk. records, messages: those that the owner has not taken yet.
     """
 
     def __init__(self, last_index: int) -> None:
@@ -51,19 +52,22 @@
         return self.last_sequence
 
     def write_entries(self, entries: Sequence[Entry]) -> None:
-        """Add entries in a row that replace all from the first one's index on."""
+        """Add contiguous entries, which replace all entries from the index of the first one on."""
         self._truncate(entries[0].index - 1)
         sequence = self.write(LogEntries(tuple(entries)))
         self.unpersisted_entries.append(UnpersistedEntries(sequence, entries[-1].index))
 
     def write_snapshot(self, snapshot: Snapshot, last_index: int) -> None:
-        """Add a snapshot that replaces the log's beginning. last_index: of the log with the snapshot in place."""
+        """Add a snapshot that replaces the beginning of the log.
+
+        last_index: the index of the last log entry once the snapshot is in place.
+        """
         self._truncate(last_index)
         sequence = self.write(snapshot)
         self.unpersisted_entries.append(UnpersistedEntries(sequence, snapshot.index))
 
     def send(self, to: str, message: Message, after: int) -> None:
-        """Send a message once the record with the number `after` is on disk; at once for 0."""
+        """Send a message once the record with the number `after` is on disk; 0 sends it immediately."""
         if after > self.persisted_sequence:
             self.deferred_messages.append(DeferredMessage(after, to, message))
         else:
@@ -80,19 +84,19 @@
             self.messages.append(OutboundMessage(deferred.to, deferred.message))
 
     def take_records(self) -> list[SequencedRecord]:
-        """Return the records that were written since the last call, in their order."""
+        """Return the records written since the last call, in order."""
         records = self.records
         self.records = []
         return records
 
     def take_messages(self) -> list[OutboundMessage]:
-        """Return the messages that may be sent and were not returned before."""
+        """Return the messages that may be sent and have not been returned before."""
         messages = self.messages
         self.messages = []
         return messages
 
     def _truncate(self, last_index: int) -> None:
-        """Entries beyond this index were replaced: no record written before makes the new ones durable."""
+        """Note that the entries after this index were replaced, so earlier records do not make the new ones durable."""
         self.persisted_index = min(self.persisted_index, last_index)
         self.unpersisted_entries = deque(
             UnpersistedEntries(entries.sequence, min(entries.last_index, last_index))
--- a/badgerbend/consensus/election.py
+++ b/badgerbend/consensus/election.py
@@ -1,7 +1,7 @@
-"""Elections: when a voter stands, whom it votes for, and the votes that it counts.
+"""Elections: when a voter starts one, which candidate it votes for, and how it counts votes.
 
-With pre-vote (Ongaro 2014, 9.6): a voter enters a new term only once a majority would vote for it, so that one that
-was cut off does not depose a leader when it returns.
+With pre-vote (Ongaro 2014, 9.6), a voter enters a new term only once a majority would vote for it. So a voter that
+returns from a network partition does not depose a working leader.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class OwnVote(NamedTuple):
-    """A candidate's vote for itself in a term, which counts once the record with this number is persisted."""
+    """A candidate's vote for itself in a term. It counts once the record with this sequence number is persisted."""
 
     sequence: int
     term: int
@@ -26,8 +26,8 @@
 class Election:
     """A voter's side of elections, as candidate and as voter.
 
-    deadline: when this voter stands unless it hears from a leader. votes: who voted for it in the running election.
-    leader_contact_at: when a leader was last heard.
+    deadline: when this voter starts an election unless it hears from a leader. votes: the voters that have voted for it
+    in the current election. leader_contact_at: the time of the last message from a leader.
     """
 
     def __init__(self, replica: Replica, seed: int, now: float) -> None:
@@ -40,16 +40,16 @@
         self.reset_deadline(now)
 
     def reset_deadline(self, now: float) -> None:
-        """Wait for one to two election timeouts from now on, by chance, so that few stand at the same time."""
+        """Wait for a random time of one to two election timeouts, so that voters rarely start elections together."""
         self.deadline = now + self.replica.config.election_timeout_s * self.rng.uniform(1.0, 2.0)
 
     def note_leader_contact(self, now: float) -> None:
-        """Note that the current leader has sent something."""
+        """Note that a message from the current leader has arrived."""
         self.leader_contact_at = now
         self.reset_deadline(now)
 
     def tick(self, now: float) -> None:
-        """Start an election where no leader was heard for too long."""
+        """Start an election if no leader has been heard from before the deadline."""
         if now < self.deadline:
             return
         self.reset_deadline(now)
@@ -57,7 +57,7 @@
             self._start_pre_vote(now)
 
     def campaign(self, now: float, *, leadership_transfer: bool = False) -> None:
-        """Stand in a new term. The vote for itself counts once it is persisted."""
+        """Become a candidate in a new term. The vote for itself counts once it is persisted."""
         replica = self.replica
         self._become(Role.CANDIDATE)
         sequence = replica.enter_next_term_as_candidate()
@@ -68,7 +68,7 @@
             replica.send_once_persisted(voter, request)
 
     def persisted(self, now: float) -> bool:
-        """Count the vote for itself once it is persisted; return whether the election is won."""
+        """Count this voter's vote for itself if it is now persisted; return whether the election is won."""
         own_vote = self._own_vote
         if own_vote is None or own_vote.sequence > self.replica.durability.persisted_sequence:
             return False
@@ -78,16 +78,16 @@
         return self.count_vote(now, self.replica.name)
 
     def handle_reply(self, now: float, reply: RequestVoteReply) -> bool:
-        """Count a voter's answer; return whether the election is won."""
+        """Count the vote in a reply, if it grants one; return whether the election is won."""
         replica = self.replica
-        asking_role = Role.PRE_CANDIDATE if reply.pre_vote else Role.CANDIDATE
-        asked_term = replica.term + 1 if reply.pre_vote else replica.term
-        if not reply.granted or replica.role is not asking_role or reply.term != asked_term:
+        expected_role = Role.PRE_CANDIDATE if reply.pre_vote else Role.CANDIDATE
+        expected_term = replica.term + 1 if reply.pre_vote else replica.term
+        if not reply.granted or replica.role is not expected_role or reply.term != expected_term:
             return False
         return self.count_vote(now, reply.source)
 
     def count_vote(self, now: float, voter: str) -> bool:
-        """Count a vote; return whether the election is won. A pre-vote that is won leads on to the election."""
+        """Count a vote; return whether the election is won. Winning a pre-vote starts the election itself."""
         self.votes.add(voter)
         if not is_majority(self.votes, self.replica.voters):
             return False
@@ -96,10 +96,11 @@
             return False
         return True
 
-    def disregards(self, now: float, request: RequestVote) -> bool:
-        """Whether a request gets no answer, since there is a leader.
+    def ignores(self, now: float, request: RequestVote) -> bool:
+        """Whether a request gets no reply because there is a leader.
 
-        So a voter that was cut off or removed does not disturb the others.
+        This keeps a voter that was partitioned or removed from disturbing the others. Requests that follow a leadership
+        transfer are always handled.
         """
         if request.leadership_transfer:
             return False
@@ -107,25 +108,25 @@
         return self.replica.is_leader or has_leader
 
     def reject(self, request: RequestVote) -> None:
-        """Answer a request of an earlier term."""
-        self._answer(request, self.replica.term, granted=False)
+        """Reply to a request of an earlier term."""
+        self._reply(request, self.replica.term, granted=False)
 
-    def answer(self, now: float, request: RequestVote) -> None:
-        """Answer a request of this term, or of a later one if it is a pre-vote."""
+    def handle_request(self, now: float, request: RequestVote) -> None:
+        """Reply to a request of this term, or to a pre-vote request of any later term."""
         replica = self.replica
         up_to_date = (request.last_term, request.last_index) >= (replica.log.last_term, replica.log.last_index)
         if request.pre_vote:
             granted = up_to_date and request.term > replica.term
-            self._answer(request, request.term if granted else replica.term, granted=granted)
+            self._reply(request, request.term if granted else replica.term, granted=granted)
             return
         granted = up_to_date and replica.voted_for in ("", request.source)
         if granted and not replica.voted_for:
             replica.vote_for(request.source)
         if granted:
             self.reset_deadline(now)
-        self._answer(request, replica.term, granted=granted)
+        self._reply(request, replica.term, granted=granted)
 
-    def _answer(self, request: RequestVote, term: int, *, granted: bool) -> None:
+    def _reply(self, request: RequestVote, term: int, *, granted: bool) -> None:
         reply = RequestVoteReply(
             term=term,
             source=self.replica.name,
--- a/badgerbend/consensus/events.py
+++ b/badgerbend/consensus/events.py
@@ -1,4 +1,4 @@
-"""What `Raft` notifies its owner of: applied entries, who leads, and confirmed reads."""
+"""Events that `Raft` reports to its owner: applied entries, changes of leader, and confirmed reads."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryApplied:
-    """An entry is committed; a command was applied to the state machine."""
+    """An entry was committed; if it is a command, it was applied to the state machine."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
 class BecameLeader:
-    """This voter leads and has committed an entry of its own term, so that it knows all that was ever committed."""
+    """This voter leads and has committed an entry of its own term, so it knows everything that was ever committed."""
 
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class BecameFollower:
-    """This voter does not lead, or no longer does. leader: who does; empty while unknown."""
+    """This voter does not lead, or no longer does. leader: the voter that does, or empty while unknown."""
 
     term: int
     leader: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadConfirmed:
-    """At some moment after `Raft.read_index` was called this voter led, and knew all that was committed by then."""
+    """At some time after `Raft.read_index` was called, this voter led and knew everything committed until then."""
 
     token: int
 
--- a/badgerbend/consensus/follower.py
+++ b/badgerbend/consensus/follower.py
@@ -1,4 +1,4 @@
-"""A follower's log: entries and snapshots that come from the leader of its term."""
+"""The follower's side of replication: entries and snapshots received from the leader of its term."""
 
 from __future__ import annotations
 
@@ -8,50 +8,50 @@
 
 
 class Follower:
-    """Takes what the leader sends into the replica, and answers once it is persisted."""
+    """Stores what the leader sends in the replica, and replies once it is persisted."""
 
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
         self._incoming: IncomingSnapshot | None = None
 
     def handle_append(self, message: AppendEntries) -> None:
-        """Append entries that fit the log; answer with the last index that may match where they do not."""
+        """Append entries that follow the log; otherwise reply with the last index at which the logs may match."""
         replica = self.replica
         log = replica.log
         snapshot_index = log.snapshot_index
         if message.prev_index >= snapshot_index and log.term_at(message.prev_index) != message.prev_term:
             hint = log.last_possible_match(message.prev_index, message.prev_term, replica.commit_index)
-            self._answer_append(message, hint, success=False)
+            self._reply_to_append(message, hint, success=False)
             return
-        # Entries within the snapshot were committed, and so they are the same here.
+        # Entries covered by the snapshot are committed, so the leader has the same ones.
         entries = [entry for entry in message.entries if entry.index > snapshot_index]
-        missing = log.from_first_missing(entries)
+        missing = log.skip_matching(entries)
         if missing:
             replica.append(missing)
         match_index = entries[-1].index if entries else max(message.prev_index, snapshot_index)
         commit_index = min(message.commit_index, match_index)
         if commit_index > replica.commit_index:
             replica.commit(commit_index)
-        self._answer_append(message, match_index, success=True)
+        self._reply_to_append(message, match_index, success=True)
 
     def handle_snapshot(self, message: InstallSnapshot) -> None:
-        """Take a chunk of a snapshot; install the snapshot with the last one."""
+        """Store a chunk of a snapshot; install the snapshot once the last chunk has arrived."""
         if message.index <= self.replica.commit_index:
             self._incoming = None
-            self._answer_installed(message)
+            self._reply_installed(message)
             return
         if self._incoming is None or not self._incoming.includes(message):
             self._incoming = IncomingSnapshot(message)
         incoming = self._incoming
         incoming.add(message)
         if not incoming.complete:
-            self._answer_chunk(message, incoming.received_bytes)
+            self._reply_to_chunk(message, incoming.received_bytes)
             return
         self._incoming = None
         self.replica.restore(incoming.snapshot(message))
-        self._answer_installed(message)
+        self._reply_installed(message)
 
-    def _answer_append(self, message: AppendEntries, index: int, *, success: bool) -> None:
+    def _reply_to_append(self, message: AppendEntries, index: int, *, success: bool) -> None:
         reply = AppendEntriesReply(
             term=self.replica.term,
             source=self.replica.name,
@@ -61,11 +61,11 @@
         )
         self.replica.send_once_persisted(message.source, reply)
 
-    def _answer_chunk(self, message: InstallSnapshot, received_bytes: int) -> None:
-        """Chunks are held in memory, so that the answer promises nothing and does not wait for the disk."""
+    def _reply_to_chunk(self, message: InstallSnapshot, received_bytes: int) -> None:
+        """Reply immediately: chunks are kept in memory, so the reply promises nothing that must be on disk."""
         self.replica.send(message.source, self._snapshot_reply(message, received_bytes, installed=False))
 
-    def _answer_installed(self, message: InstallSnapshot) -> None:
+    def _reply_installed(self, message: InstallSnapshot) -> None:
         self.replica.send_once_persisted(message.source, self._snapshot_reply(message, 0, installed=True))
 
     def _snapshot_reply(self, message: InstallSnapshot, offset: int, *, installed: bool) -> InstallSnapshotReply:
--- a/badgerbend/consensus/leadership.py
+++ b/badgerbend/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""What a voter does while it leads: it joins replication, commits, reads, changes of membership and transfer."""
+"""What a voter does while it leads: replication, commits, reads, membership changes and leadership transfer."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from badgerbend.consensus.replica import Replica
 from badgerbend.consensus.replication import Replication
 
-READ_BATCH_FRACTION = 1 / 20  # of a heartbeat interval: reads within it share a round of heartbeats
+READ_BATCH_FRACTION = 1 / 20  # of a heartbeat interval; reads that arrive within it share a round of heartbeats
 
 
 class Leadership:
-    """The leader's side of a voter; idle on any other.
+    """The leader's side of a voter; idle while the voter does not lead.
 
-    is_over: this voter is removed from the configuration, and that is committed, so that it must step down.
+    must_step_down: the configuration that removes this voter is committed.
     """
 
     def __init__(self, replica: Replica, replication: Replication) -> None:
@@ -24,22 +24,22 @@
         self.membership = Membership(replica)
         self.reads = ReadIndex(replica)
         self.transfer = LeadershipTransfer(replica)
-        self.is_over = False
+        self.must_step_down = False
 
     def start(self, now: float) -> None:
-        """Begin a term of leadership with an entry of that term."""
+        """Begin a term of leadership by appending an entry of that term."""
         self._reset()
         self.replication.start(now)
         self.append_entry(now, EntryKind.NOOP, b"")
         self.broadcast_heartbeat(now)
 
     def stop(self) -> None:
-        """End a term of leadership; reads, a transfer and a change of membership under way are dropped."""
+        """End a term of leadership; pending reads, a leadership transfer and a membership change are dropped."""
         self._reset()
         self.replication.stop()
 
     def tick(self, now: float) -> None:
-        """Do what is due by now."""
+        """Run what is due at `now`."""
         self.transfer.tick(now)
         if now >= self.replication.heartbeat_at:
             self.broadcast_heartbeat(now)
@@ -56,15 +56,15 @@
         return entry.index
 
     def advance_commit(self, now: float) -> None:
-        """Commit what a majority of voters has on disk."""
+        """Commit the entries that a majority of voters has on disk."""
         index = self.replication.committable_index()
         if index is None:
             return
         self.replica.commit(index)
         if self.membership.has_left():
-            self.broadcast_heartbeat(now)  # the others learn that the change is committed
+            self.broadcast_heartbeat(now)  # tells the other voters that the change is committed
             self.stop()
-            self.is_over = True
+            self.must_step_down = True
 
     def broadcast_heartbeat(self, now: float) -> None:
         """Begin a round of heartbeats."""
@@ -72,13 +72,13 @@
         self._confirm_reads()
 
     def add_read(self, now: float, token: int) -> None:
-        """Confirm a read by the next round of heartbeats, which begins soon."""
+        """Confirm a read by the next round of heartbeats, and bring that round forward."""
         self.reads.add(self.replication.heartbeat_round + 1, token)
         batch_s = self.replica.config.heartbeat_interval_s * READ_BATCH_FRACTION
-        self.replication.hasten_heartbeat(now + batch_s)
+        self.replication.schedule_heartbeat_by(now + batch_s)
 
     def change_membership(self, now: float, name: str, *, add: bool) -> MembershipRefusal | None:
-        """Add a voter, once it has caught up, or remove one; return why that is refused, or None."""
+        """Add a voter once it has caught up, or remove one; return why the change is refused, or None."""
         refusal = self.membership.refusal(name, add=add)
         if refusal is not None:
             return refusal
@@ -91,7 +91,10 @@
         return None
 
     def begin_transfer(self, now: float, to: str) -> bool:
-        """Transfer leadership to a voter, or to the most advanced one; return False where there is none."""
+        """Begin to transfer leadership to the named voter, or to the most up-to-date one if the name is empty.
+
+        Returns False if there is no such voter.
+        """
         target = self.transfer.choose_target(self.replication.progress, to)
         if target is None:
             return False
@@ -100,33 +103,33 @@
         return True
 
     def handle_append_reply(self, now: float, reply: AppendEntriesReply) -> None:
-        """Handle a follower's answer to entries or to a heartbeat."""
-        if not self._record_answer(now, reply):
+        """Handle a follower's reply to entries or to a heartbeat."""
+        if not self._record_reply(now, reply):
             return
         if self.replication.handle_append_reply(reply):
             self.advance_commit(now)
         self._continue_replication(now, reply.source)
 
     def handle_snapshot_reply(self, now: float, reply: InstallSnapshotReply) -> None:
-        """Handle a follower's answer to a chunk of a snapshot."""
-        if self._record_answer(now, reply) and self.replication.handle_snapshot_reply(reply):
+        """Handle a follower's reply to a chunk of a snapshot."""
+        if self._record_reply(now, reply) and self.replication.handle_snapshot_reply(reply):
             self._continue_replication(now, reply.source)
 
     def _reset(self) -> None:
-        self.is_over = False
+        self.must_step_down = False
         self.membership.reset()
         self.reads.reset()
         self.transfer.reset()
 
-    def _record_answer(self, now: float, reply: AppendEntriesReply | InstallSnapshotReply) -> bool:
-        is_follower = self.replication.record_answer(now, reply)
+    def _record_reply(self, now: float, reply: AppendEntriesReply | InstallSnapshotReply) -> bool:
+        is_follower = self.replication.record_reply(now, reply)
         if is_follower:
             self._confirm_reads()
         return is_follower
 
     def _continue_replication(self, now: float, follower: str) -> None:
-        """Send a follower what it lacks still, and take the step that waited for it to catch up."""
-        if self.is_over:
+        """Send a follower the entries that it still lacks, and finish what waited for it to catch up."""
+        if self.must_step_down:
             return
         self.replication.send_entries(follower)
         if self.membership.has_caught_up(follower, self.replication.progress[follower]):
--- a/badgerbend/consensus/log.py
+++ b/badgerbend/consensus/log.py
@@ -1,6 +1,6 @@
 """A voter's log in memory: a snapshot and the entries after it.
 
-Changes made here do not reach the disk by themselves: `durability` numbers the records that the owner persists.
+Changing the log does not write it to disk: `durability` collects the records that the owner persists.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 class Configuration(NamedTuple):
-    """The voters, and the index of the entry or snapshot that states them."""
+    """The voters, and the index of the entry or snapshot that defines them."""
 
     voters: tuple[str, ...]
     entry_index: int
 
 
 class Log:
-    """Entries in a row from the snapshot's index on. Indices count from 1."""
+    """Contiguous entries that follow the snapshot's index. Indices count from 1."""
 
     def __init__(self, snapshot: Snapshot = EMPTY_SNAPSHOT, entries: Iterable[Entry] = ()) -> None:
         self.snapshot = snapshot
@@ -29,7 +29,7 @@
 
     @property
     def snapshot_index(self) -> int:
-        """The index of the last entry within the snapshot; 0 where there is no snapshot."""
+        """The index of the last entry that the snapshot covers; 0 if there is no snapshot."""
         return self.snapshot.index
 
     @property
@@ -43,7 +43,7 @@
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """Return an entry's term; None where it is not known: within the snapshot, or beyond the end."""
+        """Return the term of an entry; None if it is unknown: the snapshot covers it, or the log ends before it."""
         if index == self.snapshot_index:
             return self.snapshot.term
         if self.snapshot_index < index <= self.last_index:
@@ -51,17 +51,17 @@
         return None
 
     def entries_after(self, index: int) -> Sequence[Entry]:
-        """Return the entries beyond an index that is not before the snapshot's."""
+        """Return the entries after an index, which must not be less than the snapshot's."""
         return self.entries[index - self.snapshot_index :]
 
     def entry(self, index: int) -> Entry:
-        """Return the entry at an index that is after the snapshot's."""
+        """Return the entry at an index, which must be greater than the snapshot's."""
         return self.entries[index - self.snapshot_index - 1]
 
-    def from_first_missing(self, entries: Sequence[Entry]) -> Sequence[Entry]:
-        """Return the entries from the first that this log lacks, or has of another term.
+    def skip_matching(self, entries: Sequence[Entry]) -> Sequence[Entry]:
+        """Return the entries from the first one on that this log lacks or has with another term.
 
-        entries: in a row, after the snapshot's index.
+        entries: contiguous, and after the snapshot's index.
         """
         for position, entry in enumerate(entries):
             if self.term_at(entry.index) != entry.term:
@@ -71,8 +71,8 @@
     def last_possible_match(self, index: int, term: int, committed: int) -> int:
         """Return the last index at which a leader's log may agree with this one.
 
-        The leader has an entry of `term` at `index`, where this log has none of that term. Entries here of a later term
-        cannot be in the leader's log before that index; what is committed is.
+        The leader has an entry of `term` at `index`, and this log does not. Terms never decrease along a log, so the
+        leader's log has no entry of a later term before `index`. Committed entries always agree.
         """
         match = min(index - 1, self.last_index)
         while match > committed and (self.term_at(match) or 0) > term:
@@ -80,12 +80,12 @@
         return match
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Append entries in a row that begin at most one beyond the last; what stood in their place is replaced."""
+        """Append contiguous entries, which begin at most one after the last; they replace any entries from there on."""
         del self.entries[entries[0].index - self.snapshot_index - 1 :]
         self.entries += entries
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replace all up to a snapshot's index, and the rest too where this log does not match it."""
+        """Replace the log up to a snapshot's index, and all of it if its entry at that index does not match."""
         matches = self.term_at(snapshot.index) == snapshot.term
         self.entries = list(self.entries_after(snapshot.index)) if matches else []
         self.snapshot = snapshot
--- a/badgerbend/consensus/membership.py
+++ b/badgerbend/consensus/membership.py
@@ -1,7 +1,7 @@
-"""Changes of who votes, one voter at a time (Ongaro 2014, 4.2.1).
+"""Changes to the set of voters, one voter at a time (Ongaro 2014, 4.2.1).
 
-With the erratum of 2015: no change before the leader has committed an entry of its own term. A voter that joins is
-first brought up to date as a learner.
+As the erratum of 2015 requires, no change begins before the leader has committed an entry of its own term. A server
+that joins first receives the log as a learner, without a vote.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from badgerbend.consensus.progress import Progress
 from badgerbend.consensus.replica import Replica
 
-CAUGHT_UP_ENTRIES = 8  # a learner that lacks no more than these entries may vote
+MAX_LEARNER_LAG_ENTRIES = 8  # a learner that lacks no more entries than these becomes a voter
 
 
 class MembershipRefusal(StrEnum):
-    """Why a change of membership is not begun."""
+    """Why a membership change is refused. Operators see these texts."""
 
     NOT_LEADER = "not the leader"
     CHANGE_PENDING = "another change is under way"
@@ -26,18 +26,21 @@
 
 
 class Membership:
-    """The leader's side of a change of membership. learner: who is to vote once it has caught up, or an empty text."""
+    """The leader's side of a membership change.
+
+    learner: the server that becomes a voter once it has caught up, or an empty string.
+    """
 
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
         self.learner = ""
 
     def reset(self) -> None:
-        """Forget a change that was begun, at the start and the end of a term of leadership."""
+        """Drop a pending change, at the start and at the end of a term of leadership."""
         self.learner = ""
 
     def refusal(self, name: str, *, add: bool) -> MembershipRefusal | None:
-        """Why a voter may not be added (`add`) or removed now, or None where it may."""
+        """Return why a voter may not be added (`add`) or removed now, or None if it may."""
         replica = self.replica
         if not replica.is_established_leader:
             return MembershipRefusal.NOT_LEADER
@@ -52,20 +55,20 @@
         return None
 
     def has_caught_up(self, name: str, progress: Progress) -> bool:
-        """Whether this is the learner and it lacks so little that it may vote."""
-        return name == self.learner and progress.match_index + CAUGHT_UP_ENTRIES >= self.replica.log.last_index
+        """Whether this is the learner and it lacks so few entries that it can become a voter."""
+        return name == self.learner and progress.match_index + MAX_LEARNER_LAG_ENTRIES >= self.replica.log.last_index
 
     def promote_learner(self) -> tuple[str, ...]:
-        """Return the voters with the learner among them; there is no learner any more."""
+        """Return the voters including the learner, which stops being one."""
         voters = (*self.replica.voters, self.learner)
         self.learner = ""
         return voters
 
     def voters_without(self, name: str) -> tuple[str, ...]:
-        """Return the voters that remain once one is removed."""
+        """Return all voters but this one."""
         return tuple(voter for voter in self.replica.voters if voter != name)
 
     def has_left(self) -> bool:
-        """Whether the configuration without this voter is committed."""
+        """Whether a configuration without this voter is committed."""
         replica = self.replica
         return replica.name not in replica.voters and replica.configuration.entry_index <= replica.commit_index
--- a/badgerbend/consensus/messages.py
+++ b/badgerbend/consensus/messages.py
@@ -1,7 +1,7 @@
 """Messages between voters and the records that they persist, with their encoding.
 
-The messages are those of Raft (Ongaro 2014). Each is an array in MessagePack; the position of a field and the tag of a
-type are the format, names are not. What is decoded is checked against bounds before it is used.
+The messages are those of Raft (Ongaro 2014). Each one is a MessagePack array: the positions of fields and the tags of
+types are part of the format, their names are not. Decoding checks every value against its bounds.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 import msgspec
 
-MAX_MESSAGE_BYTES = 1300  # of a message: with seal and envelope it stays within one Ethernet frame
-MAX_COMMAND_BYTES = 900  # bytes of one entry's data
+MAX_MESSAGE_BYTES = 1300  # with its envelope and the seal of the datagram, a message still fits in an Ethernet frame
+MAX_COMMAND_BYTES = 900  # of the data of one entry
 MAX_VOTERS = 9
 T = TypeVar("T")
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
@@ -22,15 +22,15 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry is for."""
+    """The purpose of an entry."""
 
-    NOOP = 0  # the first of a leader's term: once it is committed, so is all before it
-    COMMAND = 1  # for the state machine
-    CONFIGURATION = 2  # the voters from this entry on
+    NOOP = 0  # the first entry of a leader's term; committing it commits every entry before it
+    COMMAND = 1  # applied to the state machine
+    CONFIGURATION = 2  # defines the voters from this entry on
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """An entry of the replicated log. index: counts from 1. term: of the leader that proposed it."""
+    """An entry of the replicated log. index: counts from 1. term: the term of the leader that proposed it."""
 
     index: Number
     term: Number
@@ -38,27 +38,27 @@
     data: Annotated[bytes, msgspec.Meta(max_length=MAX_COMMAND_BYTES)] = b""
 
     def voters(self) -> tuple[str, ...]:
-        """Return the voters that an entry of kind CONFIGURATION states. Raises msgspec.MsgspecError for any other."""
+        """Return the voters that a CONFIGURATION entry defines. Raises msgspec.MsgspecError for any other entry."""
         return _voters_decoder.decode(self.data)
 
 
 class HardState(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A record: the voter's term, and whom it voted for in that term, or an empty text for nobody yet."""
+    """A record: the voter's term, and the candidate that it voted for in that term; empty if it has not voted."""
 
     term: Number
     voted_for: TextOrNone
 
 
 class LogEntries(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """A record: entries in a row, which replace whatever the log held from the first one's index on."""
+    """A record: contiguous entries, which replace the entries of the log from the index of the first one on."""
 
     entries: tuple[Entry, ...]
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """A record: the state machine after the entry at `index`, which replaces the log up to there.
+    """A record: the state of the state machine after the entry at `index`. It replaces the log up to that entry.
 
-    Where the log has no entry of this term at `index`, all of it is replaced.
+    If the log has no entry of this term at `index`, the whole log is replaced.
     """
 
     index: Number
@@ -71,10 +71,10 @@
 
 
 class RequestVote(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A candidate asks for a vote.
+    """A candidate's request for a vote.
 
-    last_index, last_term: of the last entry in its log. pre_vote: it only asks whether the vote would be granted;
-    nobody's term changes by it. leadership_transfer: the leader told it to start the election.
+    last_index, last_term: those of the last entry in its log. pre_vote: only asks whether the vote would be granted,
+    and changes no term. leadership_transfer: the leader told the candidate to start this election.
     """
 
     term: Number
@@ -86,7 +86,7 @@
 
 
 class RequestVoteReply(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """A voter's answer to a candidate. term: of the voter, or for a granted pre-vote the term that was asked about."""
+    """A voter's reply to a candidate. term: the voter's, or the requested term if this grants a pre-vote."""
 
     term: Number
     source: Text
@@ -95,10 +95,10 @@
 
 
 class AppendEntries(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """A leader's entries after `prev_index`, or none for a heartbeat.
+    """A leader's entries after `prev_index`, or no entries for a heartbeat.
 
-    prev_term: of the entry at `prev_index`. heartbeat_round: the number of the leader's latest round of heartbeats,
-    which the answer repeats and by which reads are confirmed.
+    prev_term: the term of the entry at `prev_index`. heartbeat_round: the number of the leader's latest round of
+    heartbeats; the reply repeats it, and reads are confirmed by it.
     """
 
     term: Number
@@ -111,10 +111,10 @@
 
 
 class AppendEntriesReply(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """A follower's answer.
+    """A follower's reply to `AppendEntries`.
 
-    success: its log matches the leader's up to `index`, and is on disk up to there. Otherwise `index` is the last one
-    that may match.
+    success: the follower's log matches the leader's up to `index` and is on disk up to that entry. Otherwise `index` is
+    the last index at which the logs may match.
     """
 
     term: Number
@@ -125,9 +125,9 @@
 
 
 class InstallSnapshot(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """A chunk of a leader's snapshot, from `offset` of its `size` bytes on.
+    """A chunk of a leader's snapshot, which begins at byte `offset` of `size` bytes.
 
-    index, snapshot_term, voters: of the snapshot.
+    index, snapshot_term, voters: those of the snapshot.
     """
 
     term: Number
@@ -142,9 +142,9 @@
 
 
 class InstallSnapshotReply(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """A follower's answer to a chunk.
+    """A follower's reply to a chunk of a snapshot.
 
-    offset: how many bytes of the snapshot at `index` it has. installed: it has all of them, on disk.
+    offset: the number of bytes that it has of the snapshot at `index`. installed: the whole snapshot is on its disk.
     """
 
     term: Number
@@ -156,7 +156,7 @@
 
 
 class TimeoutNow(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """The leader tells its receiver to start an election at once, to transfer leadership."""
+    """Tells the receiver to start an election immediately, because the leader transfers leadership to it."""
 
     term: Number
     source: Text
@@ -179,11 +179,11 @@
 
 
 class MalformedMessageError(Exception):
-    """Bytes that are not a valid message or record, or that exceed a bound."""
+    """Bytes that are not a valid message or record, or a value out of bounds."""
 
 
 def decode_typed(decoder: msgspec.msgpack.Decoder[T], data: bytes) -> T:
-    """Decode bytes of any origin. Raises MalformedMessageError and nothing else."""
+    """Decode untrusted bytes. Raises MalformedMessageError and nothing else."""
     try:
         return decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as err:
@@ -191,17 +191,17 @@
 
 
 def encode(message: Message | Record) -> bytes:
-    """Return the bytes of a message or a record."""
+    """Return the encoding of a message or a record."""
     return _encoder.encode(message)
 
 
 def encode_voters(names: tuple[str, ...]) -> bytes:
-    """Return the data of an entry of kind CONFIGURATION."""
+    """Return the data of a CONFIGURATION entry."""
     return _encoder.encode(names)
 
 
 def encoded_size(entry: Entry) -> int:
-    """Return how many bytes an entry takes in a message."""
+    """Return the number of bytes that an entry takes in a message."""
     return len(_encoder.encode(entry))
 
 
@@ -218,18 +218,18 @@
     record = decode_typed(_record_decoder, data)
     if isinstance(record, LogEntries):
         if not record.entries:
-            raise MalformedMessageError("nothing to append")
+            raise MalformedMessageError("record without entries")
         _check_entries(record.entries, record.entries[0].index - 1)
     return record
 
 
 def _check_entries(entries: tuple[Entry, ...], previous_index: int) -> None:
-    """Check that the indices are in a row, and that the voters in configurations can be read."""
+    """Check that the indices are contiguous and that the voters of CONFIGURATION entries can be decoded."""
     for expected_index, entry in enumerate(entries, previous_index + 1):
         if entry.index != expected_index:
-            raise MalformedMessageError("entries out of order")
+            raise MalformedMessageError("entries are not contiguous")
         if entry.kind is EntryKind.CONFIGURATION:
             try:
                 entry.voters()
             except (msgspec.MsgspecError, UnicodeDecodeError) as err:
-                raise MalformedMessageError(f"voters: {err}") from err
+                raise MalformedMessageError(f"voters of a configuration entry: {err}") from err
--- a/badgerbend/consensus/persistent_state.py
+++ b/badgerbend/consensus/persistent_state.py
@@ -1,4 +1,4 @@
-"""What a voter's records add up to: the state from which it starts."""
+"""The state from which a voter starts, replayed from its records."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class InvalidRecordError(ValueError):
-    """A record that cannot follow those before it. record: as it was decoded."""
+    """A record that cannot follow those before it. record: the decoded record."""
 
     def __init__(self, record: Record, problem: str) -> None:
         super().__init__(problem)
@@ -19,17 +19,17 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """A voter's term, vote and log after some records."""
+    """A voter's term, vote and log after the records that were replayed."""
 
     term: int = 0
     voted_for: str = ""
     log: Log = field(default_factory=Log)
 
     def replay(self, record: Record) -> None:
-        """Take the next record. Raises InvalidRecordError for one that cannot follow those before it."""
+        """Apply the next record. Raises InvalidRecordError if it cannot follow those before it."""
         match record:
             case HardState():
-                self._vote(record)
+                self._apply_hard_state(record)
             case LogEntries():
                 self._append(record)
             case Snapshot():
@@ -38,7 +38,7 @@
                 assert_never(record)
 
     def records(self) -> list[Record]:
-        """Return the fewest records that add up to this state."""
+        """Return the fewest records that replay to this state."""
         records: list[Record] = [HardState(self.term, self.voted_for)]
         if self.log.snapshot != EMPTY_SNAPSHOT:
             records.append(self.log.snapshot)
@@ -46,15 +46,15 @@
             records.append(LogEntries(tuple(self.log.entries)))
         return records
 
-    def _vote(self, record: HardState) -> None:
-        votes_again = record.term == self.term and self.voted_for != "" and record.voted_for != self.voted_for
-        if record.term < self.term or votes_again:
-            raise InvalidRecordError(record, f"a vote in term {record.term} after one in term {self.term}")
+    def _apply_hard_state(self, record: HardState) -> None:
+        changes_vote = record.term == self.term and self.voted_for != "" and record.voted_for != self.voted_for
+        if record.term < self.term or changes_vote:
+            raise InvalidRecordError(record, f"vote in term {record.term} after a vote in term {self.term}")
         self.term = record.term
         self.voted_for = record.voted_for
 
     def _append(self, record: LogEntries) -> None:
         first_index = record.entries[0].index
         if not self.log.snapshot_index < first_index <= self.log.last_index + 1:
-            raise InvalidRecordError(record, f"entry {first_index} after {self.log.last_index}")
+            raise InvalidRecordError(record, f"entry {first_index} cannot follow entry {self.log.last_index}")
         self.log.append(record.entries)
--- a/badgerbend/consensus/progress.py
+++ b/badgerbend/consensus/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one follower's log."""
+"""What a leader knows about the log of one follower."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 
 @dataclass(slots=True)
 class Progress:
-    """A follower's state as its leader knows it.
+    """The state of a follower as its leader knows it.
 
     next_index: the index of the entry to send next. match_index: the last index known to be on the follower's disk.
-    heartbeat_round: the latest round of heartbeats that it answered. snapshot_offset: how many bytes of the snapshot it
-    acknowledged. in_flight: messages sent since its last answer. last_contact_at: when its last answer came, seconds.
+    heartbeat_round: the latest round of heartbeats that it replied to. snapshot_offset: the number of bytes of the
+    snapshot that it has acknowledged. in_flight: messages sent that have had no reply yet. last_contact_at: the time of
+    its last reply, in seconds.
     """
 
     next_index: int
@@ -21,23 +22,23 @@
     snapshot_offset: int = 0
     in_flight: int = 0
 
-    def answered(self, now: float, heartbeat_round: int) -> None:
-        """Note an answer of the leader's term to a message of that round of heartbeats."""
+    def reply_received(self, now: float, heartbeat_round: int) -> None:
+        """Note a reply in the leader's term to a message of this round of heartbeats."""
         self.last_contact_at = now
         self.in_flight = max(self.in_flight - 1, 0)
         self.heartbeat_round = max(self.heartbeat_round, heartbeat_round)
 
     def rejected(self, hint: int) -> None:
-        """Note that entries did not fit the follower's log. hint: the last index that may match."""
+        """Note that entries did not follow the follower's log. hint: the last index at which the logs may match."""
         self.next_index = max(self.match_index + 1, min(hint + 1, self.next_index))
 
     def matched(self, index: int) -> None:
-        """Note that the follower's log matches up to this index, further than before."""
+        """Note that the follower's log matches up to this index, which is greater than `match_index`."""
         self.match_index = index
         self.next_index = max(self.next_index, index + 1)
 
     def installed(self, index: int) -> None:
-        """Note that the follower has the whole snapshot of this index."""
+        """Note that the follower has installed the snapshot of this index."""
         self.match_index = max(self.match_index, index)
         self.next_index = max(self.next_index, self.match_index + 1)
         self.snapshot_offset = 0
--- a/badgerbend/consensus/quorum.py
+++ b/badgerbend/consensus/quorum.py
@@ -1,4 +1,4 @@
-"""Majorities of the voters."""
+"""Majorities of voters."""
 
 from __future__ import annotations
 
@@ -11,6 +11,9 @@
 
 
 def majority_index(indices: Iterable[int]) -> int:
-    """Return the highest index that more than half have reached. indices: one for each voter, at least one."""
+    """Return the highest index that a majority of voters has reached.
+
+    indices: one for each voter, and at least one.
+    """
     ascending = sorted(indices)
     return ascending[(len(ascending) - 1) // 2]
--- a/badgerbend/consensus/raft.py
+++ b/badgerbend/consensus/raft.py
@@ -1,13 +1,13 @@
 """Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) as a pure state machine.
 
-Time, messages and reports of what reached the disk go in by `Raft.step`, `Raft.tick` and `Raft.persisted`; records to
-persist, messages to send and events come out by `Raft.take_ready`. Times are seconds on any clock that does not go
-backwards. `Raft` joins the parts, which are in modules of their own: elections with pre-vote, replication with
-check-quorum, the follower's log, reads confirmed by a round of heartbeats, transfer of leadership, and changes of
-membership by one voter at a time.
-
-A message that promises something is held back until the disk has it: a vote, entries acknowledged. A candidate's vote
-for itself and a leader's own share of a majority count only then, too.
+The inputs are messages (`Raft.step`), time (`Raft.tick`) and reports of what is on disk (`Raft.persisted`). The
+outputs are records to persist, messages to send and events, all returned by `Raft.take_ready`. Times are seconds on any
+monotonic clock. `Raft` combines components that are modules of their own: elections with pre-vote, replication with
+check-quorum, the follower's log, reads confirmed by a round of heartbeats, leadership transfer, and membership changes
+by one voter at a time.
+
+A message that makes a promise, such as a vote or an acknowledgement of entries, is held back until the records behind
+it are on disk. A candidate's vote for itself and a leader's own entries also count only from then on.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 from badgerbend.consensus.replication import Replication
 from badgerbend.consensus.types import RaftConfig, Role, StateMachine
 
-# Events and types are part of this module's interface: who uses Raft needs them.
+# Events and types are part of this module's interface, because callers of Raft need them.
 __all__ = [
     "BecameFollower",
     "BecameLeader",
@@ -55,9 +55,9 @@
 class Raft(Replica):
     """One voter, or a server that waits to become one.
 
-    persistent_state: what its records add up to; it belongs to `Raft` from then on. state_machine: loaded from the
-    snapshot, where there is one. seed: of the election timeouts. election_class, replication_class: parts that a
-    subclass may replace.
+    persistent_state: the state replayed from its records; `Raft` owns it from then on. state_machine: loaded from the
+    snapshot, if there is one. seed: for the random election timeouts. election_class, replication_class: components
+    that a subclass may replace.
     """
 
     election_class: type[Election] = Election
@@ -79,16 +79,16 @@
 
     @property
     def progress(self) -> dict[str, Progress]:
-        """What a leader knows of each follower, by name; empty on any other voter."""
+        """The replication progress of each follower by name; empty while this voter does not lead."""
         return self.leadership.replication.progress
 
     @property
     def next_at(self) -> float:
-        """When `tick` has something to do."""
+        """The time at which `tick` next has something to do."""
         return self.leadership.replication.heartbeat_at if self.is_leader else self.election.deadline
 
     def step(self, now: float, message: Message) -> None:
-        """Handle a message of another voter."""
+        """Handle a message from another voter."""
         if message.source == self.name:
             return
         if isinstance(message, RequestVote):
@@ -103,7 +103,7 @@
             self._reject_former_leader(message.source)
 
     def tick(self, now: float) -> None:
-        """Do what is due by now."""
+        """Run what is due at `now`."""
         if not self.is_leader:
             self.election.tick(now)
             return
@@ -113,10 +113,11 @@
             self._become_follower(now, self.term, "")
 
     def propose(self, now: float, data: bytes) -> int | None:
-        """Propose a command; return its index, or None where this voter does not lead or transfers leadership.
+        """Propose a command; return its index, or None if it is rejected.
 
-        The command is committed once `EntryApplied` has an entry with that index and the present term; any other entry
-        with that index means that the command was lost.
+        A command is rejected if this voter does not lead or is transferring leadership, or if the command is too long.
+        It is committed once `EntryApplied` reports an entry with that index and the term of the proposal; any other
+        entry with that index means that the command was lost.
         """
         if not self.is_leader or self.leadership.transfer.in_progress or len(data) > MAX_COMMAND_BYTES:
             return None
@@ -125,9 +126,9 @@
         return index
 
     def read_index(self, now: float, token: int) -> bool:
-        """Ask for `ReadConfirmed(token)`; return False where this voter does not lead.
+        """Request a `ReadConfirmed(token)` event; return False if this voter is not an established leader.
 
-        No event comes if the leader is deposed before the read is confirmed.
+        The event is dropped if the leader is deposed before the read is confirmed.
         """
         if not self.is_established_leader:
             return False
@@ -135,17 +136,20 @@
         return True
 
     def change_membership(self, now: float, name: str, *, add: bool) -> MembershipRefusal | None:
-        """Add a voter, once it has caught up, or remove one; return why that is refused, or None."""
+        """Add a voter once it has caught up, or remove one; return why the change is refused, or None."""
         refusal = self.leadership.change_membership(now, name, add=add)
         self._step_down_if_removed(now)
         return refusal
 
     def transfer_leadership(self, now: float, to: str = "") -> bool:
-        """Transfer leadership to a voter, or to the most advanced one; return False where that cannot be begun."""
+        """Begin to transfer leadership to the named voter, or to the most up-to-date one if the name is empty.
+
+        Returns False if no transfer can begin.
+        """
         return self.is_leader and self.leadership.begin_transfer(now, to)
 
     def persisted(self, now: float, sequence: int) -> None:
-        """Note that all records up to this number are on disk."""
+        """Note that all records up to this sequence number are on disk."""
         self.durability.persisted(sequence)
         if self.election.persisted(now):
             self._become_leader(now)
@@ -154,14 +158,14 @@
             self._step_down_if_removed(now)
 
     def take_ready(self) -> Ready:
-        """Return what has to be done since the last call.
+        """Return the work that has accumulated since the last call.
 
-        The messages do not have to wait for these records: those that must are held back until `persisted`.
+        The messages need not wait for these records: messages that must wait are held back until `persisted`.
         """
         return Ready(self.durability.take_records(), self.durability.take_messages(), self.take_events())
 
     def take_events(self) -> list[Event]:
-        """Return the events since they were last taken, in their order."""
+        """Return the events since the last call, in order."""
         events = self.events
         self.events = []
         return events
@@ -180,11 +184,11 @@
         if request.term < self.term:
             self.election.reject(request)
             return
-        if self.election.disregards(now, request):
+        if self.election.ignores(now, request):
             return
         if request.term > self.term and not request.pre_vote:
             self._become_follower(now, request.term, "")
-        self.election.answer(now, request)
+        self.election.handle_request(now, request)
 
     def _handle(
         self,
@@ -231,7 +235,7 @@
         self.leadership.start(now)
 
     def _become_follower(self, now: float, term: int, leader: str) -> None:
-        """Follow in this term, which is the current one or a later one. leader: empty while unknown."""
+        """Become a follower in this term, which is the current or a later one. leader: empty while unknown."""
         if term > self.term:
             self.enter_term(term)
         if self.is_leader or leader != self.leader:
@@ -242,5 +246,5 @@
         self.election.reset_deadline(now)
 
     def _step_down_if_removed(self, now: float) -> None:
-        if self.leadership.is_over:
+        if self.leadership.must_step_down:
             self._become_follower(now, self.term, "")
--- a/badgerbend/consensus/ready.py
+++ b/badgerbend/consensus/ready.py
@@ -1,4 +1,4 @@
-"""What a voter wants done: records to persist, messages to send, and events to handle."""
+"""The work that a voter hands to its owner: records to persist, messages to send, and events to handle."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class SequencedRecord(NamedTuple):
-    """A record to persist, with its number in the order of all records since the voter started."""
+    """A record to persist, with its sequence number among all records since the voter started."""
 
     sequence: int
     record: Record
 
 
 class OutboundMessage(NamedTuple):
-    """A message, and the voter that it is for."""
+    """A message and the voter to send it to."""
 
     to: str
     message: Message
@@ -25,10 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """The work that has gathered since the last call of `Raft.take_ready`.
+    """The work that has accumulated since the last call of `Raft.take_ready`.
 
-    records: to be persisted in this order, and reported to `Raft.persisted`. messages: to be sent now, without waiting
-    for the records. events: in the order in which they happened.
+    records: to be persisted in this order and then reported to `Raft.persisted`. messages: to be sent now, without
+    waiting for the records. events: in the order in which they occurred.
     """
 
     records: list[SequencedRecord]
--- a/badgerbend/consensus/replica.py
+++ b/badgerbend/consensus/replica.py
@@ -1,7 +1,7 @@
-"""What the parts of a Raft voter share: its term, vote, log and role, and what it has applied.
+"""The state that the components of a Raft voter share: its term, vote, log and role, and the applied entries.
 
-The parts read this state and change it by the methods of `Replica`, which write what must survive a restart to the
-records that the owner persists.
+The components read this state and change it through the methods of `Replica`, which add whatever must survive a restart
+to the records that the owner persists.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from badgerbend.consensus.events import BecameLeader, EntryApplied, Event
 from badgerbend.consensus.messages import Entry, EntryKind, HardState, Message, Snapshot
 from badgerbend.consensus.persistent_state import PersistentState
-from badgerbend.consensus.snapshots import compacted
+from badgerbend.consensus.snapshots import take_snapshot
 from badgerbend.consensus.types import RaftConfig, Role, StateMachine
 
 
 class Replica:
-    """One copy of the replicated log, and the voter's part in the current term.
+    """One copy of the replicated log, and the voter's role in the current term.
 
-    leader: the voter that leads the term as far as is known, or an empty text. configuration: the latest in the log,
-    which counts before it is committed. events: those not taken yet.
+    leader: the voter known to lead the term, or an empty string. configuration: the latest one in the log, which is in
+    force even before it is committed. events: those that the owner has not taken yet.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The names of all voters by the latest configuration."""
+        """The names of all voters in the latest configuration."""
         return self.configuration.voters
 
     @property
@@ -55,20 +55,20 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this voter leads its term."""
+        """Whether this voter leads the current term."""
         return self.role is Role.LEADER
 
     @property
     def is_established_leader(self) -> bool:
-        """Whether this voter leads and has committed an entry of its own term, so that it knows all commits."""
+        """Whether this voter leads and has committed an entry of its own term, so it knows all committed entries."""
         return self.is_leader and self.log.term_at(self.commit_index) == self.term
 
     def send(self, to: str, message: Message, after: int = 0) -> None:
-        """Send a message once the record with the number `after` is persisted; at once for 0."""
+        """Send a message once the record with the number `after` is persisted; 0 sends it immediately."""
         self.durability.send(to, message, after)
 
     def send_once_persisted(self, to: str, message: Message) -> None:
-        """Send a message that makes a promise: only once all records written so far are persisted."""
+        """Send a message that makes a promise, once all records written so far are persisted."""
         self.send(to, message, self.durability.last_sequence)
 
     def enter_term(self, term: int) -> None:
@@ -78,7 +78,7 @@
         self.durability.write(HardState(term, ""))
 
     def enter_next_term_as_candidate(self) -> int:
-        """Enter the next term with a vote for itself; return the number of the record that states it."""
+        """Enter the next term with a vote for itself; return the sequence number of that record."""
         self.term += 1
         self.voted_for = self.name
         return self.durability.write(HardState(self.term, self.name))
@@ -89,7 +89,7 @@
         self.durability.write(HardState(self.term, candidate))
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Append entries in a row; what stood in their place is replaced."""
+        """Append contiguous entries; they replace any entries from the index of the first one on."""
         self.log.append(entries)
         self.durability.write_entries(entries)
         replaces_configuration = entries[0].index <= self.configuration.entry_index
@@ -97,14 +97,14 @@
             self.configuration = self.log.configuration()
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replace the state machine and the log's beginning by a leader's snapshot."""
+        """Replace the state machine and the beginning of the log by a leader's snapshot."""
         self._install(snapshot)
         self.state_machine.load(snapshot.state)
         self.commit_index = snapshot.index
         self.last_applied = snapshot.index
 
     def commit(self, index: int) -> None:
-        """Commit and apply all entries up to an index, and compact the log where that is due."""
+        """Commit and apply all entries up to an index, and compact the log if it is due."""
         self.commit_index = index
         while self.last_applied < index:
             self._apply(self.log.entry(self.last_applied + 1))
@@ -112,7 +112,7 @@
             self._announced_term = self.term
             self.events.append(BecameLeader(self.term))
         if self.last_applied - self.log.snapshot_index >= self.config.compact_after_entries:
-            self._install(compacted(self.log, self.last_applied, self.state_machine.dump()))
+            self._install(take_snapshot(self.log, self.last_applied, self.state_machine.dump()))
 
     def _apply(self, entry: Entry) -> None:
         self.last_applied = entry.index
--- a/badgerbend/consensus/replication.py
+++ b/badgerbend/consensus/replication.py
@@ -1,4 +1,4 @@
-"""A leader's replication: what each follower lacks, heartbeats, and the index up to which a majority has the log."""
+"""The leader's side of replication: missing entries, heartbeats, and the index that a majority has reached."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from badgerbend.consensus.quorum import is_majority, majority_index
 from badgerbend.consensus.replica import Replica
 
-MESSAGE_OVERHEAD_BYTES = 300  # of a message: all but its entries or its chunk of a snapshot
-MAX_IN_FLIGHT = 4  # messages to one follower between its answers
-CHECK_QUORUM_TIMEOUTS = 2.0  # election timeouts without an answer after which a follower counts as unreachable
+MESSAGE_OVERHEAD_BYTES = 300  # of a message, apart from its entries or its chunk of a snapshot
+MAX_IN_FLIGHT = 4  # messages to one follower without a reply
+CHECK_QUORUM_TIMEOUTS = 2.0  # election timeouts without a reply after which a follower counts as unreachable
 
 
 class Replication:
-    """The leader's side of replication; idle on any other voter.
+    """Replicates the leader's log to its followers; idle while the voter does not lead.
 
-    progress: by name of the follower. heartbeat_round: the number of the latest round of heartbeats in this term.
-    heartbeat_at: when the next one is due.
+    progress: by the name of the follower. heartbeat_round: the number of the latest round of heartbeats in this term.
+    heartbeat_at: the time at which the next one is due.
     """
 
     def __init__(self, replica: Replica) -> None:
@@ -37,7 +37,7 @@
         self.heartbeat_at = math.inf
 
     def start(self, now: float) -> None:
-        """Begin a term of leadership, with nothing known of the followers."""
+        """Begin a term of leadership, with nothing known about the followers."""
         next_index = self.replica.log.last_index + 1
         self.progress = {voter: Progress(next_index, now) for voter in self.replica.other_voters}
         self.heartbeat_round = 0
@@ -53,15 +53,15 @@
             self.progress[name] = Progress(self.replica.log.last_index + 1, now)
 
     def retain_voters(self) -> None:
-        """Replicate to the voters of the present configuration alone."""
+        """Stop replicating to servers that are not voters in the current configuration."""
         self.progress = {voter: self.progress[voter] for voter in self.replica.other_voters}
 
-    def hasten_heartbeat(self, at: float) -> None:
-        """Send the next round of heartbeats no later than at a time."""
+    def schedule_heartbeat_by(self, at: float) -> None:
+        """Send the next round of heartbeats at this time or earlier."""
         self.heartbeat_at = min(self.heartbeat_at, at)
 
     def broadcast_heartbeat(self, now: float) -> None:
-        """Begin a round of heartbeats, and send again what was not answered."""
+        """Begin a round of heartbeats, and resend the messages that have had no reply."""
         self.heartbeat_round += 1
         self.heartbeat_at = now + self.replica.config.heartbeat_interval_s
         for follower, progress in self.progress.items():
@@ -69,24 +69,27 @@
             self.send_entries(follower, heartbeat=True)
 
     def broadcast_entries(self) -> None:
-        """Send each follower what it lacks."""
+        """Send each follower the entries that it lacks."""
         for follower in self.progress:
             self.send_entries(follower)
 
     def send_entries(self, follower: str, *, heartbeat: bool = False) -> None:
-        """Send a follower what it lacks, as far as may be in flight. heartbeat: send a message if it lacks nothing."""
+        """Send a follower the entries that it lacks, within the limit of messages in flight.
+
+        heartbeat: send a message even if it lacks none.
+        """
         log = self.replica.log
         progress = self.progress[follower]
         while progress.in_flight < MAX_IN_FLIGHT and (heartbeat or progress.next_index <= log.last_index):
             heartbeat = False
             previous_term = log.term_at(progress.next_index - 1)
-            if previous_term is None:  # compacted: only the snapshot holds it
+            if previous_term is None:  # the entry was compacted, so only the snapshot has it
                 self._send_snapshot_chunk(follower)
                 return
             self._send_append(follower, previous_term)
 
     def has_quorum(self, now: float) -> bool:
-        """Whether a majority of voters has answered lately; else the leader is cut off (Ongaro 2014, 6.2)."""
+        """Whether a majority of voters has replied recently; if not, the leader steps down (Ongaro 2014, 6.2)."""
         timeout_s = CHECK_QUORUM_TIMEOUTS * self.replica.config.election_timeout_s
         reachable = [
             voter
@@ -96,7 +99,7 @@
         return is_majority(reachable, self.replica.voters)
 
     def quorum_round(self) -> int:
-        """The latest round of heartbeats that a majority of voters has answered."""
+        """Return the latest round of heartbeats to which a majority of voters has replied."""
         rounds = (
             self.heartbeat_round if voter == self.replica.name else self.progress[voter].heartbeat_round
             for voter in self.replica.voters
@@ -104,7 +107,7 @@
         return min(majority_index(rounds), self.heartbeat_round)
 
     def committable_index(self) -> int | None:
-        """The index up to which entries may be committed now, if that is further than before."""
+        """Return the index up to which entries may be committed now; None if it has not advanced."""
         replica = self.replica
         index = majority_index(
             replica.durability.persisted_index if voter == replica.name else self.progress[voter].match_index
@@ -113,19 +116,22 @@
         return index if index > replica.commit_index and self.may_commit(index) else None
 
     def may_commit(self, index: int) -> bool:
-        """Whether the entry is of this term: an earlier one is not committed by counting (Ongaro 2014, 3.6.2)."""
+        """Whether the entry is of the current term.
+
+        Entries of earlier terms are not committed by counting replicas (Ongaro 2014, 3.6.2).
+        """
         return self.replica.log.term_at(index) == self.replica.term
 
-    def record_answer(self, now: float, reply: AppendEntriesReply | InstallSnapshotReply) -> bool:
-        """Note that a follower has answered; return False where the sender is none of this leader's followers."""
+    def record_reply(self, now: float, reply: AppendEntriesReply | InstallSnapshotReply) -> bool:
+        """Note that a follower has replied; return False if the sender is not a follower of this leader."""
         progress = self.progress.get(reply.source)
         if progress is None:
             return False
-        progress.answered(now, reply.heartbeat_round)
+        progress.reply_received(now, reply.heartbeat_round)
         return True
 
     def handle_append_reply(self, reply: AppendEntriesReply) -> bool:
-        """Take a follower's answer to entries; return whether more of its log is known to match."""
+        """Handle a follower's reply to entries; return whether its match index has advanced."""
         progress = self.progress[reply.source]
         if not reply.success:
             progress.rejected(reply.index)
@@ -137,7 +143,7 @@
         return True
 
     def handle_snapshot_reply(self, reply: InstallSnapshotReply) -> bool:
-        """Take a follower's answer to a chunk; return whether entries may follow, else the next chunk was sent."""
+        """Handle a follower's reply to a chunk; return True if entries may follow, else send the next chunk."""
         progress = self.progress[reply.source]
         if reply.installed:
             progress.installed(reply.index)
@@ -168,7 +174,7 @@
         replica.send(follower, message)
 
     def _send_snapshot_chunk(self, follower: str) -> None:
-        """Send the chunk that follows what the follower acknowledged."""
+        """Send the chunk that follows the bytes that the follower has acknowledged."""
         replica = self.replica
         snapshot = replica.log.snapshot
         progress = self.progress[follower]
@@ -189,7 +195,7 @@
 
 
 def entries_for_one_message(log: Log, previous_index: int) -> tuple[Entry, ...]:
-    """Return the entries after an index, as many as fit into one message; at least one if there is one."""
+    """Return as many entries after an index as fit into one message, but at least one if there is any."""
     entries: list[Entry] = []
     capacity = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES
     for entry in log.entries_after(previous_index):
--- a/badgerbend/consensus/snapshots.py
+++ b/badgerbend/consensus/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots in the place of a log's beginning: taken by compaction, or received from a leader in chunks."""
+"""Snapshots that replace the beginning of a log: taken by compaction, or received from a leader in chunks."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from badgerbend.consensus.messages import EntryKind, InstallSnapshot, Snapshot
 
 
-def compacted(log: Log, index: int, state: bytes) -> Snapshot:
-    """Return a snapshot of all up to an index that the log holds.
+def take_snapshot(log: Log, index: int, state: bytes) -> Snapshot:
+    """Return a snapshot that replaces the log up to an index, which must be in the log.
 
-    state: the state machine's after the entry at that index.
+    state: the dump of the state machine after the entry at that index.
     """
     voters = log.snapshot.voters
     for entry in log.entries[: index - log.snapshot_index]:
@@ -21,7 +21,7 @@
 
 
 class IncomingSnapshot:
-    """The chunks received of one snapshot, from its beginning without a gap."""
+    """The chunks received so far of one snapshot, from its beginning and without gaps."""
 
     def __init__(self, message: InstallSnapshot) -> None:
         self._term = message.term
@@ -30,24 +30,24 @@
         self._state = bytearray()
 
     def includes(self, message: InstallSnapshot) -> bool:
-        """Whether a message carries a chunk of this snapshot, sent by the leader of the same term."""
+        """Whether a message carries a chunk of this snapshot, sent in the same term."""
         return (message.term, message.index, message.size) == (self._term, self._index, self._size)
 
     def add(self, message: InstallSnapshot) -> None:
-        """Take the chunk that comes next; any other is dropped, and will be sent again."""
+        """Add the next chunk; any other chunk is dropped, and the leader will send it again."""
         if message.offset == len(self._state):
             self._state += message.data
 
     @property
     def received_bytes(self) -> int:
-        """How many bytes were received."""
+        """The number of bytes received."""
         return len(self._state)
 
     @property
     def complete(self) -> bool:
-        """Whether all bytes were received."""
+        """Whether all bytes have been received."""
         return len(self._state) >= self._size
 
     def snapshot(self, message: InstallSnapshot) -> Snapshot:
-        """Return the snapshot once it is complete. message: the one that carried its last chunk."""
+        """Return the complete snapshot. message: the one that carried the last chunk."""
         return Snapshot(message.index, message.snapshot_term, message.voters, bytes(self._state))
--- a/badgerbend/consensus/types.py
+++ b/badgerbend/consensus/types.py
@@ -1,4 +1,4 @@
-"""What an owner of `Raft` provides, and the roles of a voter."""
+"""What the owner of a `Raft` object provides, and the roles of a voter."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class StateMachine(Protocol):
-    """What committed commands are applied to. The same commands in the same order must leave the same state."""
+    """Applies committed commands. It must be deterministic: the same commands in order give the same state."""
 
     def apply(self, index: int, data: bytes) -> None:
-        """Apply a command. index: of its entry, which only grows."""
+        """Apply a command. index: that of its entry, which increases from call to call."""
         ...
 
     def dump(self) -> bytes:
@@ -19,17 +19,17 @@
         ...
 
     def load(self, state: bytes) -> None:
-        """Replace the whole state by one that `dump` returned."""
+        """Replace the whole state by one that `dump` has returned."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class RaftConfig:
-    """Timing, in seconds, and compaction.
+    """Timing and compaction.
 
-    election_timeout_s: a voter that hears no leader for one to two of these starts an election.
-    heartbeat_interval_s: time between a leader's rounds of heartbeats.
-    compact_after_entries: a snapshot is taken once so many entries were applied since the last one.
+    election_timeout_s: a voter that hears from no leader for one to two of these timeouts starts an election.
+    heartbeat_interval_s: the time between a leader's rounds of heartbeats.
+    compact_after_entries: a snapshot is taken once this many entries have been applied since the last one.
     """
 
     election_timeout_s: float = 1.0
@@ -38,9 +38,9 @@
 
 
 class Role(Enum):
-    """A voter's part in its term."""
+    """The role of a voter in its term."""
 
     FOLLOWER = auto()
-    PRE_CANDIDATE = auto()  # asks whether it would be elected
+    PRE_CANDIDATE = auto()  # asks the other voters whether they would vote for it
     CANDIDATE = auto()
     LEADER = auto()
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -72,8 +72,8 @@
 class VotesForShorterLogs(Election):
     """Votes for a candidate whose log is behind its own."""
 
-    def answer(self, now, request):
-        super().answer(now, msgspec.structs.replace(request, last_index=1 << 40, last_term=1 << 40))
+    def handle_request(self, now, request):
+        super().handle_request(now, msgspec.structs.replace(request, last_index=1 << 40, last_term=1 << 40))
 
 
 class ConfirmsReadsWithoutHeartbeats(Raft):
