--- a/badgerbend/disk.py
+++ b/badgerbend/disk.py
@@ -1,4 +1,4 @@
-"""Writing files so that they survive a crash at any point. Blocks on the disk."""
+"""Writes files so that a crash at any point leaves a usable file. All calls block on the disk."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 def write_atomically(path: Path, data: bytes) -> None:
-    """Replace a file's content completely or not at all. Raises OSError, with the old file in place.
+    """Replace the content of a file completely or not at all. Raises OSError and then leaves the old file in place.
 
-    A temporary file beside it is written, synced and renamed over the old one; then the folder is synced.
+    A temporary file in the same folder is written, synced and renamed over the old one; then the folder is synced.
     """
     temporary = path.with_name(path.name + ".new")
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
@@ -27,7 +27,7 @@
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Write all of the bytes, however many the system accepts at a time. Raises OSError."""
+    """Write all of the bytes, in as many system calls as it takes. Raises OSError."""
     remaining = memoryview(data)
     while remaining:
         written = os.write(descriptor, remaining)
--- a/badgerbend/membership/anti_entropy.py
+++ b/badgerbend/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Repair of what gossip alone does not: updates that were lost, and groups that were partitioned."""
+"""Repairs what gossip alone cannot: lost updates, and groups that were separated by a network partition."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class AntiEntropy:
-    """Exchanges the full state with random members, and looks for lost ones: seeds and members believed dead."""
+    """Exchanges the full state with random members, and pings seeds and dead members in case they are reachable."""
 
     def __init__(self, context: SwimContext, sender: MessageSender) -> None:
         self.seeds: tuple[Address, ...] = ()
@@ -20,27 +20,30 @@
         self._sender = sender
 
     def join(self, seeds: tuple[Address, ...]) -> None:
-        """Ping all seeds; they are pinged again as long as nobody has answered."""
+        """Ping all seeds; they are pinged again until a member has replied."""
         self.seeds = tuple(seed for seed in seeds if seed != self._local.address)
         self._ping_seeds()
 
     def begin_period(self, period: int) -> None:
-        """Do what is due in this period; periods count from 1."""
+        """Run what is due in this period; periods count from 1."""
         live = self._members.live()
         if not live:
             self._ping_seeds()
         if live and self._is_sync_due(period):
             self._sender.send_full_state(self._rng.choice(live).address, reply_requested=True)
         if period % self._config.dead_probe_every_periods == 0:
-            self._look_for_lost(live)
+            self._ping_lost_members(live)
 
     def _is_sync_due(self, period: int) -> bool:
-        """Periods 1, 2, 4, 8, … at first, since many may join at once; later at a fixed distance."""
+        """Whether a full exchange is due: in periods 1, 2, 4, 8, … at first, and later at a fixed interval.
+
+        The exchanges become rarer at first because many members may join at the same time.
+        """
         is_early = period < self._config.sync_every_periods and period.bit_count() == 1
         return is_early or period % self._config.sync_every_periods == 0
 
-    def _look_for_lost(self, live: list[Member]) -> None:
-        """Ping a dead member, which is alive if there was a partition, and seeds if some were never met."""
+    def _ping_lost_members(self, live: list[Member]) -> None:
+        """Ping a dead member, which may be alive beyond a partition, and all seeds if some may never have joined."""
         dead = self._members.in_state(MemberState.DEAD)
         if dead:
             lost = self._rng.choice(dead)
--- a/badgerbend/membership/broadcasts.py
+++ b/badgerbend/membership/broadcasts.py
@@ -1,4 +1,4 @@
-"""The queue of updates that are gossiped on other messages, each a limited number of times."""
+"""The queue of updates that are piggybacked on other messages, each a limited number of times."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def retransmit_limit(multiplier: float, member_count: int) -> int:
-    """How often an update is sent, for a group with so many other members."""
+    """Return how many times an update is sent in a group with `member_count` other members."""
     return math.ceil(multiplier * math.log10(member_count + 2)) + 1
 
 
 class BroadcastQueue:
-    """Updates to gossip, one for each member; a later one replaces an earlier one."""
+    """Updates to gossip, at most one for each member; a later one replaces an earlier one."""
 
     def __init__(self) -> None:
         self._by_name: dict[str, Broadcast] = {}
@@ -34,7 +34,7 @@
         self._by_name[update.name] = Broadcast(update)
 
     def pending(self) -> list[MemberUpdate]:
-        """Return all updates, those that were sent least often first."""
+        """Return all updates, the least often sent first."""
         broadcasts = sorted(self._by_name.values(), key=attrgetter("transmissions"))
         return [broadcast.update for broadcast in broadcasts]
 
--- a/badgerbend/membership/context.py
+++ b/badgerbend/membership/context.py
@@ -1,4 +1,4 @@
-"""The state that all parts of the membership protocol share."""
+"""The state that all components of the membership protocol share."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SwimContext:
-    """One member's parameters, tables, timers and source of random numbers."""
+    """The parameters, tables, timers and random number generator of one member."""
 
     config: SwimConfig
     local: LocalMember
--- a/badgerbend/membership/failure_detector.py
+++ b/badgerbend/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector: direct probes, and indirect ones through other members."""
+"""The failure detector: direct probes, and indirect probes through other members."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 @dataclass(slots=True)
 class Probe:
-    """A probe of a member by the local one. helpers: members asked to ping; nacks: those that got no answer."""
+    """A probe by the local member.
+
+    helpers: the number of members asked to ping the target. nacks: how many of them reported that it did not reply.
+    """
 
     target: str
     helpers: int = 0
@@ -24,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbe:
-    """A probe on behalf of another member. seq: of its request."""
+    """A probe on behalf of another member. seq: the sequence number of its request."""
 
     seq: int
     requester: Address
 
 
 class FailureDetector:
-    """Probes one member in each period, and suspects it if neither it nor a helper answers in time."""
+    """Probes one member in each period, and suspects it if no ack arrives in time, directly or through a helper."""
 
     def __init__(
         self,
@@ -52,7 +55,7 @@
         self._probes: dict[int, Probe] = {}  # by the sequence number of the ping
         self._indirect_probes: dict[int, IndirectProbe] = {}
 
-    # -- probes of the local member
+    # -- probes by the local member
 
     def probe_next(self, now: float) -> None:
         """Probe the next member, if there is one."""
@@ -66,7 +69,7 @@
         self._timers.set(now + probe_time_s, ProbeTimeout(seq))
 
     def direct_probe_timed_out(self, seq: int) -> None:
-        """Ask some other members to ping the target, unless it has answered."""
+        """Ask some other members to ping the target, unless it has replied."""
         probe = self._probes.get(seq)
         target = self._members.get(probe.target) if probe is not None else None
         if probe is None or target is None:
@@ -74,29 +77,29 @@
         helpers = self._choose_helpers(target)
         probe.helpers = len(helpers)
         for helper in helpers:
-            request = IndirectPing(seq, target.name, *target.address, self._local.update())
+            request = IndirectPing(seq, target.name, *target.address, self._local.make_update())
             self._sender.send(helper.address, request, receiver=helper.name)
 
     def probe_timed_out(self, now: float, seq: int) -> None:
-        """Suspect the target, unless it has answered."""
+        """Suspect the target, unless it has replied."""
         probe = self._probes.pop(seq, None)
         target = self._members.get(probe.target) if probe is not None else None
         if probe is None or target is None or self._local.left:
             return
-        # a helper that does not even send a nack speaks against this member's own connection, as does a lack of helpers
+        # Helpers that send no nack either, or a lack of helpers, suggest that this member itself is badly connected.
         missing_nacks = probe.helpers - probe.nacks if probe.helpers else 1
         self._health.adjust(min(missing_nacks, 1))
         if target.state == MemberState.ALIVE:
             self._gossip.suspect(now, target)
 
     def handle_nack(self, nack: Nack) -> None:
-        """Count a helper that got no answer from the target."""
+        """Count a helper that got no reply from the target."""
         probe = self._probes.get(nack.seq)
         if probe is not None:
             probe.nacks += 1
 
     def handle_ack(self, ack: Ack) -> None:
-        """End the probe that an ack answers; one on behalf of another member is answered in turn."""
+        """End the probe that an ack belongs to; forward the ack if the probe was on behalf of another member."""
         indirect = self._indirect_probes.pop(ack.seq, None)
         if indirect is not None:
             self._sender.send(indirect.requester, Ack(indirect.seq, ack.sender))
@@ -107,7 +110,7 @@
             self._health.improve()
 
     def _choose_helpers(self, target: Member) -> list[Member]:
-        """Choose members to ping the target."""
+        """Choose random live members to ping the target."""
         others = [member for member in self._members.in_state(MemberState.ALIVE) if member.name != target.name]
         return self._rng.sample(others, min(len(others), self._config.indirect_checks))
 
@@ -123,7 +126,7 @@
         self._timers.set(now + self._direct_timeout_s(), IndirectProbeTimeout(seq))
 
     def indirect_probe_timed_out(self, seq: int) -> None:
-        """Send a nack to the requester, unless the target has answered."""
+        """Send a nack to the requester, unless the target has replied."""
         indirect = self._indirect_probes.pop(seq, None)
         if indirect is not None and not self._local.left:
-            self._sender.send(indirect.requester, Nack(indirect.seq, self._local.update()))
+            self._sender.send(indirect.requester, Nack(indirect.seq, self._local.make_update()))
--- a/badgerbend/membership/gossip.py
+++ b/badgerbend/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Updates that were received or decided here: they change the table, and are gossiped on."""
+"""Applies updates, received or made by the local member, to the table, and gossips them to others."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Gossip:
-    """Applies updates in SWIM's order: a greater incarnation wins, and within one incarnation the greater state."""
+    """Applies updates in SWIM's order of precedence: the greater incarnation, then the greater state."""
 
     def __init__(
         self,
@@ -54,17 +54,17 @@
         self._change(now, member, update)
 
     def suspect(self, now: float, member: Member) -> None:
-        """The local member suspects another."""
-        self.apply(now, member.update(MemberState.SUSPECT, self._local.name))
+        """Suspect a member, on the local member's own observation."""
+        self.apply(now, member.make_update(MemberState.SUSPECT, self._local.name))
 
     def suspicion_timed_out(self, now: float, name: str) -> None:
         """Declare a member dead if it is still suspected and its deadline has passed."""
         member = self._suspicions.expired(name, now)
         if member is not None:
-            self.apply(now, member.update(MemberState.DEAD, self._local.name))
+            self.apply(now, member.make_update(MemberState.DEAD, self._local.name))
 
     def _change(self, now: float, member: Member, update: MemberUpdate) -> None:
-        """Take over an update, gossip it, and report it as an event."""
+        """Apply an update to a member, gossip it, and report it as an event."""
         member.apply(update, now)
         self._broadcasts.add(update)
         self._events.append(
@@ -74,18 +74,21 @@
             self._suspicions.start(member, now)
 
     def _confirm_suspicion(self, now: float, member: Member, update: MemberUpdate) -> None:
-        """Count a further reporter of a known suspicion, and gossip it."""
+        """Count another reporter of a known suspicion, and gossip its report."""
         if update.state != MemberState.SUSPECT or not update.reporter or update.reporter in member.suspected_by:
             return
         if self._suspicions.confirm(member, update.reporter, now):
-            self._broadcasts.add(member.update(MemberState.SUSPECT, update.reporter))
+            self._broadcasts.add(member.make_update(MemberState.SUSPECT, update.reporter))
 
     def _refute(self, update: MemberUpdate) -> None:
-        """Refute an update on the local member, unless it says alive, by a greater incarnation."""
+        """Refute an update about the local member with a greater incarnation.
+
+        An older update, and one that says alive in the current incarnation, need no refutation.
+        """
         is_older = update.incarnation < self._local.incarnation
         is_same = update.incarnation == self._local.incarnation and update.state == MemberState.ALIVE
         if is_older or is_same or self._local.left:
             return
         self._local.incarnation = update.incarnation + 1
         self._health.adjust(1)
-        self._broadcasts.add(self._local.update())
+        self._broadcasts.add(self._local.make_update())
--- a/badgerbend/membership/health.py
+++ b/badgerbend/membership/health.py
@@ -1,10 +1,10 @@
-"""The local health score of Lifeguard: a member that misses answers may itself be slow or badly connected."""
+"""The local health score of Lifeguard: a member that misses replies may itself be slow or badly connected."""
 
 from __future__ import annotations
 
 
 class LocalHealth:
-    """A score from 0, healthy, up to a limit. Time-outs and periods are stretched by it."""
+    """A score from 0, which is healthy, up to a limit. Timeouts and periods grow with it."""
 
     def __init__(self, max_score: int) -> None:
         self.score = 0
@@ -12,11 +12,11 @@
 
     @property
     def factor(self) -> int:
-        """By what time-outs and periods are multiplied."""
+        """The factor by which timeouts and periods are multiplied."""
         return 1 + self.score
 
     def improve(self) -> None:
-        """Lower the score by one: a probe was answered."""
+        """Lower the score by one, after a probe that was acknowledged."""
         self.score = max(self.score - 1, 0)
 
     def adjust(self, change: int) -> None:
--- a/badgerbend/membership/members.py
+++ b/badgerbend/membership/members.py
@@ -1,4 +1,4 @@
-"""The local member, and the table of the others."""
+"""The local member, and the table of all other members."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     metadata: str
     left: bool = False
 
-    def update(self) -> MemberUpdate:
-        """Return what this member states of itself."""
+    def make_update(self) -> MemberUpdate:
+        """Return an update that this member gossips about itself."""
         state = MemberState.LEFT if self.left else MemberState.ALIVE
         return MemberUpdate(self.name, *self.address, state, self.incarnation, "", self.metadata)
 
 
 @dataclass(slots=True)
 class Member:
-    """Another member, as the local one knows it.
+    """Another member, as the local member knows it.
 
-    state_changed_at: seconds on the caller's clock. suspected_by: reporters of the present suspicion.
-    suspicion_deadline: when it times out; without meaning in other states.
+    state_changed_at: in seconds on the caller's clock. suspected_by: the reporters of the current suspicion.
+    suspicion_deadline: the time at which the suspicion times out; it has no meaning in other states.
     """
 
     name: str
@@ -48,12 +48,12 @@
         """Whether the member is neither dead nor departed."""
         return self.state <= MemberState.SUSPECT
 
-    def update(self, state: MemberState, reporter: str = "") -> MemberUpdate:
-        """Return an update that states this of the member, at its present incarnation."""
+    def make_update(self, state: MemberState, reporter: str = "") -> MemberUpdate:
+        """Return an update that gives the member this state in its current incarnation."""
         return MemberUpdate(self.name, *self.address, state, self.incarnation, reporter, self.metadata)
 
     def apply(self, update: MemberUpdate, now: float) -> None:
-        """Take over the state of an update."""
+        """Set the member's fields from an update."""
         self.state = update.state
         self.incarnation = update.incarnation
         self.state_changed_at = now
@@ -63,9 +63,10 @@
 
 
 class MembershipTable:
-    """All other members by name, in the order in which they were met.
+    """All other members by name, in the order in which they were first heard of.
 
-    Its methods scan all members in each period, so they compare states directly and call nothing for each member.
+    Its methods scan all members in each period, so they compare states directly instead of calling a method or a
+    property of each member.
     """
 
     def __init__(self, config: SwimConfig) -> None:
@@ -78,7 +79,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no further member is taken in."""
+        """Whether the table has reached its size limit."""
         return len(self.by_name) >= self._max_members
 
     def get(self, name: str) -> Member | None:
@@ -86,7 +87,7 @@
         return self.by_name.get(name)
 
     def add(self, update: MemberUpdate, now: float) -> Member:
-        """Take in a member that was unknown."""
+        """Add a member that was unknown."""
         address = (update.host, update.port)
         member = Member(update.name, address, update.state, update.incarnation, update.metadata, now)
         self.by_name[update.name] = member
@@ -101,7 +102,7 @@
         return [member for member in self.by_name.values() if member.state == state]
 
     def remove_expired(self, now: float) -> None:
-        """Forget members that have been dead or departed for too long."""
+        """Remove members that have been dead or departed for longer than the retention time."""
         expired = [
             member.name
             for member in self.by_name.values()
--- a/badgerbend/membership/messages.py
+++ b/badgerbend/membership/messages.py
@@ -1,6 +1,6 @@
 """Messages of the membership protocol, and their encoding as datagrams.
 
-Each message is a MessagePack array that begins with its tag. Sizes and ranges are checked when it is decoded.
+Each message is a MessagePack array that begins with its tag. Decoding checks sizes and ranges.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 import msgspec
 
-MAX_DATAGRAM_BYTES = 1400  # a datagram stays within one Ethernet frame, seal included
-SEAL_BYTES = 64  # reserved for the seal
+MAX_DATAGRAM_BYTES = 1400  # a datagram fits in one Ethernet frame, including its seal
+SEAL_BYTES = 64  # reserved for the seal, which authenticates a datagram
 MAX_ARRAY_HEADER_BYTES = 3  # of a MessagePack array with up to 65535 items
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 OptionalText = Annotated[str, msgspec.Meta(max_length=64)]
@@ -21,9 +21,9 @@
 
 
 class MalformedMessageError(Exception):
-    """A datagram that cannot be decoded: not a message of this protocol, or a value out of range.
+    """A datagram that cannot be decoded: it is no message of this protocol, or a value is out of range.
 
-    reason: what is wrong with it; size_bytes: its length.
+    reason: what is wrong with it. size_bytes: its length.
     """
 
     def __init__(self, reason: str, size_bytes: int) -> None:
@@ -42,7 +42,7 @@
 
     @property
     def label(self) -> str:
-        """The word for this state in status pages, metric labels and logs, which is part of their interface."""
+        """The name of this state in status pages, metric labels and logs, which is part of their interface."""
         return _STATE_LABELS[self]
 
 
@@ -57,8 +57,8 @@
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
     """The state of one member, as it is gossiped.
 
-    reporter: the member that states it; a suspicion is confirmed by updates of different reporters. metadata: set by
-    the member itself, here the address where its knowledge can be fetched.
+    reporter: the member that reports it; updates of different reporters confirm a suspicion. metadata: set by the
+    member itself, here to the address from which its knowledge can be fetched.
     """
 
     name: Text
@@ -71,7 +71,7 @@
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Asks a member for an `Ack`. target: its name; empty where the name is unknown, as of a seed."""
+    """Asks a member for an `Ack`. target: its name, or empty if the name is unknown, as for a seed."""
 
     seq: Number
     target: OptionalText
@@ -80,7 +80,7 @@
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Answers a `Ping` or an `IndirectPing`. sender: the member that was pinged."""
+    """The reply to a `Ping` or an `IndirectPing`. sender: the member that was pinged."""
 
     seq: Number
     sender: MemberUpdate
@@ -88,7 +88,7 @@
 
 
 class IndirectPing(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Asks another member to ping the target; answered by an `Ack`, or by a `Nack` if the target does not answer."""
+    """Asks another member to ping the target. The reply is an `Ack`, or a `Nack` if the target does not reply."""
 
     seq: Number
     target: Text
@@ -99,7 +99,7 @@
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """Answers an `IndirectPing` whose target has not answered in time."""
+    """The reply to an `IndirectPing` whose target has not replied in time."""
 
     seq: Number
     sender: MemberUpdate
@@ -107,7 +107,7 @@
 
 
 class Sync(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """A part of the sender's full state. reply_requested: the receiver is asked to send its own in return."""
+    """A part of the sender's full state. reply_requested: the receiver is to send its own full state in return."""
 
     reply_requested: bool
     sender: MemberUpdate
@@ -135,7 +135,7 @@
 
 
 def with_updates(message: Message, updates: Sequence[MemberUpdate]) -> Message:
-    """Return the message with as many of the updates, from the front, as one datagram holds."""
+    """Return the message with as many of the updates, from the first one on, as fit into one datagram."""
     remaining_bytes = MAX_DATAGRAM_BYTES - SEAL_BYTES - len(encode(message)) - MAX_ARRAY_HEADER_BYTES
     fitting = 0
     for update in updates:
--- a/badgerbend/membership/output.py
+++ b/badgerbend/membership/output.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """An encoded message, not yet sealed, for the address of another member."""
+    """An encoded message to send to the address of another member; the sender still has to seal it."""
 
     destination: Address
     payload: bytes
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SwimOutput:
-    """Datagrams to send and events to pass on, both in order."""
+    """Datagrams to send and events to handle, both in order."""
 
     datagrams: list[Datagram]
     events: list[MemberChanged]
--- a/badgerbend/membership/probe_order.py
+++ b/badgerbend/membership/probe_order.py
@@ -7,15 +7,15 @@
 
 
 class ProbeOrder:
-    """Round robin in an order that is shuffled anew for each round: each member is probed within two rounds."""
+    """Round robin in an order that is reshuffled for each round, so each member is probed within two rounds."""
 
     def __init__(self, context: SwimContext) -> None:
         self._members = context.members
         self._rng = context.rng
-        self._remaining: list[str] = []  # names of this round, the next one last
+        self._remaining: list[str] = []  # the names still to probe in this round, the next one last
 
     def insert(self, name: str) -> None:
-        """Put a new member at a random place of the present round."""
+        """Insert a new member at a random position in the current round."""
         self._remaining.insert(self._rng.randrange(len(self._remaining) + 1), name)
 
     def next(self) -> Member | None:
--- a/badgerbend/membership/suspicion.py
+++ b/badgerbend/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicions: how long they last, and what ends or confirms them."""
+"""Suspicions: how long they last, and how further reporters shorten them."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from badgerbend.membership.messages import MemberState
 from badgerbend.membership.timers import SuspicionTimeout
 
-CLOCK_TOLERANCE_S = 1e-9  # a timer may fire this much before the deadline that it was set for, by rounding
+CLOCK_TOLERANCE_S = 1e-9  # rounding may let a timer fire this much before the deadline that it was set for
 
 
 class SuspicionTimers:
-    """Deadlines of suspicions. Each further reporter shortens them, as in Lifeguard."""
+    """Deadlines of suspicions. Each further reporter brings a deadline forward, as in Lifeguard."""
 
     def __init__(self, context: SwimContext) -> None:
         self._config = context.config
@@ -21,17 +21,17 @@
         self._timers = context.timers
 
     def start(self, member: Member, now: float) -> None:
-        """Set the deadline of a suspicion that has just begun."""
+        """Set the deadline of a new suspicion."""
         member.suspicion_deadline = now + self.timeout_s(0)
         self._timers.set(member.suspicion_deadline, SuspicionTimeout(member.name))
 
     def confirm(self, member: Member, reporter: str, now: float) -> bool:
-        """Count another reporter and shorten the deadline. False: there are enough reporters, nothing has changed."""
+        """Count another reporter and bring the deadline forward; return False if there are enough reporters."""
         if len(member.suspected_by) > self._config.suspicion_confirmations:
             return False
-        began = member.suspicion_deadline - self.timeout_s(max(len(member.suspected_by) - 1, 0))
+        started_at = member.suspicion_deadline - self.timeout_s(max(len(member.suspected_by) - 1, 0))
         member.suspected_by.add(reporter)
-        member.suspicion_deadline = began + self.timeout_s(len(member.suspected_by) - 1)
+        member.suspicion_deadline = started_at + self.timeout_s(len(member.suspected_by) - 1)
         self._timers.set(max(member.suspicion_deadline, now), SuspicionTimeout(member.name))
         return True
 
@@ -43,12 +43,12 @@
         return member if now >= member.suspicion_deadline - CLOCK_TOLERANCE_S else None
 
     def timeout_s(self, confirmations: int) -> float:
-        """How long a suspicion lasts with so many reporters beside the first."""
+        """Return how long a suspicion lasts with this many reporters in addition to the first one."""
         config = self._config
         scale = max(1.0, math.log10(max(len(self._members) + 1, 1)))
-        least = config.suspicion_multiplier * scale * config.probe_interval_s
-        most = least * config.suspicion_max_multiplier
-        if len(self._members) <= 2:  # nobody else could confirm it
-            return least
+        min_timeout_s = config.suspicion_multiplier * scale * config.probe_interval_s
+        max_timeout_s = min_timeout_s * config.suspicion_max_multiplier
+        if len(self._members) <= 2:  # no other member could confirm the suspicion
+            return min_timeout_s
         fraction = math.log(confirmations + 1) / math.log(config.suspicion_confirmations + 1)
-        return max(least, most - (most - least) * fraction)
+        return max(min_timeout_s, max_timeout_s - (max_timeout_s - min_timeout_s) * fraction)
--- a/badgerbend/membership/swim.py
+++ b/badgerbend/membership/swim.py
@@ -1,17 +1,18 @@
 """SWIM (Das, Gupta, Motivala, DSN 2002) as a pure state machine: time and datagrams in, datagrams and events out.
 
-In each period one member is pinged, in an order that is shuffled anew each round (`probe_order`). If it does not
-answer, other members ping it; if they get no answer either, it is suspected (`failure_detector`), and declared dead
-unless it refutes the suspicion in time (`suspicion`). Updates are gossiped on these messages (`gossip`, `broadcasts`).
+In each period one member is pinged, in an order that is reshuffled for each round (`probe_order`). If it does not
+reply, other members ping it; if they get no reply either, it is suspected (`failure_detector`), and declared dead if
+it does not refute the suspicion in time (`suspicion`). Updates are piggybacked on these messages (`gossip`,
+`broadcasts`).
 
-From Lifeguard (Dadgar, Phillips, Currey, 2018): a member that misses answers stretches its own time-outs (`health`);
+From Lifeguard (Dadgar, Phillips, Currey, 2018): a member that misses replies lengthens its own timeouts (`health`);
 a suspicion times out sooner if several members report it; messages to a suspected member carry the suspicion, so that
-it can refute it at once; a helper that gets no answer from the target sends a nack.
+it can refute it immediately; a helper that gets no reply from the target sends a nack.
 
-Beyond both, the full state is exchanged now and then, and dead members are pinged, so that the halves of a partition
-find each other again (`anti_entropy`).
+In addition to both, members exchange the full state from time to time and ping dead members, so that the sides of a
+partition merge again once it ends (`anti_entropy`).
 
-Times are seconds on any clock that does not go backwards. Only the caller reads it.
+Times are seconds on any monotonic clock. Only the caller reads it.
 """
 
 from __future__ import annotations
@@ -51,17 +52,17 @@
     TimerQueue,
 )
 
-# What a user of Swim needs is part of this module's interface.
+# These names are part of this module's interface, because callers of Swim need them.
 __all__ = ["Address", "Datagram", "Member", "MemberChanged", "Swim", "SwimConfig", "SwimOutput"]
 
-LEAVE_FANOUT = 2  # times `indirect_checks`: so many members are notified by one that leaves
+LEAVE_FANOUT = 2  # a member that leaves notifies this many times `indirect_checks` members
 
 
 class Swim:
     """The state of one member. Call `take_output` after each call of another method.
 
-    incarnation: greater than in any earlier run of the same member, such as the time of the start. periods: protocol
-    periods begun so far. rejected_datagrams: how many could not be decoded.
+    incarnation: greater than in any earlier run of the same member, such as its start time. periods: the number of
+    protocol periods begun so far. rejected_datagrams: the number of datagrams that could not be decoded.
     """
 
     def __init__(
@@ -84,7 +85,7 @@
         self._failure_detector = FailureDetector(context, self._sender, self._gossip, probe_order)
         self._anti_entropy = AntiEntropy(context, self._sender)
 
-    # -- views
+    # -- state
 
     @property
     def name(self) -> str:
@@ -103,17 +104,17 @@
 
     @property
     def metadata(self) -> str:
-        """What the local member states of itself, for other members to use."""
+        """The data that the local member publishes about itself for other members."""
         return self.local.metadata
 
     @property
     def members(self) -> dict[str, Member]:
-        """All other members by name, dead and departed ones included."""
+        """All other members by name, including dead and departed ones."""
         return self._members.by_name
 
     @property
     def seeds(self) -> tuple[Address, ...]:
-        """Addresses at which other members are looked for."""
+        """The addresses that are pinged to find other members."""
         return self._anti_entropy.seeds
 
     @seeds.setter
@@ -122,31 +123,31 @@
 
     @property
     def health_score(self) -> int:
-        """The local health score: 0 is healthy."""
+        """The local health score; 0 is healthy."""
         return self._health.score
 
     @property
     def next_wakeup_at(self) -> float:
-        """When `tick` has something to do."""
+        """The time at which `tick` next has something to do."""
         return min(self._next_period_at, self._timers.next_at)
 
     def live_members(self) -> list[Member]:
         """Return the members that are neither dead nor departed."""
         return self._members.live()
 
-    # -- the caller's calls
+    # -- input and output
 
     def join(self, now: float, seeds: tuple[Address, ...]) -> None:
-        """Begin: ping the seeds, now and until one has answered."""
+        """Start the protocol: ping the seeds now, and again until a member has replied."""
         self._next_period_at = now + self._rng.random() * self.config.probe_interval_s
         self._anti_entropy.join(seeds)
 
     def leave(self, now: float) -> None:
-        """Notify some members; from here on nothing is answered."""
+        """Notify some members, and ignore all datagrams from now on."""
         self.local.left = True
         live = self._members.live()
         for member in self._rng.sample(live, min(len(live), LEAVE_FANOUT * self.config.indirect_checks)):
-            self._sender.send(member.address, Sync(reply_requested=False, sender=self.local.update()))
+            self._sender.send(member.address, Sync(reply_requested=False, sender=self.local.make_update()))
 
     def receive(self, now: float, data: bytes, source: Address) -> None:
         """Handle a datagram whose seal has been checked and removed."""
@@ -158,14 +159,14 @@
             self.rejected_datagrams += 1
             return
         if message.sender.name == self.name and message.sender.incarnation != self.incarnation:
-            return  # an earlier run, or another process with this name: refuted when it is gossiped
+            return  # from an earlier run or another process with this name; refuted once its updates are gossiped here
         self._gossip.apply(now, message.sender)
         for update in message.updates:
             self._gossip.apply(now, update)
         self._handle(now, message, source)
 
     def tick(self, now: float) -> None:
-        """Do what is due by now."""
+        """Run what is due at `now`."""
         while (timer := self._timers.pop_due(now)) is not None:
             self._fire(now, timer)
         if not self.local.left and now >= self._next_period_at:
@@ -174,7 +175,7 @@
             self._begin_period(now)
 
     def take_output(self) -> SwimOutput:
-        """Return what has accumulated since the last call, and forget it."""
+        """Return the output that has accumulated since the last call."""
         return SwimOutput(self._sender.take_datagrams(), self._gossip.take_events())
 
     def send_full_state(self, destination: Address, *, reply_requested: bool) -> None:
@@ -190,10 +191,10 @@
         self._failure_detector.probe_next(now)
 
     def _handle(self, now: float, message: Message, source: Address) -> None:
-        """Answer a message whose updates have been applied."""
+        """Handle a message whose updates have been applied."""
         match message:
             case Ping():
-                self._answer_ping(message, source)
+                self._acknowledge_ping(message, source)
             case IndirectPing():
                 self._failure_detector.handle_indirect_ping(now, message, source)
             case Ack():
@@ -206,11 +207,11 @@
             case _:
                 assert_never(message)
 
-    def _answer_ping(self, ping: Ping, source: Address) -> None:
-        """Acknowledge a ping that is meant for this member; one without a target comes from a member that joins."""
+    def _acknowledge_ping(self, ping: Ping, source: Address) -> None:
+        """Acknowledge a ping for this member. A ping without a target may come from a member that joins."""
         if ping.target not in ("", self.name):
             return
-        self._sender.send(source, Ack(ping.seq, self.local.update()), receiver=ping.sender.name)
+        self._sender.send(source, Ack(ping.seq, self.local.make_update()), receiver=ping.sender.name)
         if not ping.target:
             self.send_full_state(source, reply_requested=True)
 
--- a/badgerbend/membership/timers.py
+++ b/badgerbend/membership/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the membership protocol: typed, in a queue, fired by the caller's clock."""
+"""The timers of the membership protocol, in a queue that is driven by the caller's clock."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectProbeTimeout:
-    """A probed member has not answered directly; others are asked to ping it. seq: of the ping."""
+    """The time for a direct ack is over; other members are asked to ping. seq: the number of the ping."""
 
     seq: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeTimeout:
-    """A probe ends without an answer. seq: of the ping."""
+    """The time for a probe is over. seq: the sequence number of the ping."""
 
     seq: int
 
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbeTimeout:
-    """A probe on another member's behalf ends without an answer. seq: of the ping."""
+    """The time for a probe on behalf of another member is over. seq: the sequence number of the ping."""
 
     seq: int
 
 
 @dataclass(frozen=True, slots=True)
 class SuspicionTimeout:
-    """A suspicion may have timed out; it has not if its deadline was set anew. name: of the member."""
+    """A suspicion may have timed out, unless its deadline has changed. name: the name of the member."""
 
     name: str
 
@@ -40,7 +40,7 @@
 
 
 class TimerQueue:
-    """Timers by the time at which they are due; at equal times in the order in which they were set."""
+    """Timers ordered by the time at which they are due, and at equal times by the order in which they were set."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, Timer]] = []
@@ -48,7 +48,7 @@
 
     @property
     def next_at(self) -> float:
-        """When the first timer is due; infinity if there is none."""
+        """The time at which the first timer is due; infinity if there is none."""
         return self._heap[0][0] if self._heap else math.inf
 
     def set(self, at: float, timer: Timer) -> None:
--- a/badgerbend/snapshot/__init__.py
+++ b/badgerbend/snapshot/__init__.py
@@ -1,1 +1,1 @@
-"""A broker's own record in a file, for its next start."""
+"""The snapshot file in which a broker keeps its own knowledge for its next start."""
--- a/badgerbend/wal/__init__.py
+++ b/badgerbend/wal/__init__.py
@@ -1,1 +1,1 @@
-"""A voter's write-ahead log on disk: records in segments, with group commit, read back complete or rejected."""
+"""A voter's write-ahead log on disk: records in segments, with group commit. A damaged log is rejected."""
--- a/badgerbend/wal/errors.py
+++ b/badgerbend/wal/errors.py
@@ -1,4 +1,4 @@
-"""Why a voter's store cannot be used."""
+"""The errors of a voter's store."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class StoreError(Exception):
-    """A store cannot be used. Its text is one line.
+    """A store cannot be used. The message is one line.
 
-    path: the file or folder concerned. problem: what is wrong. remedy: what an operator should do; empty where the
-    problem says it.
+    path: the affected file or folder. problem: what is wrong. remedy: what an operator should do, or empty if the
+    problem makes it obvious.
     """
 
     def __init__(self, path: Path, problem: str, remedy: str = "") -> None:
@@ -24,58 +24,60 @@
 
 
 class StoreExistsError(StoreError):
-    """A store is to be created in a folder that is not empty."""
+    """The folder in which a store should be created is not empty."""
 
     def __init__(self, path: Path) -> None:
         super().__init__(path, "not empty", "a voter's store is made once, in a folder of its own")
 
 
 class StoreMissingError(StoreError):
-    """The folder, or a file that every store has, is not there."""
+    """The folder, or a file that every store has, is missing."""
 
 
 class StoreLockedError(StoreError):
     """Another process has the store open."""
 
     def __init__(self, path: Path) -> None:
-        super().__init__(path, "another process has it open", "end that one first")
+        super().__init__(path, "another process has the store open", "stop that process first")
 
 
 class StoreOwnerError(StoreError):
-    """The store was made for another voter. owner: whom it was made for. expected: who opened it."""
+    """The store belongs to another voter. owner: the voter it belongs to. expected: the voter that opened it."""
 
     def __init__(self, path: Path, owner: str, expected: str) -> None:
-        super().__init__(path, f"the store of {owner}, and this is {expected}")
+        super().__init__(path, f"the store belongs to voter {owner}, but this broker is {expected}")
         self.owner = owner
         self.expected = expected
 
 
 class StoreVersionError(StoreError):
-    """A file was written by another version of the program, and is left as it is.
+    """A file has the format of another version of the program; it is left unchanged.
 
-    found: the version that the file states. supported: the one that this program reads.
+    found: the format version of the file. supported: the version that this program reads.
     """
 
     def __init__(self, path: Path, found: int, supported: int) -> None:
-        super().__init__(path, f"version {found}, this reads {supported}", "start the program that wrote it")
+        super().__init__(
+            path, f"format version {found}, this program reads {supported}", "start the program version that wrote it"
+        )
         self.found = found
         self.supported = supported
 
 
 class StoreDamagedError(StoreError):
-    """A file does not hold what was acknowledged, so that the voter may have forgotten a promise."""
+    """A file lacks data that was acknowledged, so the voter may have forgotten a promise."""
 
     def __init__(self, path: Path, problem: str) -> None:
         super().__init__(path, problem, REPLACE_VOTER)
 
 
 class StoreStoppedError(OSError):
-    """Nothing more is written to a store after a write or a sync that failed.
+    """The store rejects writes because an earlier write or sync failed.
 
-    path: the segment concerned. reason: what the system said of the failure.
+    path: the segment that was written. reason: the system's message for that failure.
     """
 
     def __init__(self, path: Path, failure: OSError) -> None:
-        super().__init__(f"nothing more is written after {path}: {failure.strerror}")
+        super().__init__(f"writing stopped after a failure on {path}: {failure.strerror}")
         self.path = path
         self.reason = failure.strerror
--- a/badgerbend/wal/group_commit.py
+++ b/badgerbend/wal/group_commit.py
@@ -1,7 +1,7 @@
-"""Group commit: records that gather while the disk is busy are written and synced together, in a thread.
+"""Group commit: a thread writes and syncs together all records that accumulate while the disk is busy.
 
-The event loop is notified of each group with the number of its last record. After a failure it is notified once, and
-nothing more is written.
+After each group, the event loop receives the number of the last record on disk. A failure is reported once, and nothing
+is written after it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Group(NamedTuple):
-    """Records to be written together. is_last: the writer is being closed."""
+    """Records to write together. is_last: the writer is being closed, so no group follows."""
 
     records: list[SequencedRecord]
     is_last: bool
@@ -29,8 +29,9 @@
 class GroupCommitWriter:
     """Writes records to a store in a thread of its own.
 
-    on_persisted: called on the loop with a record's number once it and all before it are on disk. on_failed: called on
-    the loop with what went wrong, once. sync_count, record_count: how many syncs there were, of how many records.
+    on_persisted: called on the loop with the number of a record once it and all records before it are on disk.
+    on_failed: called once on the loop, with the error message. sync_count, record_count: the number of groups synced,
+    and of the records in them.
     """
 
     def __init__(
@@ -51,17 +52,17 @@
         self._thread.start()
 
     def write(self, records: Sequence[SequencedRecord]) -> None:
-        """Have records written, in their order."""
+        """Queue records to be written in this order."""
         self._queue.put(list(records))
 
     def close(self) -> None:
-        """Write what is left, end the thread, and close the store."""
+        """Write the remaining records, end the thread, and close the store."""
         self._queue.put(None)
         self._thread.join()
         self.store.close()
 
     def _run(self) -> None:
-        """Write groups until the writer is closed or the disk fails. This and all below runs in the thread."""
+        """Write groups until the writer is closed or the disk fails. This and the methods below run in the thread."""
         is_last = False
         while not is_last:
             records, is_last = self._next_group()
@@ -77,20 +78,20 @@
             self._notify(self.on_persisted, records[-1].sequence)
 
     def _next_group(self) -> Group:
-        """Wait for records, and return all that are there."""
+        """Wait for records, and return all that are queued."""
         records: list[SequencedRecord] = []
         is_last = False
         while True:
-            gathered = self._queue.get()
-            if gathered is None:
+            queued = self._queue.get()
+            if queued is None:
                 is_last = True
             else:
-                records += gathered
+                records += queued
             if self._queue.empty():
                 return Group(records, is_last)
 
     def _persist(self, records: list[Record]) -> None:
-        """Write and sync records. A snapshot supersedes most of what was written before: it starts a new segment."""
+        """Write and sync records. A snapshot supersedes most earlier records, so it starts a new segment."""
         self.store.append(records)
         if any(isinstance(record, Snapshot) for record in records):
             self.store.compact()
--- a/badgerbend/wal/identity.py
+++ b/badgerbend/wal/identity.py
@@ -1,6 +1,7 @@
-"""The file `voter`: whose store it is, written once.
+"""The file `voter`: the identity of a store, written once when the store is created.
 
-A voter without it does not start: one that lost its disk and began anew under its old name could vote twice in a term.
+Without this file a voter does not start: one that lost its disk and started empty under its old name could vote twice
+in a term.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class StoreIdentity(msgspec.Struct, frozen=True):
-    """Whose a store is. voters: those that the group began with; none for a voter that joined later."""
+    """The voter that a store belongs to. voters: the initial voters of the group, or none if it joins later."""
 
     name: str
     voters: tuple[str, ...]
@@ -23,23 +24,23 @@
 
 
 def identity_path(folder: Path) -> Path:
-    """Return the path of a store's identity."""
+    """Return the path of the identity file of a store."""
     return folder / "voter"
 
 
 def write_identity(folder: Path, identity: StoreIdentity) -> None:
-    """Write a new store's identity. Raises OSError."""
+    """Write the identity file of a new store. Raises OSError."""
     write_atomically(identity_path(folder), msgspec.json.encode(identity) + b"\n")
 
 
 def read_identity(folder: Path) -> StoreIdentity:
-    """Read whose store it is. Raises StoreError, OSError."""
+    """Read the identity file of a store. Raises StoreError, OSError."""
     path = identity_path(folder)
     try:
         identity = msgspec.json.decode(path.read_bytes(), type=StoreIdentity)
     except FileNotFoundError as err:
-        remedy = "a new voter's store is made by badgerbend voters create"
-        raise StoreMissingError(path, "not there", remedy) from err
+        remedy = "to create the store of a new voter, run badgerbend voters create"
+        raise StoreMissingError(path, "missing", remedy) from err
     except (msgspec.MsgspecError, UnicodeDecodeError) as err:
         raise StoreDamagedError(path, f"damaged ({err})") from err
     if identity.version != FORMAT_VERSION:
--- a/badgerbend/wal/mark.py
+++ b/badgerbend/wal/mark.py
@@ -1,8 +1,8 @@
-"""The file `mark`: how many bytes of the segment were synced.
+"""The file `mark`: the high-water mark of a segment, that is the number of its bytes that were synced.
 
-It is written after each sync and is itself not synced. It tells damage from a torn end: bytes before the mark were
-acknowledged, and a record there that does not fit its checksum means that the voter has forgotten a promise; what is
-beyond was acknowledged to nobody.
+The file is written after each sync and is not synced itself. It distinguishes damage from a torn write at the end of
+the segment. Bytes before the mark were acknowledged, so a record there with a wrong checksum means that the voter has
+forgotten a promise. Bytes after the mark were never acknowledged.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 
 class SyncMark:
-    """The open mark of a store. Raises OSError where it cannot be opened."""
+    """The open mark file of a store. Opening it may raise OSError."""
 
     def __init__(self, folder: Path) -> None:
         self._file = os.open(folder / "mark", os.O_WRONLY | os.O_CREAT, 0o600)
 
     def set(self, segment_number: int, synced_bytes: int) -> None:
-        """State how many bytes of a segment are synced. A failure is ignored: the mark is not needed to read."""
+        """Record how many bytes of a segment are synced. Failures are ignored: a store is readable without a mark."""
         body = MARK_BODY.pack(segment_number, synced_bytes)
         with contextlib.suppress(OSError):
             os.pwrite(self._file, body + CHECKSUM.pack(checksum(body)), 0)
@@ -37,7 +37,7 @@
 
 
 def read_mark(folder: Path, segment_number: int) -> int:
-    """Return how many bytes of this segment are known to have been synced; 0 where nothing is known. Raises OSError."""
+    """Return the number of bytes of a segment that are known to be synced, or 0 if unknown. Raises OSError."""
     try:
         data = (folder / "mark").read_bytes()
     except FileNotFoundError:
--- a/badgerbend/wal/store.py
+++ b/badgerbend/wal/store.py
@@ -1,7 +1,7 @@
 """A voter's store: a folder of its own with its identity, the newest segment of its log, and the mark.
 
-All calls block on the disk; `group_commit` makes them in a thread. After a write or a sync that failed nothing more is
-written: what the disk holds is not known until it is read again at the next start.
+All calls block on the disk; `group_commit` makes them in a thread. Once a write or a sync has failed, nothing more is
+written: the contents of the disk are unknown until they are read again at the next start.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class StoreContents(NamedTuple):
-    """What a store holds. valid_bytes: of its newest segment, up to the end of the last complete record."""
+    """The contents of a store. valid_bytes: the length of its newest segment up to the last complete record."""
 
     segment_number: int
     persistent_state: PersistentState
@@ -38,9 +38,9 @@
 
 
 def create_store(folder: Path, name: str, voters: Sequence[str]) -> None:
-    """Make a new voter's store.
+    """Create the store of a new voter. Raises StoreExistsError, OSError.
 
-    voters: all of them for a voter that begins a group, none for one that joins. Raises StoreExistsError, OSError.
+    voters: the initial voters if the voter starts a new group; empty if it joins an existing one.
     """
     folder.mkdir(parents=True, exist_ok=True)
     if any(folder.iterdir()):
@@ -50,21 +50,21 @@
 
 
 def read_store(folder: Path) -> StoreContents:
-    """Read a store and change nothing. Raises StoreError, OSError."""
+    """Read a store without changing it. Raises StoreError, OSError."""
     read_identity(folder)
     numbers = segment_numbers(folder)
     if not numbers:
-        raise StoreMissingError(folder, "no log.N in it", REPLACE_VOTER)
+        raise StoreMissingError(folder, "it contains no log.N file", REPLACE_VOTER)
     number = max(numbers)
     state, valid_bytes = read_segment(segment_path(folder, number), read_mark(folder, number))
     return StoreContents(number, state, valid_bytes)
 
 
 class Store:
-    """An open store; only one process can have it open. Opening raises StoreError, OSError.
+    """An open store, locked against other processes. Opening it may raise StoreError or OSError.
 
-    persistent_state: what the store held when it was opened; the caller may change it. segment_number, segment_bytes:
-    of the segment that is written to.
+    persistent_state: the state read when the store was opened; the caller may change it. segment_number, segment_bytes:
+    the number and the size of the segment that is being written.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -89,9 +89,9 @@
         self._remove_other_segments()
 
     def append(self, records: Sequence[Record]) -> None:
-        """Write and sync records as one; once this returns they are on disk.
+        """Write and sync records together; they are on disk once this returns.
 
-        Raises OSError, and from then on always: what reached the disk is not known.
+        Raises OSError. After a failure every call raises, because it is unknown which bytes reached the disk.
         """
         self._check_not_stopped()
         data = b"".join(frame_record(record) for record in records)
@@ -107,9 +107,9 @@
             self._written_state.replay(record)
 
     def compact(self) -> None:
-        """Replace the segment by a new one with the fewest records that state the same.
+        """Replace the segment by a new one with the fewest records that replay to the same state.
 
-        Raises OSError, and from then on always: which of the two a next start would find is not known.
+        Raises OSError. After a failure every call raises, because it is unknown which segment the next start will find.
         """
         self._check_not_stopped()
         number = self.segment_number + 1
@@ -128,7 +128,7 @@
         old_path.unlink(missing_ok=True)
 
     def close(self) -> None:
-        """Close all files, and let another process open the store."""
+        """Close all files and release the lock."""
         with contextlib.suppress(OSError):
             os.close(self._file)
         self._mark.close()
@@ -144,14 +144,14 @@
             raise self._stopped
 
     def _remove_other_segments(self) -> None:
-        """Remove an older segment, or one that was half written when a crash came."""
+        """Remove older segments, and the temporary file of a segment that a crash interrupted."""
         for path in self.folder.glob("log.*"):
             if path.name != self._segment_path.name:
                 path.unlink()
 
 
 def _lock(folder: Path) -> int:
-    """Open and lock the identity, so that no other process opens the store; return the file descriptor."""
+    """Lock the identity file, so that no other process can open the store; return its file descriptor."""
     lock = os.open(identity_path(folder), os.O_RDONLY)
     try:
         fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -20,7 +20,7 @@
     path = tmp_path / "seen"
     write_atomically(path, encode_snapshot(GOOD, 1000.0))
     assert read_snapshot(path, 1007.5).servers[0].age_ms == 500.0 + 7500.0
-    with pytest.raises(SnapshotError, match="gone back"):
+    with pytest.raises(SnapshotError, match="clock may have been set back"):
         read_snapshot(path, 999.0)
     with pytest.raises(FileNotFoundError):
         read_snapshot(tmp_path / "none", 0.0)
--- a/tests/test_wal.py
+++ b/tests/test_wal.py
@@ -78,7 +78,7 @@
 
 
 def test_missing_store_is_an_error_and_not_an_empty_store(tmp_path):
-    with pytest.raises(StoreMissingError, match=r"voter: not there; .*voters create"):
+    with pytest.raises(StoreMissingError, match=r"voter: missing; .*voters create"):
         Store(tmp_path)
     create_store(tmp_path / "a", "a", VOTERS)
     (tmp_path / "a" / "log.1").unlink()
@@ -128,7 +128,7 @@
         assert err.value.path == path
         assert err.value.remedy == REPLACE_VOTER
     path.write_bytes(whole[:-1])
-    with pytest.raises(StoreDamagedError, match="kept for good; remove this voter"):
+    with pytest.raises(StoreDamagedError, match="that were acknowledged; remove this voter"):
         Store(folder)
     path.write_bytes(whole)
     Store(folder).close()
@@ -151,7 +151,9 @@
     head = struct.pack(">8sHQ", MAGIC, 2, 0)
     data[: HEADER.size] = head + struct.pack(">I", checksum(head))
     path.write_bytes(data)
-    with pytest.raises(StoreVersionError, match="version 2, this reads 1; start the program that wrote it") as err:
+    with pytest.raises(
+        StoreVersionError, match="version 2, this program reads 1; start the program version that wrote it"
+    ) as err:
         Store(folder)
     assert (err.value.path, err.value.found, err.value.supported) == (path, 2, 1)
     assert path.read_bytes() == data
@@ -209,7 +211,7 @@
         patched.setattr(os, fails, full)
         with pytest.raises(OSError, match="No space"):
             store.append([HardState(2, "v2")])
-    with pytest.raises(StoreStoppedError, match=r"nothing more is written after .*log\.1: No space"):
+    with pytest.raises(StoreStoppedError, match=r"writing stopped after a failure on .*log\.1: No space"):
         store.append([HardState(3, "v0")])
     store.close()
     assert Store(folder).persistent_state.term in (1, 2)  # acknowledged to nobody: either is right
