--- a/badgerbend/snapshot/store.py
+++ b/badgerbend/snapshot/store.py
@@ -70,7 +70,7 @@
     try:
         size_bytes = path.stat().st_size
         if size_bytes > MAX_SNAPSHOT_BYTES:
-            raise SnapshotError(f"too large: {size_bytes} bytes, the limit is {MAX_SNAPSHOT_BYTES}")
+            raise SnapshotError(f"too large: {size_bytes} bytes; the limit is {MAX_SNAPSHOT_BYTES} bytes")
         data = path.read_bytes()
     except FileNotFoundError:
         raise
@@ -82,7 +82,7 @@
 def _checked_body(data: bytes) -> bytes:
     """Check the header of a snapshot file and return its body. Raises SnapshotError."""
     if len(data) < HEADER.size:
-        raise SnapshotError(f"truncated: {len(data)} bytes, the header has {HEADER.size}")
+        raise SnapshotError(f"{len(data)} bytes are too few for the header of {HEADER.size} bytes")
     magic, version, length, digest = HEADER.unpack_from(data)
     if magic != MAGIC:
         raise SnapshotError("not a snapshot file of a broker")
@@ -90,7 +90,7 @@
         raise SnapshotError(f"format version {version}; this broker reads version {VERSION}")
     body = data[HEADER.size :]
     if len(body) != length:
-        raise SnapshotError(f"the body has {len(body)} bytes, but the header says {length}")
+        raise SnapshotError(f"the body has {len(body)} bytes instead of the {length} in the header")
     if xxhash.xxh3_128_digest(body) != digest:
         raise SnapshotError("the checksum of the body does not match")
     return body
--- a/badgerbend/wal/segments.py
+++ b/badgerbend/wal/segments.py
@@ -102,7 +102,7 @@
 def _read_header(path: Path, data: bytes) -> int:
     """Check the header and return the number of bytes of the initial records."""
     if len(data) < HEADER.size:
-        raise StoreDamagedError(path, f"truncated: {len(data)} bytes are too few for the header")
+        raise StoreDamagedError(path, f"{len(data)} bytes are too few for the header")
     magic, version, initial_bytes, found_checksum = HEADER.unpack_from(data)
     if magic != MAGIC or found_checksum != checksum(data[: HEADER.size - CHECKSUM.size]):
         raise StoreDamagedError(path, "the header is damaged")
