--- a/badgerbend/snapshot/store.py
+++ b/badgerbend/snapshot/store.py
@@ -82,7 +82,7 @@
 def _checked_body(data: bytes) -> bytes:
     """Check the header of a snapshot file and return its body. Raises SnapshotError."""
     if len(data) < HEADER.size:
-        raise SnapshotError(f"{len(data)} bytes are too few for the header of {HEADER.size} bytes")
+        raise SnapshotError(f"{len(data)} bytes are too few for a header of {HEADER.size}")
     magic, version, length, digest = HEADER.unpack_from(data)
     if magic != MAGIC:
         raise SnapshotError("not a snapshot file of a broker")
--- a/badgerbend/wal/store.py
+++ b/badgerbend/wal/store.py
@@ -54,7 +54,7 @@
     read_identity(folder)
     numbers = segment_numbers(folder)
     if not numbers:
-        raise StoreMissingError(folder, "it contains no log.N file", REPLACE_VOTER)
+        raise StoreMissingError(folder, "no log.N file in this folder", REPLACE_VOTER)
     number = max(numbers)
     state, valid_bytes = read_segment(segment_path(folder, number), read_mark(folder, number))
     return StoreContents(number, state, valid_bytes)
--- a/tests/modelvoters.py
+++ b/tests/modelvoters.py
@@ -1,8 +1,8 @@
-"""Exhaustive search over three voters: every interleaving up to a depth, on the product's own `Raft`.
+"""A model checker for three voters: searches every interleaving up to a depth, with the product's own `Raft`.
 
-The search is breadth first and sees each state once. An action is one of: a voter starts an election, its disk syncs,
-a message is delivered, a leader proposes, a voter crashes and restarts from what was synced. A message that is never
-delivered is lost, and one that is delivered late is reordered. Time does not advance.
+The search is breadth first and visits each state once. The actions are: a voter starts an election, its disk syncs, a
+message is delivered, a leader proposes, and a voter crashes and restarts from the synced records. A message that is
+never delivered counts as lost, and one that is delivered late as reordered. Time does not advance.
 """
 
 from collections import deque
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from badgerbend.consensus import messages as voting
+from badgerbend.consensus import messages
 from badgerbend.consensus.log import Log
 from badgerbend.consensus.messages import Record
 from badgerbend.consensus.persistent_state import PersistentState
@@ -20,12 +20,12 @@
 NAMES = ("a", "b", "c")
 CONFIG = RaftConfig(election_timeout_s=0.0, heartbeat_interval_s=1.0, compact_after_entries=10**6)
 NOW = 0.0
-PARTS_OF_RAFT = ("election", "leadership", "follower")
-PARTS_OF_LEADERSHIP = ("replication", "membership", "reads", "transfer")
+RAFT_COMPONENTS = ("election", "leadership", "follower")
+LEADERSHIP_COMPONENTS = ("replication", "membership", "reads", "transfer")
 
 
 class Kind(Enum):
-    """What an action does. The value of those whose number is limited is the name of the limit."""
+    """What an action does. If the number of such actions is limited, the value is the key of the limit."""
 
     CAMPAIGN = "campaign"
     SYNC = "sync"
@@ -35,14 +35,14 @@
 
 
 class Packet(NamedTuple):
-    """A message on its way. data: as it is encoded."""
+    """A message in flight. data: its encoding."""
 
     to: str
     data: bytes
 
 
 class Action(NamedTuple):
-    """A step from one state to the next. voter: where it happens. packet: the one that is delivered."""
+    """A step from one state to the next. voter: the voter that takes it. packet: the one that is delivered, if any."""
 
     kind: Kind
     voter: str
@@ -50,14 +50,14 @@
 
 
 class Disk(NamedTuple):
-    """A voter's records, and how many of them are synced."""
+    """The records of a voter, and how many of them are synced."""
 
     records: tuple[Record, ...]
     synced: int
 
 
 class FixedTimeouts:
-    """In the place of a random generator, whose numbers decide nothing while time does not advance."""
+    """Replaces the random number generator, whose numbers have no effect while time does not advance."""
 
     def uniform(self, low, high):
         return low
@@ -75,27 +75,27 @@
 
 
 def shallow_copy(original):
-    """A copy of an object with the same attributes; `copy.copy` would be slower."""
+    """Return a copy of an object with the same attributes; `copy.copy` is slower."""
     new = object.__new__(type(original))
     new.__dict__ = dict(original.__dict__)
     return new
 
 
-def copy_parts(owner, names, replica):
-    """Give an object copies of some of its parts that belong to a copy of the replica."""
+def copy_components(owner, names, replica):
+    """Replace some components of an object by copies that belong to a copy of the replica."""
     for name in names:
-        part = shallow_copy(getattr(owner, name))
-        part.replica = replica
-        setattr(owner, name, part)
+        component = shallow_copy(getattr(owner, name))
+        component.replica = replica
+        setattr(owner, name, component)
 
 
 def clone(raft):
-    """A copy that shares nothing that changes; a test in test_agreement checks that no part is forgotten."""
+    """Return a copy that shares no mutable state; a test in test_agreement checks that nothing was forgotten."""
     new = shallow_copy(raft)
     new.log = Log(raft.log.snapshot, raft.log.entries)
     new.events = []
-    copy_parts(new, PARTS_OF_RAFT, new)
-    copy_parts(new.leadership, PARTS_OF_LEADERSHIP, new)
+    copy_components(new, RAFT_COMPONENTS, new)
+    copy_components(new.leadership, LEADERSHIP_COMPONENTS, new)
     new.durability = shallow_copy(raft.durability)
     new.durability.unpersisted_entries = deque(raft.durability.unpersisted_entries)
     new.durability.deferred_messages = deque(raft.durability.deferred_messages)
@@ -109,9 +109,9 @@
 
 
 class State:
-    """Voters, their disks, the network, and what was ever committed or led.
+    """The voters, their disks and the network, and all terms led and entries committed so far.
 
-    limits: how many more actions of some kinds there may be, by the kind's value.
+    limits: how many more actions of a kind there may be, by the value of the kind.
     """
 
     def __init__(self, raft_class=Raft):
@@ -123,11 +123,11 @@
         self.committed = {}
         self.limits = {}
         for name in NAMES:
-            self.disks[name] = Disk((voting.Snapshot(0, 0, NAMES, b""),), synced=1)
+            self.disks[name] = Disk((messages.Snapshot(0, 0, NAMES, b""),), synced=1)
             self._start(name)
 
     def actions(self):
-        """Every action that is possible now."""
+        """Yield every action that is possible in this state."""
         for name in NAMES:
             raft = self.rafts[name]
             if self.limits["campaign"] and raft.role is not Role.LEADER:
@@ -143,7 +143,7 @@
                 yield Action(Kind.DELIVER, packet.to, packet)
 
     def do(self, action):
-        """The state after an action. Raises InvariantViolation where an invariant does not hold in it."""
+        """Return the state after an action. Raises InvariantViolation if an invariant does not hold in it."""
         new = self._copy()
         name = action.voter
         if action.kind.value in new.limits:
@@ -159,13 +159,13 @@
                 new._crash(name)
             case Kind.DELIVER:
                 new._remove(action.packet)
-                new._clone_voter(name).step(NOW, voting.decode(action.packet.data))
+                new._clone_voter(name).step(NOW, messages.decode(action.packet.data))
         new._collect(name)
         new._check(name)
         return new
 
     def key(self):
-        """What tells this state from others."""
+        """Return a key that is equal for equivalent states only."""
         voters = tuple(self._voter_key(name) for name in NAMES)
         return (voters, self.network, tuple(self.limits.items()), tuple(sorted(self.committed.items())))
 
@@ -185,7 +185,7 @@
                 (follower, progress.match_index, progress.next_index, progress.in_flight)
                 for follower, progress in sorted(raft.progress.items())
             ),
-            tuple((to, voting.encode(message)) for _, to, message in durability.deferred_messages),
+            tuple((to, messages.encode(message)) for _, to, message in durability.deferred_messages),
             durability.last_sequence - durability.persisted_sequence,
             durability.persisted_index,
             len(disk.records) - disk.synced,
@@ -233,11 +233,11 @@
         ready = self.rafts[name].take_ready()
         disk = self.disks[name]
         self.disks[name] = Disk(disk.records + tuple(record for _, record in ready.records), disk.synced)
-        sent = tuple(Packet(to, voting.encode(message)) for to, message in ready.messages)
+        sent = tuple(Packet(to, messages.encode(message)) for to, message in ready.messages)
         self.network = tuple(sorted(self.network + sent))
 
     def _check(self, name):
-        """No two voters lead one term, and no two commit different entries at one index."""
+        """Check that no two voters lead the same term or commit different entries at the same index."""
         raft = self.rafts[name]
         if raft.role is Role.LEADER and self.leaders.setdefault(raft.term, name) != name:
             raise InvariantViolation(f"term {raft.term} is led by {self.leaders[raft.term]} and by {name}")
@@ -274,7 +274,7 @@
 
 
 def do_or_explain(state, path, action):
-    """The state after an action. Raises InvariantViolation with the path to it."""
+    """Return the state after an action. Raises InvariantViolation, which lists the path to the state."""
     try:
         return state.do(action)
     except InvariantViolation as err:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1,8 +1,8 @@
-"""Defects that the checks must catch, each by its name: what `tests/simvoters.py` and its like are worth."""
+"""Defects that the simulations and the model checker must detect, as replacements of the product's classes."""
 
 import msgspec
 
-from badgerbend.consensus import messages as voting
+from badgerbend.consensus import messages
 from badgerbend.consensus.election import Election
 from badgerbend.consensus.raft import Raft, ReadConfirmed, Role
 from badgerbend.consensus.replication import Replication
@@ -15,7 +15,7 @@
 
 
 class CountsVotesTwice(Election):
-    """Counts each vote that is delivered twice as two."""
+    """Counts a vote that is delivered twice as two votes."""
 
     def count_vote(self, now, voter):
         if not self.votes:
@@ -31,17 +31,17 @@
 
 
 class VotesBeforePersisting(Raft):
-    """Sends a vote before it is on disk."""
+    """Sends a vote before the vote is on disk."""
 
     def send(self, to, message, after=0):
-        super().send(to, message, 0 if isinstance(message, voting.RequestVoteReply) else after)
+        super().send(to, message, 0 if isinstance(message, messages.RequestVoteReply) else after)
 
 
 class AcknowledgesBeforePersisting(Raft):
     """Acknowledges entries before they are on disk."""
 
     def send(self, to, message, after=0):
-        super().send(to, message, 0 if isinstance(message, voting.AppendEntriesReply) else after)
+        super().send(to, message, 0 if isinstance(message, messages.AppendEntriesReply) else after)
 
 
 class CountsUnpersistedEntries(Replication):
@@ -86,14 +86,14 @@
 
 
 class HolderIgnoresClockDrift(LeaseHolder):
-    """Counts on the full duration of a lease, as if its clock were right."""
+    """Uses a lease for its full duration, as if its clock had no drift."""
 
     def _lease_length(self):
         return self.timing.lease_duration_s
 
 
 class CountsFromTheReply(LeaseHolder):
-    """Counts a lease from when the reply came, not from when the request was sent."""
+    """Counts a lease from the arrival of the reply, not from the sending of the request."""
 
     def receive_reply(self, now, reply):
         if reply.seq in self._sent_at:
@@ -102,7 +102,7 @@
 
 
 class IgnoresStalls(LeaseHolder):
-    """Decides by the time of its last tick whether it may act."""
+    """Decides whether it may act by the time of its last tick instead of the current time."""
 
     def _check_stall(self, now):
         pass
@@ -116,7 +116,7 @@
 
 
 class AcceptsReturnedLeases(LeaseHolder):
-    """Takes a lease over again that it has returned."""
+    """Accepts a lease that it has already returned."""
 
     def _apply_lease_state(self, now, state, sent_at):
         if state.duty in self.duties:
@@ -125,7 +125,7 @@
 
 
 class NewLeaderDoesNotWait(LeaseManager):
-    """Ends leases at once when it becomes leader, though the last leader may have renewed them."""
+    """Expires all leases when it becomes leader, although the previous leader may have renewed them."""
 
     def become_leader(self, now):
         super().become_leader(now)
@@ -134,14 +134,14 @@
 
 
 class LeaderIgnoresClockDrift(LeaseManager):
-    """Ends a lease after its nominal duration, as if its clock were right."""
+    """Expires a lease after its nominal duration, as if its clock had no drift."""
 
     def _lease_length(self):
         return self.timing.lease_duration_s
 
 
 class RenewsReleasedLeases(LeaseManager):
-    """Renews a lease although the command that ends it is on its way."""
+    """Renews a lease although the command that releases it is in flight."""
 
     def renew(self, received_at, request):
         for clock in self.lease_clocks.values():
@@ -150,7 +150,7 @@
 
 
 class LosesALease(LeaseTable):
-    """Leaves one lease out of its snapshots."""
+    """Omits one lease from its snapshots."""
 
     def dump(self):
         incomplete = LeaseTable()
@@ -160,7 +160,7 @@
 
 
 class AdmitsAnyEpoch(FencingGuard):
-    """Admits acts whatever their epoch is."""
+    """Admits acts of any epoch."""
 
     def admits(self, duty, epoch):
         return True
@@ -181,7 +181,7 @@
 STALLS = Chaos(fault_interval_s=0.25, faults=("stall", "cut", "cut one way"))
 LATE = Chaos(late=0.4, late_s=0.6, fault_interval_s=0.3, faults=("fail", "fail", "fail", "stall"))
 
-# name: what replaces the product's classes, the chaos in which it shows, and a seed that shows it
+# name: (the replacements of the product's classes, the faults under which the defect shows, a seed that shows it)
 MUTANTS = {
     "a vote counted twice": ({"voter": voter(raft(election=CountsVotesTwice))}, FIVE, 37),
     "entries not synced": ({"voter": voter(AcknowledgesBeforePersisting)}, DISKS, 19),
@@ -192,9 +192,9 @@
         DRIFT,
         23,
     ),
-    "a lease counted from its answer": ({"holder": CountsFromTheReply}, Chaos(late=0.2, fault_interval_s=0.3), 104),
+    "a lease counted from its reply": ({"holder": CountsFromTheReply}, Chaos(late=0.2, fault_interval_s=0.3), 104),
     "a stall not noticed": ({"holder": IgnoresStalls}, STALLS, 2),
-    "a lease taken back after it was given": ({"holder": AcceptsReturnedLeases}, LATE, 73),
+    "a returned lease accepted again": ({"holder": AcceptsReturnedLeases}, LATE, 73),
     "a new leader that does not wait": (
         {"voter": voter(manager=NewLeaderDoesNotWait)},
         Chaos(fault_interval_s=0.4),
--- a/tests/simvoters.py
+++ b/tests/simvoters.py
@@ -1,7 +1,7 @@
-"""Voters, brokers and receivers in simulated time, with bad networks, disks and clocks; and what must always hold.
+"""Simulates voters, brokers and receivers with faulty networks, disks and clocks, and checks invariants at each step.
 
 The product's own `Voter`, `LeaseHolder` and `FencingGuard` run here; only sockets, disks and clocks are simulated. All
-chance comes from the seed. What is broken is raised as `InvariantViolation`, at the moment it happens.
+random choices come from the seed. A broken invariant raises `InvariantViolation` at the moment it breaks.
 """
 
 import heapq
@@ -25,7 +25,7 @@
 
 
 class Disk:
-    """Records written, and how many of them are synced. A crash keeps those, and perhaps some more."""
+    """The records written, and how many of them are synced. A crash keeps those, and possibly some of the others."""
 
     def __init__(self, voters):
         self.records = [consensus_messages.encode(consensus_messages.Snapshot(0, 0, voters, b""))]
@@ -44,17 +44,17 @@
 
 @dataclass
 class Chaos:
-    """Chances and sizes. Times are seconds; clock_drift: clocks run off true time by up to so much."""
+    """Probabilities and sizes of faults. Times are in seconds. clock_drift: the limit of a clock's rate error."""
 
     loss: float = 0.05
     duplicates: float = 0.02
     delay: tuple = (0.001, 0.03)
-    late: float = 0.02  # of messages: delayed by up to `late_s`
+    late: float = 0.02  # share of messages that are delayed by up to `late_s` in addition
     late_s: float = 2.0
     sync: tuple = (0.0005, 0.02)
-    slow_sync: float = 0.01  # of writes: their word takes up to a second
+    slow_sync: float = 0.01  # share of writes whose sync takes up to a second longer
     clock_drift: float = 0.01
-    fault_interval_s: float = 0.6  # between faults
+    fault_interval_s: float = 0.6  # mean time between faults
     faults: tuple = (
         "crash",
         "crash",
@@ -70,14 +70,14 @@
     )
     voters: int = 3
     brokers: int = 3
-    claimed_clock_drift: float | None = None  # where the bound that is stated is not the one that holds
+    claimed_clock_drift: float | None = None  # the configured drift bound, where it differs from the actual one
     compact_after_entries: int = 25
-    stall_before_act: float = 0.002  # chance that a holder is stopped right between its look and its act
+    stall_before_act: float = 0.002  # probability that a holder stalls between checking its lease and acting
 
 
 @dataclass
 class Clock:
-    """A machine's own: off by a constant, and running at a rate of its own."""
+    """The clock of a machine, with a constant offset and a rate of its own."""
 
     rate: float
     offset: float
@@ -91,7 +91,7 @@
 
 @dataclass
 class Process:
-    """A voter or a broker that runs, or not."""
+    """A voter or a broker. core: its state machine, or None while it is down."""
 
     name: str
     clock: Clock
@@ -102,7 +102,7 @@
 
 
 class World:
-    """Run it with `run`. kinds: other classes in the place of the product's, for mutants."""
+    """The simulation. voter, holder, guard: the product's classes, or mutants in their place."""
 
     def __init__(self, seed, chaos=None, timing=None, voter=Voter, holder=LeaseHolder, guard=FencingGuard):
         self.chaos = chaos or Chaos()
@@ -115,25 +115,25 @@
             reply_timeout_s=0.1,
             stall_threshold_s=0.3,
         )
-        self.tuning = RaftConfig(
+        self.raft_config = RaftConfig(
             election_timeout_s=0.4, heartbeat_interval_s=0.08, compact_after_entries=self.chaos.compact_after_entries
         )
         self.voter, self.holder = voter, holder
         self.now = 0.0
         self.order = count()
         self.due = []
-        self.cuts = {}  # (from, to): until when nothing gets through
+        self.cuts = {}  # (from, to): the time until which the link drops everything
         self.voters = tuple(f"v{i}" for i in range(self.chaos.voters))
         self.disks = {v: Disk(self.voters) for v in self.voters}
         self.processes = {}
         self.guards = {f"r{i}": guard() for i in range(2)}
-        self.admitted = {}  # (receiver, duty): the newest epoch whose act took effect, by the auditor's own books
-        self.leaders = {}  # term: who led it
-        self.committed = {}  # index: (term, kind, data), once anybody applied it
-        self.applied_at = {}  # voter, incarnation: last index it applied
-        self.acknowledged = 0  # the greatest index that was told of
-        self.may_act_until = {}  # duty: {holder: until (true time)}
-        self.epochs = {}  # duty: the last epoch acted under, and by whom
+        self.admitted = {}  # (receiver, duty): the newest epoch whose act took effect, tracked apart from the guards
+        self.leaders = {}  # term: its leader
+        self.committed = {}  # index: (term, kind, data), as soon as a voter has applied it
+        self.applied_at = {}  # (voter, incarnation): the last index it applied
+        self.acknowledged = 0  # the greatest index that a leader has reported as committed
+        self.may_act_until = {}  # duty: {holder: end of its lease in true time}
+        self.epochs = {}  # duty: (the epoch of the last act, its holder)
         self.acts = self.rejected = self.elections = 0
         for name in self.voters:
             self._boot(name)
@@ -143,20 +143,26 @@
 
     # -- processes
     def _clock(self):
-        off = self.rng.choice((-1, 0, 1, self.rng.uniform(-1, 1)))  # the bounds as often as what lies between
-        return Clock(1.0 + off * self.chaos.clock_drift, self.rng.random() * 100)
+        drift = self.rng.choice((-1, 0, 1, self.rng.uniform(-1, 1)))  # each bound as often as a value between them
+        return Clock(1.0 + drift * self.chaos.clock_drift, self.rng.random() * 100)
 
     def _boot(self, name):
-        old = self.processes.get(name)
-        process = Process(name, old.clock if old else self._clock(), incarnation=(old.incarnation + 1 if old else 1))
+        previous = self.processes.get(name)
+        process = Process(
+            name,
+            previous.clock if previous else self._clock(),
+            incarnation=(previous.incarnation + 1 if previous else 1),
+        )
         self.processes[name] = process
         seed, local = self.rng.getrandbits(32), process.clock.local(self.now)
         if name in self.voters:
-            process.core = self.voter(name, self.disks[name].persistent_state(), self.tuning, self.timing, seed, local)
+            process.core = self.voter(
+                name, self.disks[name].persistent_state(), self.raft_config, self.timing, seed, local
+            )
             self.applied_at[name, process.incarnation] = process.core.raft.last_applied
         else:
-            near = {"probe": name != "b2", "deal": True}
-            process.core = self.holder(name, f"at-{name}", near, self.voters, self.timing, seed, local)
+            duties = {"probe": name != "b2", "deal": True}
+            process.core = self.holder(name, f"at-{name}", duties, self.voters, self.timing, seed, local)
             self._at(0.005, self._act, name, process.incarnation)
         self._wake(process)
 
@@ -182,18 +188,18 @@
     def _collect(self, process):
         if process.name in self.voters:
             self._check_voter(process)
-            out = process.core.drain_output()
+            output = process.core.drain_output()
             disk = self.disks[process.name]
-            for seq, record in out.records:
+            for seq, record in output.records:
                 disk.records.append(consensus_messages.encode(record))
-                took = self.rng.uniform(*self.chaos.sync) + (
+                sync_s = self.rng.uniform(*self.chaos.sync) + (
                     self.rng.random() if self.rng.random() < self.chaos.slow_sync else 0.0
                 )
-                self._at(took, self._synced, process.name, process.incarnation, seq, len(disk.records))
-            for to, message in out.to_voters:
+                self._at(sync_s, self._synced, process.name, process.incarnation, seq, len(disk.records))
+            for to, message in output.to_voters:
                 self._send(process.name, to, consensus_messages.encode(message))
-            for to, told in out.to_brokers:
-                self._send(process.name, to, lease_messages.encode(told))
+            for to, reply in output.to_brokers:
+                self._send(process.name, to, lease_messages.encode(reply))
         else:
             for to, message in process.core.drain_output():
                 self._send(process.name, to, lease_messages.encode(message))
@@ -204,7 +210,7 @@
         process = self.processes[name]
         if process.core is None or process.incarnation != incarnation:
             return
-        self.disks[name].synced = max(self.disks[name].synced, length)  # also while the process stands still
+        self.disks[name].synced = max(self.disks[name].synced, length)  # also while the process is stalled
         if self.now < process.stalled_until:
             self._at(process.stalled_until - self.now, self._synced, name, incarnation, seq, length)
             return
@@ -229,7 +235,7 @@
         process = self.processes[to]
         if process.core is None:
             return
-        if self.now < process.stalled_until:  # the kernel keeps it
+        if self.now < process.stalled_until:  # the kernel buffers the message
             self._at(process.stalled_until - self.now, self._arrive, source, to, data)
             return
         local = process.clock.local(self.now)
@@ -243,7 +249,7 @@
 
     # -- acts
     def _act(self, name, incarnation):
-        """A broker acts for what it holds every few milliseconds; acts are slow on the way now and then."""
+        """Let a broker act for its leases every few milliseconds; some acts reach the receiver late."""
         process = self.processes[name]
         if process.core is None or process.incarnation != incarnation:
             return
@@ -303,18 +309,18 @@
                 process.core.raft.transfer_leadership(process.clock.local(self.now))
                 self._collect(process)
 
-    def _crash(self, name, back_s):
+    def _crash(self, name, restart_after_s):
         process = self.processes[name]
         if process.core is None:
             return
         process.core, process.stalled_until = None, 0.0
-        for held in self.may_act_until.values():
-            held.pop(name, None)
+        for holders in self.may_act_until.values():
+            holders.pop(name, None)
         if name in self.voters:
             self.disks[name].crash(self.rng)
-        self._at(back_s, self._boot, name)
+        self._at(restart_after_s, self._boot, name)
 
-    # -- what must hold
+    # -- invariants
     def _check_voter(self, process):
         raft = process.core.raft
         if raft.role is Role.LEADER:
@@ -325,20 +331,20 @@
         key = process.name, process.incarnation
         for index in range(max(self.applied_at[key], raft.log.snapshot_index) + 1, raft.last_applied + 1):
             entry = raft.log.entry(index)
-            word = (entry.term, entry.kind, entry.data)
-            if self.committed.setdefault(index, word) != word:
+            content = (entry.term, entry.kind, entry.data)
+            if self.committed.setdefault(index, content) != content:
                 raise InvariantViolation(f"{process.name} applied another entry {index} than was committed")
         if raft.last_applied < self.applied_at[key]:
             raise InvariantViolation(f"{process.name} went back from {self.applied_at[key]} to {raft.last_applied}")
         self.applied_at[key] = raft.last_applied
-        if process.core.is_leader:  # whoever leads knows all that was ever committed and told
+        if process.core.is_leader:  # a leader knows everything that was ever reported as committed
             if raft.last_applied < self.acknowledged and raft.is_established_leader and max(self.leaders) == raft.term:
                 raise InvariantViolation(f"{process.name} leads term {raft.term} and lacks acknowledged entries")
             self.acknowledged = max(self.acknowledged, raft.commit_index)
             self._check_table(process.core.table, raft.last_applied)
 
     def _check_table(self, table, index):
-        """The table is what the committed entries make of it, in their order: each lease as its history says."""
+        """Check that the table is what the committed entries produce when they are applied in order."""
         if index in self.committed and all(i in self.committed for i in range(1, index + 1)):
             holders = {}
             for at in range(1, index + 1):
@@ -356,19 +362,19 @@
                 raise InvariantViolation(f"the table says {found}, its history {holders}")
 
     def _check_holder(self, process):
-        """Who may act until when, in true time; nobody else may at that moment."""
-        for duty, mine in process.core.duties.items():
-            held = self.may_act_until.setdefault(duty, {})
-            until = process.clock.true(mine.valid_until) if mine.epoch else -1.0
-            held.pop(process.name, None)
+        """Check that no other holder may act at this moment; lease ends are compared in true time."""
+        for duty, state in process.core.duties.items():
+            holders = self.may_act_until.setdefault(duty, {})
+            until = process.clock.true(state.valid_until) if state.epoch else -1.0
+            holders.pop(process.name, None)
             if until <= self.now:
                 continue
-            for other, theirs in held.items():
-                if theirs > self.now:
+            for other, other_until in holders.items():
+                if other_until > self.now:
                     raise InvariantViolation(
-                        f"{duty}: {other} may act until {theirs:.3f}, and {process.name} at {self.now:.3f}"
+                        f"{duty}: {other} may act until {other_until:.3f}, and {process.name} at {self.now:.3f}"
                     )
-            held[process.name] = until
+            holders[process.name] = until
 
     def _check_epoch(self, duty, epoch, name):
         last, who = self.epochs.get(duty, (0, name))
@@ -377,26 +383,26 @@
         self.epochs[duty] = (epoch, name)
 
     # -- time
-    def _at(self, after, what, *args):
-        heapq.heappush(self.due, (self.now + after, next(self.order), what, args))
+    def _at(self, delay, callback, *args):
+        heapq.heappush(self.due, (self.now + delay, next(self.order), callback, args))
 
     def run(self, seconds):
         end = self.now + seconds
         while self.due and self.due[0][0] <= end:
-            self.now, _, what, args = heapq.heappop(self.due)
-            what(*args)
+            self.now, _, callback, args = heapq.heappop(self.due)
+            callback(*args)
         self.now = end
 
     def heal(self):
-        """No more faults, and a good network from here on."""
+        """Stop all faults, and make the network reliable from now on."""
         quiet = dict.fromkeys(("loss", "duplicates", "late", "slow_sync", "stall_before_act"), 0.0)
         self.chaos = replace(self.chaos, fault_interval_s=1e9, **quiet)
-        self.due = [row for row in self.due if row[2] != self._inject_fault]
+        self.due = [event for event in self.due if event[2] != self._inject_fault]
         heapq.heapify(self.due)
         self.cuts = {}
 
     def settles(self, seconds):
-        """Whether all is settled at some moment within that time; a hand-over may be under way at any other."""
+        """Whether everything is settled at some moment within this time; at others, a handover may be in progress."""
         end = self.now + seconds
         while not self.settled():
             if self.now >= end:
@@ -405,14 +411,16 @@
         return True
 
     def settled(self):
-        """Whether one leads, all agree with it, and each duty has a holder that may act."""
+        """Whether there is one leader, all voters agree with it, and each duty has a holder that may act."""
         leaders = [p for n, p in self.processes.items() if n in self.voters and p.core is not None and p.core.is_leader]
         if len(leaders) != 1 or any(p.core is None for p in self.processes.values()):
             return False
         table = leaders[0].core.table
-        level = all(self.processes[v].core.raft.last_applied == leaders[0].core.raft.last_applied for v in self.voters)
+        in_sync = all(
+            self.processes[v].core.raft.last_applied == leaders[0].core.raft.last_applied for v in self.voters
+        )
         holders = [table.lease(duty).holder for duty in ("probe", "deal")]
-        return level and all(
+        return in_sync and all(
             h and self.processes[h].core.may_act(self.processes[h].clock.local(self.now), duty)
             for h, duty in zip(holders, ("probe", "deal"), strict=True)
         )
