--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""SWIM over a simulated network: live members converge, false deaths are refuted, bad datagrams change nothing."""
+"""SWIM over a simulated network: live members agree, false deaths are refuted, malformed datagrams have no effect."""
 
 import itertools
 import random
@@ -34,12 +34,12 @@
     return net, names
 
 
-def test_members_find_each_other_by_one_seed():
+def test_members_find_each_other_through_one_seed():
     net, _ = cluster(12)
     assert net.run(20, net.agreed)
 
 
-def test_a_seed_that_was_never_met_is_found_while_other_seeds_are_dead():
+def test_a_seed_that_was_unreachable_is_found_while_the_other_seeds_are_dead():
     net, names = cluster(5)
     net.sides["m0"] = 1
     net.run(1)
@@ -51,30 +51,30 @@
     assert net.run(60, net.agreed), net.views()
 
 
-def test_a_crash_is_noticed_by_all_and_a_leave_at_once():
+def test_all_members_detect_a_crash_and_learn_of_a_leave_within_seconds():
     net, names = cluster(8)
     assert net.run(20, net.agreed)
     net.crash("m3")
     assert net.run(60, net.agreed)
     assert all(v["m3"] == MemberState.DEAD for v in net.views().values())
     net.leave("m5")
-    left = net.now
+    left_at = net.now
     assert net.run(10, net.agreed)
-    assert net.now - left < 6
+    assert net.now - left_at < 6
     assert all(v["m5"] == MemberState.LEFT for v in net.views().values())
 
 
-def test_a_restart_is_the_same_member_in_a_new_incarnation():
+def test_a_restarted_member_has_a_new_incarnation():
     net, names = cluster(6)
     assert net.run(20, net.agreed)
-    old = net.members["m1"].members["m4"].incarnation
+    previous = net.members["m1"].members["m4"].incarnation
     net.crash("m4")
     net.run(1.0)
     net.start("m4", ("m0",))
-    assert net.run(30, lambda: net.members["m1"].members["m4"].incarnation > old and net.agreed())
+    assert net.run(30, lambda: net.members["m1"].members["m4"].incarnation > previous and net.agreed())
 
 
-def test_thirty_percent_loss_kills_nobody_for_long():
+def test_members_agree_again_after_thirty_percent_loss():
     net, names = cluster(10)
     net.loss = 0.3
     net.duplicates = 0.2
@@ -84,7 +84,7 @@
     assert net.run(60, net.agreed)
 
 
-def test_a_partition_that_heals_is_one_again():
+def test_members_agree_again_after_a_partition():
     net, names = cluster(8)
     assert net.run(20, net.agreed)
     for name in names[:4]:
@@ -112,46 +112,48 @@
     assert victim.incarnation > before
 
 
-def false_alarms(most):
-    """Suspicions of healthy members, and deaths, that one with a bad connection causes in a minute."""
-    net, _ = cluster(10, tuning=replace(QUICK, max_health_score=most))
+def false_alarms(max_health_score):
+    """Return how many suspicions and deaths of healthy members one with a bad connection causes in a minute."""
+    net, _ = cluster(10, tuning=replace(QUICK, max_health_score=max_health_score))
     assert net.run(20, net.agreed)
-    deaf = net.members["m0"]
+    lossy = net.members["m0"]
     rng = random.Random(4)
-    receive = deaf.receive
+    receive = lossy.receive
     replace_attribute(
-        deaf, "receive", lambda now, data, source: receive(now, data, source) if rng.random() < 0.15 else None
+        lossy, "receive", lambda now, data, source: receive(now, data, source) if rng.random() < 0.15 else None
     )
     net.events.clear()
     net.run(60)
-    deaf.receive = receive
+    lossy.receive = receive
     assert net.run(120, net.agreed)
-    wrong = [e.state for _, by, e in net.events if by != "m0" and e.name != "m0"]
-    return wrong.count(MemberState.SUSPECT), wrong.count(MemberState.DEAD)
+    states = [e.state for _, by, e in net.events if by != "m0" and e.name != "m0"]
+    return states.count(MemberState.SUSPECT), states.count(MemberState.DEAD)
 
 
-def test_one_member_with_a_bad_connection_does_not_take_the_others_down():
-    """Lifeguard's case: its probes fail by its own fault, so it stretches its time-outs before it suspects others."""
+def test_one_member_with_a_bad_connection_does_not_get_healthy_members_declared_dead():
+    """Its own connection makes its probes fail. With Lifeguard it lengthens its timeouts before it suspects others."""
     suspected, dead = false_alarms(8)
-    without, _ = false_alarms(0)
+    suspected_without_health_score, _ = false_alarms(0)
     assert dead == 0
-    assert suspected < without / 2
+    assert suspected < suspected_without_health_score / 2
 
 
-def test_datagrams_stay_within_a_frame_however_much_is_gossiped():
+def test_datagrams_fit_in_an_ethernet_frame_however_many_updates_are_gossiped():
     net, _ = cluster(60)
     biggest = 0
 
-    def run_and_watch():
+    def measure_datagrams():
         nonlocal biggest
         for _, _, _, data, _ in net._flying:
             biggest = max(biggest, len(data))
         return net.agreed()
 
-    assert net.run(120, run_and_watch)
+    assert net.run(120, measure_datagrams)
     assert 500 < biggest <= MAX_DATAGRAM_BYTES
-    long = [MemberUpdate("n" * 64, "h" * 64, 65535, MemberState.ALIVE, 2**61, "b" * 64, "i" * 64) for _ in range(100)]
-    message = with_updates(Ping(2**61, "t" * 64, long[0]), long)
+    long_updates = [
+        MemberUpdate("n" * 64, "h" * 64, 65535, MemberState.ALIVE, 2**61, "b" * 64, "i" * 64) for _ in range(100)
+    ]
+    message = with_updates(Ping(2**61, "t" * 64, long_updates[0]), long_updates)
     assert 0 < len(message.updates) < 100
     assert len(encode(message)) <= MAX_DATAGRAM_BYTES
 
@@ -175,7 +177,7 @@
     net.run(15)
 
 
-def test_invented_members_cannot_grow_the_table_without_limit():
+def test_gossip_of_invented_members_cannot_grow_the_table_without_limit():
     member = Swim("a", ("a", 1), 1, "", SwimConfig(max_members=20), 1)
     for i in range(100):
         sender = MemberUpdate(f"x{i}", "h", 1, MemberState.ALIVE, 1)
@@ -249,8 +251,8 @@
 TestRandomSchedules = RandomSchedules.TestCase
 
 
-def test_all_orders_of_updates_give_one_view():
-    """A bounded search: whatever order the same updates arrive in, the state of the third member is the same."""
+def test_all_orders_of_updates_give_the_same_state():
+    """Check each subset of some updates about one member: every order leads to the same incarnation and state."""
     sender = MemberUpdate("b", "b", 1, MemberState.ALIVE, 1)
     updates = [
         MemberUpdate("c", "c", 1, MemberState.ALIVE, 5),
@@ -259,29 +261,29 @@
         MemberUpdate("c", "c", 1, MemberState.ALIVE, 6),
         MemberUpdate("c", "c", 1, MemberState.SUSPECT, 6, "b"),
     ]
-    ends = set()
+    final_states = set()
     for size in range(1, 6):
         for chosen in itertools.combinations(updates, size):
-            held = set()
+            states = set()
             for order in itertools.permutations(chosen):
                 member = Swim("a", ("a", 1), 1, "", QUICK, 1)
                 member.receive(0.0, encode(Sync(False, MemberUpdate("c", "c", 1, MemberState.ALIVE, 4))), ("c", 1))
                 for update in order:
                     member.receive(0.0, encode(Sync(False, sender, (update,))), ("b", 1))
-                held.add((member.members["c"].incarnation, member.members["c"].state))
-            assert len(held) == 1, (chosen, held)
-            ends |= held
-    assert ends == {(5, 0), (5, 1), (5, 2), (6, 0), (6, 1)}
+                states.add((member.members["c"].incarnation, member.members["c"].state))
+            assert len(states) == 1, (chosen, states)
+            final_states |= states
+    assert final_states == {(5, 0), (5, 1), (5, 2), (6, 0), (6, 1)}
 
 
-def test_a_search_of_three_members_finds_no_death_that_stays():
-    """Depth-bounded search over which datagrams of a run of three are lost: afterwards all agree, always."""
+def test_three_members_agree_again_whichever_early_datagrams_are_lost():
+    """Check every choice of lost datagrams among the first nine sends: afterwards all members agree."""
     for lost in itertools.product([False, True], repeat=9):
         net, _ = cluster(3, 5)
         collect = net._collect
         seen = itertools.count()
 
-        def some(name, net=net, seen=seen, lost=lost, collect=collect):
+        def collect_with_loss(name, net=net, seen=seen, lost=lost, collect=collect):
             before = len(net._flying)
             collect(name)
             if len(net._flying) > before:
@@ -289,7 +291,7 @@
                 if n < len(lost) and lost[n]:
                     net._flying[:] = sorted(net._flying)[: len(net._flying) - 1]
 
-        replace_attribute(net, "_collect", some)
+        replace_attribute(net, "_collect", collect_with_loss)
         net.run(8)
         net._collect = collect
         assert net.run(200, net.agreed), lost
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -1,4 +1,4 @@
-"""A snapshot file that may be torn anywhere, and crashes at any call to the system while it is written."""
+"""Snapshot files that are torn or damaged anywhere, and crashes at any system call while a file is written."""
 
 import os
 import random
@@ -16,7 +16,7 @@
 GOOD = record(TRUE)
 
 
-def test_the_ages_in_a_snapshot_grow_while_it_is_stored(tmp_path):
+def test_ages_in_a_snapshot_include_the_time_since_it_was_written(tmp_path):
     path = tmp_path / "seen"
     write_atomically(path, encode_snapshot(GOOD, 1000.0))
     assert read_snapshot(path, 1007.5).servers[0].age_ms == 500.0 + 7500.0
@@ -59,23 +59,23 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_crash_at_any_call_leaves_the_old_snapshot_or_the_new(tmp_path, seed, monkeypatch):
-    """Every call to the system may be the last; a write may have put only some of its bytes on the disk."""
+def test_a_crash_at_any_system_call_leaves_the_old_snapshot_or_the_new_one(tmp_path, seed, monkeypatch):
+    """The process may end at every system call, and a write may have stored only some of its bytes."""
     rng = random.Random(seed)
     path = tmp_path / "seen"
     write_atomically(path, encode_snapshot(GOOD, 1000.0))
     new = msgspec.structs.replace(GOOD, open_parts=9)
-    left = rng.randrange(9)
+    remaining_calls = rng.randrange(9)
 
-    def dying(real, partly=False):
+    def crashing(real, partial=False):
         def call(*args):
-            nonlocal left
-            left -= 1
-            if left < 0:
-                if partly:
+            nonlocal remaining_calls
+            remaining_calls -= 1
+            if remaining_calls < 0:
+                if partial:
                     real(args[0], bytes(args[1])[: rng.randrange(len(args[1]) + 1)])
                 raise Crash
-            if partly and rng.random() < 0.5:
+            if partial and rng.random() < 0.5:
                 return real(args[0], bytes(args[1])[: rng.randrange(1, len(args[1]) + 1)])
             return real(*args)
 
@@ -83,19 +83,19 @@
 
     with monkeypatch.context() as patch:
         for name in ("open", "fsync", "replace"):
-            patch.setattr(os, name, dying(getattr(os, name)))
-        patch.setattr(os, "write", dying(os.write, partly=True))
+            patch.setattr(os, name, crashing(getattr(os, name)))
+        patch.setattr(os, "write", crashing(os.write, partial=True))
         try:
             write_atomically(path, encode_snapshot(new, 1001.0))
-            done = True
+            completed = True
         except Crash:
-            done = False
+            completed = False
     found = read_snapshot(path, 1002.0)
-    assert found.open_parts in ((9,) if done else (0, 9))
+    assert found.open_parts in ((9,) if completed else (0, 9))
     assert not path.with_name("seen.new").exists()
 
 
-def test_a_folder_that_cannot_be_written_keeps_the_old_file(tmp_path):
+def test_a_failed_write_keeps_the_old_file(tmp_path):
     path = tmp_path / "seen"
     write_atomically(path, encode_snapshot(GOOD, 1000.0))
     path.with_name("seen.new").mkdir()
--- a/tests/test_stored_bytes_wal.py
+++ b/tests/test_stored_bytes_wal.py
@@ -1,4 +1,4 @@
-"""A voter's store that an earlier version wrote is read, and the same records are written with the same bytes."""
+"""Compatibility of a voter's store: files of an earlier version are read, and the same records give the same bytes."""
 
 import shutil
 
@@ -14,23 +14,23 @@
 STORES = DATA / "voter-store"
 VOTERS = ("v0", "v1", "v2")
 NEW_VOTERS = ("v0", "v1", "v3")
-TORN_BYTES = 13  # of the record whose writing was cut short
+TORN_BYTES = 13  # of the torn record, the part that was written
 
 GRANT = encode(GrantLease(duty="probe:north", holder="b1", previous_epoch=0))
-FREE = encode(ReleaseLease(duty="probe:north", epoch=2))
+RELEASE = encode(ReleaseLease(duty="probe:north", epoch=2))
 PUT = encode(PutFact(key="version", value=b"\x00v2\xff", previous_index=0))
 
-# The state after the first two commands, as the snapshot in the store holds it.
+# The state in the snapshot of the store: that after the first two entries.
 SNAPSHOT_STATE = bytes.fromhex("929193ab70726f62653a6e6f727468a262310290")
 SNAPSHOT = Snapshot(index=2, term=1, voters=VOTERS, state=SNAPSHOT_STATE)
 ENTRIES = (
-    Entry(index=3, term=1, kind=EntryKind.COMMAND, data=FREE),
+    Entry(index=3, term=1, kind=EntryKind.COMMAND, data=RELEASE),
     Entry(index=4, term=3, kind=EntryKind.NOOP, data=b""),
     Entry(index=5, term=3, kind=EntryKind.COMMAND, data=PUT),
     Entry(index=6, term=3, kind=EntryKind.CONFIGURATION, data=encode_voters(NEW_VOTERS)),
 )
 
-# What is appended to the store, one list a call.
+# The records that are appended to the store, one list per call.
 APPENDS = [
     [HardState(term=1, voted_for="v0")],
     [
@@ -38,7 +38,7 @@
             entries=(
                 Entry(index=1, term=1, kind=EntryKind.NOOP, data=b""),
                 Entry(index=2, term=1, kind=EntryKind.COMMAND, data=GRANT),
-                Entry(index=3, term=1, kind=EntryKind.COMMAND, data=FREE),
+                Entry(index=3, term=1, kind=EntryKind.COMMAND, data=RELEASE),
                 Entry(index=4, term=1, kind=EntryKind.COMMAND, data=b"replaced in a later term"),
             )
         ),
@@ -53,7 +53,7 @@
 
 
 def write_store(folder, *, compacted):
-    """The same calls as those that wrote the fixtures."""
+    """Make the same calls as those that wrote the fixtures."""
     create_store(folder, "v0", VOTERS)
     store = Store(folder)
     for records in APPENDS:
@@ -71,7 +71,7 @@
 
 @pytest.fixture
 def open_store(tmp_path):
-    """Opens a copy of a store in the fixtures."""
+    """Return a function that opens a copy of a store in the fixtures."""
     stores = []
 
     def open_copy(name):
@@ -107,16 +107,16 @@
 
 
 @pytest.mark.parametrize("name", ["appended", "compacted", "torn"])
-def test_store_is_read_without_a_change(name):
+def test_reading_a_store_does_not_change_it(name):
     before = file_bytes(STORES / name)
-    number, _, good = read_store(STORES / name)
+    number, _, valid_bytes = read_store(STORES / name)
     torn = TORN_BYTES if name == "torn" else 0
-    assert good == len(before[f"log.{number}"]) - torn
+    assert valid_bytes == len(before[f"log.{number}"]) - torn
     assert read_identity(STORES / name).name == "v0"
     assert file_bytes(STORES / name) == before
 
 
-def test_torn_tail_is_cut_off(open_store, tmp_path):
+def test_torn_record_is_truncated(open_store, tmp_path):
     open_store("torn")
     assert file_bytes(tmp_path / "torn") == file_bytes(STORES / "appended")
 
@@ -127,7 +127,7 @@
     assert file_bytes(tmp_path / name) == file_bytes(STORES / name)
 
 
-def test_opened_store_is_compacted_and_continued_with_the_same_bytes(open_store, tmp_path):
+def test_opened_store_is_compacted_and_appended_to_with_the_same_bytes(open_store, tmp_path):
     store = open_store("torn")
     store.compact()
     for records in APPENDS_AFTER_COMPACTION:
@@ -135,13 +135,13 @@
     assert file_bytes(tmp_path / "torn") == file_bytes(STORES / "compacted")
 
 
-def test_state_in_the_snapshot_and_the_commands_after_it():
-    _, kept, _ = read_store(STORES / "appended")
+def test_commands_after_the_snapshot_apply_to_its_state():
+    _, persistent_state, _ = read_store(STORES / "appended")
     table = LeaseTable()
-    table.load(kept.log.snapshot.state)
+    table.load(persistent_state.log.snapshot.state)
     assert table.dump() == SNAPSHOT_STATE
     assert table.leases == {"probe:north": Lease("b1", 2)}
-    for entry in kept.log.entries:
+    for entry in persistent_state.log.entries:
         if entry.kind is EntryKind.COMMAND:
             table.apply(entry.index, entry.data)
     assert table.leases == {"probe:north": Lease("", 2)}
--- a/tests/test_wal.py
+++ b/tests/test_wal.py
@@ -1,4 +1,4 @@
-"""A voter's store: acknowledged records are read back completely; damage is an error that says what to do."""
+"""A voter's store: acknowledged records are read back completely; damage is an error with a remedy."""
 
 import asyncio
 import errno
@@ -68,7 +68,7 @@
     reopened.close()
 
 
-def test_store_is_open_in_one_process_and_created_once(folder):
+def test_store_is_opened_by_one_process_and_created_once(folder):
     store = Store(folder)
     with pytest.raises(StoreLockedError, match="another process"):
         Store(folder)
@@ -93,10 +93,10 @@
     acknowledged = contents(read_store(folder).persistent_state)
     store.close()
     path = folder / "log.1"
-    whole = path.read_bytes()
-    more = b"".join(frame_record(r) for r in (LogEntries((entry(2, 1, b"long" * 9),)), HardState(2, "")))
-    for cut in range(len(more)):
-        path.write_bytes(whole + more[:cut])
+    acknowledged_content = path.read_bytes()
+    unacknowledged = b"".join(frame_record(r) for r in (LogEntries((entry(2, 1, b"long" * 9),)), HardState(2, "")))
+    for cut in range(len(unacknowledged)):
+        path.write_bytes(acknowledged_content + unacknowledged[:cut])
         reopened = Store(folder)
         found = contents(reopened.persistent_state)
         assert reopened.segment_bytes >= acknowledged_bytes
@@ -116,21 +116,21 @@
     store.append([LogEntries((entry(3),))])
     store.close()
     path = folder / "log.1"
-    whole = path.read_bytes()
-    for at in range(len(whole)):
-        spoilt = bytearray(whole)
-        spoilt[at] ^= 1 << random.Random(at).randrange(8)
-        path.write_bytes(spoilt)
+    intact = path.read_bytes()
+    for at in range(len(intact)):
+        damaged = bytearray(intact)
+        damaged[at] ^= 1 << random.Random(at).randrange(8)
+        path.write_bytes(damaged)
         with pytest.raises(StoreDamagedError) as err:
             Store(folder)
         assert str(path) in str(err.value)
         assert "\n" not in str(err.value)
         assert err.value.path == path
         assert err.value.remedy == REPLACE_VOTER
-    path.write_bytes(whole[:-1])
+    path.write_bytes(intact[:-1])
     with pytest.raises(StoreDamagedError, match="that were acknowledged; remove this voter"):
         Store(folder)
-    path.write_bytes(whole)
+    path.write_bytes(intact)
     Store(folder).close()
 
 
@@ -163,7 +163,7 @@
 
 
 def test_crash_at_any_step_of_compaction_loses_nothing(folder, monkeypatch):
-    """Each system call is the last one once: the old segment or the new one is complete, and states the same."""
+    """The process crashes once at each system call: the old or the new segment is complete, with the same state."""
     store = Store(folder)
     store.append([HardState(2, "v1"), LogEntries(tuple(entry(i) for i in range(1, 9))), Snapshot(8, 1, VOTERS, b"s")])
     expected = contents(read_store(folder).persistent_state)
@@ -173,13 +173,13 @@
     class CrashError(Exception):
         pass
 
-    def wrap(real, last):
-        def call(*args, **more):
+    def crash_after(real, last):
+        def call(*args, **options):
             nonlocal calls
             calls += 1
             if calls > last:
                 raise CrashError
-            return real(*args, **more)
+            return real(*args, **options)
 
         return call
 
@@ -188,15 +188,15 @@
         calls = 0
         with monkeypatch.context() as patched:
             for name in ("write", "fsync", "replace", "pwrite"):
-                patched.setattr(os, name, wrap(getattr(os, name), last))
+                patched.setattr(os, name, crash_after(getattr(os, name), last))
             try:
                 store.compact()
-                done = True
+                completed = True
             except CrashError:
-                done = False
+                completed = False
         store.close()
         assert contents(read_store(folder).persistent_state) == expected
-    assert done  # the last rounds completed
+    assert completed  # the last rounds ran without a crash
 
 
 @pytest.mark.parametrize("fails", ["write", "fdatasync"])
@@ -214,21 +214,21 @@
     with pytest.raises(StoreStoppedError, match=r"writing stopped after a failure on .*log\.1: No space"):
         store.append([HardState(3, "v0")])
     store.close()
-    assert Store(folder).persistent_state.term in (1, 2)  # acknowledged to nobody: either is right
+    assert Store(folder).persistent_state.term in (1, 2)  # the second vote was never acknowledged, so it may be lost
 
 
-def test_writer_notifies_of_groups_in_order_and_of_a_failure_once(folder, monkeypatch):
+def test_writer_reports_groups_in_order_and_a_failure_once(folder, monkeypatch):
     async def main():
         loop = asyncio.get_running_loop()
-        saved, failed, told = [], [], asyncio.Event()
-        writer = GroupCommitWriter(Store(folder), loop, lambda n: (saved.append(n), told.set()), failed.append)
+        persisted, failed, progress = [], [], asyncio.Event()
+        writer = GroupCommitWriter(Store(folder), loop, lambda n: (persisted.append(n), progress.set()), failed.append)
         for n in range(1, 201):
             writer.write([SequencedRecord(n, LogEntries((entry(n),)))])
-        while not saved or saved[-1] < 200:
-            told.clear()
-            await told.wait()
-        assert saved == sorted(saved)
-        assert writer.sync_count == len(saved)
+        while not persisted or persisted[-1] < 200:
+            progress.clear()
+            await progress.wait()
+        assert persisted == sorted(persisted)
+        assert writer.sync_count == len(persisted)
         assert writer.record_count == 200
         monkeypatch.setattr(os, "fdatasync", lambda _: (_ for _ in ()).throw(OSError(errno.EIO, "Input/output error")))
         writer.write([SequencedRecord(201, HardState(5, ""))])
@@ -237,11 +237,11 @@
         writer.write([SequencedRecord(202, HardState(6, ""))])
         writer.close()
         await asyncio.sleep(0)
-        assert saved[-1] == 200
+        assert persisted[-1] == 200
         assert failed == ["[Errno 5] Input/output error"]
 
     asyncio.run(asyncio.wait_for(main(), 60))
     monkeypatch.undo()
-    kept = read_store(folder).persistent_state
-    assert kept.log.last_index == 200
-    assert kept.term in (0, 5)
+    stored = read_store(folder).persistent_state
+    assert stored.log.last_index == 200
+    assert stored.term in (0, 5)
--- a/tests/test_wire_bytes_consensus.py
+++ b/tests/test_wire_bytes_consensus.py
@@ -1,6 +1,6 @@
-"""Messages and stored records of the consensus keep their bytes. After a renaming only the tables here change.
+"""Messages and stored records of consensus keep their encoding. Renaming a field changes only the tables here.
 
-Fields are given by name and with distinct values, so that two fields of one type that change places are noticed.
+Fields are given by name and have distinct values, so a test fails if two fields of the same type swap places.
 """
 
 import typing
--- a/tests/test_wire_bytes_membership.py
+++ b/tests/test_wire_bytes_membership.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership protocol keep their bytes."""
+"""Datagrams of the membership protocol keep their encoding."""
 
 import typing
 
--- a/tests/wire_bytes.py
+++ b/tests/wire_bytes.py
@@ -1,4 +1,4 @@
-"""Reads the bytes of an earlier version from `tests/data/wire_bytes.json` and compares messages with them."""
+"""Compares encoded messages with those of an earlier version, which are in `tests/data/wire_bytes.json`."""
 
 import json
 from collections.abc import Callable
@@ -12,22 +12,22 @@
 
 
 def fixture_bytes(key: str) -> bytes:
-    """The encoded message of this key."""
+    """Return the encoded message with this key."""
     return bytes.fromhex(FIXTURES[key]["hex"])
 
 
 def fixture_keys(prefix: str) -> set[str]:
-    """All keys that begin with this prefix."""
+    """Return all keys that begin with this prefix."""
     return {key for key in FIXTURES if key.startswith(prefix)}
 
 
 def plain_values(data: bytes) -> Any:
-    """The tag and the field values in their order on the wire; bytes as {"bytes": hex}, as JSON has none."""
+    """Return the tag and the field values in wire order; bytes become {"bytes": hex}, because JSON has no bytes."""
     return json.loads(json.dumps(msgspec.msgpack.decode(data), default=lambda value: {"bytes": value.hex()}))
 
 
 def assert_same_bytes(key: str, message: Any, encode: Callable[[Any], bytes], decode: Callable[[bytes], Any]) -> None:
-    """The message encodes to the fixture's bytes, and these decode to an equal message of the same type."""
+    """Check that a message encodes to the bytes of the fixture, and that these decode to an equal message."""
     expected = fixture_bytes(key)
     assert encode(message).hex() == expected.hex()
     decoded = decode(expected)
