--- a/tests/modelvoters.py
+++ b/tests/modelvoters.py
@@ -244,7 +244,7 @@
         for index in range(1, raft.commit_index + 1):
             entry = raft.log.entry(index)
             if self.committed.setdefault(index, (entry.term, entry.data)) != (entry.term, entry.data):
-                raise InvariantViolation(f"{name} committed another entry {index}")
+                raise InvariantViolation(f"{name} committed a different entry at index {index}")
 
 
 def search(depth, raft_class=Raft, campaigns=2, proposals=0, crashes=1, max_states=10**9):
--- a/tests/simvoters.py
+++ b/tests/simvoters.py
@@ -274,7 +274,7 @@
             self.rejected += 1
             return
         if epoch < self.admitted.get((receiver, duty), 0):
-            raise InvariantViolation(f"{duty}: an act under epoch {epoch} took effect after one under a newer")
+            raise InvariantViolation(f"{duty}: an act under epoch {epoch} took effect after one under a newer epoch")
         self.admitted[receiver, duty] = epoch
         self.acts += 1
 
@@ -333,9 +333,13 @@
             entry = raft.log.entry(index)
             content = (entry.term, entry.kind, entry.data)
             if self.committed.setdefault(index, content) != content:
-                raise InvariantViolation(f"{process.name} applied another entry {index} than was committed")
+                raise InvariantViolation(
+                    f"{process.name} applied a different entry at index {index} than was committed"
+                )
         if raft.last_applied < self.applied_at[key]:
-            raise InvariantViolation(f"{process.name} went back from {self.applied_at[key]} to {raft.last_applied}")
+            raise InvariantViolation(
+                f"{process.name}: the last applied index fell from {self.applied_at[key]} to {raft.last_applied}"
+            )
         self.applied_at[key] = raft.last_applied
         if process.core.is_leader:  # a leader knows everything that was ever reported as committed
             if raft.last_applied < self.acknowledged and raft.is_established_leader and max(self.leaders) == raft.term:
@@ -359,7 +363,7 @@
                     holders[command.duty] = ("", epoch)
             found = {duty: (lease.holder, lease.epoch) for duty, lease in table.leases.items()}
             if found != holders:
-                raise InvariantViolation(f"the table says {found}, its history {holders}")
+                raise InvariantViolation(f"the table has {found}, but the committed entries give {holders}")
 
     def _check_holder(self, process):
         """Check that no other holder may act at this moment; lease ends are compared in true time."""
@@ -379,7 +383,7 @@
     def _check_epoch(self, duty, epoch, name):
         last, who = self.epochs.get(duty, (0, name))
         if epoch < last:
-            raise InvariantViolation(f"{duty}: {name} acts under epoch {epoch}, {who} did under {last} before")
+            raise InvariantViolation(f"{duty}: {name} acts under epoch {epoch} after {who} acted under epoch {last}")
         self.epochs[duty] = (epoch, name)
 
     # -- time
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -143,7 +143,7 @@
     state = figure_8(Raft, monkeypatch)
     assert state.rafts["a"].commit_index == 0
     assert state.rafts["c"].commit_index == 2
-    with pytest.raises(InvariantViolation, match="committed another entry 1"):
+    with pytest.raises(InvariantViolation, match="committed a different entry at index 1"):
         figure_8(CommitsEntriesOfEarlierTerms, monkeypatch)
 
 
--- a/tests/test_capacity_membership.py
+++ b/tests/test_capacity_membership.py
@@ -59,7 +59,7 @@
 # -- membership
 
 
-def test_a_quiet_member_sends_one_ping_and_one_ack_per_period_in_a_group_of_any_size(membership):
+def test_quiet_probes_are_one_ping_and_one_ack_per_period_in_a_group_of_any_size(membership):
     sent, exchanged = (
         membership["quiet", "datagrams a member"],
         membership["quiet", "datagrams a member, of full exchanges"],
