--- a/badgerbend/membership/anti_entropy.py
+++ b/badgerbend/membership/anti_entropy.py
@@ -37,7 +37,7 @@
     def _is_sync_due(self, period: int) -> bool:
         """Whether a full exchange is due: in periods 1, 2, 4, 8, … at first, and later at a fixed interval.
 
-        The exchanges become rarer at first because many members may join at the same time.
+        Early exchanges are frequent because many members may join at the same time.
         """
         is_early = period < self._config.sync_every_periods and period.bit_count() == 1
         return is_early or period % self._config.sync_every_periods == 0
--- a/badgerbend/wal/errors.py
+++ b/badgerbend/wal/errors.py
@@ -45,7 +45,7 @@
     """The store belongs to another voter. owner: the voter it belongs to. expected: the voter that opened it."""
 
     def __init__(self, path: Path, owner: str, expected: str) -> None:
-        super().__init__(path, f"the store belongs to voter {owner}, but this broker is {expected}")
+        super().__init__(path, f"the store belongs to voter {owner}, but this voter is {expected}")
         self.owner = owner
         self.expected = expected
 
@@ -65,7 +65,7 @@
 
 
 class StoreDamagedError(StoreError):
-    """A file lacks data that was acknowledged, so the voter may have forgotten a promise."""
+    """A file does not contain the data that was acknowledged, so the voter may have forgotten a promise."""
 
     def __init__(self, path: Path, problem: str) -> None:
         super().__init__(path, problem, REPLACE_VOTER)
