--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -15,18 +15,18 @@
 from badgerbend.config.settings import Settings
 from badgerbend.decisions import Aggregator
 from badgerbend.discovery.consul import ConsulTarget
+from badgerbend.discovery.consul_rows import consul_directory
 from badgerbend.discovery.keyed import KeyedList, keyed_directory
-from badgerbend.discovery.lines import consul_directory
 from badgerbend.discovery.watch import Watch
 from badgerbend.generations.generation import Generation, SharedResources
 from badgerbend.generations.manager import GenerationManager
 from badgerbend.graphql.front import GraphQLFront
-from badgerbend.graphql.schema import Subgraph, subgraph
+from badgerbend.graphql.schema import Subgraph, create_subgraph
 from badgerbend.lease_service.budget_exchange import create_broker_budget
 from badgerbend.lease_service.http import handle_duties
 from badgerbend.lease_service.service import LeaseService
 from badgerbend.lease_service.service_metrics import update_metrics
-from badgerbend.log import get
+from badgerbend.log import get_logger
 from badgerbend.metrics import Metrics
 from badgerbend.net.client import PoolLimits
 from badgerbend.net.server import Exchange, HttpServer, ServerLimits
@@ -47,10 +47,10 @@
 def read_subgraph(settings: Settings, settings_file: Path) -> Subgraph:
     """The subgraph of a settings file; the schema's path is relative to it. Raises OSError, SchemaError."""
     text = (settings_file.parent / settings.schema).read_text(encoding="utf-8")
-    return subgraph(settings, text)
+    return create_subgraph(settings, text)
 
 
-def settle_memory() -> None:
+def tune_garbage_collector() -> None:
     """Once started: what lives on is left out of collections, which come seldom; few objects here form cycles."""
     gc.collect()
     gc.freeze()
@@ -77,7 +77,7 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         self.settings, self.loop = settings, loop
-        self.log = get(part="broker")
+        self.log = get_logger(part="broker")
         self.metrics = Metrics(tuple(c.name for c in settings.class_))
         listed_by_feed = settings.feed is not None and settings.feed.list
         self.directory = (keyed_directory if listed_by_feed else consul_directory)(settings.layout.cells)
@@ -102,7 +102,9 @@
         self.generations = GenerationManager(settings, graph, shared)
         self.knowledge_exchange: KnowledgeExchange | None = None
         if settings.peers is not None or settings.snapshot is not None:
-            self.knowledge_exchange = KnowledgeExchange(settings, self.driver, self.directory, self.metrics.trouble)
+            self.knowledge_exchange = KnowledgeExchange(
+                settings, self.driver, self.directory, self.metrics.report_fault
+            )
         self.lease_service: LeaseService | None = None
         if settings.duties is not None:
             self.lease_service = LeaseService(
@@ -124,11 +126,11 @@
         self.port = 0
         self._sweeper: asyncio.TimerHandle | None = None
         self._counts: dict[str, int] = {}
-        self.watch.on_taken = self._taken
+        self.watch.on_applied = self._taken
 
     def _keyed_list(self) -> KeyedList | Watch:
         """The list as the feed brings it."""
-        return KeyedList(self.directory, self.loop, now_ms, time.time, self._view, self.metrics.trouble)
+        return KeyedList(self.directory, self.loop, now_ms, time.time, self._view, self.metrics.report_fault)
 
     def _consul_watch(self) -> KeyedList | Watch:
         settings, index = self.settings, self.settings.identity.index
@@ -139,7 +141,7 @@
             now_ms,
             time.time,
             self._view,
-            self.metrics.trouble,
+            self.metrics.report_fault,
             settings.seed + index,
             f"badgerbend/{index}",
         )
@@ -168,7 +170,7 @@
 
     def _follow_generation(self, generation: Generation) -> None:
         """Who learns and who shares duties does so for the newest configuration."""
-        generation.answers.knowledge_exchange = self.knowledge_exchange
+        generation.answer_observer.knowledge_exchange = self.knowledge_exchange
         for part in (self.knowledge_exchange, self.lease_service):
             if part is not None:
                 part.driver = generation.driver
@@ -189,7 +191,7 @@
         if self.site_service is not None:
             self.site_service.start()
         # a first event, so that the module asks for the list where that is its part, and for its first alarm
-        self.driver.view(api.EndpointUpdate(api.UpdateKind.CACHED, ()))
+        self.driver.update_endpoints(api.EndpointUpdate(api.UpdateKind.CACHED, ()))
         if self.feed_subscription is not None:
             self.feed_subscription.start()
         self._sweeper = self.loop.call_later(SWEEP_S, self._sweep)
@@ -229,7 +231,7 @@
         elif path.startswith(b"/sites") and self.site_service is not None:
             self.site_service.handle(exchange)
         elif path == b"/ready":
-            ready = self.watch.heard_at is not None
+            ready = self.watch.refreshed_at is not None
             exchange.respond(200 if ready else 503, b"ready\n" if ready else b"no list yet\n", b"text/plain")
         else:
             exchange.respond(404, b"not found; GraphQL is at /graphql\n", b"text/plain")
@@ -242,7 +244,7 @@
 
     def _taken(self) -> None:
         """A list is in force: what hangs on the whole of it."""
-        states = [known.line.state for known in self.directory.known.values()]
+        states = [known.endpoint.state for known in self.directory.servers.values()]
         counts = {s.label: states.count(s) for s in api.EndpointState}
         if counts != self._counts:
             self._counts = counts
@@ -279,5 +281,5 @@
             update_metrics(self.lease_service, m)
         if self.feed_subscription is not None and isinstance(self.watch, KeyedList):
             m.list_age.set(self.feed_subscription.age_s)
-        elif self.watch.heard_at is not None:
-            m.list_age.set(self.loop.time() - self.watch.heard_at)
+        elif self.watch.refreshed_at is not None:
+            m.list_age.set(self.loop.time() - self.watch.refreshed_at)
--- a/badgerbend/generations/generation.py
+++ b/badgerbend/generations/generation.py
@@ -66,7 +66,7 @@
         module = module_settings(settings)
         seed = settings.seed * 1_000_003 + settings.identity.index
         aggregator = shared.make_aggregator(module, seed, shared.site_preference, shared.slow_start_budget)
-        self.answers = AnswerObserver(shared.metrics.of_classes(tuple(one.name for one in settings.class_)))
+        self.answer_observer = AnswerObserver(shared.metrics.for_classes(tuple(one.name for one in settings.class_)))
         self.schedule = LoopSchedule(shared.loop)
         self.transport = FetchTransport(
             shared.pool_of,
@@ -80,7 +80,7 @@
             self.transport,
             shared.servers,
             self.schedule,
-            self.answers,
+            self.answer_observer,
             shared.ids,
         )
         self.front = GraphQLFront(settings, graph, self.driver, self.schedule.now_ms)
@@ -93,8 +93,8 @@
 
     def begin(self, directory: Directory, observations: api.Observations) -> None:
         """Feed the driver its first events: the current endpoint list, and what earlier generations observed of it."""
-        lines = tuple(known.line for known in directory.known.values())
-        self.driver.view(api.EndpointUpdate(api.UpdateKind.CACHED, lines))
+        lines = tuple(known.endpoint for known in directory.servers.values())
+        self.driver.update_endpoints(api.EndpointUpdate(api.UpdateKind.CACHED, lines))
         listed = tuple(node for node in observations.nodes if node.node in directory.names)
         if listed or observations.answers:
             self.driver.inherit(api.Observations(listed, observations.answers))
@@ -110,7 +110,7 @@
         result: object,
         report: tuple[float, ...] = (),
     ) -> None:
-        self.driver.ended(attempt, outcome, result, report)
+        self.driver.attempt_completed(attempt, outcome, result, report)
 
     def _turn(self) -> None:
         self.driver.turn()
--- a/badgerbend/process.py
+++ b/badgerbend/process.py
@@ -12,7 +12,7 @@
 import typer
 
 from badgerbend import log
-from badgerbend.broker import Broker, settle_memory
+from badgerbend.broker import Broker, tune_garbage_collector
 from badgerbend.config.settings import Settings
 from badgerbend.graphql.schema import Subgraph
 from badgerbend.net.seal import KeyFileError
@@ -22,13 +22,13 @@
 Make = Callable[[Settings, Subgraph, Path], Broker]
 
 
-def stop(text: str, status: int) -> NoReturn:
+def exit_with_error(text: str, status: int) -> NoReturn:
     """Ends a command with one line and a status."""
     print(f"badgerbend: {text}", file=sys.stderr)
     raise typer.Exit(status)
 
 
-async def until_told() -> None:
+async def wait_for_stop_signal() -> None:
     """Until an interrupt or a request to end."""
     told = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -48,7 +48,7 @@
     except OSError as err:
         print(f"badgerbend: cannot listen, or read what the settings name: {err}", file=sys.stderr)
         return CANNOT_START
-    settle_memory()
-    await until_told()
+    tune_garbage_collector()
+    await wait_for_stop_signal()
     await broker.stop()
     return 0
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from badgerbend.net.client import End, Pool
+from badgerbend.net.client import CallResult, Pool
 from badgerbend.platform import config
 from badgerbend.platform.service import Service
 from badgerbend.standin.agent import Agent
@@ -143,12 +143,12 @@
         self.config = replace(config.parse(file, {}), listen=("127.0.0.1", 0))
         self.service = Service(self.config)
         self.troubles = []
-        replace_attribute(self.service.tally, "line", lambda what, **values: self.troubles.append((what, values)))
+        replace_attribute(self.service.observer, "line", lambda what, **values: self.troubles.append((what, values)))
         self.port = await self.service.start()
-        self.heard_first = self.service.watch.heard_at is not None  # before any client
+        self.heard_first = self.service.watch.refreshed_at is not None  # before any client
         self.pool = Pool("127.0.0.1", self.port, LIMITS)
         if self.told:
-            await until(lambda: len(self.service.directory.known) == CELLS * self.each)
+            await until(lambda: len(self.service.directory.servers) == CELLS * self.each)
         return self
 
     async def __aexit__(self, *_):
@@ -191,12 +191,12 @@
         done = asyncio.get_running_loop().create_future()
         self.pool.request(data, lambda r: None if done.done() else done.set_result(r))
         reply = await done
-        if reply.end is not End.ANSWER:
-            raise ConnectionError(reply.end.name.lower())
+        if reply.result is not CallResult.ANSWER:
+            raise ConnectionError(reply.result.name.lower())
         return reply
 
     def number(self, uid):
-        return self.service.directory.known[uid].line.node
+        return self.service.directory.servers[uid].endpoint.node
 
     def sent(self):
         return [part for node in self.nodes.values() for part in node.parts()]
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -26,7 +26,7 @@
 from badgerbend.publication_validation.changes import validate_change
 from tests.feed_stage import SIGNER, Control, change
 from tests.replacing import replaced
-from tests.sockets import EXAMPLE, Stage, run, until
+from tests.sockets import EXAMPLE, BrokerFixture, run, until
 
 KEY = "configuration/broker"
 LEFT_OUT = ("(listen (port 8080))", '(discovery (port 8500) (service "rates"))')  # each broker has its own
@@ -53,7 +53,7 @@
     return configuration(f"(class full-quote (aim-ms {aim_ms}) (deadline-ms {deadline_ms}))", *forms)
 
 
-class FeedStage(Stage):
+class FeedStage(BrokerFixture):
     """A world, and a broker that follows a relay's feed. listed: the feed brings the list of servers too."""
 
     def __init__(self, tmp_path, listed=False, retention=Retention(), **changes):  # noqa: B008 - frozen
@@ -254,7 +254,7 @@
                 await stage.client.query(f"{{ fullQuote(blocks: [{number % 24}], amount: 5) {{ id }} }}")
             before = stage.generations.current
             await until(lambda: before.driver.module.latency.typical_ms > 0.0)
-            known = {one.node: one.time_ms for one in before.driver.known().nodes}
+            known = {one.node: one.response_time_ms for one in before.driver.observations().nodes}
             usual = before.driver.module.latency.typical_ms
             assert known
             for deadline_ms in (2900, 2800, 2700):  # one right after the other: what was seen goes on
@@ -264,7 +264,7 @@
             ready = {server.id for server in newest.driver.module.endpoints.servers.values() if server.ready}
             assert ready == set(stage.broker.directory.addresses)
             assert len(ready) == 12
-            assert {one.node: one.time_ms for one in newest.driver.known().nodes} == known
+            assert {one.node: one.response_time_ms for one in newest.driver.observations().nodes} == known
             assert newest.driver.module.latency.typical_ms == pytest.approx(usual, rel=0.5)
             stage.slow_down(SLOW_MS)
             first = asyncio.ensure_future(stage.client.query(ASK))
@@ -295,7 +295,7 @@
             await stage.put_in_force(with_deadline(2900))
             newest = stage.generations.current
             assert exchange.driver is newest.driver
-            assert newest.answers.knowledge_exchange is exchange
+            assert newest.answer_observer.knowledge_exchange is exchange
             assert {one.name for one in exchange.own_record().servers} == {one.name for one in seen.servers}
 
     run(main)
@@ -403,7 +403,7 @@
 
 def states_of(broker):
     """The state of each server on the broker's list, by name."""
-    return {name: known.line.state for name, known in broker.directory.known.items()}
+    return {name: known.endpoint.state for name, known in broker.directory.servers.items()}
 
 
 def test_the_list_comes_from_the_feed_in_place_of_consul(tmp_path):
@@ -460,10 +460,10 @@
             try:
                 await other.start()
                 await until(lambda: relay.snapshots_started)
-                assert not other.directory.known
+                assert not other.directory.servers
                 stage.publish_changes(change(f"node/{drained}", stage.row(drained, state="draining")))
                 server.log_advanced()
-                await until(lambda: other.directory.known)
+                await until(lambda: other.directory.servers)
                 await until(
                     lambda: (
                         other.feed_subscription.client.follower.status.applied_revision
@@ -471,7 +471,7 @@
                     )
                 )
                 await until(lambda: states_of(other)[drained] == api.EndpointState.DRAINING)
-                number = other.directory.known[drained].line.node
+                number = other.directory.servers[drained].endpoint.node
                 servers = other.driver.module.endpoints.servers
                 await until(lambda: sum(server.ready for server in servers.values()) == len(states_of(other)) - 1)
                 assert number not in servers or not servers[number].ready
@@ -526,7 +526,7 @@
 
 def test_a_feed_whose_key_cannot_be_read_stops_the_start(tmp_path):
     async def main():
-        async with Stage() as stage:
+        async with BrokerFixture() as stage:
             feed = Feed("none.pub", "north", (RelayAt("relay-1", "north", "127.0.0.1:1"),))
             with pytest.raises(FileNotFoundError):
                 Broker(msgspec.structs.replace(stage.settings, feed=feed), stage.broker.front.subgraph, tmp_path)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -5,10 +5,10 @@
 import msgspec
 import pytest
 
-from badgerbend.net.client import End, Pool, PoolLimits
+from badgerbend.net.client import CallResult, Pool, PoolLimits
 from badgerbend.net.server import HttpServer, ServerLimits
 from tests.replacing import replaced
-from tests.sockets import Stage, run, until
+from tests.sockets import BrokerFixture, run, until
 
 GOOD = b'{"query":"{ fullQuote(blocks: [1], amount: 5) { id } }"}'
 
@@ -59,7 +59,7 @@
 
 def test_bad_requests_get_a_clear_answer_each():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             for name, (data, status, says) in BAD.items():
                 got = await talk(s.port, data)
                 assert got.startswith(b"HTTP/1.1 %d " % status), (name, got)
@@ -73,7 +73,7 @@
 
 def test_requests_sent_ahead_are_answered_in_order():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             one = b'{"query":"{ fullQuote(blocks: [%d], amount: 5) { id } }"}'
             data = b"".join(post(one % n) for n in range(1, 15)) + post(one % 15, b"connection: close")
             got = await talk(s.port, data, until_closed=True)
@@ -86,7 +86,7 @@
 
 def test_a_get_asks_queries_and_no_mutations():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             got = await talk(s.port, b"GET /graphql?query=%7B%20__typename%20%7D HTTP/1.1\r\nhost: x\r\n\r\n")
             assert b'{"data":{"__typename":"Query"}}' in got
             text = b"mutation%20%7B%20holdRate(block%3A1%2Crate%3A%22x%22)%20%7B%20id%20%7D%20%7D"
@@ -99,7 +99,7 @@
 
 def test_a_slow_sender_is_cut_off_and_an_idle_one_closed():
     async def main():
-        async with Stage(listen={"read_timeout_ms": 300.0, "idle_timeout_ms": 300.0}) as s:
+        async with BrokerFixture(listen={"read_timeout_ms": 300.0, "idle_timeout_ms": 300.0}) as s:
             reader, writer = await asyncio.open_connection("127.0.0.1", s.port)
             writer.write(b"POST /graphql HTTP/1.1\r\nhost: x\r\nx-")
             assert (await reader.read()).startswith(b"HTTP/1.1 408")
@@ -114,7 +114,7 @@
 
 def test_at_the_limit_the_connection_idle_longest_makes_room():
     async def main():
-        async with Stage(listen={"max_connections": 2}) as s:
+        async with BrokerFixture(listen={"max_connections": 2}) as s:
             held = []
             for n in (1, 2):
                 held.append(await asyncio.open_connection("127.0.0.1", s.port))
@@ -126,7 +126,7 @@
                     raise ConnectionError
             writer.write(post(GOOD, b"connection: close"))
             assert (await reader.read()).startswith(b"HTTP/1.1 200")
-            assert s.broker.server.turned_away == 0
+            assert s.broker.server.rejected_connections == 0
             for _, w in (*held, (reader, writer)):
                 w.close()
 
@@ -135,7 +135,7 @@
 
 def test_where_all_connections_hold_queries_a_new_one_is_turned_away():
     async def main():
-        async with Stage(listen={"max_connections": 1}) as s:
+        async with BrokerFixture(listen={"max_connections": 1}) as s:
             for server in s.world.servers.values():
                 server.machine.model.part_ms = 300.0
             reader, writer = await asyncio.open_connection("127.0.0.1", s.port)
@@ -145,7 +145,7 @@
             with pytest.raises(ConnectionError):
                 if not await other.read():
                     raise ConnectionError
-            assert s.broker.server.turned_away == 1
+            assert s.broker.server.rejected_connections == 1
             assert (await reader.read()).startswith(b"HTTP/1.1 200")
             writer.close()
             second.close()
@@ -155,7 +155,7 @@
 
 def test_stopping_lets_what_is_held_end():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             for server in s.world.servers.values():
                 server.machine.model.part_ms = 200.0
             asked = asyncio.ensure_future(s.client.query("{ fullQuote(blocks: [1], amount: 5) { id } }"))
@@ -198,13 +198,13 @@
 @pytest.mark.parametrize(
     ("answer", "end"),
     [
-        (b"", End.RESET),
-        (b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf", End.RESET),
-        (b"SSH-2.0-x\r\n", End.MALFORMED),
-        (b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\nabc", End.MALFORMED),
-        (b"HTTP/1.1 200 OK\r\ncontent-length: 9999\r\n\r\n" + b"x" * 9999, End.MALFORMED),
-        (b"HTTP/1.1 200 OK\r\nx: " + b"y" * 9999 + b"\r\n\r\n", End.MALFORMED),
-        (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok", End.ANSWER),
+        (b"", CallResult.RESET),
+        (b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf", CallResult.RESET),
+        (b"SSH-2.0-x\r\n", CallResult.MALFORMED),
+        (b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\nabc", CallResult.MALFORMED),
+        (b"HTTP/1.1 200 OK\r\ncontent-length: 9999\r\n\r\n" + b"x" * 9999, CallResult.MALFORMED),
+        (b"HTTP/1.1 200 OK\r\nx: " + b"y" * 9999 + b"\r\n\r\n", CallResult.MALFORMED),
+        (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok", CallResult.ANSWER),
     ],
 )
 def test_the_asking_side_names_how_a_call_ended(answer, end):
@@ -212,7 +212,7 @@
         server = await scripted(answer)
         pool = Pool("127.0.0.1", server.sockets[0].getsockname()[1], PoolLimits(max_answer_bytes=1000))
         ends = []
-        pool.request(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", lambda r: ends.append(r.end))
+        pool.request(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", lambda r: ends.append(r.result))
         await until(lambda: ends)
         await asyncio.sleep(0.02)
         assert ends == [end]
@@ -244,7 +244,7 @@
 
 def test_an_answer_has_the_asked_media_type_and_status():
     async def main():
-        async with Stage() as s:
+        async with BrokerFixture() as s:
             for server in s.world.servers.values():
                 server.faults.silent = True
             body = msgspec.json.encode({"query": "{ nothing }"})
@@ -287,12 +287,12 @@
         pool = Pool("127.0.0.1", await server.start("127.0.0.1", 0), PoolLimits())
 
         def broken(reply):
-            ends.append(reply.end)
+            ends.append(reply.result)
             raise RuntimeError("a defect")
 
         pool.request(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", broken)
         await until(lambda: seen)
-        assert ends == [End.ANSWER]
+        assert ends == [CallResult.ANSWER]
         assert isinstance(seen[0], RuntimeError)
         pool.close()
         await server.close(0)
@@ -306,9 +306,9 @@
         server = HttpServer(lambda exchange: asked.append(exchange), ServerLimits())
         port = await server.start("127.0.0.1", 0)
         pool, ends = Pool("127.0.0.1", port, PoolLimits()), []
-        pool.request(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", lambda r: ends.append(r.end), 0.0)  # long over
+        pool.request(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n", lambda r: ends.append(r.result), 0.0)  # long over
         await until(lambda: ends)
-        assert ends == [End.CONNECT_FAILED]
+        assert ends == [CallResult.CONNECT_FAILED]
         assert not asked
         assert len(pool.idle) == 1
         pool.close()
--- a/tests/test_public_status.py
+++ b/tests/test_public_status.py
@@ -10,14 +10,14 @@
 from badgerbend.config.fleet import Duties, Peers, Site, Sites, VoterAt
 from badgerbend.config.settings import Identity, Tenant
 from badgerbend.lease_service.status import LeaseServiceStatus, service_status
-from badgerbend.net.client import End
+from badgerbend.net.client import CallResult
 from badgerbend.peering.exchange import FetchError, fetch_record
 from badgerbend.sites.admission import Rejection, RejectionReason
 from badgerbend.sites.status import sites_status
 from badgerbend.standin.rig import free_port
 from badgerbend.wal.store import create_store as create_voter_store
 from tests.interfaces import answer_seen, committed, compare, literals, struct_schema
-from tests.sockets import EXAMPLE, Stage, run, until
+from tests.sockets import EXAMPLE, BrokerFixture, run, until
 
 KEY = "a key of enough letters for everything"
 QUERY = "{ rateCompare(blocks: [1, 2, 3, 4], amount: 9000) { id } }"
@@ -102,7 +102,7 @@
         return self.broker.knowledge_exchange.knowledge_port
 
 
-class CompleteStage(Stage):
+class CompleteStage(BrokerFixture):
     """A broker with everything set that has a status page: sites, duties with a vote, peers, tenants."""
 
     def __init__(self, folder):
@@ -161,7 +161,7 @@
         request = f"{method} {path} HTTP/1.1\r\nHost: x\r\n{lines}\r\n{body}".encode()
         self.client.pool.request(request, lambda reply: None if done.done() else done.set_result(reply))
         reply = await done
-        assert reply.end is End.ANSWER
+        assert reply.result is CallResult.ANSWER
         return reply
 
 
