--- a/tests/simvoters.py
+++ b/tests/simvoters.py
@@ -383,7 +383,9 @@
     def _check_epoch(self, duty, epoch, name):
         last, who = self.epochs.get(duty, (0, name))
         if epoch < last:
-            raise InvariantViolation(f"{duty}: {name} acts under epoch {epoch} after {who} acted under epoch {last}")
+            raise InvariantViolation(
+                f"{duty}: {name} acts under epoch {epoch} after {who} acted under {last}, a newer one"
+            )
         self.epochs[duty] = (epoch, name)
 
     # -- time
