--- a/badgerbend/discovery/__init__.py
+++ b/badgerbend/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where servers are: watches on lists of them, and the numbers that the module knows servers by."""
+"""Server discovery: watches on lists of servers, and the node numbers by which the aggregator knows the servers."""
--- a/badgerbend/discovery/directory.py
+++ b/badgerbend/discovery/directory.py
@@ -1,6 +1,7 @@
-"""Numbers and addresses of servers, whatever lists them, and lists taken in slices. Pure: rows and times in, views out.
+"""The directory of servers: assigns node numbers, keeps addresses and applies lists of servers in slices.
 
-A list's own form (`RowParser`) makes an `Entry` of a row; everything else is the same for all of them.
+The code is pure: rows and times go in, endpoint updates come out. Each list format brings a `RowParser` that turns one
+of its rows into an `Entry`; everything else is shared by all formats.
 """
 
 from __future__ import annotations
@@ -14,16 +15,20 @@
 
 from badgerbend import api
 
-SLICE = 100  # lines read, or told, in one turn of the loop: about a millisecond
+SLICE_SIZE = 100  # rows parsed, or endpoints published, in one turn of the event loop: about a millisecond of work
 
 
 class ListError(Exception):
-    """The answer is no list of servers."""
+    """The answer is not a usable list of servers."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One row of a list. started: seconds of Unix time, 0 for long ago; a token that changes with each start."""
+    """One parsed row of a list.
+
+    started: start time in seconds of Unix time, 0 if the server started long ago. It also serves as an incarnation
+    token, because it changes with each start.
+    """
 
     name: str
     address: tuple[str, int]
@@ -35,29 +40,31 @@
     size: float
 
 
-RowParser = Callable[[Any], Entry]  # raises AttributeError, KeyError, TypeError or ValueError for what is no row
-DepartureParser = Callable[
-    [Any], tuple[str, api.EndpointState] | None
-]  # name and state of a row that says READY not; the same
+# Raises AttributeError, KeyError, TypeError or ValueError for an invalid row.
+RowParser = Callable[[Any], Entry]
+# Returns the name and the state of a server whose row states anything but READY. Raises the same errors.
+DepartureParser = Callable[[Any], tuple[str, api.EndpointState] | None]
 ROW_ERRORS = (msgspec.DecodeError, AttributeError, KeyError, TypeError, ValueError, RecursionError)
 
 
 @dataclass(slots=True)
 class ServerRecord:
+    """What the directory stores of one server. number: its node number."""
+
     number: int
     started: float  # as the list states it
-    started_ms: float  # on this broker's clock; 0: long ago
+    started_ms: float  # on this broker's clock; 0 if the server started long ago
     endpoint: api.Endpoint
     address: tuple[str, int]
 
 
 class Directory:
-    """Numbers and addresses of servers, and what the last list said of each.
+    """Node numbers and addresses of servers, and the latest state that the list reported for each.
 
-    shared_clock: all machines read the same clock, so that a start is when the list says it was. Else clocks of others
-    are believed once only: for a server's age when it is first heard of, and never as less than nothing; a start
-    seen later counts from the moment it was seen. parse_departure: what else a list
-    that tells changes says of a row without all its fields.
+    shared_clock: whether all machines read the same clock. If so, the start time in the list is used as it stands.
+    Otherwise a remote clock is trusted only once, for the age of a server on its first appearance, and a negative age
+    counts as zero; a later restart counts from the moment at which this broker learned of it.
+    parse_departure: reads the state from a row that lacks other fields, for lists that are sent as changes.
     """
 
     def __init__(
@@ -76,33 +83,34 @@
         self.servers: dict[str, ServerRecord] = {}
         self.addresses: dict[int, tuple[str, int]] = {}
         self.names: dict[int, str] = {}
-        self.next = 1
-        self.told = False  # the module knows all that stands here
+        self.next_number = 1
+        self.published = False  # whether the aggregator has received everything in this directory
 
     def read(self, rows: Sequence[msgspec.Raw], now_ms: float, unix_s: float) -> tuple[api.EndpointUpdate, list[str]]:
-        """A whole list at once, and what was wrong with lines that were left out. Raises ListError.
+        """Applies a complete list at once; returns the update and an error for each rejected row. Raises ListError.
 
-        An empty list, or one without a single usable line, is an error and not news: a directory that has lost
-        its content says the same, and taking it at its word would stop all service.
+        An empty list, or one without a usable row, is an error rather than an update: a registry that has lost its
+        content answers the same way, and removing every server on its word would stop all service.
         """
-        reading = ListReader(self, rows, now_ms, unix_s)
-        for _ in reading.read_slices():
+        reader = ListReader(self, rows, now_ms, unix_s)
+        for _ in reader.read_slices():
             pass
-        reading.apply()
-        self.told = True
-        return api.EndpointUpdate(api.UpdateKind.FULL, tuple(k.endpoint for k in self.servers.values())), reading.errors
+        reader.apply()
+        self.published = True
+        return api.EndpointUpdate(api.UpdateKind.FULL, tuple(r.endpoint for r in self.servers.values())), reader.errors
 
-    def record_of(self, entry: Entry, now_ms: float, unix_s: float) -> ServerRecord:
+    def make_record(self, entry: Entry, now_ms: float, unix_s: float) -> ServerRecord:
+        """Validates an entry and gives a new server its number. Raises ValueError."""
         if not entry.name or not entry.address[0] or not 0 < entry.address[1] < 65536:
-            raise ValueError("no id or no address")
+            raise ValueError("missing id or invalid address")
         if not 0 <= entry.cell < self.cells:
-            raise ValueError(f"cell {entry.cell} is not one of {self.cells}")
+            raise ValueError(f"cell {entry.cell} is out of range; there are {self.cells} cells")
         started = entry.started
         if not 0 <= started < 1e12 or not 0 < entry.size < 1e9 or not 0 <= entry.zone < 256:
-            raise ValueError("started, size or zone out of range")
+            raise ValueError("started, size or zone is out of range")
         old = self.servers.get(entry.name)
         if old is None:
-            number, self.next = self.next, self.next + 1
+            number, self.next_number = self.next_number, self.next_number + 1
         else:
             number = old.number
         if old is None or (self.shared_clock and started != old.started):
@@ -110,27 +118,28 @@
             started_ms = max(now_ms - age_ms, 0.0) if started else 0.0
         else:
             started_ms = old.started_ms if started == old.started else now_ms
-        line = api.Endpoint(number, entry.cell, entry.state, started_ms, entry.zone, entry.kind, entry.size)
-        return ServerRecord(number, started, started_ms, line, entry.address)
+        endpoint = api.Endpoint(number, entry.cell, entry.state, started_ms, entry.zone, entry.kind, entry.size)
+        return ServerRecord(number, started, started_ms, endpoint, entry.address)
 
 
 def decode_rows(body: bytes) -> list[msgspec.Raw]:
-    """A JSON list's rows, unread. Raises ListError."""
+    """Splits a JSON array into its undecoded rows. Raises ListError."""
     try:
         return msgspec.json.decode(body, type=list[msgspec.Raw])
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
-        raise ListError(f"no list: {err}") from err
+        raise ListError(f"the answer is not a JSON array: {err}") from err
 
 
 class ListReader:
-    """A list taken in slices, so that one of thousands of servers stops nothing else for long.
-
-    `read_slices` reads the rows; `apply`, once they are through, puts them in force; `updates` tells them to the
-    module:     the first list whole, since nothing is served before it, as is one after a list that was left half
-    told; later ones as     what has changed. Until `apply` the directory is as it was: a list that turns out to be
-    none changes nothing.
-    whole: a server that does not stand in the rows has left; else the rows are those that changed, and `left` names
-    those that have left.
+    """Reads and applies a list in slices, so that a list of thousands of servers never blocks the event loop for long.
+
+    `read_slices` parses the rows. `apply`, called after the last slice, puts the list into effect. `updates` yields
+    what the aggregator has to be told. The first list is published as one full update, since nothing is served before
+    it, and so is a list that follows one whose publication was cut short; later lists are published as changes. The
+    directory does not change before `apply`, so a list that proves unusable has no effect.
+
+    is_complete: whether the rows are the complete list, so that a server without a row has been removed. Otherwise
+    the rows are those that changed, and `removed` names the servers that left the list.
     """
 
     def __init__(
@@ -139,104 +148,108 @@
         rows: Sequence[msgspec.Raw],
         now_ms: float,
         unix_s: float,
-        whole: bool = True,
-        left: Sequence[str] = (),
+        is_complete: bool = True,
+        removed: Sequence[str] = (),
     ) -> None:
         self.directory, self.rows, self.now_ms, self.unix_s = directory, rows, now_ms, unix_s
-        self.whole, self.left = whole, left
-        self.lines: dict[str, ServerRecord] = {}
+        self.is_complete, self.removed = is_complete, removed
+        self.records: dict[str, ServerRecord] = {}
         self.changed: dict[str, api.Endpoint] = {}
         self.errors: list[str] = []
-        self.first = not directory.told
+        self.needs_full_update = not directory.published
 
     def read_slices(self) -> Iterator[None]:
-        """Reads SLICE rows a step."""
+        """Parses SLICE_SIZE rows per step."""
         rows = enumerate(self.rows)
-        while some := list(islice(rows, SLICE)):
-            for place, row in some:
-                self._row(place, row)
+        while batch := list(islice(rows, SLICE_SIZE)):
+            for index, row in batch:
+                self._read_row(index, row)
             yield
 
-    def _row(self, place: int, raw: msgspec.Raw) -> None:
+    def _read_row(self, index: int, raw: msgspec.Raw) -> None:
         directory = self.directory
         try:
             entry = directory.parse_row(msgspec.json.decode(raw))
-            known = directory.record_of(entry, self.now_ms, self.unix_s)
+            record = directory.make_record(entry, self.now_ms, self.unix_s)
             name = entry.name
         except ROW_ERRORS as err:
-            self.errors.append(f"line {place}: {type(err).__name__}: {err}")
-            found = None if self.whole else self._leaving(raw)  # of a whole list it has left with its line
-            if found is None:
+            self.errors.append(f"line {index}: {type(err).__name__}: {err}")
+            # In a complete list, a server whose row is unusable counts as removed.
+            departing = None if self.is_complete else self._read_departure(raw)
+            if departing is None:
                 return
-            name, known = found
-        if name in self.lines:
-            self.errors.append(f"line {place}: {name} comes twice")
-            if known.endpoint.state == api.EndpointState.READY:
-                return  # of two, the one that wants nothing new
+            name, record = departing
+        if name in self.records:
+            self.errors.append(f"line {index}: {name} is listed twice")
+            if record.endpoint.state == api.EndpointState.READY:
+                return  # of two rows, the one that takes the server out of service prevails
         old = directory.servers.get(name)
-        if old is None or old.endpoint != known.endpoint:
-            self.changed[name] = known.endpoint
+        if old is None or old.endpoint != record.endpoint:
+            self.changed[name] = record.endpoint
         else:
-            self.changed.pop(name, None)  # of two rows the first had changed it
-        self.lines[name] = known
+            self.changed.pop(name, None)  # an earlier row for the same server had changed it
+        self.records[name] = record
+
+    def _read_departure(self, raw: msgspec.Raw) -> tuple[str, ServerRecord] | None:
+        """Reads the state of a known server from a row that cannot be parsed in full.
 
-    def _leaving(self, raw: msgspec.Raw) -> tuple[str, ServerRecord] | None:
-        """What a row that cannot be read says of a server in force that wants nothing new. Guards against one that
-        stays in service because the word of its leaving came with fewer fields, or with a state not known here."""
+        Guards against a server that stays in service because the row that announced its drain or removal lacked
+        fields, or stated an unknown state.
+        """
         try:
-            found = self.directory.parse_departure(msgspec.json.decode(raw))
-            old = self.directory.servers.get(found[0]) if found else None
-        except ROW_ERRORS:  # a name that is no text among them
+            departing = self.directory.parse_departure(msgspec.json.decode(raw))
+            old = self.directory.servers.get(departing[0]) if departing else None
+        except ROW_ERRORS:  # this includes a name that is not a string
             return None
-        if found is None or old is None:
+        if departing is None or old is None:
             return None
-        return found[0], replace(old, endpoint=replace(old.endpoint, state=found[1]))
+        return departing[0], replace(old, endpoint=replace(old.endpoint, state=departing[1]))
 
     def apply(self) -> None:
-        """Puts the list in force. Raises ListError for a whole one without a usable line."""
-        if self.whole:
-            self._apply_complete()
+        """Puts the list into effect. Raises ListError for a complete list without a usable row."""
+        if self.is_complete:
+            self._apply_complete_list()
         else:
             self._apply_changes()
-        self.directory.told = False
+        self.directory.published = False
 
-    def _apply_complete(self) -> None:
+    def _apply_complete_list(self) -> None:
         directory = self.directory
-        if not self.lines:
-            raise ListError(f"no usable line among {len(self.rows)}")
-        left = {name: known.endpoint for name, known in directory.servers.items() if name not in self.lines}
-        self.changed |= {name: replace(line, state=api.EndpointState.REMOVED) for name, line in left.items()}
-        directory.servers = self.lines
-        directory.addresses = {known.number: known.address for known in directory.servers.values()}
-        directory.names = {known.number: name for name, known in directory.servers.items()}
+        if not self.records:
+            raise ListError(f"none of the {len(self.rows)} rows is usable")
+        removed = {name: record.endpoint for name, record in directory.servers.items() if name not in self.records}
+        self.changed |= {name: replace(one, state=api.EndpointState.REMOVED) for name, one in removed.items()}
+        directory.servers = self.records
+        directory.addresses = {record.number: record.address for record in directory.servers.values()}
+        directory.names = {record.number: name for name, record in directory.servers.items()}
 
     def _apply_changes(self) -> None:
-        """Costs what the changes cost, however long the list is."""
+        """Its cost grows with the number of changes, not with the length of the list."""
         directory = self.directory
-        for name in self.left:
+        for name in self.removed:
             if (old := directory.servers.get(name)) is not None:
                 self._remove(name, old)
                 self.changed[name] = replace(old.endpoint, state=api.EndpointState.REMOVED)
-        for name, known in self.lines.items():
-            if known.endpoint.state == api.EndpointState.REMOVED:
-                self._remove(name, known)
+        for name, record in self.records.items():
+            if record.endpoint.state == api.EndpointState.REMOVED:
+                self._remove(name, record)
             else:
-                directory.servers[name] = known
-                directory.addresses[known.endpoint.node] = known.address
-                directory.names[known.endpoint.node] = name
+                directory.servers[name] = record
+                directory.addresses[record.endpoint.node] = record.address
+                directory.names[record.endpoint.node] = name
 
-    def _remove(self, name: str, known: ServerRecord) -> None:
+    def _remove(self, name: str, record: ServerRecord) -> None:
         directory = self.directory
         directory.servers.pop(name, None)
-        directory.addresses.pop(known.endpoint.node, None)
-        directory.names.pop(known.endpoint.node, None)
+        directory.addresses.pop(record.endpoint.node, None)
+        directory.names.pop(record.endpoint.node, None)
 
     def updates(self) -> Iterator[api.EndpointUpdate]:
-        """What the module is told, a view a step; at least one, since a list was heard."""
-        if self.first:
-            yield api.EndpointUpdate(api.UpdateKind.FULL, tuple(k.endpoint for k in self.directory.servers.values()))
+        """Yields the updates for the aggregator; at least one, which confirms that the list was received."""
+        if self.needs_full_update:
+            yield api.EndpointUpdate(api.UpdateKind.FULL, tuple(r.endpoint for r in self.directory.servers.values()))
         else:
             changed = tuple(self.changed.values())
-            for at in range(0, max(len(changed), 1), SLICE):
-                yield api.EndpointUpdate(api.UpdateKind.DELTA, changed[at : at + SLICE])
-        self.directory.told = True
+            for start in range(0, max(len(changed), 1), SLICE_SIZE):
+                yield api.EndpointUpdate(api.UpdateKind.DELTA, changed[start : start + SLICE_SIZE])
+        self.directory.published = True
--- a/badgerbend/discovery/keyed.py
+++ b/badgerbend/discovery/keyed.py
@@ -1,7 +1,7 @@
-"""A list of servers that is told as changes of rows, each under its server's name, as a feed brings it.
+"""A list of servers that arrives as changes of rows keyed by server name, as the feed delivers it.
 
-A row is a JSON object, see `NodeRow`. The later row of a name takes the place of an earlier one that has not been read
-yet, and rows that came last are read first: a drain that comes while a long list is being read wins over that list.
+A row is a JSON object, see `NodeRow`. A later row replaces an earlier row of the same name that has not been read yet,
+and the latest rows are read first, so that a drain that arrives while a long list is being read overrides that list.
 """
 
 from __future__ import annotations
@@ -12,17 +12,20 @@
 import msgspec
 
 from badgerbend import api
-from badgerbend.discovery.directory import SLICE, Directory, Entry, ListReader
+from badgerbend.discovery.directory import SLICE_SIZE, Directory, Entry, ListReader
 from badgerbend.discovery.members import parse_address
 from badgerbend.discovery.polls import Timer
 from badgerbend.discovery.watch import Clock
 
 STATES = {"ready": api.EndpointState.READY, "draining": api.EndpointState.DRAINING, "gone": api.EndpointState.REMOVED}
-MOST_TOLD = 5  # rows left out that are named at once
+MAX_REPORTED_ROWS = 5  # rejected rows reported per slice
 
 
 class NodeRow(msgspec.Struct, frozen=True):
-    """What is listed of a server. started: seconds of Unix time, 0 for long ago; changes with each start."""
+    """One server's row.
+
+    started: start time in seconds of Unix time, 0 if the server started long ago; it changes with each start.
+    """
 
     address: str
     cell: Annotated[int, msgspec.Meta(ge=0)]
@@ -34,31 +37,32 @@
 
 
 def parse_row(row: Any) -> Entry:
-    """A pair of name and row. Raises what `directory.Form` says."""
+    """Parses a pair of name and row. Raises the errors listed at `directory.RowParser`."""
     name, fields = row
-    read = msgspec.convert(fields, NodeRow)
+    node = msgspec.convert(fields, NodeRow)
     return Entry(
-        name, parse_address(read.address), read.cell, STATES[read.state], read.started, read.zone, read.kind, read.size
+        name, parse_address(node.address), node.cell, STATES[node.state], node.started, node.zone, node.kind, node.size
     )
 
 
 def parse_departure(row: Any) -> tuple[str, api.EndpointState] | None:
-    """A row without all its fields; a state not known here is none to send anything new in."""
+    """Reads the state from a row that lacks other fields; an unknown state counts as draining."""
     name, fields = row
     state = STATES.get(fields.get("state", "ready"), api.EndpointState.DRAINING)
     return None if state == api.EndpointState.READY else (name, state)
 
 
 def keyed_directory(cells: int) -> Directory:
-    """A directory that a `KeyedList` feeds."""
+    """Returns a directory that is filled by a `KeyedList`."""
     return Directory(cells, parse_row, parse_departure=parse_departure)
 
 
 class KeyedList:
-    """Puts changes of rows in force, some in each turn of the loop. `ServerList` of the runtime: it is never asked.
+    """Applies changes of rows, one slice per turn of the event loop.
 
-    The first list is told whole, once all of it has been read. A list without any server is taken for a loss of content
-    and not for news: removals that would leave none wait until there are other servers.
+    It implements the runtime's `ServerList`, but changes arrive without being requested. The first list is published
+    as one full update after all of it has been read. An empty list is treated as a loss of content, not as a change:
+    removals that would leave no server are deferred until there are other servers.
     """
 
     def __init__(
@@ -67,121 +71,125 @@
         clock: Clock,
         now_ms: Callable[[], float],
         unix_s: Callable[[], float],
-        on_view: Callable[[api.EndpointUpdate], None],
-        on_trouble: Callable[[str, str], None],
+        on_update: Callable[[api.EndpointUpdate], None],
+        on_fault: Callable[[str, str], None],
     ) -> None:
         self.directory, self.clock, self.now_ms, self.unix_s = directory, clock, now_ms, unix_s
-        self.on_view, self.on_trouble = on_view, on_trouble
-        self.on_applied: Callable[[], None] = lambda: None  # all that came is in force, and told
-        self.refreshed_at: float | None = None  # when that was last so
-        self._rows = dict[str, bytes]()  # not read yet, the latest last
-        self._left = dict[str, None]()  # names that left and have not been taken out yet
-        self._first: ListReader | None = None  # the first list, while it is being read
+        self.on_update, self.on_fault = on_update, on_fault
+        self.on_applied: Callable[[], None] = lambda: None  # called when all changes are applied and published
+        self.refreshed_at: float | None = None  # when this last happened
+        self._pending_rows = dict[str, bytes]()  # not read yet, in order of arrival
+        self._pending_removals = dict[str, None]()  # names that left the list and have not been removed yet
+        self._first_reader: ListReader | None = None  # the first list, while it is being read
         self._slices: Iterator[None] = iter(())
         self._timer: Timer | None = None
 
     def start(self) -> None:
-        """Nothing is asked for: changes come."""
+        """Does nothing: changes arrive without being requested."""
 
     def close(self) -> None:
-        """Takes no more."""
+        """Drops pending changes and stops processing."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer = None
-        self._rows.clear()
-        self._left.clear()
+        self._pending_rows.clear()
+        self._pending_removals.clear()
 
     def follow(self, on: bool) -> None:
-        """Changes come without being asked for."""
+        """Does nothing: changes arrive without being requested."""
 
     def read_list(self) -> None:
-        """Changes come without being asked for."""
+        """Does nothing: changes arrive without being requested."""
 
     def change(self, rows: Mapping[str, bytes | None]) -> None:
-        """Rows that are new or other than before, by name; None: the server left the list."""
+        """Takes in new and changed rows by name; None means that the server left the list."""
         for name, row in rows.items():
-            self._rows.pop(name, None)
-            self._left.pop(name, None)
+            self._pending_rows.pop(name, None)
+            self._pending_removals.pop(name, None)
             if row is None:
-                self._left[name] = None
+                self._pending_removals[name] = None
             else:
-                self._rows[name] = row
+                self._pending_rows[name] = row
         if rows and self._timer is None:
-            self._timer = self.clock.call_later(0.0, self._turn)
+            self._timer = self.clock.call_later(0.0, self._process_slice)
 
-    # -- inside
-    def _turn(self) -> None:
-        """One slice; the next in another turn of the loop."""
+    # -- internals
+    def _process_slice(self) -> None:
+        """Processes one slice; the next one follows in another turn of the event loop."""
         self._timer = None
-        more = self._read_later() if self.refreshed_at is not None else self._read_first()
-        if more:
-            self._timer = self.clock.call_later(0.0, self._turn)
-
-    def _read_first(self) -> bool:
-        """One slice of the first list; whether there is more to do."""
-        if self._first is None:
-            self._first = self._reading(len(self._rows))
-            self._slices = self._first.read_slices()
+        has_more = self._read_changes() if self.refreshed_at is not None else self._read_first_list()
+        if has_more:
+            self._timer = self.clock.call_later(0.0, self._process_slice)
+
+    def _read_first_list(self) -> bool:
+        """Reads one slice of the first list; returns whether there is more to do."""
+        if self._first_reader is None:
+            self._first_reader = self._rows_reader(len(self._pending_rows))
+            self._slices = self._first_reader.read_slices()
         done = next(self._slices, True)
         if not done:
             return True
-        first, self._first = self._first, None
-        self._take(first)
-        while self._rows:  # came meanwhile: what is told is the latest
-            self._take_at_once(self._reading(SLICE))
-        self._take_at_once(self._removal(len(self._left)))
+        first_reader, self._first_reader = self._first_reader, None
+        self._apply(first_reader)
+        while self._pending_rows:  # rows that arrived meanwhile, so that the first update is current
+            self._read_and_apply(self._rows_reader(SLICE_SIZE))
+        self._read_and_apply(self._removals_reader(len(self._pending_removals)))
         if not self.directory.servers:
             return False
-        self.on_view(
-            api.EndpointUpdate(api.UpdateKind.FULL, tuple(known.endpoint for known in self.directory.servers.values()))
+        self.on_update(
+            api.EndpointUpdate(
+                api.UpdateKind.FULL, tuple(record.endpoint for record in self.directory.servers.values())
+            )
         )
-        self.directory.told = True
-        self._heard()
+        self.directory.published = True
+        self._mark_refreshed()
         return False
 
-    def _read_later(self) -> bool:
-        """One slice of changes; whether there is more to do."""
-        reading = self._reading(SLICE) if self._rows else self._removal(SLICE)
-        self._take_at_once(reading)
-        for view in reading.updates():
-            self.on_view(view)
-        if self._rows or self._can_remove():
+    def _read_changes(self) -> bool:
+        """Reads one slice of changes; returns whether there is more to do."""
+        reader = self._rows_reader(SLICE_SIZE) if self._pending_rows else self._removals_reader(SLICE_SIZE)
+        self._read_and_apply(reader)
+        for update in reader.updates():
+            self.on_update(update)
+        if self._pending_rows or self._can_remove():
             return True
-        self._heard()
+        self._mark_refreshed()
         return False
 
-    def _heard(self) -> None:
-        """All that came is in force, but for removals that wait."""
-        if self._left:
-            self.on_trouble("list not read", f"removals of {len(self._left)} servers would leave none")
+    def _mark_refreshed(self) -> None:
+        """Notes that all changes are applied, except for deferred removals."""
+        if self._pending_removals:
+            self.on_fault("list not read", f"removing {len(self._pending_removals)} servers would leave none")
         self.refreshed_at = self.clock.time()
         self.on_applied()
 
-    def _reading(self, most: int) -> ListReader:
-        """Of the rows that came last."""
+    def _rows_reader(self, limit: int) -> ListReader:
+        """Returns a reader of the rows that arrived last, at most `limit` of them."""
         rows = list[msgspec.Raw]()
-        while self._rows and len(rows) < most:
-            name, row = self._rows.popitem()
+        while self._pending_rows and len(rows) < limit:
+            name, row = self._pending_rows.popitem()
             rows.append(msgspec.Raw(b"[" + msgspec.json.encode(name) + b"," + row + b"]"))
-        return ListReader(self.directory, rows, self.now_ms(), self.unix_s(), whole=False)
+        return ListReader(self.directory, rows, self.now_ms(), self.unix_s(), is_complete=False)
 
-    def _removal(self, most: int) -> ListReader:
-        """Of names that left; none where no server would be left."""
-        names = list(self._left)[:most] if self._can_remove() else []
+    def _removals_reader(self, limit: int) -> ListReader:
+        """Returns a reader that removes at most `limit` names; none if no server would be left."""
+        names = list(self._pending_removals)[:limit] if self._can_remove() else []
         for name in names:
-            del self._left[name]
-        return ListReader(self.directory, (), self.now_ms(), self.unix_s(), whole=False, left=names)
+            del self._pending_removals[name]
+        return ListReader(self.directory, (), self.now_ms(), self.unix_s(), is_complete=False, removed=names)
 
     def _can_remove(self) -> bool:
-        """Whether there are removals that leave a server."""
-        return bool(self._left) and any(name not in self._left for name in self.directory.servers)
+        """Whether there are pending removals and at least one server would remain."""
+        return bool(self._pending_removals) and any(
+            name not in self._pending_removals for name in self.directory.servers
+        )
 
-    def _take_at_once(self, reading: ListReader) -> None:
-        for _ in reading.read_slices():
+    def _read_and_apply(self, reader: ListReader) -> None:
+        for _ in reader.read_slices():
             pass
-        self._take(reading)
+        self._apply(reader)
 
-    def _take(self, reading: ListReader) -> None:
-        reading.apply()
-        for problem in reading.errors[:MOST_TOLD]:
-            self.on_trouble("list line left out", problem)
+    def _apply(self, reader: ListReader) -> None:
+        reader.apply()
+        for problem in reader.errors[:MAX_REPORTED_ROWS]:
+            self.on_fault("list line left out", problem)
--- a/badgerbend/discovery/members.py
+++ b/badgerbend/discovery/members.py
@@ -1,7 +1,7 @@
-"""The platform's list of members: the whole of it first, then a watch for what is newer than the last version.
+"""The platform's member list as the target of a watch: the complete list first, then changes since the last version.
 
-The watch goes on as long as the next call follows the last answer at once; an agent on the broker's own machine
-answers, so a call that fails is repeated soon.
+The discovery agent keeps a watch alive only while each poll follows the previous answer at once. In push mode the agent
+runs on the broker's own machine, so a failed poll is cheap to repeat and is retried soon.
 """
 
 from __future__ import annotations
@@ -18,32 +18,36 @@
 from badgerbend.net.client import Reply
 
 MAX_BYTES = 4_194_304
-CHANGED_S = 0.02  # well within the time in which the next call goes on with the watch
-# Where the list is pushed, what the agent has counts as told, whether or not this broker has a call open. A call that
-# waited when discovery went down may never be answered: what came at the return is heard when its wait is over, it is
-# given up and put again. These shares of a drain's grace add up to that; the rest is for reading and parts under way.
-WAIT, AT_ONCE, AGAIN = 0.35, 0.15, 0.1
-IN_DROPS = 0.7  # an answer that comes in drops is given up so long after its wait: with a pause and the next, a grace
-LONGEST_S = 5.0  # no call waits longer, whatever the grace
-SHORTEST_S = 0.1  # of a grace: below it there is no time left to ask in
-# A list that is asked for may be far away. Whatever became of a call, a change counts as told so long after discovery
-# had it and could be reached: a third for a call that gets no answer, a third for the module's pause
-# (`Settings.told_ms`), a third for the answer. A call that waits, and falls silent, takes the first two and is put
-# again at once.
-TOLD_S = 6.0
-ASKED_WAIT_S = ASKED_PATIENCE_S = TOLD_S / 3
-ASKED_IN_DROPS_S = 1.25 * ASKED_PATIENCE_S  # the rest of the bound is the drain's grace
+MIN_UPDATE_INTERVAL_S = 0.02  # well within the time in which the next poll has to follow to keep the watch alive
+# In push mode, a broker counts as notified of everything that the agent has, whether or not it has a poll open. A poll
+# that was waiting when discovery went down may never be answered. Changes that the agent receives when discovery
+# returns then reach the broker only once that poll's wait is over, the poll is abandoned and a new one is sent. The
+# following shares of the drain grace period add up to that delay; the rest of the grace period is for reading the list
+# and for parts that are already on their way.
+WAIT_SHARE, ANSWER_TIMEOUT_SHARE, RETRY_SHARE = 0.35, 0.15, 0.1
+# An answer that trickles in is abandoned this long after its wait. Together with the pause before the retry and the
+# next poll, that makes one grace period.
+MAX_ANSWER_SHARE = 0.7
+MAX_WAIT_S = 5.0  # no poll waits longer, however long the grace period is
+MIN_GRACE_S = 0.1  # a shorter grace period would leave no time to poll in
+# A list that is polled on request may be far away. Whatever happened to a poll, the broker counts as notified of a
+# change this long after discovery had it and could be reached: a third for a poll without an answer, a third for the
+# aggregator's pause (`Settings.max_notification_delay_ms`) and a third for the answer. A waiting poll that falls silent
+# uses up the first two thirds and is sent again at once.
+MAX_NOTIFICATION_DELAY_S = 6.0
+REQUESTED_WAIT_S = REQUESTED_ANSWER_TIMEOUT_S = MAX_NOTIFICATION_DELAY_S / 3
+REQUESTED_MAX_ANSWER_S = 1.25 * REQUESTED_ANSWER_TIMEOUT_S  # the drain grace period covers the rest of the bound
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
-    """The list's path, the names of its fields, and its words for a state."""
+class MemberListNames:
+    """The path of the list, the names of its parameters and fields, and its values for the states of a server."""
 
     path: str
     since: str
     timeout: str
     version: str
-    whole: str
+    is_complete: str
     rows: str
     id: str
     address: str
@@ -57,36 +61,39 @@
 
 
 def parse_address(text: object) -> tuple[str, int]:
-    """`host:port`. Raises ValueError."""
+    """Parses `host:port`. Raises ValueError."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not colon or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"no address, HOST:PORT is wanted: {text!r}")
+        raise ValueError(f"invalid address, expected HOST:PORT: {text!r}")
     return host, int(port)
 
 
-def row_parser(names: Names, zones: Sequence[str], kinds: Sequence[str]) -> RowParser:
-    """Rows of the list as entries; zones and kinds become their places among those named, or the place after them."""
+def row_parser(names: MemberListNames, zones: Sequence[str], kinds: Sequence[str]) -> RowParser:
+    """Returns a parser of the list's rows.
 
-    def entry(row: Any) -> Entry:
-        uid, cell, started = row[names.id], row[names.cell], row.get(names.started, 0)
-        if not isinstance(uid, str) or not isinstance(cell, int) or isinstance(cell, bool):
-            raise ValueError("no id or no cell")
+    Zones and kinds become their indices among the given names; an unknown one gets the index after the last.
+    """
+
+    def parse_row(row: Any) -> Entry:
+        server_id, cell, started = row[names.id], row[names.cell], row.get(names.started, 0)
+        if not isinstance(server_id, str) or not isinstance(cell, int) or isinstance(cell, bool):
+            raise ValueError("the id is not a string or the cell is not an integer")
         return Entry(
-            uid,
+            server_id,
             parse_address(row[names.address]),
             cell,
             names.states[row[names.state]],
             float(started) / 1000.0,
-            _place(zones, row.get(names.zone)),
-            _place(kinds, row.get(names.kind)),
+            _index_of(zones, row.get(names.zone)),
+            _index_of(kinds, row.get(names.kind)),
             float(row.get(names.size, 1.0)),
         )
 
-    return entry
+    return parse_row
 
 
-def departure_parser(names: Names) -> DepartureParser:
-    """A row without all its fields; a state not known here is none to send anything new in."""
+def departure_parser(names: MemberListNames) -> DepartureParser:
+    """Returns a parser of the state in rows that lack other fields; an unknown state counts as draining."""
 
     def read(row: Any) -> tuple[str, api.EndpointState] | None:
         state = names.states.get(row.get(names.state), api.EndpointState.DRAINING)
@@ -95,23 +102,29 @@
     return read
 
 
-def _place(known: Sequence[str], name: object) -> int:
-    return known.index(name) if isinstance(name, str) and name in known else len(known)
+def _index_of(choices: Sequence[str], name: object) -> int:
+    return choices.index(name) if isinstance(name, str) and name in choices else len(choices)
 
 
 class MembersTarget:
-    """`Target` of a watch on the agent at `address`. Versions it gives are handed back as they came."""
+    """The `Target` of a watch on the agent at `address`. Versions are sent back as received."""
 
     max_bytes = MAX_BYTES
 
-    def __init__(self, names: Names, address: tuple[str, int], asks: bool, drain_grace_s: float) -> None:
-        self.names, self.asks = names, asks
+    def __init__(
+        self, names: MemberListNames, address: tuple[str, int], polls_on_request: bool, drain_grace_s: float
+    ) -> None:
+        self.names, self.polls_on_request = names, polls_on_request
         self.host, self.port = address
-        grace = max(drain_grace_s, SHORTEST_S)
-        self.wait_s = ASKED_WAIT_S if asks else min(WAIT * grace, LONGEST_S)
-        self.patience_s = ASKED_PATIENCE_S if asks else AT_ONCE * grace
-        self.most_s = ASKED_IN_DROPS_S if asks else IN_DROPS * grace
-        self.pace = Pace(first_wait=AGAIN * grace / 2, most_wait=AGAIN * grace, changed=CHANGED_S)
+        grace = max(drain_grace_s, MIN_GRACE_S)
+        self.wait_s = REQUESTED_WAIT_S if polls_on_request else min(WAIT_SHARE * grace, MAX_WAIT_S)
+        self.answer_timeout_s = REQUESTED_ANSWER_TIMEOUT_S if polls_on_request else ANSWER_TIMEOUT_SHARE * grace
+        self.max_answer_s = REQUESTED_MAX_ANSWER_S if polls_on_request else MAX_ANSWER_SHARE * grace
+        self.pace = Pace(
+            first_retry_s=RETRY_SHARE * grace / 2,
+            max_retry_s=RETRY_SHARE * grace,
+            min_update_interval_s=MIN_UPDATE_INTERVAL_S,
+        )
 
     def path(self, version: int | None) -> str:
         names = self.names
@@ -120,19 +133,19 @@
         return f"{names.path}?{names.since}={version}&{names.timeout}={round(self.wait_s * 1000.0)}"
 
     def read(
-        self, reply: Reply, version: int | None, heard: bool, directory: Directory, now_ms: float, unix_s: float
+        self, reply: Reply, version: int | None, has_list: bool, directory: Directory, now_ms: float, unix_s: float
     ) -> tuple[int | None, ListReader | None]:
         try:
             answer = msgspec.json.decode(reply.body, type=dict[str, msgspec.Raw])
-            rev = msgspec.json.decode(answer[self.names.version], type=int)
-            whole = msgspec.json.decode(answer[self.names.whole], type=bool)
+            new_version = msgspec.json.decode(answer[self.names.version], type=int)
+            is_complete = msgspec.json.decode(answer[self.names.is_complete], type=bool)
             rows = msgspec.json.decode(answer[self.names.rows], type=list[msgspec.Raw])
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, KeyError) as err:
-            raise ListError(f"no list: {err}") from err
-        if not whole and version is None:
-            raise ListError("changes only, where the whole list was asked for")
-        if not whole and version is not None and rev < version:
-            return None, None  # it knows less than this broker: the whole list is asked for
-        if not whole and not rows and heard:
-            return rev, None
-        return rev, ListReader(directory, rows, now_ms, unix_s, whole)
+            raise ListError(f"the answer is not a list: {err}") from err
+        if not is_complete and version is None:
+            raise ListError("the answer contains changes only, but the complete list was requested")
+        if not is_complete and version is not None and new_version < version:
+            return None, None  # the agent's version is older than this broker's: request the complete list
+        if not is_complete and not rows and has_list:
+            return new_version, None
+        return new_version, ListReader(directory, rows, now_ms, unix_s, is_complete)
--- a/badgerbend/discovery/polls.py
+++ b/badgerbend/discovery/polls.py
@@ -1,4 +1,4 @@
-"""Polls of a list's service that are under way: the latest one, and earlier ones whose answers may still come."""
+"""Polls of the list's endpoint that are in flight: the latest one, and overdue ones whose answers may still come."""
 
 from __future__ import annotations
 
@@ -7,43 +7,45 @@
 from badgerbend.net.client import Call
 
 MOST_OVERDUE = 4
-"""Polls that are left open behind the latest one; each holds a connection."""
+"""The number of overdue polls that are left open beside the latest one; each holds a connection."""
 
 LONGEST_OVERDUE_S = 3.0
-"""The oldest of them is given this long: a service that is slower than that cannot be followed."""
+"""How long the oldest overdue poll stays open: a slower service is too slow to be watched."""
 
 
 class Timer(Protocol):
-    """A callback that is due later."""
+    """A scheduled callback."""
 
     def cancel(self) -> None: ...
 
 
 class Poll:
-    """One question to the service, in seconds of the loop's clock. version: what its answer is newer than, None for
-    the whole list."""
+    """One request to the service; times are in seconds of the event loop's clock.
 
-    __slots__ = ("asked_at", "call", "overdue_at", "quiet_turns", "received", "timer", "turns", "version")
+    version: the answer contains what is newer than this version; None requests the complete list.
+    """
+
+    __slots__ = ("call", "idle_turns", "overdue_at", "received", "sent_at", "timer", "turns", "version")
 
-    def __init__(self, version: int | None, asked_at: float) -> None:
+    def __init__(self, version: int | None, sent_at: float) -> None:
         self.version = version
-        self.asked_at = asked_at
+        self.sent_at = sent_at
         self.call: Call | None = None
         self.timer: Timer | None = None
-        self.overdue_at = asked_at
-        self.turns = 0  # of its timeout that are over
-        self.quiet_turns = 0  # since its answer last grew
-        self.received = 0  # bytes of the answer by then
+        self.overdue_at = sent_at
+        self.turns = 0  # turns of the timeout that have passed
+        self.idle_turns = 0  # turns since the answer last grew
+        self.received = 0  # bytes of the answer when it last grew
 
-    def turn_is_over(self) -> None:
-        """Counts a turn of the timeout, and whether the answer grew in it."""
+    def end_turn(self) -> None:
+        """Counts a turn of the timeout and checks whether the answer grew during it."""
         assert self.call is not None
         self.turns += 1
         if self.call.received > self.received:
             self.received = self.call.received
-            self.quiet_turns = 0
+            self.idle_turns = 0
         else:
-            self.quiet_turns += 1
+            self.idle_turns += 1
 
     def stop_timer(self) -> None:
         if self.timer is not None:
@@ -51,24 +53,24 @@
             self.timer = None
 
     def abort(self) -> None:
-        """Ends it; its reply never comes."""
+        """Aborts the request; its reply callback is never called."""
         self.stop_timer()
         if self.call is not None:
             self.call.abort()
 
 
 class OverduePolls:
-    """Polls that were not answered in time, oldest first. They stay open while others are sent after them.
+    """Polls that were not answered in time, oldest first. They stay open while later polls are sent.
 
-    A service that is slow, after an outage perhaps, answers none in time: were each aborted as the next one is sent,
-    none would ever be answered, however often it is asked.
+    A service that is slow, for example after an outage, answers no poll in time. If each poll were aborted when the
+    next one is sent, none would ever be answered, however often the broker retries.
     """
 
     def __init__(self) -> None:
         self.polls: list[Poll] = []
 
     def add(self, poll: Poll, now: float) -> None:
-        """Takes a poll in; aborts another one where there are too many, the oldest not before its time."""
+        """Adds a poll. If there are too many, aborts the oldest one if its time is up, otherwise the second oldest."""
         poll.stop_timer()
         poll.overdue_at = now
         self.polls.append(poll)
@@ -77,18 +79,18 @@
             self.polls.pop(0 if oldest_is_due else 1).abort()
 
     def answered(self, poll: Poll) -> None:
-        """Forgets a poll that has its answer, and aborts those that were sent before it: theirs tell nothing newer."""
-        older = [other for other in self.polls if other is not poll and other.asked_at <= poll.asked_at]
-        self.polls = [other for other in self.polls if other.asked_at > poll.asked_at]
+        """Removes an answered poll and aborts those sent before it, whose answers would contain nothing newer."""
+        older = [other for other in self.polls if other is not poll and other.sent_at <= poll.sent_at]
+        self.polls = [other for other in self.polls if other.sent_at > poll.sent_at]
         for other in older:
             other.abort()
 
     def ended(self, poll: Poll) -> None:
-        """Forgets a poll that failed."""
+        """Removes a poll that failed."""
         self.polls.remove(poll)
 
     def abort(self) -> None:
-        """Ends all of them."""
+        """Aborts all polls."""
         polls, self.polls = self.polls, []
         for poll in polls:
             poll.abort()
--- a/badgerbend/discovery/wall_clock.py
+++ b/badgerbend/discovery/wall_clock.py
@@ -1,4 +1,4 @@
-"""Unix time for ages of servers, on a wall clock that may step."""
+"""Unix time for computing server ages, robust against steps of the wall clock."""
 
 from __future__ import annotations
 
@@ -6,11 +6,12 @@
 
 
 class SteadyUnixClock:
-    """Unix time in seconds that no step of the wall clock moves ahead.
+    """Unix time in seconds that never jumps ahead when the wall clock is stepped.
 
-    It gives the earlier of the wall clock and of what that said at first, carried on by the monotonic clock. The age of
-    a server that has started is then never taken for more than it is by a step: a server counted as warm too soon would
-    be overloaded, one counted as cold for longer only gets less. A clock that is wrong from the first is believed.
+    It returns the earlier of two times: that of the wall clock, and the wall clock's first reading advanced by the
+    monotonic clock. A step of the wall clock therefore never makes a server look older than it is. A server whose
+    slow start ended too early would be overloaded, while one that warms up for longer merely receives less traffic.
+    A wall clock that is wrong from the start is not corrected.
     """
 
     def __init__(self, unix_s: Callable[[], float], monotonic_s: Callable[[], float]) -> None:
--- a/badgerbend/discovery/watch.py
+++ b/badgerbend/discovery/watch.py
@@ -1,8 +1,9 @@
-"""A watch on a list of servers over HTTP: each call waits at the other end for something newer than the last.
+"""A watch on a list of servers over HTTP: each long poll waits at the service for a version newer than the last one.
 
-In push mode the watch keeps itself up, with a wait between failures that doubles; a call without an answer in time
-stays open behind the next one (`OverduePolls`). In ask mode it only does what the module says, and tells each failure:
-the module spaces the calls out. What is asked, and how an answer reads, is each list's own: `Target`.
+In push mode the watch keeps itself running, with exponential backoff after failures; a poll that was not answered in
+time stays open beside the next one (`OverduePolls`). In ask mode it polls only when the aggregator requests it and
+reports each failure, because the aggregator spaces out the polls. Each list format brings a `Target`, which states what
+to request and how to read an answer.
 """
 
 from __future__ import annotations
@@ -13,18 +14,18 @@
 from typing import Protocol
 
 from badgerbend import api
-from badgerbend.discovery.directory import SLICE, Directory, ListError, ListReader
+from badgerbend.discovery.directory import SLICE_SIZE, Directory, ListError, ListReader
 from badgerbend.discovery.polls import OverduePolls, Poll, Timer
 from badgerbend.net.client import End, Pool, PoolLimits, Reply
 
-# Patience is counted in turns: each lasts its share of it or, if the loop comes round later than that, one turn of the
-# loop. A connection that comes up, a question and an answer take four. Guards against a slow broker that gives up the
-# same question for ever, when nobody was silent but itself late.
-TURNS = 5
+# The answer timeout is counted in turns. Each lasts its share of the timeout or, if the event loop comes round later
+# than that, one turn of the loop. Opening a connection, sending a request and reading an answer take four turns of the
+# loop. This guards against a slow broker that abandons every poll although the service answered in time.
+TIMEOUT_TURNS = 5
 
 
 class Clock(Protocol):
-    """Time and timers; asyncio's loop is one."""
+    """Time and timers; asyncio's event loop implements it."""
 
     def time(self) -> float: ...
 
@@ -33,36 +34,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """Times in seconds. changed: a list that changes without end is read no oftener than this."""
+    """The pace of polling, in seconds.
 
-    first_wait: float = 0.1
-    most_wait: float = 5.0
-    changed: float = 0.05
+    first_retry_s, max_retry_s: bounds of the backoff after failures. min_update_interval_s: the least time between two
+    polls, which limits how often a list that changes all the time is read.
+    """
+
+    first_retry_s: float = 0.1
+    max_retry_s: float = 5.0
+    min_update_interval_s: float = 0.05
 
 
 class Target(Protocol):
-    """What is asked of a list's service, and how its answers read."""
+    """What a watch requests from the service of a list, and how it reads the answers."""
 
     host: str
     port: int
-    asks: bool  # only when the module says so
+    polls_on_request: bool  # whether polls are sent only when the aggregator requests them
     max_bytes: int
     pace: Pace
-    wait_s: float  # a call for what is newer may wait so long at the other end
-    patience_s: float  # beyond that, a call is given up so long after the last sign of an answer
-    most_s: float  # and so long after its wait, whatever signs there are
+    wait_s: float  # how long a poll for a newer version may wait at the service
+    answer_timeout_s: float  # after the wait, a poll is abandoned when no byte has arrived for this long
+    max_answer_s: float  # a poll is abandoned this long after its wait, even if bytes are still arriving
 
     def path(self, version: int | None) -> str:
-        """The path and query for what is newer than `version`; None: for the whole list."""
+        """Returns the path and query string for what is newer than `version`, or for the complete list if None."""
 
     def read(
-        self, reply: Reply, version: int | None, heard: bool, directory: Directory, now_ms: float, unix_s: float
+        self, reply: Reply, version: int | None, has_list: bool, directory: Directory, now_ms: float, unix_s: float
     ) -> tuple[int | None, ListReader | None]:
-        """The answer's version, and its list if there is news. Raises ListError or ValueError."""
+        """Returns the answer's version, and a reader if there are changes. Raises ListError or ValueError."""
 
 
 class Watch:
-    """`ServerList` of the runtime. News go to `on_view`, what a person should know to `on_trouble`."""
+    """Keeps a directory up to date from a target; implements the runtime's `ServerList`.
+
+    on_update: receives the updates for the aggregator. on_fault: receives the kind and the details of what an operator
+    should know about.
+    """
 
     def __init__(
         self,
@@ -71,231 +80,245 @@
         clock: Clock,
         now_ms: Callable[[], float],
         unix_s: Callable[[], float],
-        on_view: Callable[[api.EndpointUpdate], None],
-        on_trouble: Callable[[str, str], None],
+        on_update: Callable[[api.EndpointUpdate], None],
+        on_fault: Callable[[str, str], None],
         seed: int,
-        agent: str,
+        user_agent: str,
     ) -> None:
         self.now_ms, self.unix_s = now_ms, unix_s
         self.target, self.directory, self.clock = target, directory, clock
-        self.on_view, self.on_trouble = on_view, on_trouble
+        self.on_update, self.on_fault = on_update, on_fault
         self.pool = self._pool()
-        self.rng, self.agent = random.Random(seed), agent
-        self.index: int | None = None  # what newer is asked for; None: the whole list is
-        self.failures, self.following = 0, False
+        self.rng, self.user_agent = random.Random(seed), user_agent
+        self.version: int | None = None  # the next poll requests what is newer; None: the complete list
+        self.failures, self.is_following = 0, False
         self.refreshed_at: float | None = None
-        self.asked_at = self.answered_at = 0.0  # of the call that was answered last
-        self._newest: int | None = None  # the version in force
+        self.polled_at = self.answered_at = 0.0  # when the most recently answered poll was sent, and was answered
+        self._applied_version: int | None = None  # the version of the list in the directory
         self._poll: Poll | None = None  # the latest
         self._overdue = OverduePolls()
-        self._taking: Iterator[bool] | None = None  # a list that is being taken
-        self.on_applied: Callable[[], None] = lambda: None  # a list is in force, and told
-        self._timer: Timer | None = None  # of the next poll, or of the next slice
+        self._list_steps: Iterator[bool] | None = None  # the remaining steps of the list that is being read
+        self.on_applied: Callable[[], None] = lambda: None  # called when a list is applied and published
+        self._timer: Timer | None = None  # for the next poll, or for the next slice
 
     def _pool(self) -> Pool:
         limits = PoolLimits(connect_timeout_s=1.0, idle_s=60.0, max_answer_bytes=self.target.max_bytes)
         return Pool(self.target.host, self.target.port, limits)
 
     @property
-    def asks(self) -> bool:
-        return self.target.asks
+    def polls_on_request(self) -> bool:
+        return self.target.polls_on_request
 
     @property
     def overdue_polls(self) -> int:
-        """Polls that had no answer in time and are still open."""
+        """The number of polls that were not answered in time and are still open."""
         return len(self._overdue.polls)
 
-    def move(self, target: Target) -> None:
-        """Asks another service from now on. The list in force stays until that one is heard; its versions are new."""
-        self._take_all()
+    def switch_target(self, target: Target) -> None:
+        """Polls another service from now on. The current list stays until the new service has answered; versions of
+        the two services are unrelated."""
+        self._finish_list()
         self._stop_polls()
         self.pool.close()
-        self.target, self.index, self.failures = target, None, 0
-        self._newest = None
+        self.target, self.version, self.failures = target, None, 0
+        self._applied_version = None
         self.pool = self._pool()
-        if self.following:
-            self._ask()
+        if self.is_following:
+            self._send_poll()
 
     def start(self) -> None:
-        """Begins to watch, where the list is pushed; where it is asked, the module begins."""
-        if not self.asks:
+        """Starts watching in push mode; in ask mode the aggregator sends the first request."""
+        if not self.polls_on_request:
             self.follow(True)
 
-    def follow(self, on: bool) -> None:
-        self.following = on
-        if not on:
+    def follow(self, enabled: bool) -> None:
+        """Starts or stops polling for changes."""
+        self.is_following = enabled
+        if not enabled:
             self._stop_polls()
-        elif self._poll is None and self._taking is None:
-            self._ask()
+        elif self._poll is None and self._list_steps is None:
+            self._send_poll()
 
     def read_list(self) -> None:
-        self._take_all()
-        self.index = None
+        """Requests the complete list now."""
+        self._finish_list()
+        self.version = None
         self._stop_polls()
-        self._ask()
+        self._send_poll()
 
-    def _take_all(self) -> None:
-        """What came whole is in force before anything else is asked. Guards against news that are here, and so are
-        told, and that nobody hears of because the rest of their slices is dropped with the call."""
-        while self._taking is not None:
-            self._more()
+    def _finish_list(self) -> None:
+        """Applies the rest of a list that has arrived before anything else is requested.
+
+        Guards against changes that count as notified because they have arrived, but that never reach the aggregator
+        because their remaining slices are dropped together with the poll.
+        """
+        while self._list_steps is not None:
+            self._next_list_step()
 
     def close(self) -> None:
-        self.following = False
+        """Stops watching and closes the connections."""
+        self.is_following = False
         self._stop_polls()
         self.pool.close()
 
     def _stop_polls(self) -> None:
-        """Ends all that is asked and awaited."""
+        """Aborts all polls, and drops the list that is being read."""
         self._stop_latest()
         self._overdue.abort()
 
     def _stop_latest(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._taking = None
+        self._timer = self._list_steps = None
         poll, self._poll = self._poll, None
         if poll is not None:
             poll.abort()
 
-    def _ask(self) -> None:
-        self._stop_latest()  # of two calls the first would be waited for by nobody
+    def _send_poll(self) -> None:
+        self._stop_latest()  # with two current polls, nobody would wait for the first one
         target = self.target
         head = (
-            f"GET {target.path(self.index)} HTTP/1.1\r\nhost: {target.host}:{target.port}\r\n"
-            f"user-agent: {self.agent}\r\n\r\n"
+            f"GET {target.path(self.version)} HTTP/1.1\r\nhost: {target.host}:{target.port}\r\n"
+            f"user-agent: {self.user_agent}\r\n\r\n"
         )
-        poll = self._poll = Poll(self.index, self.clock.time())
-        poll.call = self.pool.request(head.encode(), lambda reply: self._replied(poll, reply))
-        turn = target.patience_s / TURNS
-        waits = target.wait_s if self.index is not None else 0.0
-        poll.timer = self.clock.call_later(waits + turn, self._wait_on)
-
-    def _wait_on(self) -> None:
-        """One turn of patience is over without an answer."""
+        poll = self._poll = Poll(self.version, self.clock.time())
+        poll.call = self.pool.request(head.encode(), lambda reply: self._on_reply(poll, reply))
+        turn_s = target.answer_timeout_s / TIMEOUT_TURNS
+        wait_s = target.wait_s if self.version is not None else 0.0
+        poll.timer = self.clock.call_later(wait_s + turn_s, self._on_timeout_turn)
+
+    def _on_timeout_turn(self) -> None:
+        """Handles the end of one turn of the answer timeout without an answer."""
         poll = self._poll
         assert poll is not None
-        poll.turn_is_over()
-        if poll.quiet_turns < TURNS and poll.turns < TURNS * self.target.most_s / self.target.patience_s:
-            poll.timer = self.clock.call_later(self.target.patience_s / TURNS, self._wait_on)
+        poll.end_turn()
+        if (
+            poll.idle_turns < TIMEOUT_TURNS
+            and poll.turns < TIMEOUT_TURNS * self.target.max_answer_s / self.target.answer_timeout_s
+        ):
+            poll.timer = self.clock.call_later(self.target.answer_timeout_s / TIMEOUT_TURNS, self._on_timeout_turn)
             return
-        self._give_up_waiting(poll)
+        self._on_timeout(poll)
 
-    def _give_up_waiting(self, poll: Poll) -> None:
-        """No answer in time: it is asked anew."""
-        if not self.asks:
+    def _on_timeout(self, poll: Poll) -> None:
+        """Handles a poll that was not answered in time, by sending another one or reporting the failure."""
+        if not self.polls_on_request:
             self._poll = None
             self._overdue.add(poll, self.clock.time())
-            waited_ms = (self.clock.time() - poll.asked_at) * 1000.0
-            self._failed(f"no answer in time: {waited_ms:.0f} ms, {self.overdue_polls} polls stay open")
+            waited_ms = (self.clock.time() - poll.sent_at) * 1000.0
+            self._on_failure(f"no answer in time: {waited_ms:.0f} ms, {self.overdue_polls} polls stay open")
             return
         self._stop_latest()
-        if self.index is not None:
-            # What a watch that fell silent misses counts as told; the module's wait after a failure may be longer.
-            self.index = None
-            self.on_trouble("list not read", "the watch fell silent and is opened anew")
-            self._ask()
+        if self.version is not None:
+            # The broker counts as notified of what a silent watch misses, and the aggregator's backoff after a failure
+            # may be longer than that allows. So the next poll is sent at once.
+            self.version = None
+            self.on_fault("list not read", "the long poll was not answered in time; requesting the complete list")
+            self._send_poll()
         else:
-            self._failed("no answer in time")
+            self._on_failure("no answer in time")
 
-    def _replied(self, poll: Poll, reply: Reply) -> None:
+    def _on_reply(self, poll: Poll, reply: Reply) -> None:
         poll.stop_timer()
         is_latest = poll is self._poll
         if not is_latest:
-            self._take_all()
+            self._finish_list()
         try:
-            version, reading = self._read(poll, reply)
+            version, reader = self._read(poll, reply)
         except (ListError, ValueError) as err:
             if is_latest:
                 self._poll = None
-                self._failed(str(err))
+                self._on_failure(str(err))
             else:
-                self._overdue.ended(poll)  # the polls behind it go on
+                self._overdue.ended(poll)  # later polls continue
             return
         if not is_latest:
-            if self._newest is not None and (version is None or version < self._newest):
-                self._overdue.ended(poll)  # overtaken by the answer to a later poll
+            if self._applied_version is not None and (version is None or version < self._applied_version):
+                self._overdue.ended(poll)  # a later poll has already brought a newer version
                 return
-            self.on_trouble("list read late", f"after {(self.clock.time() - poll.asked_at) * 1000.0:.0f} ms")
-            self._make_latest(poll)
+            self.on_fault("list read late", f"after {(self.clock.time() - poll.sent_at) * 1000.0:.0f} ms")
+            self._replace_latest_poll(poll)
         self._poll = None
         self._overdue.answered(poll)
-        self.asked_at, self.answered_at = poll.asked_at, self.clock.time()
-        if reading is None:
-            self._heard(version)
+        self.polled_at, self.answered_at = poll.sent_at, self.clock.time()
+        if reader is None:
+            self._mark_refreshed(version)
             return
-        self._taking = self._take(reading, version)
-        self._more()
+        self._list_steps = self._list_reading_steps(reader, version)
+        self._next_list_step()
 
     def _read(self, poll: Poll, reply: Reply) -> tuple[int | None, ListReader | None]:
-        """The answer's version, and its list if there is news. Raises ListError or ValueError."""
+        """Returns the answer's version, and a reader if there are changes. Raises ListError or ValueError."""
         if reply.end is not End.ANSWER or reply.status != 200:
-            raise ListError(f"{reply.end.name.lower()} {reply.status}")
-        heard = self.refreshed_at is not None
-        return self.target.read(reply, poll.version, heard, self.directory, self.now_ms(), self.unix_s())
+            raise ListError(f"the request ended with {reply.end.name.lower()}, status {reply.status}")
+        has_list = self.refreshed_at is not None
+        return self.target.read(reply, poll.version, has_list, self.directory, self.now_ms(), self.unix_s())
 
-    def _make_latest(self, poll: Poll) -> None:
-        """An overdue poll was answered after all: the one sent after it may still tell something newer."""
+    def _replace_latest_poll(self, poll: Poll) -> None:
+        """Makes the latest poll an overdue one after an earlier poll was answered: it may still bring changes."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if self._poll is not None:
             self._overdue.add(self._poll, self.clock.time())
 
-    def _more(self) -> None:
-        """One slice of a list; the next in another turn of the loop."""
+    def _next_list_step(self) -> None:
+        """Processes one slice of a list; the next one follows in another turn of the event loop."""
         if self._timer is not None:
             self._timer.cancel()
-        self._timer, taking = None, self._taking
-        if taking is None:
+        self._timer, steps = None, self._list_steps
+        if steps is None:
             return
         try:
-            done = next(taking, True)
+            done = next(steps, True)
         except ListError as err:
-            self._taking = None
-            self._failed(str(err))
+            self._list_steps = None
+            self._on_failure(str(err))
             return
         if done:
-            self._taking = None
+            self._list_steps = None
         else:
-            self._timer = self.clock.call_later(0.0, self._more)
+            self._timer = self.clock.call_later(0.0, self._next_list_step)
+
+    def _list_reading_steps(self, reader: ListReader, version: int | None) -> Iterator[bool]:
+        """Reads, applies and publishes a list, one slice per step.
 
-    def _take(self, reading: ListReader, version: int | None) -> Iterator[bool]:
-        """The steps of taking a list; each ends with whether it was the last. A short list takes one: what has come
-        is in force before a query of the same turn is decided."""
-        is_long = len(reading.rows) > SLICE
-        for _ in reading.read_slices():
+        A short list takes a single step, so that it is in effect before a query of the same turn is decided on.
+        """
+        is_long = len(reader.rows) > SLICE_SIZE
+        for _ in reader.read_slices():
             if is_long:
                 yield False
-        reading.apply()
-        for problem in reading.errors[:5]:
-            self.on_trouble("list line left out", problem)
+        reader.apply()
+        for problem in reader.errors[:5]:
+            self.on_fault("list line left out", problem)
         self.refreshed_at = self.clock.time()
-        for view in reading.updates():
-            self.on_view(view)
+        for update in reader.updates():
+            self.on_update(update)
             if is_long:
                 yield False
-        self._heard(version)
+        self._mark_refreshed(version)
         self.on_applied()
 
-    def _heard(self, version: int | None) -> None:
-        self.index, self.failures = version, 0
-        self._newest = version
+    def _mark_refreshed(self, version: int | None) -> None:
+        self.version, self.failures = version, 0
+        self._applied_version = version
         self.refreshed_at = self.clock.time()
-        if self.following:
-            # From the last question on, not from its answer: after a call that waited the next goes out at once. Guards
-            # against news that the agent has between two calls, just before it falls silent, and that go unheard.
-            pause = self.asked_at + self.target.pace.changed - self.clock.time()
-            self._timer = self.clock.call_later(max(pause, 0.0), self._ask)
-
-    def _failed(self, why: str) -> None:
-        self.index = None
+        if self.is_following:
+            # The interval counts from when the last poll was sent, not from its answer, so that a poll that waited is
+            # followed by the next one at once. Guards against changes that the agent receives between two polls, just
+            # before it stops answering, and that never reach the broker.
+            pause = self.polled_at + self.target.pace.min_update_interval_s - self.clock.time()
+            self._timer = self.clock.call_later(max(pause, 0.0), self._send_poll)
+
+    def _on_failure(self, reason: str) -> None:
+        self.version = None
         self.failures += 1
-        self.on_trouble("list not read", why)
-        if self.asks:
-            self.following = False
-            self.on_view(api.EndpointUpdate(api.UpdateKind.FAILED, ()))
-        elif self.following:
+        self.on_fault("list not read", reason)
+        if self.polls_on_request:
+            self.is_following = False
+            self.on_update(api.EndpointUpdate(api.UpdateKind.FAILED, ()))
+        elif self.is_following:
             pace = self.target.pace
-            wait = min(pace.first_wait * 2.0 ** min(self.failures - 1, 10), pace.most_wait)
-            self._timer = self.clock.call_later(wait * self.rng.uniform(0.5, 1.0), self._ask)
+            delay_s = min(pace.first_retry_s * 2.0 ** min(self.failures - 1, 10), pace.max_retry_s)
+            self._timer = self.clock.call_later(delay_s * self.rng.uniform(0.5, 1.0), self._send_poll)
--- a/badgerbend/frames/__init__.py
+++ b/badgerbend/frames/__init__.py
@@ -1,1 +1,1 @@
-"""The way to nodes that speak in frames: many parts at once on one connection, answered in any order."""
+"""The framed protocol to nodes: many parts are in flight on one connection and are answered in any order."""
--- a/badgerbend/frames/codec.py
+++ b/badgerbend/frames/codec.py
@@ -1,6 +1,7 @@
-"""Frames as bytes, and bytes as frames. Sans-I/O: bytes in, messages or one error out; every length is bounded.
+"""Encodes and decodes frames without I/O: bytes go in, messages or one error come out; every length is bounded.
 
-A frame is a length of four bytes, least significant first, a letter, and the rest; the length counts letter and rest.
+A frame consists of a length (four bytes, little-endian), one byte for the kind of the frame, and the payload. The
+length counts the kind and the payload.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 
 LENGTH = Struct("<I")
 HEAD = LENGTH.size + 1
-MAX_LINE = 512  # bytes of an answer's line: an id, an end, two numbers
+MAX_LINE_BYTES = 512  # the header line of an answer: an id, an outcome, a score and a report
 
 
 class FrameError(Exception):
-    """What came is no frame of this protocol; nothing after it on the connection can be read."""
+    """The bytes received are not a valid frame, so nothing after them on the connection can be decoded."""
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
-    """Letters of the frames, ends of an answer, and keys of a part's list, as bytes."""
+class FrameNames:
+    """The kinds of frames, the outcomes of an answer and the option keys of a part, as bytes."""
 
     query: bytes
     cancel: bytes
@@ -30,14 +31,14 @@
     load: bytes
     answer: bytes
     error: bytes
-    ends: Mapping[bytes, Outcome]
-    wait: bytes  # in a part's list: how long the broker waits, in milliseconds
-    key: bytes  # in a part's list: the query's idempotency key
+    outcomes: Mapping[bytes, Outcome]
+    wait: bytes  # option of a part: how long the broker waits for it, in milliseconds
+    key: bytes  # option of a part: the query's idempotency key
 
 
 @dataclass(frozen=True, slots=True)
 class PartRequest:
-    """What a node is sent of one part. id, shard, key and text are as the client gave them, already checked."""
+    """What is sent to a node for one part. All fields are as the client gave them, already validated."""
 
     id: bytes
     shard: int
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartAnswer:
-    """A node's answer for one part. report: as it came, `-` where there is none."""
+    """A node's answer for one part. report: the node's load report as received, `-` if there is none."""
 
     id: bytes
     outcome: Outcome
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlFrame:
-    """A frame that answers no part: a probe's answer, or the words of an error."""
+    """A frame that is not the answer for a part: the answer to a probe, or an error message."""
 
     kind: bytes
     text: bytes
@@ -67,8 +68,8 @@
     return LENGTH.pack(len(kind) + len(rest)) + kind + rest
 
 
-def encode_call(names: Names, parts: Sequence[tuple[PartRequest, float]]) -> bytes:
-    """One call for these parts, each with the milliseconds it is waited for."""
+def encode_call(names: FrameNames, parts: Sequence[tuple[PartRequest, float]]) -> bytes:
+    """Encodes one call for several parts, each with the milliseconds for which the broker waits for it."""
     out = bytearray()
     for ask, wait_ms in parts:
         wait = max(int(wait_ms), 1)
@@ -82,24 +83,25 @@
 
 
 class Decoder:
-    """Reads what a node sends. max_frame: bytes of letter and rest; a longer one is an error once it is announced.
+    """Decodes what a node sends.
 
-    After a `FrameError` it reads nothing more. Messages that came whole before it are still to be had.
+    max_frame: the maximum of a frame's length; a longer frame is an error as soon as its length has arrived. After a
+    `FrameError` nothing more is decoded, but messages that were complete before it are still returned.
     """
 
-    def __init__(self, names: Names, max_frame: int) -> None:
+    def __init__(self, names: FrameNames, max_frame: int) -> None:
         self.names, self.max_frame = names, max_frame
         self.buffer = bytearray()
         self.error: FrameError | None = None
-        self._answer, self._letters = names.answer[0], names.answer + names.error + names.probe + names.load
+        self._answer_kind, self._known_kinds = names.answer[0], names.answer + names.error + names.probe + names.load
 
     @property
-    def inside(self) -> bool:
-        """Whether a frame has begun and not ended."""
+    def in_frame(self) -> bool:
+        """Whether part of a frame has been received."""
         return bool(self.buffer)
 
     def feed(self, data: bytes) -> list[PartAnswer | ControlFrame]:
-        """The messages that are whole now; `error` is set if what follows them cannot be read."""
+        """Returns the messages that are now complete; sets `error` if the bytes after them cannot be decoded."""
         out: list[PartAnswer | ControlFrame] = []
         if self.error is not None:
             return out
@@ -110,19 +112,21 @@
             while end - at >= LENGTH.size:
                 (size,) = LENGTH.unpack_from(buffer, at)
                 if not 1 <= size <= self.max_frame:
-                    raise FrameError(f"a frame of {size} bytes, where at most {self.max_frame} are read")
+                    raise FrameError(f"frame length {size} is out of range; the maximum is {self.max_frame} bytes")
                 if end - at < HEAD:
                     break
-                letter = buffer[at + LENGTH.size]
-                if letter not in self._letters:
-                    raise FrameError(f"unknown letter {letter:#04x}")
+                kind = buffer[at + LENGTH.size]
+                if kind not in self._known_kinds:
+                    raise FrameError(f"unknown frame kind {kind:#04x}")
                 if end - at < LENGTH.size + size:
-                    if letter == self._answer:
-                        self._check_begun(at + HEAD, end)
+                    if kind == self._answer_kind:
+                        self._check_partial_answer(at + HEAD, end)
                     break
                 rest = bytes(buffer[at + HEAD : at + LENGTH.size + size])
                 at += LENGTH.size + size
-                out.append(self._answered(rest) if letter == self._answer else ControlFrame(bytes([letter]), rest))
+                out.append(
+                    self._decode_answer(rest) if kind == self._answer_kind else ControlFrame(bytes([kind]), rest)
+                )
         except FrameError as err:
             self.error = err
             self.buffer = bytearray()
@@ -130,38 +134,38 @@
         del buffer[:at]
         return out
 
-    def _check_begun(self, at: int, end: int) -> None:
-        """An answer that is not whole yet: what can be told from its line is told now, not at its end."""
-        stop = self.buffer.find(b"\n", at, min(end, at + MAX_LINE))
-        if stop >= 0:
-            self._line(bytes(self.buffer[at:stop]))
-        elif end - at >= MAX_LINE:
+    def _check_partial_answer(self, at: int, end: int) -> None:
+        """Checks the header line of an incomplete answer, so that errors in it are found before the frame ends."""
+        line_end = self.buffer.find(b"\n", at, min(end, at + MAX_LINE_BYTES))
+        if line_end >= 0:
+            self._decode_line(bytes(self.buffer[at:line_end]))
+        elif end - at >= MAX_LINE_BYTES:
             raise FrameError("a line without an end")
 
-    def _answered(self, rest: bytes) -> PartAnswer:
-        stop = rest.find(b"\n", 0, MAX_LINE)
-        if stop < 0:
+    def _decode_answer(self, rest: bytes) -> PartAnswer:
+        line_end = rest.find(b"\n", 0, MAX_LINE_BYTES)
+        if line_end < 0:
             raise FrameError("a line without an end")
-        part, outcome, report = self._line(rest[:stop])
-        value = rest[stop + 1 :]
+        part, outcome, report = self._decode_line(rest[:line_end])
+        value = rest[line_end + 1 :]
         if outcome is Outcome.OK and not _is_text(value):
-            raise FrameError("served with no value that can be passed on")
+            raise FrameError("a served answer has an empty value, or one that is not UTF-8")
         return PartAnswer(part, outcome, report, value)
 
-    def _line(self, line: bytes) -> tuple[bytes, Outcome, bytes]:
-        words = line.split(b" ", 3)
-        if len(words) != 4 or not words[0]:
-            raise FrameError(f"a line of {len(words)} words")
-        outcome = self.names.ends.get(words[1])
+    def _decode_line(self, line: bytes) -> tuple[bytes, Outcome, bytes]:
+        fields = line.split(b" ", 3)
+        if len(fields) != 4 or not fields[0]:
+            raise FrameError(f"the header line needs 4 fields and an id that is not empty; it has {len(fields)} fields")
+        outcome = self.names.outcomes.get(fields[1])
         if outcome is None:
-            raise FrameError(f"unknown end {words[1][:20]!r}")
-        if not words[2].removeprefix(b"-").isdigit():
-            raise FrameError(f"no score: {words[2][:20]!r}")
-        return words[0], outcome, words[3]
+            raise FrameError(f"unknown outcome {fields[1][:20]!r}")
+        if not fields[2].removeprefix(b"-").isdigit():
+            raise FrameError(f"the score is not an integer: {fields[2][:20]!r}")
+        return fields[0], outcome, fields[3]
 
 
 def _is_text(value: bytes) -> bool:
-    if value.isalnum():  # ASCII digits and letters: what most values are
+    if value.isalnum():  # fast path: most values are ASCII letters and digits
         return True
     try:
         return bool(value.decode())
--- a/badgerbend/frames/transport.py
+++ b/badgerbend/frames/transport.py
@@ -1,7 +1,8 @@
-"""The runtime's `Transport` over channels: which connection a call rides on, and what comes of it.
+"""The runtime's `Transport` over channels: chooses the connection for each call and reports how attempts end.
 
-Which node a part goes to is the module's choice. Here it is only seen to that a connection carries no more parts than
-the settings allow, that none idle for too long is written to, and that nothing waits for a node that drains.
+The aggregator chooses the node for a part. This module ensures that a connection carries no more parts than the
+settings allow, that nothing is written to a connection that was idle for too long, and that nothing waits for a
+connection to a draining node.
 """
 
 from __future__ import annotations
@@ -12,66 +13,70 @@
 
 from badgerbend.api import Outcome
 from badgerbend.frames.channel import Channel, part_request
-from badgerbend.frames.codec import Names
+from badgerbend.frames.codec import FrameNames
 from badgerbend.runtime.ports import Attempt
 
-Ended = Callable[[Attempt, Outcome, object, tuple[float, ...]], None]
-IDLE_SHARE = 0.9  # of the time after which the other side may close: what is written then may cross the close
+AttemptCallback = Callable[[Attempt, Outcome, object, tuple[float, ...]], None]
+# Fraction of the idle timeout of the other side. Later than this, a request could cross the closing of the connection.
+IDLE_FRACTION = 0.9
 
 
 @dataclass(frozen=True, slots=True)
 class FrameLimits:
-    """Times in seconds, sizes in bytes."""
+    """The limits of a transport; times in seconds, sizes in bytes."""
 
-    streams: int  # parts at once on a connection
-    connections: int  # in all
+    streams: int  # parts in flight on one connection
+    connections: int  # to all nodes together
     connect_timeout_s: float
     idle_s: float
-    stall_s: float  # a frame that has begun ends within this
+    stall_s: float  # a frame has to be complete this long after its first byte
     max_frame: int = 65_536
 
 
 class FrameTransport:
-    """`address_of` gives where a node listens, None for one that is not on the list."""
+    """Sends parts to nodes over their channels.
+
+    address_of: returns the address of a node, or None if it is not on the list.
+    """
 
     def __init__(
         self,
-        names: Names,
+        names: FrameNames,
         limits: FrameLimits,
         address_of: Callable[[int], tuple[str, int] | None],
-        ended: Ended,
-        trouble: Callable[[str, str], None],
+        on_attempt_completed: AttemptCallback,
+        report_fault: Callable[[str, str], None],
         wanted: Callable[[Attempt], bool] = lambda attempt: True,
     ) -> None:
         self.names, self.limits, self.address_of = names, limits, address_of
         self.streams, self.max_frame = limits.streams, limits.max_frame
-        self.tell, self.report_fault, self.wanted = ended, trouble, wanted
+        self.on_attempt_completed, self.report_fault, self.wanted = on_attempt_completed, report_fault, wanted
         self.loop = asyncio.get_running_loop()
         self.channels: dict[int, list[Channel]] = {}
-        self.addresses: dict[int, tuple[str, int]] = {}  # that a node's channels were made for
-        self.leaving: set[int] = set()  # nodes that drain
-        self.retired: set[Channel] = set()  # of nodes that moved or left, until their last answer
+        self.addresses: dict[int, tuple[str, int]] = {}  # the address that the channels of a node connect to
+        self.draining: set[int] = set()  # nodes that are draining
+        self.retired: set[Channel] = set()  # channels of nodes that moved or left, until their last answer
         self.opened = 0
-        self._held: set[Channel] = set()  # those that hold a descriptor, given up or not
+        self._descriptors: set[Channel] = set()  # channels that use a file descriptor, abandoned or not
         self._connecting: dict[Channel, asyncio.Task[object]] = {}
 
     @property
     def open(self) -> int:
-        """Descriptors held, also by what was given up and still connects."""
-        return len(self._held)
+        """The file descriptors in use, including those of abandoned channels that are still connecting."""
+        return len(self._descriptors)
 
     # -- ports.Transport
     def send(self, node: int, attempts: Sequence[Attempt]) -> None:
         address = self.address_of(node)
-        if address is None or node in self.leaving:
-            self._all(attempts, Outcome.NOT_SENT)
+        if address is None or node in self.draining:
+            self._end_all(attempts, Outcome.NOT_SENT)
             return
-        if self.addresses.get(node, address) != address:  # a list is in force, and not told to its end
+        if self.addresses.get(node, address) != address:  # a new list is applied but not completely published
             self._retire(node)
-        channel = self._channel(node, attempts) or self._open(node, address)
+        channel = self._find_channel(node, attempts) or self._open_channel(node, address)
         if channel is None:
             self.report_fault("no room for connections", f"{self.open} open")
-            self._all(attempts, Outcome.NOT_SENT)
+            self._end_all(attempts, Outcome.NOT_SENT)
             return
         for attempt in attempts:
             attempt.handle = channel
@@ -89,56 +94,63 @@
             if channel.idle():
                 channel.drop()
 
-    # -- the list's side
-    def drains(self, node: int) -> None:
-        """The node wants nothing new: what has not begun to be written to it comes back unsent. So does what the turn
-        that heard of it had decided already: waiting for a connection it would outlast the grace."""
-        self.leaving.add(node)
+    # -- called when the list changes
+    def start_draining(self, node: int) -> None:
+        """Returns all attempts that have not begun to be written to a node that drains, as not sent.
+
+        This includes attempts that were decided on in the turn in which the drain was learned of: waiting for a
+        connection, they could outlast the drain grace period.
+        """
+        self.draining.add(node)
         for channel in list(self.channels.get(node, ())):
-            self._all(channel.withdraw(), Outcome.NOT_SENT)
+            self._end_all(channel.withdraw(), Outcome.NOT_SENT)
 
-    def ready(self, node: int) -> None:
-        """The node takes work, also one that drained."""
-        self.leaving.discard(node)
+    def end_draining(self, node: int) -> None:
+        """Allows sending to a node that is ready, even if it drained before."""
+        self.draining.discard(node)
 
-    def left(self, node: int) -> None:
-        """The node is off the list: its connections end with their last answer."""
-        self.leaving.discard(node)  # it has no address: nothing goes there
+    def remove_node(self, node: int) -> None:
+        """Retires the connections of a node that left the list; they end with their last answer."""
+        self.draining.discard(node)  # nothing is sent to a node without an address
         self._retire(node)
 
-    def moved(self, addresses: Mapping[int, tuple[str, int]]) -> None:
-        """The list in force: connections to where nodes listen no more end with their last answer."""
+    def update_addresses(self, addresses: Mapping[int, tuple[str, int]]) -> None:
+        """Retires connections to addresses that are no longer in the current list; they end with their last answer."""
         for node in [n for n, address in self.addresses.items() if addresses.get(n) != address]:
             self._retire(node)
-        self.leaving &= addresses.keys()
+        self.draining &= addresses.keys()
 
     def sweep(self, now: float) -> None:
-        """Ends what idled for too long, stalls inside a frame, or waits for nothing more. now: the loop's time."""
+        """Closes channels that were idle for too long, are stalled inside a frame, or are retired and unused.
+
+        now: time of the event loop.
+        """
         for channel in [*self._in_use(), *self.retired]:
-            needless = channel.idle() and (channel in self.retired or self._stale(channel, now))
-            if not channel.stalled(now, self.limits.stall_s) and needless:
+            is_unused = channel.idle() and (channel in self.retired or self._is_stale(channel, now))
+            if not channel.stalled(now, self.limits.stall_s) and is_unused:
                 channel.drop()
 
     def close(self) -> None:
+        """Closes all connections and cancels those that are being opened."""
         for channel in [*self._in_use(), *self.retired]:
             channel.close()
         for task in list(self._connecting.values()):
             task.cancel()
 
-    # -- a channel's side
+    # -- called by channels
     def now_ms(self) -> float:
         return self.loop.time() * 1000.0
 
     def ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None) -> None:
-        self.tell(attempt, outcome, value, ())
+        self.on_attempt_completed(attempt, outcome, value, ())
 
     def give_up(self, channel: Channel) -> None:
-        """Ends its connecting, if it does still: what comes up late would cost the node a handshake."""
+        """Cancels a connection that is still being opened, to spare the node the handshake."""
         if channel in self._connecting:
             self._connecting[channel].cancel()
 
     def freed(self, channel: Channel) -> None:
-        self._held.discard(channel)
+        self._descriptors.discard(channel)
 
     def forget(self, channel: Channel) -> None:
         self.retired.discard(channel)
@@ -149,57 +161,61 @@
                 del self.channels[channel.node]
                 self.addresses.pop(channel.node, None)
 
-    # -- inside
+    # -- internals
     def _in_use(self) -> list[Channel]:
         return [channel for channels in self.channels.values() for channel in channels]
 
-    def _all(self, attempts: Sequence[Attempt], outcome: Outcome) -> None:
+    def _end_all(self, attempts: Sequence[Attempt], outcome: Outcome) -> None:
         for attempt in attempts:
             self.ended(attempt, outcome, None)
 
-    def _channel(self, node: int, attempts: Sequence[Attempt]) -> Channel | None:
-        """The first with room, so that the later ones fall idle and end; not one where a word on an earlier attempt
-        for the same part may still come, since both would carry one id."""
+    def _find_channel(self, node: int, attempts: Sequence[Attempt]) -> Channel | None:
+        """Returns the first channel with spare capacity, so that later ones become idle and are closed.
+
+        A channel on which a message about an earlier attempt for the same part may still arrive is skipped, since both
+        attempts have the same id.
+        """
         now, parts = self.loop.time(), [part_request(a).id for a in attempts]
         for channel in list(self.channels.get(node, ())):
-            if channel.idle() and self._stale(channel, now):
+            if channel.idle() and self._is_stale(channel, now):
                 channel.drop()
-            elif channel.load() + len(parts) <= self.streams and not any(map(channel.knows, parts)):
+            elif channel.part_count() + len(parts) <= self.streams and not any(map(channel.may_receive_answer, parts)):
                 return channel
         return None
 
-    def _stale(self, channel: Channel, now: float) -> bool:
-        return channel.transport is not None and now - channel.since > self.limits.idle_s * IDLE_SHARE
+    def _is_stale(self, channel: Channel, now: float) -> bool:
+        return channel.transport is not None and now - channel.last_used > self.limits.idle_s * IDLE_FRACTION
 
-    def _open(self, node: int, address: tuple[str, int]) -> Channel | None:
+    def _open_channel(self, node: int, address: tuple[str, int]) -> Channel | None:
         if self.open >= self.limits.connections:
             idle = [c for c in self._in_use() if c.idle()]
             if not idle:
                 return None
-            min(idle, key=lambda c: c.since).drop()
+            min(idle, key=lambda c: c.last_used).drop()
         channel = Channel(self, node, self.loop)
         self.channels.setdefault(node, []).append(channel)
         self.addresses[node] = address
-        self._held.add(channel)
+        self._descriptors.add(channel)
         self.opened += 1
         connecting = self.loop.create_connection(lambda: channel, *address)
         task = self._connecting[channel] = self.loop.create_task(connecting)
-        limit = self.loop.call_later(self.limits.connect_timeout_s, self.give_up, channel)
-        task.add_done_callback(lambda task: self._connected(channel, task, limit))
+        timer = self.loop.call_later(self.limits.connect_timeout_s, self.give_up, channel)
+        task.add_done_callback(lambda task: self._on_connected(channel, task, timer))
         return channel
 
-    def _connected(self, channel: Channel, task: asyncio.Task[object], limit: asyncio.TimerHandle) -> None:
-        limit.cancel()
+    def _on_connected(self, channel: Channel, task: asyncio.Task[object], timer: asyncio.TimerHandle) -> None:
+        timer.cancel()
         del self._connecting[channel]
         if task.cancelled() or task.exception() is not None:
             channel.failed_to_connect()
-            if not channel.up:
+            if not channel.connected:
                 self.freed(channel)
 
     def _retire(self, node: int) -> None:
-        """What waits to be written comes back: the address may be another node's by now, or nobody's."""
+        """Retires the channels of a node and returns what waits to be written on them: the address may by now belong
+        to another node, or to none."""
         channels = self.channels.pop(node, [])
         self.retired.update(channels)
         self.addresses.pop(node, None)
         for channel in channels:
-            self._all(channel.withdraw(), Outcome.NOT_SENT)
+            self._end_all(channel.withdraw(), Outcome.NOT_SENT)
--- a/badgerbend/platform/__init__.py
+++ b/badgerbend/platform/__init__.py
@@ -1,1 +1,1 @@
-"""One more way in and out: the platform's configuration, its clients, its nodes' frames, its list of members."""
+"""The broker on the platform: its configuration, client requests, framed protocol to nodes and member list."""
--- a/badgerbend/platform/__main__.py
+++ b/badgerbend/platform/__main__.py
@@ -1,11 +1,11 @@
-"""`python -m badgerbend.platform`: one broker, told by its environment what it is."""
+"""`python -m badgerbend.platform`: runs one broker that is configured by its environment."""
 
 from __future__ import annotations
 
 import signal
 
-# Before all else: on a tenth of a core the imports take seconds, and a SIGHUP in them would end the process. It is
-# remembered, since the configuration may have been read before the file was replaced.
+# The handler is installed before the other imports: on a tenth of a core they take seconds, and a SIGHUP during that
+# time would end the process. The signal is remembered, since the configuration may be read before the file is replaced.
 reloads: list[int] = []
 signal.signal(signal.SIGHUP, lambda number, frame: reloads.append(number))
 
--- a/badgerbend/platform/config.py
+++ b/badgerbend/platform/config.py
@@ -1,4 +1,4 @@
-"""What a broker is told at its start and at each reload: a JSON file, and variables where the file is silent."""
+"""A broker's configuration: a JSON file, and environment variables for fields that the file leaves out."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 import msgspec
 
 from badgerbend import api
-from badgerbend.discovery.members import TOLD_S, parse_address
+from badgerbend.discovery.members import MAX_NOTIFICATION_DELAY_S, parse_address
 from badgerbend.platform import names
 from badgerbend.platform_settings import SettingError, flatten, read_settings
 
 MAX_BYTES = 16_777_216
-MAX_WRITE_DELAY_MS = 150.0  # a process on part of a core may be held up so long, by the platform's rules
-DRAIN_GRACE_MS = 250.0  # where the settings name none: short, since the agent on the own machine is cheap to ask
+MAX_WRITE_DELAY_MS = 150.0  # by the platform's rules, a process on a fraction of a core may be delayed for this long
+DRAIN_GRACE_MS = 250.0  # default; short, because the agent runs on the broker's machine and is cheap to poll
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text names the field."""
+    """The configuration is invalid; the message names the field."""
 
 
 class Limits(msgspec.Struct, frozen=True, rename={"descriptors": "sockets"}):
-    """cores: share of one core; memory in megabytes; descriptors a process may hold."""
+    """Resource limits of the process: a fraction of one core, memory in megabytes, and open file descriptors."""
 
     cores: float = 1.0
     memory_mb: float = 192.0
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """A broker's configuration, checked. `known`: rows of the list as it was last held, unread."""
+    """A broker's validated configuration. known: undecoded rows of the list that the broker had last."""
 
     name: str
     listen: tuple[str, int]
@@ -43,14 +43,14 @@
     limits: Limits
     known: tuple[msgspec.Raw, ...]
     settings: api.Settings
-    flat_settings: Mapping[str, str]  # all settings, by path
+    flat_settings: Mapping[str, str]  # all settings by path
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     shards: int
-    streams: int  # parts at once on a connection to a node
-    drain_grace_ms: float  # a node gets nothing new from so long after it was told to drain
+    streams: int  # parts in flight on one connection to a node
+    drain_grace_ms: float  # a draining node receives nothing new once this time has passed
 
 
 class _File(msgspec.Struct):
@@ -64,7 +64,7 @@
 
 
 def load(env: Mapping[str, str]) -> Config:
-    """Reads the file that the environment names. Raises ConfigError, whatever is wrong with it."""
+    """Reads the configuration file that the environment names. Raises ConfigError for any defect."""
     path = env.get(f"{names.ENV}_CONFIG")
     if not path:
         raise ConfigError(f"{names.ENV}_CONFIG is not set")
@@ -74,12 +74,12 @@
     except OSError as err:
         raise ConfigError(f"{names.ENV}_CONFIG: {err.strerror}: {path}") from err
     if len(raw) > MAX_BYTES:
-        raise ConfigError(f"{names.ENV}_CONFIG: longer than {MAX_BYTES} bytes")
+        raise ConfigError(f"{names.ENV}_CONFIG: the file is longer than {MAX_BYTES} bytes")
     return parse(raw, env)
 
 
 def parse(raw: bytes, env: Mapping[str, str]) -> Config:
-    """The same for the file's bytes."""
+    """Parses the bytes of a configuration file. Raises ConfigError for any defect."""
     try:
         file = msgspec.json.decode(raw, type=_File)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
@@ -88,7 +88,7 @@
     try:
         settings = replace(
             read_settings(flat_settings),
-            max_notification_delay_ms=TOLD_S * 1000.0,
+            max_notification_delay_ms=MAX_NOTIFICATION_DELAY_S * 1000.0,
             max_write_delay_ms=MAX_WRITE_DELAY_MS,
         )
     except SettingError as err:
@@ -99,23 +99,23 @@
     try:
         seed = int(file.seed, 16)
     except ValueError as err:
-        raise ConfigError(f"seed is no hexadecimal number: {file.seed!r}") from err
+        raise ConfigError(f"seed is not a hexadecimal number: {file.seed!r}") from err
     return Config(
         file.name or env.get(f"{names.ENV}_NAME", ""),
         _address("listen", file.listen or env.get(f"{names.ENV}_LISTEN")),
         _address("discovery", file.discovery or env.get(f"{names.ENV}_DISCOVERY")),
         seed,
         limits,
-        _known(file.known),
+        _known_rows(file.known),
         settings,
         flat_settings,
-        _named(file.settings, "categories"),
-        _named(file.settings, "tenants"),
-        _words(file.settings, "failureDomains"),
-        _words(file.settings, "kinds"),
+        _unique_names(file.settings, "categories"),
+        _unique_names(file.settings, "tenants"),
+        _names(file.settings, "failureDomains"),
+        _names(file.settings, "kinds"),
         _count(flat_settings, "specifics.ranges"),
         _count(flat_settings, "ceilings.streamsPerConn"),
-        _grace(flat_settings),
+        _drain_grace_ms(flat_settings),
     )
 
 
@@ -126,7 +126,7 @@
         raise ConfigError(f"{field}: {err}") from err
 
 
-def _known(known: Mapping[str, msgspec.Raw]) -> tuple[msgspec.Raw, ...]:
+def _known_rows(known: Mapping[str, msgspec.Raw]) -> tuple[msgspec.Raw, ...]:
     rows = known.get(names.MEMBERS.rows)
     try:
         return tuple(msgspec.json.decode(rows, type=list[msgspec.Raw])) if rows is not None else ()
@@ -134,30 +134,32 @@
         raise ConfigError(f"known.{names.MEMBERS.rows}: {err}") from err
 
 
-def _named(settings: Mapping[str, Any], field: str) -> tuple[str, ...]:
+def _unique_names(settings: Mapping[str, Any], field: str) -> tuple[str, ...]:
     rows = settings.get(field, [])
-    found = [row.get("name") if isinstance(row, dict) else None for row in rows] if isinstance(rows, list) else [None]
-    if not all(isinstance(name, str) and name for name in found) or len(set(found)) < len(found):
-        raise ConfigError(f"settings.{field}: each needs a name of its own")
-    return tuple(str(name) for name in found)
+    names_found = (
+        [row.get("name") if isinstance(row, dict) else None for row in rows] if isinstance(rows, list) else [None]
+    )
+    if not all(isinstance(name, str) and name for name in names_found) or len(set(names_found)) < len(names_found):
+        raise ConfigError(f"settings.{field}: each entry needs a unique name")
+    return tuple(str(name) for name in names_found)
 
 
-def _words(settings: Mapping[str, Any], field: str) -> tuple[str, ...]:
+def _names(settings: Mapping[str, Any], field: str) -> tuple[str, ...]:
     rows = settings.get(field, [])
-    if not isinstance(rows, list) or not all(isinstance(word, str) for word in rows):
-        raise ConfigError(f"settings.{field}: a list of names is needed")
+    if not isinstance(rows, list) or not all(isinstance(name, str) for name in rows):
+        raise ConfigError(f"settings.{field}: expected a list of names")
     return tuple(rows)
 
 
-def _grace(flat_settings: Mapping[str, str]) -> float:
+def _drain_grace_ms(flat_settings: Mapping[str, str]) -> float:
     path = "obligations.drainGraceMs"
     try:
-        grace = float(flat_settings.get(path, DRAIN_GRACE_MS))
+        grace_ms = float(flat_settings.get(path, DRAIN_GRACE_MS))
     except ValueError:
-        grace = math.nan
-    if not 0 <= grace < math.inf:
+        grace_ms = math.nan
+    if not 0 <= grace_ms < math.inf:
         raise ConfigError(str(SettingError.at(flat_settings, path)))
-    return grace
+    return grace_ms
 
 
 def _count(flat_settings: Mapping[str, str], path: str) -> int:
--- a/badgerbend/platform/front.py
+++ b/badgerbend/platform/front.py
@@ -1,7 +1,7 @@
-"""The platform's clients: HTTP requests in, one query each, one answer out. Nothing that cannot be read goes further.
+"""Serves the platform's clients: each HTTP request becomes one query and gets one answer.
 
-A request that names what does not exist, or contradicts itself, gets a 4xx and touches nothing else; so does one with
-the id of a request that is open.
+A request that is malformed, names something unknown, contradicts itself or has the id of an open request is rejected
+with a 4xx status and has no other effect.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from badgerbend.runtime.ports import PartPlan, QueryPlan
 
 JSON, TEXT = b"application/json", b"text/plain; charset=utf-8"
-ID = re.compile(rb"[0-9A-Za-z_\-]{1,128}").fullmatch  # it stands in a frame's line: no blank, comma or line end
+ID = re.compile(rb"[0-9A-Za-z_\-]{1,128}").fullmatch  # it is part of a frame's line: no space, comma or line break
 TOKEN = re.compile(r"[0-9A-Fa-f]{16}").fullmatch
-MOST_DIGITS = 9  # of a time left in milliseconds: eleven days
-SUM_WITHIN = 1e-3  # weights are rounded where they were written
+MAX_TIME_LEFT_DIGITS = 9  # in milliseconds: eleven days
+WEIGHT_TOLERANCE = 1e-3  # clients send rounded weights
 _encode = msgspec.json.encode
 
 
@@ -45,11 +45,11 @@
 
 
 class Rejected(Exception):
-    """A request that is turned away unread by anyone else, with the status it is owed."""
+    """A request that is rejected here, with the HTTP status of its answer."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
-        self.status, self.why = status, why
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
+        self.status, self.reason = status, reason
 
 
 class Front:
@@ -61,101 +61,108 @@
         self.classes = {name.encode(): i for i, name in enumerate(config.classes)}
         self.tenants = {name.encode(): i for i, name in enumerate(config.tenants)}
         self.settings = config.settings
-        self.open: dict[bytes, _Pending] = {}
+        self.open: dict[bytes, _OpenRequest] = {}
         self.rejected = 0
-        self.over_at = math.inf  # on the loop's clock: whoever has no answer by then gets none
+        self.deadline = math.inf  # on the event loop's clock: all requests have to be answered by then
 
     def handle(self, exchange: Exchange) -> None:
-        """Takes any request."""
+        """Handles any HTTP request."""
         try:
             if exchange.method == b"GET" and exchange.target == names.HEALTH:
-                good = self.ready()
-                exchange.respond(200 if good else 503, b"ready\n" if good else b"no list yet\n", TEXT)
+                is_ready = self.ready()
+                exchange.respond(200 if is_ready else 503, b"ready\n" if is_ready else b"no list yet\n", TEXT)
                 return
-            request, plan = self.read(exchange)
+            request_id, plan = self.read(exchange)
         except Rejected as err:
             self.rejected += 1
-            exchange.respond(err.status, err.why.encode() + b"\n", TEXT)
+            exchange.respond(err.status, err.reason.encode() + b"\n", TEXT)
             return
-        pending = self.open[request] = _Pending(self, request, exchange)
-        exchange.on_gone = pending.gone
+        pending = self.open[request_id] = _OpenRequest(self, request_id, exchange)
+        exchange.on_gone = pending.client_disconnected
         pending.query_id = self.driver.submit(plan, pending)
 
     def read(self, exchange: Exchange) -> tuple[bytes, QueryPlan]:
-        """A request's id and query. Raises Rejected."""
+        """Returns the id and the query of a request. Raises Rejected."""
         if exchange.method != b"POST":
             raise Rejected(405, "queries are asked by POST")
         headers = exchange.headers
         path = exchange.target.split(b"?", 1)[0].split(b"/")
-        number = self.classes.get(path[1]) if len(path) in (2, 3) and not path[0] else None
-        if number is None:
+        class_index = self.classes.get(path[1]) if len(path) in (2, 3) and not path[0] else None
+        if class_index is None:
             raise Rejected(404, "the path names no class")
         if headers.get(names.CLASS, path[1]) != path[1]:
             raise Rejected(400, "path and header name different classes")
-        cls = self.settings.classes[number]
-        request = headers.get(names.ID, b"")
-        if not ID(request):
+        class_settings = self.settings.classes[class_index]
+        request_id = headers.get(names.ID, b"")
+        if not ID(request_id):
             raise Rejected(400, "no usable id")
-        self._check_not_open(request)
+        self._check_id_is_free(request_id)
         tenant = self.tenants.get(headers.get(names.TENANT, b""))
         if tenant is None and self.tenants:
             raise Rejected(403, "no such account")
-        key = headers.get(names.KEY) if cls.effect == "keyed" else None
-        if cls.effect == "keyed" and not ID(key or b""):
+        key = headers.get(names.KEY) if class_settings.effect == "keyed" else None
+        if class_settings.effect == "keyed" and not ID(key or b""):
             raise Rejected(400, "this class needs an idempotency key")
-        left = headers.get(names.TIME_LEFT, b"")
-        if not left.isdigit() or len(left) > MOST_DIGITS or not int(left):
+        time_left_text = headers.get(names.TIME_LEFT, b"")
+        if not time_left_text.isdigit() or len(time_left_text) > MAX_TIME_LEFT_DIGITS or not int(time_left_text):
             raise Rejected(400, "no usable time left")
-        about = zlib.crc32(path[2]) if len(path) == 3 else 0
-        parts = self._parts(exchange.body, request, key)
+        routing_key = zlib.crc32(path[2]) if len(path) == 3 else 0
+        parts = self._parts(exchange.body, request_id, key)
         retry = headers.get(names.RETRY) == b"1"
         now = self.loop.time()
-        waited_ms = max(now - exchange.received_at, 0.0) * 1000.0  # unread, or behind another request
-        time_left = min(min(float(int(left)), cls.deadline_ms) - waited_ms, (self.over_at - now) * 1000.0)
+        waited_ms = max(now - exchange.received_at, 0.0) * 1000.0  # before it was read, or behind another request
+        time_left = min(
+            min(float(int(time_left_text)), class_settings.deadline_ms) - waited_ms, (self.deadline - now) * 1000.0
+        )
         if time_left <= 0:
             raise Rejected(503, "no time is left")
-        return request, QueryPlan(number, tenant or 0, about, time_left, retry, None, parts, request.decode())
+        return request_id, QueryPlan(
+            class_index, tenant or 0, routing_key, time_left, retry, None, parts, request_id.decode()
+        )
 
-    def _check_not_open(self, request: bytes) -> None:
-        """Raises Rejected for the id of an open request. A client whose connection broke sends the same request once
-        more on another one, perhaps before the end of the first was read here: then the first ends now."""
-        pending = self.open.get(request)
+    def _check_id_is_free(self, request_id: bytes) -> None:
+        """Raises Rejected for the id of an open request.
+
+        A client whose connection broke sends the same request again on another connection, perhaps before the end of
+        the first connection was read here. In that case the first request ends now.
+        """
+        pending = self.open.get(request_id)
         if pending is None:
             return
         if not pending.client_has_left():
             raise Rejected(409, "a request with this id is open")
-        pending.gone()
+        pending.client_disconnected()
 
-    def _parts(self, raw: bytes, request: bytes, key: bytes | None) -> list[PartPlan]:
+    def _parts(self, raw: bytes, request_id: bytes, key: bytes | None) -> list[PartPlan]:
         try:
             body = _decode(raw)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
             raise Rejected(400, f"the body is no query: {err}") from err
-        text, seen, plans, total = body.text.encode(), set[int](), list[PartPlan](), 0.0
+        text, shards_seen, plans, weight_sum = body.text.encode(), set[int](), list[PartPlan](), 0.0
         for part in body.parts:
             shard, weight, cost = part.shard, part.weight, part.cost_us
-            if not 0 <= shard < self.shards or shard in seen:
+            if not 0 <= shard < self.shards or shard in shards_seen:
                 raise Rejected(400, "a shard that does not exist, or comes twice")
             if not 0.0 < weight <= 1.0 or (cost is not None and not 0.0 <= cost < 1e12):
                 raise Rejected(400, "a weight or guess out of range")
             if part.token is not None and not TOKEN(part.token):
                 raise Rejected(400, "a token is 16 hexadecimal digits")
-            seen.add(shard)
-            total += weight
-            ask = PartRequest(b"%s.%d" % (request, shard), shard, key, text)
-            plans.append(PartPlan(shard, weight, None if cost is None else cost / 1000.0, ask))
-        if not plans or abs(total - 1.0) > SUM_WITHIN:
+            shards_seen.add(shard)
+            weight_sum += weight
+            part_request = PartRequest(b"%s.%d" % (request_id, shard), shard, key, text)
+            plans.append(PartPlan(shard, weight, None if cost is None else cost / 1000.0, part_request))
+        if not plans or abs(weight_sum - 1.0) > WEIGHT_TOLERANCE:
             raise Rejected(400, "the weights do not add up to 1")
         return plans
 
 
-class _Pending:
-    """One request until its one answer: the runtime's `Sink`."""
+class _OpenRequest:
+    """One open request; it implements the runtime's `Sink`."""
 
-    __slots__ = ("exchange", "front", "query_id", "request")
+    __slots__ = ("exchange", "front", "query_id", "request_id")
 
-    def __init__(self, front: Front, request: bytes, exchange: Exchange) -> None:
-        self.front, self.request, self.exchange = front, request, exchange
+    def __init__(self, front: Front, request_id: bytes, exchange: Exchange) -> None:
+        self.front, self.request_id, self.exchange = front, request_id, exchange
         self.query_id: int | None = None
 
     def client_has_left(self) -> bool:
@@ -164,30 +171,31 @@
     def follow_up_parts(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
         return ()
 
-    def answered(self, results: Sequence[tuple[PartPlan, object]], whole: bool) -> None:
-        hits = b",".join(
-            b'{"%s":%d,"%s":%s}' % (names.HIT_SHARD, plan.shard, names.HIT_VALUE, _text(value))
+    def answered(self, results: Sequence[tuple[PartPlan, object]], complete: bool) -> None:
+        results_json = b",".join(
+            b'{"%s":%d,"%s":%s}' % (names.RESULT_SHARD, plan.shard, names.RESULT_VALUE, _text(value))
             for plan, value in results
         )
-        full = b"true" if whole else b"false"
-        self._end(200, b'{"%s":%s,"%s":[%s]}' % (names.WHOLE, full, names.HITS, hits), JSON)
+        complete_json = b"true" if complete else b"false"
+        self._end(200, b'{"%s":%s,"%s":[%s]}' % (names.COMPLETE, complete_json, names.RESULTS, results_json), JSON)
 
     def rejected(self, retry_after_ms: float) -> None:
-        advice = ((b"retry-after", b"%.3f" % (retry_after_ms / 1000.0)),) if retry_after_ms > 0 else ()
-        self._end(503, b"refused; nothing is lost by asking again\n", TEXT, advice)
+        retry_header = ((b"retry-after", b"%.3f" % (retry_after_ms / 1000.0)),) if retry_after_ms > 0 else ()
+        self._end(503, b"refused; nothing is lost by asking again\n", TEXT, retry_header)
 
     def failed(self) -> None:
         self._end(502, b"failed; parts of it may have run\n", TEXT)
 
-    def gone(self) -> None:
+    def client_disconnected(self) -> None:
         self.exchange.on_gone = None
-        self.front.open.pop(self.request, None)
+        self.front.open.pop(self.request_id, None)
         if self.query_id is not None:
             self.front.driver.client_disconnected(self.query_id)
 
     def _end(self, status: int, body: bytes, kind: bytes, extra: Headers = ()) -> None:
-        self.front.open.pop(self.request, None)
-        self.exchange.on_gone = None  # it points back here: else each request waits for the garbage collector
+        self.front.open.pop(self.request_id, None)
+        # The callback refers back to this object; without this line each request would wait for the garbage collector.
+        self.exchange.on_gone = None
         self.exchange.respond(status, body, kind, extra)
 
 
--- a/badgerbend/platform/log_observer.py
+++ b/badgerbend/platform/log_observer.py
@@ -1,6 +1,6 @@
-"""What `run` counts and writes of itself: one line of JSON at a time, on standard error, a bounded number a second.
+"""Counts what the broker does and logs it: JSON lines on standard error, a bounded number per second.
 
-Counts are kept by server, so that what the broker believes can be held against what passed on the sockets.
+Counts are kept per server, so that what the broker reports can be compared with what was sent over the sockets.
 """
 
 from __future__ import annotations
@@ -17,97 +17,99 @@
 from badgerbend.api import Outcome
 from badgerbend.runtime.ports import Attempt, CompletedQuery
 
-MOST_NAMES = 8  # of servers in one line
-NOT_ANSWERED = ("refused", "failed", "failed by the watch")
-CLIENT_LEFT = "gone"
-MOST_LINES = 20  # of troubles and bad ends a second; those beyond are counted
+MAX_NAMES = 8  # servers named in one line
+UNANSWERED_RESULTS = ("refused", "failed", "failed by the watch")
+CLIENT_DISCONNECTED = "gone"
+MAX_LINES_PER_SECOND = 20  # of faults, lists and unanswered queries; those beyond are only counted
 
 
 @dataclass(slots=True)
-class Server:
-    """Attempts ended there since the last summary, and the time that those served took, in milliseconds."""
+class ServerCounts:
+    """A server's attempts since the last summary, by outcome, and the total time of those served, in milliseconds."""
 
-    ends: Counter[str] = field(default_factory=Counter)
+    outcomes: Counter[str] = field(default_factory=Counter)
     served_ms: float = 0.0
 
 
 class LogObserver:
-    """The runtime's `Observer`."""
+    """The runtime's `Observer`. name_of: returns the name of a server by its node number."""
 
     def __init__(self, classes: Sequence[str], name_of: Callable[[int], str]) -> None:
-        self.classes, self.name_of = classes, name_of  # of a server, by its number
-        self.servers: dict[int, Server] = {}
+        self.classes, self.name_of = classes, name_of
+        self.servers: dict[int, ServerCounts] = {}
         self.queries: Counter[str] = Counter()
-        self.troubles: Counter[str] = Counter()
+        self.faults: Counter[str] = Counter()
         self.steps, self.events, self.step_s = 0, 0, 0.0
         self._second, self._lines = 0, 0
-        self._leaving: list[str] = []  # told by the list that is being taken
+        self._departing: list[str] = []  # drained or removed servers of the list that is being published
 
     # -- runtime.ports.Observer
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, took_ms: float) -> None:
         server = self.servers.get(attempt.node)
         if server is None:
-            server = self.servers[attempt.node] = Server()
-        server.ends[outcome.label] += 1
+            server = self.servers[attempt.node] = ServerCounts()
+        server.outcomes[outcome.label] += 1
         if outcome is Outcome.OK:
             server.served_ms += took_ms
 
     def query_ended(self, query: CompletedQuery) -> None:
-        how = f"{query.result}: {query.reason}" if query.reason else query.result
-        self.queries[f"{self.classes[query.cls]} {how}"] += 1
-        sent = query.extra_attempts or query.failed_attempts
-        if (query.result in NOT_ANSWERED or (query.result == CLIENT_LEFT and sent)) and self._may_write():
-            lost = [
-                (a.plan.shard, a.number, self.name_of(a.node), outcome.label, round(took, 1))
-                for a, outcome, took in query.failed_attempts
+        result = f"{query.result}: {query.reason}" if query.reason else query.result
+        self.queries[f"{self.classes[query.cls]} {result}"] += 1
+        had_attempts = query.extra_attempts or query.failed_attempts
+        if (
+            query.result in UNANSWERED_RESULTS or (query.result == CLIENT_DISCONNECTED and had_attempts)
+        ) and self._may_log():
+            failed_attempts = [
+                (a.plan.shard, a.number, self.name_of(a.node), outcome.label, round(took_ms, 1))
+                for a, outcome, took_ms in query.failed_attempts
             ]
-            self.line(
+            self.write_line(
                 "ended",
                 id=query.name,
                 cls=self.classes[query.cls],
-                how=how,
+                how=result,
                 took_ms=round(query.took_ms, 1),
                 parts=query.parts,
                 extra=query.extra_attempts,
-                lost=lost,
+                lost=failed_attempts,
             )
 
     def stepped(self, events: int, seconds: float) -> None:
         self.steps, self.events, self.step_s = self.steps + 1, self.events + events, self.step_s + seconds
 
-    def report_fault(self, what: str, detail: str) -> None:
-        self.troubles[what] += 1
-        if self._may_write():
-            self.line("trouble", kind=what, detail=detail[:300])
-
-    # -- the list
-    def leaving(self, lines: Sequence[api.Endpoint]) -> None:
-        """Servers that the module is told of: those that take nothing new are named once the list is through."""
-        self._leaving += [self.name_of(line.node) for line in lines if line.state is not api.EndpointState.READY]
-
-    def list_taken(self, version: int | None, asked_s: float, answered_s: float) -> None:
-        """News of the list are in force. asked_s, answered_s: how long ago it was asked for, and came whole."""
-        leaving, self._leaving = self._leaving, []
-        if self._may_write():
-            self.line(
+    def report_fault(self, kind: str, detail: str) -> None:
+        self.faults[kind] += 1
+        if self._may_log():
+            self.write_line("trouble", kind=kind, detail=detail[:300])
+
+    # -- the list of servers
+    def endpoints_updated(self, endpoints: Sequence[api.Endpoint]) -> None:
+        """Notes the servers that the aggregator was told to drain or remove, for the line about the list."""
+        self._departing += [self.name_of(one.node) for one in endpoints if one.state is not api.EndpointState.READY]
+
+    def list_applied(self, version: int | None, polled_s: float, answered_s: float) -> None:
+        """Logs a list that was applied. polled_s, answered_s: how long ago the poll was sent and was answered."""
+        departing, self._departing = self._departing, []
+        if self._may_log():
+            self.write_line(
                 "list",
                 version=version,
-                asked_ms=round(asked_s * 1000.0, 1),
+                asked_ms=round(polled_s * 1000.0, 1),
                 answered_ms=round(answered_s * 1000.0, 1),
-                leaving=len(leaving),
-                names=leaving[:MOST_NAMES],
+                leaving=len(departing),
+                names=departing[:MAX_NAMES],
             )
 
-    def _may_write(self) -> bool:
+    def _may_log(self) -> bool:
         second = int(time.monotonic())
         if second != self._second:
             self._second, self._lines = second, 0
         self._lines += 1
-        return self._lines <= MOST_LINES
+        return self._lines <= MAX_LINES_PER_SECOND
 
     # -- lines
-    def line(self, what: str, **values: object) -> None:
-        """Writes one line, with seconds of the monotonic clock; a log that cannot be written to stops nothing."""
+    def write_line(self, what: str, **values: object) -> None:
+        """Writes one line with the time of the monotonic clock in seconds; errors while writing are ignored."""
         entry = {"what": what, "at": round(time.monotonic(), 3), **values}
         try:
             sys.stderr.write(msgspec.json.encode(entry).decode() + "\n")
@@ -115,20 +117,23 @@
         except (OSError, ValueError):
             pass
 
-    def summary(self, **also: object) -> None:
-        """What happened since the last one; servers by their names on the list, or number once they have left it."""
-        self.line(
+    def summary(self, **values: object) -> None:
+        """Logs the counts since the last summary and resets them.
+
+        A server appears under its name in the list, or under its node number once it has left the list.
+        """
+        self.write_line(
             "summary",
             queries=self.queries,
-            troubles=self.troubles,
+            troubles=self.faults,
             steps=self.steps,
             events=self.events,
             step_ms=round(self.step_s * 1000.0, 1),
             servers={
-                self.name_of(node): {**s.ends, "served_ms": round(s.served_ms / max(s.ends["OK"], 1), 1)}
+                self.name_of(node): {**s.outcomes, "served_ms": round(s.served_ms / max(s.outcomes["OK"], 1), 1)}
                 for node, s in self.servers.items()
             },
-            **also,
+            **values,
         )
-        self.servers, self.queries, self.troubles = {}, Counter(), Counter()
+        self.servers, self.queries, self.faults = {}, Counter(), Counter()
         self.steps, self.events, self.step_s = 0, 0, 0.0
--- a/badgerbend/platform/names.py
+++ b/badgerbend/platform/names.py
@@ -1,4 +1,4 @@
-"""Every name that the platform has on the wire, in one table. Nothing here decides or reads anything."""
+"""Every name of the platform's wire formats, in one table. This module contains no logic."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from badgerbend.discovery import members
 from badgerbend.frames import codec
 
-ENV = "ROUTER"  # variables are ROUTER_NAME and so on
+ENV = "ROUTER"  # prefix of the environment variables: ROUTER_NAME and so on
 
-# -- a client's request: headers in lower case, as they are looked up
+# -- a client's request: header names in lower case, as they are looked up
 ID, CLASS, TENANT, TIME_LEFT, RETRY, KEY = (
     b"x-correlation-id",
     b"x-service-class",
@@ -23,26 +23,26 @@
 PART_FIELDS = {"shard": "tablet", "weight": "fraction", "cost_us": "guess", "token": "token"}
 
 # -- the answer
-WHOLE, HITS, HIT_SHARD, HIT_VALUE = b"full", b"pieces", b"tablet", b"cell"
+COMPLETE, RESULTS, RESULT_SHARD, RESULT_VALUE = b"full", b"pieces", b"tablet", b"cell"
 
-FRAMES = codec.Names(
+FRAMES = codec.FrameNames(
     query=b"q",
     cancel=b"c",
     probe=b"p",
     load=b"l",
     answer=b"a",
     error=b"e",
-    ends={b"served": Outcome.OK, b"broke": Outcome.ERROR, b"skipped": Outcome.REJECTED},
+    outcomes={b"served": Outcome.OK, b"broke": Outcome.ERROR, b"skipped": Outcome.REJECTED},
     wait=b"d",
     key=b"k",
 )
 
-MEMBERS = members.Names(
+MEMBERS = members.MemberListNames(
     path="/catalog/members",
     since="since",
     timeout="timeout_ms",
     version="rev",
-    whole="all",
+    is_complete="all",
     rows="targets",
     id="uid",
     address="endpoint",
--- a/badgerbend/platform/service.py
+++ b/badgerbend/platform/service.py
@@ -1,4 +1,4 @@
-"""One broker on the platform: the parts put together, its signals, and how it ends."""
+"""One broker on the platform: it assembles the components, handles signals and shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from badgerbend import api
 from badgerbend.decisions import Aggregator
 from badgerbend.discovery.directory import Directory, ListError
-from badgerbend.discovery.members import SHORTEST_S, MembersTarget, departure_parser, row_parser
+from badgerbend.discovery.members import MIN_GRACE_S, MembersTarget, departure_parser, row_parser
 from badgerbend.discovery.wall_clock import SteadyUnixClock
 from badgerbend.discovery.watch import Watch
 from badgerbend.frames.transport import FrameLimits, FrameTransport
@@ -24,23 +24,27 @@
 from badgerbend.runtime.driver import Driver
 from badgerbend.runtime.loop import LoopSchedule
 
-MAX_BODY = 65_536  # bytes, of a request, an answer and so a value
-READ_S = 2.0  # a request that has not come whole by then is turned away
-IDLE_S = 5.0  # a connection between requests; a client opens another at little cost
-SWEEP_S = 0.25
-SUMMARY_S = 5.0
-FOR_CLIENTS, FOR_NODES = 0.55, 0.3  # shares of the descriptors; the rest is for list, log, listener and loop
-FOR_KEPT = 0.2  # of them: well under the third that clients hold at most, or those who wait find none free
-GRACE_S = 0.65  # requests are taken for so long after the signal to end
-# What comes later than 0.7 s after the signal, on a connection that was half read, has to be answered before the
-# process is killed. That may be as soon as this and 0.7 s after the signal, or the longest deadline if that is shorter.
-KILLED_S = 3.0
-LATE_S = 0.3  # by so much the signal may be heard late, and the last answer be on its way
-NO_TIMEOUT_S = 10.0  # for a connection to come up, where the settings state no limit
+MAX_BODY = 65_536  # bytes of a request, of an answer and therefore of a value
+READ_TIMEOUT_S = 2.0  # a request that has not arrived completely by then is rejected
+IDLE_TIMEOUT_S = 5.0  # for a connection between requests; opening another one costs a client little
+SWEEP_INTERVAL_S = 0.25
+SUMMARY_INTERVAL_S = 5.0
+# Fractions of the file descriptors; the rest is for the list, the log, the listener and the event loop.
+CLIENT_FRACTION, NODE_FRACTION = 0.55, 0.3
+# Fraction of the file descriptors for idle client connections. It is well below the third that clients keep open at
+# most, since otherwise waiting clients would find no free connection.
+KEEP_ALIVE_FRACTION = 0.2
+GRACE_S = 0.65  # requests are accepted for this long after the signal to end
+# A request that arrives later than 0.7 s after the signal, on a connection that was partly read, has to be answered
+# before the process is killed. This may happen as early as this time plus 0.7 s after the signal, or after the longest
+# deadline if that is shorter.
+KILL_TIMEOUT_S = 3.0
+KILL_MARGIN_S = 0.3  # allows for a signal that is noticed late and for the time in which the last answer is sent
+DEFAULT_CONNECT_TIMEOUT_S = 10.0  # for opening a connection if the settings state no limit
 
 
 class Service:
-    """Built and used on one running loop."""
+    """One broker. It is created and used on one running event loop."""
 
     def __init__(self, config: Config) -> None:
         self.config, self.loop = config, asyncio.get_running_loop()
@@ -56,12 +60,12 @@
         )
         descriptors = config.limits.descriptors
         connect_s = settings.connect_timeout_ms / 1000.0
-        connect_s = connect_s if math.isfinite(connect_s) else NO_TIMEOUT_S
+        connect_s = connect_s if math.isfinite(connect_s) else DEFAULT_CONNECT_TIMEOUT_S
         self.transport = FrameTransport(
             names.FRAMES,
             FrameLimits(
                 config.streams,
-                int(descriptors * FOR_NODES),
+                int(descriptors * NODE_FRACTION),
                 connect_s,
                 settings.connection_idle_ms / 1000.0,
                 connect_s,
@@ -78,13 +82,13 @@
             self.loop,
             self.schedule.now_ms,
             self.unix_s,
-            self._view,
+            self._on_update,
             self.observer.report_fault,
             config.seed,
             f"badgerbend/{config.name}",
         )
-        self.watch.on_applied = self._taken
-        self.first_word = asyncio.Event()  # the agent has told its list
+        self.watch.on_applied = self._on_list_applied
+        self.first_list = asyncio.Event()  # set once the agent's list was applied
         module = Aggregator(settings, config.seed)
         self.driver = Driver(settings, module, self.transport, self.watch, self.schedule, self.observer)
         self.schedule.turn = self.driver.turn
@@ -92,12 +96,12 @@
         self.server = HttpServer(
             self.front.handle,
             ServerLimits(
-                max_connections=int(descriptors * FOR_CLIENTS),
-                max_kept=int(descriptors * FOR_KEPT),
+                max_connections=int(descriptors * CLIENT_FRACTION),
+                max_kept=int(descriptors * KEEP_ALIVE_FRACTION),
                 max_body_bytes=MAX_BODY,
-                read_timeout_s=READ_S,
-                idle_timeout_s=IDLE_S,
-                silent_timeout_s=READ_S,
+                read_timeout_s=READ_TIMEOUT_S,
+                idle_timeout_s=IDLE_TIMEOUT_S,
+                silent_timeout_s=READ_TIMEOUT_S,
             ),
         )
         self.ending = False
@@ -105,53 +109,53 @@
         self._sweeper: asyncio.TimerHandle | None = None
 
     async def start(self) -> int:
-        """Takes the known list, begins to watch, and listens; returns the port. Raises OSError.
+        """Loads the known list, starts the watch and listens; returns the port. Raises OSError.
 
-        Where the list is pushed, what the agent has counts as told from the process's first moment, and the known list
-        may be old: by the time it listens, a slow process has used up a drain's grace. So the agent has its chance to
-        answer first, also a slow one: a grace's time. One that is silent holds up the start no longer.
+        In push mode the broker counts as notified of what the agent has from the start of the process, while the known
+        list may be old: a slow process has used up a drain grace period by the time it listens. So even a slow agent
+        gets the length of a drain grace period to answer first. A silent agent does not delay the start any longer.
         """
-        self._take_known()
+        self._load_known_list()
         settle_memory()
-        # a first event, so that the module asks for the list where that is its part, and for its first alarm
-        lines = tuple(k.endpoint for k in self.directory.servers.values())
-        self._view(api.EndpointUpdate(api.UpdateKind.CACHED, lines))
+        # The aggregator needs a first event to request the list in ask mode, and to set its first timer.
+        endpoints = tuple(k.endpoint for k in self.directory.servers.values())
+        self._on_update(api.EndpointUpdate(api.UpdateKind.CACHED, endpoints))
         self.watch.start()
-        if not self.watch.asks:
-            await self._hear_first_word()
+        if not self.watch.polls_on_request:
+            await self._wait_for_first_list()
         port = await self.server.start(*self.config.listen)
-        self._sweeper = self.loop.call_later(SWEEP_S, self._sweep)
-        self.observer.line(
+        self._sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        self.observer.write_line(
             "listening",
             name=self.config.name,
             port=port,
             servers=len(self.directory.servers),
             unix=round(time.time(), 3),
-            list_heard=self.first_word.is_set(),
+            list_heard=self.first_list.is_set(),
         )
         return port
 
-    async def _hear_first_word(self) -> None:
+    async def _wait_for_first_list(self) -> None:
         try:
-            async with asyncio.timeout(max(self.config.drain_grace_ms / 1000.0, SHORTEST_S)):
-                await self.first_word.wait()
+            async with asyncio.timeout(max(self.config.drain_grace_ms / 1000.0, MIN_GRACE_S)):
+                await self.first_list.wait()
         except TimeoutError:
-            self.observer.report_fault("list not read", "listens without the agent's word")
+            self.observer.report_fault("list not read", "the agent has not answered yet; listening with the known list")
 
     def _target(self, config: Config) -> MembersTarget:
-        settings = self.config.settings  # those of a reload take effect at the next start
+        settings = self.config.settings  # reloaded settings take effect at the next start
         return MembersTarget(
             names.MEMBERS, config.discovery, settings.polls_endpoint_list, self.config.drain_grace_ms / 1000.0
         )
 
     def reload(self, read: Callable[[], Config]) -> None:
-        """Moves to another discovery, as a new configuration names it; one that cannot be used changes nothing."""
+        """Switches to the discovery address of a new configuration; an invalid configuration changes nothing."""
         try:
             config = read()
         except ConfigError as err:
             self.observer.report_fault("configuration not taken", str(err))
             return
-        kept = [
+        unchanged_fields = [
             field
             for field, old, new in (
                 ("listen", self.config.listen, config.listen),
@@ -160,21 +164,23 @@
             )
             if old != new
         ]
-        if kept:
-            self.observer.report_fault("takes effect at the next start only", ", ".join(kept))
-        self.watch.move(self._target(config))
-        self.observer.line("reloaded", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
+        if unchanged_fields:
+            self.observer.report_fault("takes effect at the next start only", ", ".join(unchanged_fields))
+        self.watch.switch_target(self._target(config))
+        self.observer.write_line("reloaded", discovery=f"{config.discovery[0]}:{config.discovery[1]}")
 
     async def end(self) -> int:
-        """Serves as ever for a while, since clients go on using the connections they have and another broker may not
-        be back yet; then takes nothing new, and ends with the last query, at the longest deadline at the latest.
-        Returns how many connections were cut with a request held."""
+        """Shuts down gracefully; returns how many connections were closed with an open request.
+
+        The broker serves normally for a grace period, since clients keep using their connections and another broker
+        may not be back yet. Then it accepts nothing new and ends with the last query, or at the longest deadline.
+        """
         self.ending = True
-        told_at = self.loop.time()
-        self.observer.line("ending", open=len(self.front.open))
+        signalled_at = self.loop.time()
+        self.observer.write_line("ending", open=len(self.front.open))
         await asyncio.sleep(GRACE_S)
         longest_s = max((c.deadline_ms for c in self.config.settings.classes), default=0.0) / 1000.0
-        self.front.over_at = told_at + GRACE_S + min(longest_s, KILLED_S) - LATE_S
+        self.front.deadline = signalled_at + GRACE_S + min(longest_s, KILL_TIMEOUT_S) - KILL_MARGIN_S
         cut = await self.server.close(longest_s)
         self.watch.close()
         self.transport.close()
@@ -183,39 +189,39 @@
         self.observer.summary(cut=cut)
         return cut
 
-    def _take_known(self) -> None:
-        """The list as it was last held: old perhaps, and better than none."""
+    def _load_known_list(self) -> None:
+        """Applies the list of the configuration file: it may be old, but it is better than none."""
         if self.config.known:
             try:
-                _, wrong = self.directory.read(self.config.known, self.schedule.now_ms(), self.unix_s())
+                _, errors = self.directory.read(self.config.known, self.schedule.now_ms(), self.unix_s())
             except ListError as err:
-                wrong = [str(err)]
-            for problem in wrong[:5]:
-                self.observer.report_fault("known list", problem)
+                errors = [str(err)]
+            for error in errors[:5]:
+                self.observer.report_fault("known list", error)
 
-    def _view(self, view: api.EndpointUpdate) -> None:
-        """News of the list: first to the connections, so that nothing waits on one for a node that drains."""
-        self.observer.leaving(view.endpoints)
-        for line in view.endpoints:
-            if line.state is api.EndpointState.DRAINING:
-                self.transport.drains(line.node)
-            elif line.state is api.EndpointState.REMOVED:
-                self.transport.left(line.node)
+    def _on_update(self, update: api.EndpointUpdate) -> None:
+        """Passes an update first to the transport, so that no attempt waits for a connection to a draining node."""
+        self.observer.endpoints_updated(update.endpoints)
+        for endpoint in update.endpoints:
+            if endpoint.state is api.EndpointState.DRAINING:
+                self.transport.start_draining(endpoint.node)
+            elif endpoint.state is api.EndpointState.REMOVED:
+                self.transport.remove_node(endpoint.node)
             else:
-                self.transport.ready(line.node)
-        self.driver.update_endpoints(view)
+                self.transport.end_draining(endpoint.node)
+        self.driver.update_endpoints(update)
 
-    def _taken(self) -> None:
-        """A list is in force; one told whole names only those that are on it."""
-        self.transport.moved(self.directory.addresses)
+    def _on_list_applied(self) -> None:
+        """Handles a list that was applied. A full update names only current servers, so addresses are updated here."""
+        self.transport.update_addresses(self.directory.addresses)
         now = self.loop.time()
-        self.observer.list_taken(self.watch.index, now - self.watch.asked_at, now - self.watch.answered_at)
-        self.first_word.set()
+        self.observer.list_applied(self.watch.version, now - self.watch.polled_at, now - self.watch.answered_at)
+        self.first_list.set()
 
     def _sweep(self) -> None:
         now = self.loop.time()
         self.transport.sweep(now)
-        if now - self._summary_at >= SUMMARY_S:
+        if now - self._summary_at >= SUMMARY_INTERVAL_S:
             self._summary_at = now
             self.observer.summary(
                 open=len(self.front.open),
@@ -228,18 +234,21 @@
                 accepts_failed=self.server.accepts_failed,
                 overdue_polls=self.watch.overdue_polls,
             )
-        self._sweeper = self.loop.call_later(SWEEP_S, self._sweep)
+        self._sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
 
 def settle_memory() -> None:
-    """Once started: what lives on is left out of collections, which come seldom; few objects here form cycles."""
+    """Excludes the objects that exist after startup from garbage collection and makes collections rare.
+
+    Few objects in this process form reference cycles.
+    """
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
 
 
 async def serve(config: Config, env: Mapping[str, str], reload_due: Callable[[], bool] = lambda: False) -> int:
-    """Runs until told to end; the process's exit status. reload_due: whether SIGHUP came before this took it over."""
+    """Runs until a signal ends it; returns the exit status. reload_due: whether SIGHUP arrived before this started."""
     loop = asyncio.get_running_loop()
     service = Service(config)
     end = asyncio.Event()
@@ -251,14 +260,14 @@
     starting = loop.create_task(service.start())
     ending = loop.create_task(end.wait())
     await asyncio.wait([starting, ending], return_when=asyncio.FIRST_COMPLETED)
-    if not starting.done():  # told to end before it served anybody
+    if not starting.done():  # the signal to end arrived before the broker listened
         starting.cancel()
-        service.observer.line("ended before it listened")
+        service.observer.write_line("ended before it listened")
         return 0
     try:
         starting.result()
     except OSError as err:
-        service.observer.line("cannot listen", field="listen", error=str(err))
+        service.observer.write_line("cannot listen", field="listen", error=str(err))
         return 1
     await ending
     return 1 if await service.end() else 0
--- a/badgerbend/runtime/__init__.py
+++ b/badgerbend/runtime/__init__.py
@@ -1,1 +1,2 @@
-"""The driver between sockets and decisions: events in, one step a turn of the loop, actions carried out in order."""
+"""The driver between sockets and decisions: it collects events, makes one step per turn of the event loop and carries
+out the actions in order."""
--- a/badgerbend/runtime/driver.py
+++ b/badgerbend/runtime/driver.py
@@ -1,7 +1,7 @@
-"""The driver: tells the module what happens and carries out what it decides. It reads no clock and no socket.
+"""The driver passes events to the aggregator and carries out its actions. It reads no clock and no socket.
 
-All that happens in one turn of the loop becomes one `step`. Sends of one step to one server share a call. Time
-comes from `Schedule`, so that a test drives it as a broker does.
+All events of one turn of the event loop are processed in one `step`. Attempts of one step to the same server share a
+call. Time comes from `Schedule`, so that tests can control it.
 """
 
 from __future__ import annotations
@@ -27,24 +27,37 @@
     Transport,
 )
 
-WATCH, TIMEOUT, ALARM, BEGIN = 0, 1, 2, 3
+QUERY_DEADLINE, TIMEOUT, TIMER, BEGIN_DEADLINE = 0, 1, 2, 3
 
 
 class _Query:
-    __slots__ = ("cls", "extra", "id", "lost", "name", "number", "parts", "results", "sink", "started", "step", "whole")
+    __slots__ = (
+        "cls",
+        "complete",
+        "extra_attempts",
+        "failed_attempts",
+        "id",
+        "name",
+        "number",
+        "parts",
+        "results",
+        "sink",
+        "started",
+        "step",
+    )
 
     def __init__(self, qid: int, number: int, cls: int, name: str, sink: Sink, started: float) -> None:
         self.id, self.number, self.cls, self.name, self.sink, self.started = qid, number, cls, name, sink, started
-        self.lost: list[tuple[Attempt, Outcome, float]] = []  # bounded by the parts and the tries of each
+        self.failed_attempts: list[tuple[Attempt, Outcome, float]] = []  # bounded by the parts and the attempts of each
         self.parts: dict[int, PartPlan] = {}
         self.results: dict[int, object] = {}
-        self.step, self.whole, self.extra = 1, True, 0
+        self.step, self.complete, self.extra_attempts = 1, True, 0
 
 
 class Driver:
-    """Drives one module made for `settings`. All methods are called from one thread, the loop's.
+    """Drives one aggregator created for `settings`. All methods are called on the thread of the event loop.
 
-    ids: of queries and parts; drivers that share anything keyed by these share the counter too.
+    ids: assigns the ids of queries and parts; drivers that share anything keyed by them share this counter too.
     """
 
     def __init__(
@@ -62,92 +75,108 @@
         self.queries: dict[int, _Query] = {}
         self.open_parts = 0
         self._events: list[api.Event] = []
-        self._ids, self._numbers, self._order = ids or count(1), count(1), count()
-        self._owners: dict[int, int] = {}  # the query of each part that is not over
-        self._tries: dict[int, int] = {}  # attempts made, by part that is not over
-        self._out: dict[tuple[int, int], Attempt] = {}
-        self._due: list[tuple[float, int, int, object]] = []  # when, order, kind, what
-        self._calls: dict[int, list[Attempt]] = {}  # sends of this step, by server
-        self._clients_asked: set[int] = set()  # queries whose clients were asked in this turn whether they have left
-        self._woken = False
-
-    # -- What happens. Each of these only notes it; the step comes with the next turn.
+        self._ids, self._query_numbers, self._sequence = ids or count(1), count(1), count()
+        self._query_of_part: dict[int, int] = {}  # query id by part id, for parts of open queries
+        self._attempt_counts: dict[int, int] = {}  # attempts made so far by part id, for parts of open queries
+        self._in_flight: dict[tuple[int, int], Attempt] = {}
+        self._timers: list[tuple[float, int, int, object]] = []  # time, sequence number, kind, subject
+        self._calls: dict[int, list[Attempt]] = {}  # attempts to send in this step, by server
+        self._clients_checked: set[int] = set()  # queries whose clients were checked for disconnection in this turn
+        self._wake_requested = False
+
+    # -- Events. Each method only records the event; the step follows in the next turn.
     def submit(self, plan: QueryPlan, sink: Sink) -> int | None:
-        """Takes a query; its id, or None if it was refused at once for lack of room, with the sink told."""
-        held = len(self.queries) + self.open_parts
-        if held + 1 + len(plan.parts) > self.settings.max_open:
-            self.observer.report_fault("no room", f"{held} queries and parts held")
-            advice = self.settings.max_retry_after_ms if self.settings.retry_after else 0.0
-            sink.rejected(advice)
+        """Accepts a query and returns its id.
+
+        Returns None if the query was rejected at once for lack of capacity; the sink has then been notified.
+        """
+        open_count = len(self.queries) + self.open_parts
+        if open_count + 1 + len(plan.parts) > self.settings.max_open:
+            self.observer.report_fault("no room", f"{open_count} queries and parts are open")
+            retry_after_ms = self.settings.max_retry_after_ms if self.settings.retry_after else 0.0
+            sink.rejected(retry_after_ms)
             return None
         now = self.schedule.now_ms()
-        query = _Query(next(self._ids), next(self._numbers), plan.cls, plan.name, sink, now)
+        query = _Query(next(self._ids), next(self._query_numbers), plan.cls, plan.name, sink, now)
         self.queries[query.id] = query
-        parts = self._take(query, plan.parts)
-        left = max(plan.time_left_ms, 0.0)
-        self._at(now + left, WATCH, query.id)
-        self._note(
-            api.Query(query.id, query.number, plan.cls, plan.tenant, plan.key, left, plan.is_retry, plan.cost_ms, parts)
+        parts = self._add_parts(query, plan.parts)
+        time_left_ms = max(plan.time_left_ms, 0.0)
+        self._set_timer(now + time_left_ms, QUERY_DEADLINE, query.id)
+        self._add_event(
+            api.Query(
+                query.id,
+                query.number,
+                plan.cls,
+                plan.tenant,
+                plan.key,
+                time_left_ms,
+                plan.is_retry,
+                plan.cost_ms,
+                parts,
+            )
         )
         return query.id
 
     def client_disconnected(self, query_id: int) -> None:
-        """The client has left: its query ends without an answer, what is out for it is called off."""
+        """Ends the query of a client that disconnected, without an answer; its attempts in flight are cancelled."""
         query = self.queries.get(query_id)
         if query is not None:
-            self._forget(query_id)
+            self._report_query_end(query_id)
             self._close(query, "gone")
 
     def is_wanted(self, attempt: Attempt) -> bool:
-        """Whether a client still waits for what an attempt is about. Asked before one that was delayed is written."""
+        """Whether a client still waits for an attempt's result; checked before a delayed attempt is written."""
         query = self.queries.get(attempt.query_id)
         return query is not None and not query.sink.client_has_left()
 
     def attempt_completed(
         self, attempt: Attempt, outcome: Outcome, result: object, report: tuple[float, ...] = ()
     ) -> None:
-        """An attempt's end. A second word on the same attempt is ignored."""
-        if self._out.pop((attempt.part_id, attempt.number), None) is not attempt:
+        """Handles the end of an attempt; further reports on the same attempt are ignored."""
+        if self._in_flight.pop((attempt.part_id, attempt.number), None) is not attempt:
             return
         took = self.schedule.now_ms() - attempt.sent_ms
         query = self.queries.get(attempt.query_id)
         if outcome == Outcome.OK and query is not None and attempt.part_id in query.parts:
             query.results.setdefault(attempt.part_id, result)
         elif query is not None and outcome != Outcome.OK:
-            query.lost.append((attempt, outcome, took))
+            query.failed_attempts.append((attempt, outcome, took))
         self.observer.attempt_ended(attempt, outcome, took)
-        self._note(api.AttemptCompleted(attempt.part_id, attempt.number, attempt.node, outcome, max(took, 0.0), report))
+        self._add_event(
+            api.AttemptCompleted(attempt.part_id, attempt.number, attempt.node, outcome, max(took, 0.0), report)
+        )
 
     def update_endpoints(self, update: api.EndpointUpdate) -> None:
-        """News of the list of servers."""
-        self._note(update)
+        """Passes an update of the list of servers to the aggregator."""
+        self._add_event(update)
 
     def add_observations(self, observations: api.Observations) -> None:
-        """What others have seen of servers, already weighed."""
-        self._note(observations)
+        """Passes observations of servers by other brokers, already weighted, to the aggregator."""
+        self._add_event(observations)
 
     def observations(self) -> api.Observations:
-        """What this broker has seen itself, as of the last step."""
+        """Returns this broker's own observations as of the last step."""
         return self.module.observations()
 
     @property
     def idle(self) -> bool:
-        """Whether no query is held, no attempt is out and the module has been told of all that happened."""
-        return not (self.queries or self._out or self._events)
+        """Whether no query is open, no attempt is in flight and the aggregator has processed all events."""
+        return not (self.queries or self._in_flight or self._events)
 
-    # -- One turn.
+    # -- Turns of the event loop.
     def turn(self) -> None:
-        """One step for all that has happened, then its actions in their order."""
-        self._woken = False
-        self._clients_asked.clear()
+        """Makes one step for all recorded events and carries out its actions in order."""
+        self._wake_requested = False
+        self._clients_checked.clear()
         now = self.schedule.now_ms()
-        overdue = self._refuse_unheard(self._pop_due(now))
-        events, self._events = [self._aged(event, now) for event in self._events], []
+        expired = self._reject_expired(self._run_due_timers(now))
+        events, self._events = [self._with_current_time_left(event, now) for event in self._events], []
         if events:
-            began = time.perf_counter()  # a measure of cost, never an input of a decision
+            began = time.perf_counter()  # measures the cost; it is never an input of a decision
             try:
                 actions = self.module.step(now, events)
-            except Exception as err:  # a defect must not take the other queries with it: the watch ends these
+            except Exception as err:
+                # A defect must not affect other queries; the queries of this step end by their deadlines.
                 self.observer.report_fault("step failed", f"{type(err).__name__}: {err}")
                 actions = []
             self.observer.stepped(len(events), time.perf_counter() - began)
@@ -155,28 +184,28 @@
                 self._carry_out(action, now)
             for node in list(self._calls):
                 self._flush(node)
-        for query_id in overdue:
-            self._watch(query_id)
-        self._sleep()
+        for query_id in expired:
+            self._fail_expired(query_id)
+        self._schedule_next_turn()
 
     def _carry_out(self, action: api.Action, now: float) -> None:
         match action:
-            case api.Send(part, node, timeout, begin):
-                self._send(part, node, timeout, begin, now)
-            case api.SetTimer(after, token):
-                self._at(now + after, ALARM, token)
+            case api.Send(part, node, timeout_ms, begin_within_ms):
+                self._send(part, node, timeout_ms, begin_within_ms, now)
+            case api.SetTimer(after_ms, token):
+                self._set_timer(now + after_ms, TIMER, token)
             case api.Cancel(part, number):
                 self._cancel(part, number)
-            case api.Answer(query_id, whole):
-                self._answer(query_id, whole)
-            case api.Reject(query_id, after, why):
+            case api.Answer(query_id, complete):
+                self._answer(query_id, complete)
+            case api.Reject(query_id, after_ms, reason):
                 if query_id in self.queries:
-                    self._tell(self._close(self.queries[query_id], "refused", why).rejected, after)
-            case api.Fail(query_id, why):
+                    self._notify_sink(self._close(self.queries[query_id], "refused", reason).rejected, after_ms)
+            case api.Fail(query_id, reason):
                 if query_id in self.queries:
-                    self._tell(self._close(self.queries[query_id], "failed", why).failed)
+                    self._notify_sink(self._close(self.queries[query_id], "failed", reason).failed)
             case api.CloseIdleConnections(node):
-                self._flush(node)  # a send that was decided before goes before
+                self._flush(node)  # attempts that were decided on earlier are sent first
                 self.transport.close_idle(node)
             case api.FollowEndpointList(on):
                 self.servers.follow(on)
@@ -187,45 +216,48 @@
             case _:
                 self.observer.report_fault("no such means", type(action).__name__)
 
-    def _send(self, part: int, node: int, timeout: float, begin: float, now: float) -> None:
-        number = self._tries.get(part, 0)
-        query = self._owner(part)
-        if query is None:  # its query has just ended: never leaves the broker
+    def _send(self, part: int, node: int, timeout_ms: float, begin_within_ms: float, now: float) -> None:
+        number = self._attempt_counts.get(part, 0)
+        query = self._query_with_part(part)
+        if query is None:  # the query has just ended, so nothing is sent
             self.observer.report_fault("send after the end", f"part {part}")
             return
-        self._tries[part] = number + 1
-        query.extra += number > 0
-        attempt = Attempt(part, number, node, query.parts[part], query.id, now, timeout, now + begin)
-        self._out[part, number] = attempt
-        self._at(now + timeout, TIMEOUT, attempt)
-        if begin < timeout:
-            self._at(now + begin, BEGIN, attempt)
+        self._attempt_counts[part] = number + 1
+        query.extra_attempts += number > 0
+        attempt = Attempt(part, number, node, query.parts[part], query.id, now, timeout_ms, now + begin_within_ms)
+        self._in_flight[part, number] = attempt
+        self._set_timer(now + timeout_ms, TIMEOUT, attempt)
+        if begin_within_ms < timeout_ms:
+            self._set_timer(now + begin_within_ms, BEGIN_DEADLINE, attempt)
         self._calls.setdefault(node, []).append(attempt)
 
-    def _owner(self, part: int) -> _Query | None:
-        owner = self._owners.get(part)
+    def _query_with_part(self, part: int) -> _Query | None:
+        owner = self._query_of_part.get(part)
         return self.queries.get(owner) if owner is not None else None
 
     def _flush(self, node: int) -> None:
-        """Sends what this turn decided for a server, but for queries whose client has left. A process that was held up
-        finds a request and the end of its connection together: the end is read a turn later than the request."""
-        for query_id in {attempt.query_id for attempt in self._calls.get(node, ())} - self._clients_asked:
-            self._clients_asked.add(query_id)
+        """Sends this turn's attempts to a server, except those for queries whose client has disconnected.
+
+        A process that was delayed finds a request and the end of its connection at the same time, but reads the end one
+        turn later than the request.
+        """
+        for query_id in {attempt.query_id for attempt in self._calls.get(node, ())} - self._clients_checked:
+            self._clients_checked.add(query_id)
             query = self.queries.get(query_id)
             if query is not None and query.sink.client_has_left():
                 self.client_disconnected(query_id)
-        attempts, most = self._calls.pop(node, []), self.settings.parts_per_call
-        for at in range(0, len(attempts), most):
-            self.transport.send(node, attempts[at : at + most])
+        attempts, limit = self._calls.pop(node, []), self.settings.parts_per_call
+        for at in range(0, len(attempts), limit):
+            self.transport.send(node, attempts[at : at + limit])
 
     def _cancel(self, part: int, number: int) -> None:
-        attempt = self._out.get((part, number))
+        attempt = self._in_flight.get((part, number))
         if attempt is not None and not self._take_back(attempt):
             self.transport.cancel(attempt)
             self.attempt_completed(attempt, Outcome.CANCELLED, None)
 
     def _take_back(self, attempt: Attempt) -> bool:
-        """Whether it had not begun; then it goes no further and never ran."""
+        """Ends an attempt as not sent if no byte of it was sent; returns whether it did."""
         waiting = self._calls.get(attempt.node, [])
         if attempt in waiting:
             waiting.remove(attempt)
@@ -236,145 +268,158 @@
         self.attempt_completed(attempt, Outcome.NOT_SENT, None)
         return True
 
-    def _answer(self, query_id: int, whole: bool) -> None:
+    def _answer(self, query_id: int, complete: bool) -> None:
         query = self.queries.get(query_id)
         if query is None:
             return
-        results = [(query.parts[p], r) for p, r in query.results.items()]
-        query.whole = query.whole and whole
+        results = [(query.parts[part], result) for part, result in query.results.items()]
+        query.complete = query.complete and complete
         if self.settings.classes[query.cls].follow_up_parts and query.step == 1:
-            plans = self._more(query, results)
+            plans = self._follow_up_parts(query, results)
             if plans:
                 query.step = 2
                 self._forget_parts(query)
-                self._note(api.FollowUpParts(query.number, self._take(query, plans)))
+                self._add_event(api.FollowUpParts(query.number, self._add_parts(query, plans)))
                 return
-            self._note(api.ClientDisconnected(query_id))  # the first answer is the last: the module waits for no more
-        sink = self._close(query, "answered" if query.whole else "answered in part")
-        self._tell(sink.answered, results, query.whole)
+            # There is no second step, so the aggregator must not wait for one.
+            self._add_event(api.ClientDisconnected(query_id))
+        sink = self._close(query, "answered" if query.complete else "answered in part")
+        self._notify_sink(sink.answered, results, query.complete)
 
-    def _more(self, query: _Query, results: list[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
+    def _follow_up_parts(self, query: _Query, results: list[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
         try:
             return query.sink.follow_up_parts(results)
         except Exception as err:
             self.observer.report_fault("a sink broke", f"{type(err).__name__}: {err}")
             return ()
 
-    def _tell(self, word: Callable[..., None], *what: object) -> None:
-        """A front that breaks over an answer must not stop the other actions of the step."""
+    def _notify_sink(self, callback: Callable[..., None], *subject: object) -> None:
+        """Calls a sink; an exception in it must not stop the other actions of the step."""
         try:
-            word(*what)
+            callback(*subject)
         except Exception as err:
             self.observer.report_fault("a sink broke", f"{type(err).__name__}: {err}")
 
-    def _aged(self, event: api.Event, now: float) -> api.Event:
-        """A query with the time that is left now. The turn may come late, in a process that is held up, and the module
-        counts from the turn: it would tell servers too long a deadline, and end the query after its client's."""
+    def _with_current_time_left(self, event: api.Event, now: float) -> api.Event:
+        """Returns the event, with the time that is left now if it is a query.
+
+        In a process that was delayed, the turn may come late, and the aggregator counts from the turn. Without this, it
+        would send too long a deadline to servers and end the query after the client's deadline.
+        """
         if not isinstance(event, api.Query):
             return event
         waited_ms = now - self.queries[event.id].started
         return replace(event, time_left_ms=max(event.time_left_ms - waited_ms, 0.0))
 
-    def _refuse_unheard(self, overdue: list[int]) -> list[int]:
-        """Refuses queries whose time was over before the module heard of them, as at a process that was held up; gives
-        the others. Nothing is sent for these."""
-        if not overdue:
-            return overdue
-        unheard = {event.id for event in self._events if isinstance(event, api.Query)}
-        for query_id in unheard.intersection(overdue):
-            self._forget(query_id)
-            self._tell(self._close(self.queries[query_id], "refused", "no time was left").rejected, 0.0)
-        return [query_id for query_id in overdue if query_id not in unheard]
-
-    def _watch(self, query_id: int) -> None:
-        """The net under the decisions: a query still open at the end of its time fails now."""
+    def _reject_expired(self, expired: list[int]) -> list[int]:
+        """Rejects queries whose time ran out before the aggregator received them, as happens in a delayed process.
+
+        Nothing is sent for these queries. Returns the other expired queries.
+        """
+        if not expired:
+            return expired
+        not_submitted = {event.id for event in self._events if isinstance(event, api.Query)}
+        for query_id in not_submitted.intersection(expired):
+            self._report_query_end(query_id)
+            self._notify_sink(self._close(self.queries[query_id], "refused", "no time was left").rejected, 0.0)
+        return [query_id for query_id in expired if query_id not in not_submitted]
+
+    def _fail_expired(self, query_id: int) -> None:
+        """Fails a query that is still open at its deadline, as a safety net below the aggregator's decisions."""
         query = self.queries.get(query_id)
         if query is not None:
             self.observer.report_fault("ended by the watch", f"query {query_id}")
-            self._forget(query_id)
-            self._tell(self._close(query, "failed by the watch").failed)
+            self._report_query_end(query_id)
+            self._notify_sink(self._close(query, "failed by the watch").failed)
 
-    # -- Books.
-    def _take(self, query: _Query, plans: Sequence[PartPlan]) -> tuple[api.Part, ...]:
+    # -- Bookkeeping.
+    def _add_parts(self, query: _Query, plans: Sequence[PartPlan]) -> tuple[api.Part, ...]:
         parts = []
         for plan in plans:
             part = api.Part(next(self._ids), plan.shard, plan.weight, plan.cost_ms)
             query.parts[part.id] = plan
-            self._owners[part.id] = query.id
+            self._query_of_part[part.id] = query.id
             parts.append(part)
         self.open_parts += len(parts)
         return tuple(parts)
 
     def _forget_parts(self, query: _Query) -> None:
         for part in query.parts:
-            self._owners.pop(part, None)
-            self._tries.pop(part, None)
+            self._query_of_part.pop(part, None)
+            self._attempt_counts.pop(part, None)
         self.open_parts -= len(query.parts)
         query.parts, query.results = {}, {}
 
-    def _close(self, query: _Query, how: str, why: str = "") -> Sink:
+    def _close(self, query: _Query, result: str, reason: str = "") -> Sink:
         took = self.schedule.now_ms() - query.started
-        parts, extra, lost = len(query.parts), query.extra, query.lost
-        self.observer.query_ended(CompletedQuery(query.id, query.name, query.cls, how, why, took, parts, extra, lost))
+        parts, extra_attempts, failed_attempts = len(query.parts), query.extra_attempts, query.failed_attempts
+        self.observer.query_ended(
+            CompletedQuery(
+                query.id, query.name, query.cls, result, reason, took, parts, extra_attempts, failed_attempts
+            )
+        )
         del self.queries[query.id]
-        # Nothing begins for a query that is over, also where the settings let nothing be called off.
+        # No attempt may start for a query that has ended, even if the settings disable cancellation.
         for part in query.parts:
-            for number in range(self._tries.get(part, 0)):
-                if attempt := self._out.get((part, number)):
+            for number in range(self._attempt_counts.get(part, 0)):
+                if attempt := self._in_flight.get((part, number)):
                     self._take_back(attempt)
         self._forget_parts(query)
         return query.sink
 
-    def _forget(self, query_id: int) -> None:
-        """Tells the module that a query is over before all else of this turn, or nothing of one that it has not heard
-        of. Guards against a part that ends in the turn in which its client leaves: it would be tried again for nobody,
-        and the module would count for ever an attempt that was never made."""
-        heard = [e for e in self._events if not (isinstance(e, api.Query) and e.id == query_id)]
-        if len(heard) == len(self._events):
-            heard.insert(0, api.ClientDisconnected(query_id))
-        self._events = heard
+    def _report_query_end(self, query_id: int) -> None:
+        """Reports the end of a query to the aggregator before all other events of this turn.
+
+        If the aggregator has not received the query yet, the query's event is dropped instead. Guards against a part
+        that ends in the turn in which its client disconnects: it would be retried for nobody, and the aggregator would
+        count forever an attempt that was never made.
+        """
+        events = [e for e in self._events if not (isinstance(e, api.Query) and e.id == query_id)]
+        if len(events) == len(self._events):
+            events.insert(0, api.ClientDisconnected(query_id))
+        self._events = events
         self._wake()
 
-    def _note(self, event: api.Event) -> None:
+    def _add_event(self, event: api.Event) -> None:
         self._events.append(event)
         self._wake()
 
     def _wake(self) -> None:
-        if not self._woken:
-            self._woken = True
+        if not self._wake_requested:
+            self._wake_requested = True
             self.schedule.wake(None)
 
-    def _at(self, when: float, kind: int, what: object) -> None:
-        heapq.heappush(self._due, (when, next(self._order), kind, what))
-
-    def _pop_due(self, now: float) -> list[int]:
-        overdue = []
-        while self._due and self._due[0][0] <= now:
-            _, _, kind, what = heapq.heappop(self._due)
-            if kind == ALARM:
-                assert isinstance(what, int)
-                self._events.append(api.TimerFired(what))
-            elif kind == WATCH:
-                assert isinstance(what, int)
-                overdue.append(what)
+    def _set_timer(self, when: float, kind: int, subject: object) -> None:
+        heapq.heappush(self._timers, (when, next(self._sequence), kind, subject))
+
+    def _run_due_timers(self, now: float) -> list[int]:
+        expired = []
+        while self._timers and self._timers[0][0] <= now:
+            _, _, kind, subject = heapq.heappop(self._timers)
+            if kind == TIMER:
+                assert isinstance(subject, int)
+                self._events.append(api.TimerFired(subject))
+            elif kind == QUERY_DEADLINE:
+                assert isinstance(subject, int)
+                expired.append(subject)
             else:
-                assert isinstance(what, Attempt)
-                if (what.part_id, what.number) not in self._out or self._take_back(what):
+                assert isinstance(subject, Attempt)
+                if (subject.part_id, subject.number) not in self._in_flight or self._take_back(subject):
                     continue
                 if kind == TIMEOUT:
-                    self.transport.cancel(what)
-                    self.attempt_completed(what, Outcome.TIMEOUT, None)
-        return overdue
-
-    def _sleep(self) -> None:
-        while self._due and self._stale(self._due[0]):
-            heapq.heappop(self._due)
-        if self._due and not self._woken:
-            self.schedule.wake(self._due[0][0])
-
-    def _stale(self, due: tuple[float, int, int, object]) -> bool:
-        _, _, kind, what = due
-        if kind in (TIMEOUT, BEGIN):
-            assert isinstance(what, Attempt)
-            return (what.part_id, what.number) not in self._out
-        return kind == WATCH and what not in self.queries
+                    self.transport.cancel(subject)
+                    self.attempt_completed(subject, Outcome.TIMEOUT, None)
+        return expired
+
+    def _schedule_next_turn(self) -> None:
+        while self._timers and self._is_obsolete(self._timers[0]):
+            heapq.heappop(self._timers)
+        if self._timers and not self._wake_requested:
+            self.schedule.wake(self._timers[0][0])
+
+    def _is_obsolete(self, due: tuple[float, int, int, object]) -> bool:
+        _, _, kind, subject = due
+        if kind in (TIMEOUT, BEGIN_DEADLINE):
+            assert isinstance(subject, Attempt)
+            return (subject.part_id, subject.number) not in self._in_flight
+        return kind == QUERY_DEADLINE and subject not in self.queries
--- a/badgerbend/runtime/loop.py
+++ b/badgerbend/runtime/loop.py
@@ -1,4 +1,4 @@
-"""The driver's time on an asyncio loop: one handle for the next turn, moved only when an earlier one is asked for."""
+"""The driver's schedule on an asyncio event loop: one timer for the next turn, moved only for an earlier turn."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 def now_ms() -> float:
-    """Milliseconds on a clock that does not go backwards; the loop's own counts whole ones."""
+    """Returns milliseconds of the monotonic clock; the time of an event loop may count whole milliseconds only."""
     return time.monotonic() * 1000.0
 
 
 class LoopSchedule:
-    """`Schedule` on a loop. `turn` is the driver's, set once it exists."""
+    """The `Schedule` on an event loop. turn: set to the driver's `turn` once the driver exists."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.turn: Callable[[], None] = lambda: None
-        self._soon = self._closed = False
+        self._turn_scheduled = self._closed = False
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = float("inf")
 
@@ -26,7 +26,7 @@
         return now_ms()
 
     def close(self) -> None:
-        """No turn comes any more."""
+        """Prevents all further turns."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -35,8 +35,8 @@
         if self._closed:
             return
         if at_ms is None:
-            if not self._soon:
-                self._soon = True
+            if not self._turn_scheduled:
+                self._turn_scheduled = True
                 self.loop.call_soon(self._run)
         elif at_ms < self._timer_at:
             if self._timer is not None:
@@ -46,10 +46,10 @@
 
     def _run_timer(self) -> None:
         self._timer, self._timer_at = None, float("inf")
-        if not self._soon:
+        if not self._turn_scheduled:
             self.turn()
 
     def _run(self) -> None:
-        self._soon = False
+        self._turn_scheduled = False
         if not self._closed:
             self.turn()
--- a/badgerbend/runtime/ports.py
+++ b/badgerbend/runtime/ports.py
@@ -1,4 +1,7 @@
-"""What the driver needs of its surroundings. A front brings a `Sink` a query, a protocol brings a `Transport`."""
+"""The interfaces between the driver and its environment.
+
+A front end provides a `Sink` for each query, and a protocol provides a `Transport`.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 @dataclass(slots=True, eq=False)
 class PartPlan:
-    """A part of a query as its front wants it. `payload` is the front's own; the driver only passes it on."""
+    """A part of a query as the front end requests it. payload: passed on to the transport; opaque to the driver."""
 
     shard: int
     weight: float
@@ -22,7 +25,7 @@
 
 @dataclass(slots=True, eq=False)
 class QueryPlan:
-    """A query as its front hands it over; time_left_ms counts from now."""
+    """A query as the front end submits it. time_left_ms counts from the submission."""
 
     cls: int
     tenant: int
@@ -31,12 +34,12 @@
     is_retry: bool
     cost_ms: float | None
     parts: Sequence[PartPlan]
-    name: str = ""  # what a person knows it by, for the log
+    name: str = ""  # identifies the query in the log
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One sending of one part. number counts from 0 for each part; times in milliseconds."""
+    """One attempt at one part. number: counts the attempts at a part from 0. Times are in milliseconds."""
 
     part_id: int
     number: int
@@ -45,17 +48,17 @@
     query_id: int
     sent_ms: float
     timeout_ms: float
-    begin_by_ms: float = math.inf  # on the clock of sent_ms: a first byte after that would be too late
-    handle: object = None  # the transport's own
+    begin_by_ms: float = math.inf  # on the clock of sent_ms: the latest time for the first byte
+    handle: object = None  # for use by the transport
 
     def time_left_ms(self, now_ms: float) -> float:
-        """What is left of its timeout. A server is told this, and not more than its client still has."""
+        """Returns the rest of the timeout, which is sent to the server; it never exceeds the client's time left."""
         return self.timeout_ms - (now_ms - self.sent_ms)
 
 
 @dataclass(frozen=True, slots=True)
 class CompletedQuery:
-    """How a query ended, for those who ask later. reason: the module's word on a refusal or failure."""
+    """How a query ended, for logs and metrics. reason: the aggregator's reason for a rejection or failure."""
 
     query_id: int
     name: str
@@ -69,15 +72,15 @@
 
 
 class Sink(Protocol):
-    """Where a query's answers go. Exactly one of `answered`, `rejected`, `failed` is called, once."""
+    """Receives the result of a query: exactly one of `answered`, `rejected` and `failed` is called, once."""
 
     def client_has_left(self) -> bool:
-        """Whether its client has gone, as far as can be asked now. Nothing is sent on for such a query."""
+        """Whether the client has disconnected, as far as is known now. Nothing more is sent for such a query."""
 
     def follow_up_parts(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
-        """The parts of the second step, after a first answer; none if the first answer is enough."""
+        """Returns the parts of the second step after the first answer; none if the first answer is sufficient."""
 
-    def answered(self, results: Sequence[tuple[PartPlan, object]], whole: bool) -> None: ...
+    def answered(self, results: Sequence[tuple[PartPlan, object]], complete: bool) -> None: ...
 
     def rejected(self, retry_after_ms: float) -> None: ...
 
@@ -85,29 +88,32 @@
 
 
 class Transport(Protocol):
-    """Sends calls. Each attempt's end is told by `Driver.attempt_completed`, once; not after it was cancelled."""
+    """Sends calls to servers.
+
+    It reports the end of each attempt to `Driver.attempt_completed` once, unless the attempt was cancelled before.
+    """
 
     def send(self, node: int, attempts: Sequence[Attempt]) -> None: ...
 
     def cancel(self, attempt: Attempt) -> None:
-        """Of what has not begun no byte leaves any more; else the server is told, where it can be."""
+        """Cancels an attempt. If no byte was sent, none will be; otherwise the server is notified if possible."""
 
     def begun(self, attempt: Attempt) -> bool:
-        """Whether a byte of it may have left."""
+        """Whether a byte of the attempt may have been sent."""
 
     def close_idle(self, node: int) -> None: ...
 
 
 class ServerList(Protocol):
-    """The list of servers, where it tells only on asking."""
+    """The list of servers, for a list that is polled only on request."""
 
-    def follow(self, on: bool) -> None: ...
+    def follow(self, enabled: bool) -> None: ...
 
     def read_list(self) -> None: ...
 
 
 class Schedule(Protocol):
-    """Time. `wake` asks for one call of the driver's turn at that time or, where None, as soon as may be."""
+    """Time. `wake` requests one call of the driver's `turn` at the given time, or as soon as possible if it is None."""
 
     def now_ms(self) -> float: ...
 
@@ -115,7 +121,7 @@
 
 
 class Observer(Protocol):
-    """What a person would ask about later. Called after the decision, never to make one."""
+    """Receives what is logged and counted. It is called after decisions and never influences them."""
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, took_ms: float) -> None: ...
 
@@ -123,4 +129,4 @@
 
     def stepped(self, events: int, seconds: float) -> None: ...
 
-    def report_fault(self, what: str, detail: str) -> None: ...
+    def report_fault(self, kind: str, detail: str) -> None: ...
--- a/benchmarks/scale/list_rows.py
+++ b/benchmarks/scale/list_rows.py
@@ -103,7 +103,7 @@
         return Directory(cells, read, shared_clock=True, parse_departure=departure_parser(names.MEMBERS))
 
     def target(self) -> Target:
-        return MembersTarget(names.MEMBERS, ("127.0.0.1", 9), asks=False, drain_grace_s=DRAIN_GRACE_S)
+        return MembersTarget(names.MEMBERS, ("127.0.0.1", 9), polls_on_request=False, drain_grace_s=DRAIN_GRACE_S)
 
     def whole(self, nodes: Sequence[Node], version: int) -> Reply:
         return self._reply(nodes, version, whole=True)
@@ -114,7 +114,7 @@
     def _reply(self, nodes: Sequence[Node], version: int, whole: bool) -> Reply:
         fields = names.MEMBERS
         rows = [_members_row(node) for node in nodes]
-        body = msgspec.json.encode({fields.version: version, fields.whole: whole, fields.rows: rows})
+        body = msgspec.json.encode({fields.version: version, fields.is_complete: whole, fields.rows: rows})
         return Reply(End.ANSWER, 200, {}, body)
 
 
--- a/benchmarks/scale/query_sockets.py
+++ b/benchmarks/scale/query_sockets.py
@@ -73,7 +73,7 @@
     agent_port = int(await loop.run_in_executor(None, read_line))
     config = configuration(parts, reach=1, aim_ms=AIM_MS, agent_port=agent_port)
     service = Service(replace(config, listen=("127.0.0.1", 0)))
-    service.observer.line = lambda what, **values: None  # type: ignore[method-assign]
+    service.observer.write_line = lambda what, **values: None  # type: ignore[method-assign]
     port = await service.start()
     surroundings.stdin.write(f"{port}\n")
     surroundings.stdin.flush()
--- a/tests/crossing_days.py
+++ b/tests/crossing_days.py
@@ -86,7 +86,7 @@
             one.writer.transport.abort()
         for reader in self.readers:
             reader.cancel()
-        await until(lambda: not self.stage.service.driver.queries and not self.stage.service.driver._out)
+        await until(lambda: not self.stage.service.driver.queries and not self.stage.service.driver._in_flight)
         if self.stage.service.driver.module.queries.attempts:
             self.broken.append(("an attempt that was never made", 0.0))
 
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -143,7 +143,9 @@
         self.config = replace(config.parse(file, {}), listen=("127.0.0.1", 0))
         self.service = Service(self.config)
         self.troubles = []
-        replace_attribute(self.service.observer, "line", lambda what, **values: self.troubles.append((what, values)))
+        replace_attribute(
+            self.service.observer, "write_line", lambda what, **values: self.troubles.append((what, values))
+        )
         self.port = await self.service.start()
         self.heard_first = self.service.watch.refreshed_at is not None  # before any client
         self.pool = Pool("127.0.0.1", self.port, LIMITS)
--- a/tests/simplatform.py
+++ b/tests/simplatform.py
@@ -288,7 +288,7 @@
         await asyncio.sleep(self.start_s)
         self.loop.turn_s = self.turn_s
         self.service = service = services.Service(made)
-        replace_attribute(service.observer, "line", lambda what, **values: None)
+        replace_attribute(service.observer, "write_line", lambda what, **values: None)
         for agent, at in enumerate(self.day.moves, 1):
             moved = replace(made, discovery=("10.2.0.1", 8500 + agent))
             self._at(at, lambda moved=moved: service.reload(lambda: moved))
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -344,7 +344,7 @@
             await until(lambda: sum(c.reading for c in stage.service.server.connections) == 2)
             ending = asyncio.create_task(stage.service.end())
             await until(lambda: stage.service.server.closing)
-            stage.service.front.over_at = asyncio.get_running_loop().time() + 0.3
+            stage.service.front.deadline = asyncio.get_running_loop().time() + 0.3
             for (_, writer), half in zip((quick, slow), data, strict=True):
                 writer.write(half[-5:])
             for (reader, _), status in ((quick, b"200"), (slow, b"503")):
@@ -352,7 +352,7 @@
                 assert got.startswith(b"HTTP/1.1 " + status)
                 assert b"connection: close" in got
             assert await ending == 0
-            assert asyncio.get_running_loop().time() < stage.service.front.over_at + 1.0
+            assert asyncio.get_running_loop().time() < stage.service.front.deadline + 1.0
             quick[1].close()
             slow[1].close()
 
@@ -362,7 +362,7 @@
 def test_a_request_too_late_to_be_answered_before_the_process_is_killed_is_refused(monkeypatch):
     async def main():
         async with Stage() as stage:
-            stage.service.front.over_at = asyncio.get_running_loop().time() - 0.001
+            stage.service.front.deadline = asyncio.get_running_loop().time() - 0.001
             assert (await stage.ask())[0] == 503
             assert not stage.sent()
 
--- a/tests/test_crossings_nodes.py
+++ b/tests/test_crossings_nodes.py
@@ -159,7 +159,7 @@
         stuck = attempt(shard, text=long)
         transport.send(1, [stuck])
         assert not transport.begun(stuck)
-        transport.drains(1)
+        transport.start_draining(1)
         assert (shard, Outcome.NOT_SENT, None) in ends
         connection.transport.resume_reading()
         await until(lambda: len(node.parts()) > 1)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,7 +9,7 @@
 from badgerbend.broker import Broker
 from badgerbend.discovery import directory as directory_module
 from badgerbend.discovery.consul_rows import consul_directory
-from badgerbend.discovery.directory import SLICE, ListError, ListReader, decode_rows
+from badgerbend.discovery.directory import SLICE_SIZE, ListError, ListReader, decode_rows
 from badgerbend.standin.registry import Entry
 from tests.replacing import replace_attribute
 from tests.sockets import Stage, run, until
@@ -46,11 +46,11 @@
     directory = consul_directory(12)
     directory.read(many(1000), 0.0, 0.0)
     reading = ListReader(directory, many(1000, "draining"), 1.0, 1.0)
-    assert len(list(reading.read_slices())) == 1000 / SLICE
+    assert len(list(reading.read_slices())) == 1000 / SLICE_SIZE
     assert directory.servers["s0"].endpoint.state == READY  # not before it is whole
     reading.apply()
     views = list(reading.updates())
-    assert all(v.kind == api.UpdateKind.DELTA and len(v.endpoints) <= SLICE for v in views)
+    assert all(v.kind == api.UpdateKind.DELTA and len(v.endpoints) <= SLICE_SIZE for v in views)
     assert sum(len(v.endpoints) for v in views) == 1000
     again = ListReader(directory, many(990, "draining"), 2.0, 2.0)
     list(again.read_slices())
@@ -101,7 +101,7 @@
                 answers.append(await stage.client.query("{ fullQuote(blocks: [1, 2], amount: 9000) { id } }"))
             assert answers
             assert all("errors" not in a for _, a, _ in answers)
-            assert max(sizes) <= SLICE
+            assert max(sizes) <= SLICE_SIZE
             assert sum(1 for n in stage.broker.driver.module.endpoints.servers.values() if n.ready) == 24
 
     run(main)
@@ -196,7 +196,7 @@
             await until(lambda: node in module.endpoints.servers and module.endpoints.servers[node].ready)
             s.world.registry.extra = [None, {"Service": 3}]
             s.world.registry.changed()
-            await until(lambda: s.broker.watch.index == s.world.registry.index)
+            await until(lambda: s.broker.watch.version == s.world.registry.index)
             assert len(s.broker.directory.addresses) == 12
 
     run(main)
@@ -253,7 +253,7 @@
     directory.read(decode_rows(msgspec.json.encode([{"id": "s0", "port": 1, "cell": 0, "state": "ready"}])), 0.0, 0.0)
     expected = {"s0": ("127.0.0.1", 1)}
     for batch in batches:
-        reading = ListReader(directory, decode_rows(msgspec.json.encode(batch)), 1.0, 1.0, whole=False)
+        reading = ListReader(directory, decode_rows(msgspec.json.encode(batch)), 1.0, 1.0, is_complete=False)
         list(reading.read_slices())
         reading.apply()
         list(reading.updates())
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -205,7 +205,7 @@
     rig.run(100.0)
     assert [how for _, how in sink.finals] == ["answered"]
     assert not rig.live
-    assert not rig.driver._out
+    assert not rig.driver._in_flight
     assert not rig.driver.module.queries.attempts
 
 
@@ -288,9 +288,9 @@
     assert not rig.driver.queries
     assert rig.driver.open_parts == 0
     assert not rig.live
-    assert not rig.driver._out
-    assert not rig.driver._tries
-    assert not rig.driver._owners
+    assert not rig.driver._in_flight
+    assert not rig.driver._attempt_counts
+    assert not rig.driver._query_of_part
     assert not rig.driver.module.queries.attempts
     assert not [t for t in rig.troubles if t[0] == "send after the end"]
     ran = Counter(a.part_id for _, a in rig.sent)
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -8,7 +8,15 @@
 
 from badgerbend.api import Outcome
 from badgerbend.frames.channel import Channel
-from badgerbend.frames.codec import MAX_LINE, ControlFrame, Decoder, PartAnswer, PartRequest, encode_call, encode_frame
+from badgerbend.frames.codec import (
+    MAX_LINE_BYTES,
+    ControlFrame,
+    Decoder,
+    PartAnswer,
+    PartRequest,
+    encode_call,
+    encode_frame,
+)
 from badgerbend.frames.transport import FrameLimits, FrameTransport
 from badgerbend.platform.names import FRAMES
 from badgerbend.runtime.ports import Attempt, PartPlan
@@ -49,7 +57,7 @@
         PartAnswer(b"q1.4", Outcome.REJECTED, b"-", b""),
     ]
     assert got[2] == ControlFrame(b"p", b"served")
-    assert not decoder.inside
+    assert not decoder.in_frame
     assert decoder.error is None
 
 
@@ -63,7 +71,7 @@
     "an unknown end": answer(end=b"sorted"),
     "an unknown end, not whole": answer(end=b"sorted", value=b"x" * 900)[:60],
     "a line without an end": encode_frame(b"a", b"q1.3 served 7 -" + b"y" * 600),
-    "a line without an end, not whole": (MOST).to_bytes(4, "little") + b"a" + b"y" * MAX_LINE,
+    "a line without an end, not whole": (MOST).to_bytes(4, "little") + b"a" + b"y" * MAX_LINE_BYTES,
     "a short line": encode_frame(b"a", b"q1.3 served\nabc"),
     "a score that is none": answer(score=b"high"),
     "no id": answer(part=b""),
@@ -275,11 +283,11 @@
     channel.send([one, two])
     channel.cancel(one)
     assert kernel.written.endswith(encode_frame(b"c", b"q1.1"))
-    assert channel.knows(b"q1.1")
+    assert channel.may_receive_answer(b"q1.1")
     channel.data_received(answer(b"q1.1") + answer(b"q1.2"))
     assert [(i, o) for i, o, _ in owner.ends] == [(b"q1.2", Outcome.OK)]
     assert not kernel.aborted
-    assert not channel.knows(b"q1.1")
+    assert not channel.may_receive_answer(b"q1.1")
     assert not owner.troubles
 
 
@@ -350,8 +358,8 @@
         one = attempt(1, query=b"q%d" % n)
         channel.send([one])
         channel.cancel(one)
-    assert len(channel.calls_off) == 4 * owner.streams
-    assert not channel.out
+    assert len(channel.cancelled) == 4 * owner.streams
+    assert not channel.in_flight
 
 
 # -- on sockets
@@ -457,23 +465,23 @@
         port = await node.start()
         transport, ends, addresses = await transport_to(port)
         transport.send(1, [attempt(1)])  # its connection is not up yet
-        transport.drains(1)
+        transport.start_draining(1)
         transport.send(1, [attempt(2)])
         assert [(shard, how) for shard, how, _ in ends] == [(1, Outcome.NOT_SENT), (2, Outcome.NOT_SENT)]
-        transport.ready(1)
+        transport.end_draining(1)
         transport.send(1, [attempt(3)])
         addresses[1] = ("127.0.0.1", port + 1 if port < 65535 else port - 1)
-        transport.moved(addresses)
+        transport.update_addresses(addresses)
         assert ends[2][:2] == (3, Outcome.NOT_SENT)
         assert not transport.channels
         addresses[1] = ("127.0.0.1", port)
         transport.send(1, [attempt(4)])
         await until(lambda: node.parts())
         assert [part.shard for part in node.parts()] == [4]
-        transport.drains(1)
-        transport.moved({})
+        transport.start_draining(1)
+        transport.update_addresses({})
         assert len(ends) == 3
-        assert not transport.leaving
+        assert not transport.draining
         transport.close()
         node.stop()
 
@@ -513,7 +521,7 @@
         transport.send(1, [attempt(1)])
         await until(lambda: ends)
         (channel,) = transport.channels[1]
-        channel.since -= 29.0
+        channel.last_used -= 29.0
         transport.send(1, [attempt(2)])
         await until(lambda: len(ends) == 2)
         assert node.accepted == 2
--- a/tests/test_keyed_list.py
+++ b/tests/test_keyed_list.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from badgerbend import api
-from badgerbend.discovery.directory import SLICE, ListError, ListReader
+from badgerbend.discovery.directory import SLICE_SIZE, ListError, ListReader
 from badgerbend.discovery.keyed import KeyedList, keyed_directory
 from badgerbend.publication_validation.changes import validate_change
 from tests.feed_stage import change
@@ -99,7 +99,7 @@
     assert not told.views
     assert not told.directory.servers
     assert told.list.refreshed_at is None
-    assert 1000 / SLICE <= told.turns.run() <= 1000 / SLICE + 1
+    assert 1000 / SLICE_SIZE <= told.turns.run() <= 1000 / SLICE_SIZE + 1
     (view,) = told.views
     assert view.kind == api.UpdateKind.FULL
     assert len(view.endpoints) == len(told.directory.servers) == 1000
@@ -186,7 +186,7 @@
     told = listed(2)
     told.turns.run()
     node = told.directory.servers["s1"].endpoint.node
-    reading = ListReader(told.directory, (), 1.0, 1.0, whole=False, left=["s1", "never"])
+    reading = ListReader(told.directory, (), 1.0, 1.0, is_complete=False, removed=["s1", "never"])
     reading.apply()
     (view,) = reading.updates()
     assert [(line.node, line.state) for line in view.endpoints] == [(node, GONE)]
