--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -508,7 +508,7 @@
     row = {"uid": "s0", "endpoint": "127.0.0.1:9", "az": "here", "model": "m", "pod_group": 0, "state": "draining"}
     directory.read(decode_rows(msgspec.json.encode([row])), 0.0, 0.0)
     reading = ListReader(
-        directory, decode_rows(msgspec.json.encode([row | {"state": "up"}, row])), 1.0, 1.0, whole=False
+        directory, decode_rows(msgspec.json.encode([row | {"state": "up"}, row])), 1.0, 1.0, is_complete=False
     )
     list(reading.read_slices())
     reading.apply()
@@ -536,7 +536,7 @@
     good = {"uid": "s0", "endpoint": "127.0.0.1:9", "az": "here", "model": "m", "pod_group": 0, "state": "up"}
     directory.read(decode_rows(msgspec.json.encode([good])), 0.0, 0.0)
     news = [row, good | {"uid": "s1", "state": "draining"}]
-    reading = ListReader(directory, decode_rows(msgspec.json.encode(news)), 1.0, 1.0, whole=False)
+    reading = ListReader(directory, decode_rows(msgspec.json.encode(news)), 1.0, 1.0, is_complete=False)
     list(reading.read_slices())
     reading.apply()
     assert directory.servers["s1"].endpoint.state == api.EndpointState.DRAINING
@@ -608,7 +608,7 @@
         async with Stage() as s:
             s.agent.answer = rubbish
             s.agent.put("s0", s.nodes["s0"].port, 0)  # ends the call that waits
-            await until(lambda: s.service.observer.troubles["list not read"] >= 2)
+            await until(lambda: s.service.observer.faults["list not read"] >= 2)
             assert len(s.service.directory.servers) == CELLS * 2
             assert (await s.ask())[0] == 200
             s.agent.answer = None
@@ -770,7 +770,10 @@
                     "channels": len(transport.channels) + len(transport.retired) + len(transport.addresses),
                     "open": transport.open,
                     "clients": len(service.server.connections),
-                    "driver": len(driver.queries) + len(driver._owners) + len(driver._tries) + len(driver._out),
+                    "driver": len(driver.queries)
+                    + len(driver._query_of_part)
+                    + len(driver._attempt_counts)
+                    + len(driver._in_flight),
                     "parts": driver.open_parts,
                     "front": len(service.front.open),
                     "module": sum(map(len, vars(module.queries).values())),
@@ -796,7 +799,7 @@
             for cell in range(CELLS):
                 await s.ask((cell,), Connection="close")
             await settled()
-            before, due = kept(), len(service.driver._due)
+            before, due = kept(), len(service.driver._timers)
             for i in range(30, 230):
                 await turn(i)
             for cell in range(CELLS):
@@ -805,7 +808,7 @@
             assert kept() == before
             nodes = service.driver.module.endpoints.servers
             assert len(nodes) <= 2 * CELLS
-            assert len(service.driver._due) <= due + 1000
+            assert len(service.driver._timers) <= due + 1000
 
     run(main)
 
@@ -815,7 +818,7 @@
 
     async def main():
         async with Stage() as s:
-            kinds = {"_Pending", "Exchange", "_Query", "QueryState", "PartState", "_Connection", "Channel"}
+            kinds = {"_OpenRequest", "Exchange", "_Query", "QueryState", "PartState", "_Connection", "Channel"}
 
             def alive():
                 return Counter(type(o).__name__ for o in gc.get_objects() if type(o).__name__ in kinds)
--- a/tests/test_public_platform.py
+++ b/tests/test_public_platform.py
@@ -88,7 +88,7 @@
     for how in ("answered", "refused", "failed", "failed by the watch"):
         tally.query_ended(CompletedQuery(1, "q1", 0, how, "why", 3.0, 1, 0, ()))
     tally.report_fault("some kind", "some detail")
-    tally.list_taken(7, 0.1, 0.2)
+    tally.list_applied(7, 0.1, 0.2)
     tally.summary(cut=0)
     lines = [msgspec.json.decode(line) for line in capsys.readouterr().err.splitlines()]
     compare("platform_log", [{"what": line["what"], "keys": shape(line)} for line in lines])
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -122,7 +122,10 @@
             agent.clock.at(agent.clock.now, lambda: step(news))
 
     decides = Aggregator(
-        replace(SETTINGS, polls_endpoint_list=True, max_notification_delay_ms=members.TOLD_S * 1000.0), seed
+        replace(
+            SETTINGS, polls_endpoint_list=True, max_notification_delay_ms=members.MAX_NOTIFICATION_DELAY_S * 1000.0
+        ),
+        seed,
     )
 
     def step(*events):
@@ -228,7 +231,7 @@
     agent = Fallen()
     _, watch = play(agent, 3.0, asks=True)
     watch.follow(True)
-    watch._ask()  # the pause after an answer, and the module's word, in one turn
+    watch._send_poll()  # the pause after an answer, and the module's word, in one turn
     asked = len(agent.asked)
     agent.clock.run(1000.0 * 1.9)
     assert len(agent.asked) == asked
@@ -290,10 +293,10 @@
     tell("draining")
     asked = len(replies)
     for _ in range(turns):
-        watch._more()
-    watch.move(MembersTarget(names.MEMBERS, ("127.0.0.1", 2), False, 0.5))
+        watch._next_list_step()
+    watch.switch_target(MembersTarget(names.MEMBERS, ("127.0.0.1", 2), False, 0.5))
     assert {line.node for line in heard if line.state is api.EndpointState.DRAINING} == set(range(1, 351))
-    assert watch.index is None
-    assert directory.told
+    assert watch.version is None
+    assert directory.published
     agent.clock.run(50.0)
     assert len(replies) == asked + 1  # the new one is asked, once
