--- a/badgerbend/discovery/directory.py
+++ b/badgerbend/discovery/directory.py
@@ -104,7 +104,7 @@
         if not entry.name or not entry.address[0] or not 0 < entry.address[1] < 65536:
             raise ValueError("missing id or invalid address")
         if not 0 <= entry.cell < self.cells:
-            raise ValueError(f"cell {entry.cell} is out of range; there are {self.cells} cells")
+            raise ValueError(f"cell {entry.cell} is out of range; number of cells: {self.cells}")
         started = entry.started
         if not 0 <= started < 1e12 or not 0 < entry.size < 1e9 or not 0 <= entry.zone < 256:
             raise ValueError("started, size or zone is out of range")
@@ -216,7 +216,7 @@
     def _apply_complete_list(self) -> None:
         directory = self.directory
         if not self.records:
-            raise ListError(f"none of the {len(self.rows)} rows is usable")
+            raise ListError(f"the list contains no usable row; rows received: {len(self.rows)}")
         removed = {name: record.endpoint for name, record in directory.servers.items() if name not in self.records}
         self.changed |= {name: replace(one, state=api.EndpointState.REMOVED) for name, one in removed.items()}
         directory.servers = self.records
--- a/badgerbend/discovery/watch.py
+++ b/badgerbend/discovery/watch.py
@@ -250,7 +250,7 @@
     def _read(self, poll: Poll, reply: Reply) -> tuple[int | None, ListReader | None]:
         """Returns the answer's version, and a reader if there are changes. Raises ListError or ValueError."""
         if reply.end is not End.ANSWER or reply.status != 200:
-            raise ListError(f"the request ended with {reply.end.name.lower()}, status {reply.status}")
+            raise ListError(f"{reply.end.name.lower()}, HTTP status {reply.status}")
         has_list = self.refreshed_at is not None
         return self.target.read(reply, poll.version, has_list, self.directory, self.now_ms(), self.unix_s())
 
