--- a/badgerbend/discovery/members.py
+++ b/badgerbend/discovery/members.py
@@ -22,12 +22,12 @@
 # In push mode, a broker counts as notified of everything that the agent has, whether or not it has a poll open. A poll
 # that was waiting when discovery went down may never be answered. Changes that the agent receives when discovery
 # returns then reach the broker only once that poll's wait is over, the poll is abandoned and a new one is sent. The
-# following shares of the drain grace period add up to that delay; the rest of the grace period is for reading the list
+# following fractions of the drain grace period add up to that delay; the rest of the period is for reading the list
 # and for parts that are already on their way.
-WAIT_SHARE, ANSWER_TIMEOUT_SHARE, RETRY_SHARE = 0.35, 0.15, 0.1
+WAIT_FRACTION, ANSWER_TIMEOUT_FRACTION, RETRY_FRACTION = 0.35, 0.15, 0.1
 # An answer that trickles in is abandoned this long after its wait. Together with the pause before the retry and the
 # next poll, that makes one grace period.
-MAX_ANSWER_SHARE = 0.7
+MAX_ANSWER_FRACTION = 0.7
 MAX_WAIT_S = 5.0  # no poll waits longer, however long the grace period is
 MIN_GRACE_S = 0.1  # a shorter grace period would leave no time to poll in
 # A list that is polled on request may be far away. Whatever happened to a poll, the broker counts as notified of a
@@ -117,12 +117,12 @@
         self.names, self.polls_on_request = names, polls_on_request
         self.host, self.port = address
         grace = max(drain_grace_s, MIN_GRACE_S)
-        self.wait_s = REQUESTED_WAIT_S if polls_on_request else min(WAIT_SHARE * grace, MAX_WAIT_S)
-        self.answer_timeout_s = REQUESTED_ANSWER_TIMEOUT_S if polls_on_request else ANSWER_TIMEOUT_SHARE * grace
-        self.max_answer_s = REQUESTED_MAX_ANSWER_S if polls_on_request else MAX_ANSWER_SHARE * grace
+        self.wait_s = REQUESTED_WAIT_S if polls_on_request else min(WAIT_FRACTION * grace, MAX_WAIT_S)
+        self.answer_timeout_s = REQUESTED_ANSWER_TIMEOUT_S if polls_on_request else ANSWER_TIMEOUT_FRACTION * grace
+        self.max_answer_s = REQUESTED_MAX_ANSWER_S if polls_on_request else MAX_ANSWER_FRACTION * grace
         self.pace = Pace(
-            first_retry_s=RETRY_SHARE * grace / 2,
-            max_retry_s=RETRY_SHARE * grace,
+            first_retry_s=RETRY_FRACTION * grace / 2,
+            max_retry_s=RETRY_FRACTION * grace,
             min_update_interval_s=MIN_UPDATE_INTERVAL_S,
         )
 
--- a/badgerbend/frames/channel.py
+++ b/badgerbend/frames/channel.py
@@ -29,7 +29,8 @@
 
     def now_ms(self) -> float: ...
 
-    def ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None) -> None: ...
+    def ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None) -> None:
+        """Called once when an attempt ends, unless it was cancelled before."""
 
     def wanted(self, attempt: Attempt) -> bool:
         """Whether a client still waits for the attempt's result."""
@@ -43,7 +44,7 @@
     def give_up(self, channel: Channel) -> None:
         """Cancels opening the channel's connection."""
 
-    def report_fault(self, what: str, detail: str) -> None: ...
+    def report_fault(self, kind: str, detail: str) -> None: ...
 
 
 def part_request(attempt: Attempt) -> PartRequest:
@@ -120,6 +121,7 @@
         return queued + buffered
 
     def idle(self) -> bool:
+        """Whether no part is in flight or queued."""
         return not self.in_flight and not self.queued_calls
 
     def close(self) -> None:
@@ -267,7 +269,7 @@
         self.in_flight, self.last_call = {}, []
         self.cancelled.clear()
         self.owner.forget(self)
-        for a in unsent:
-            self.owner.ended(a, Outcome.CONNECT_FAILED, None)
-        for a in sent:
-            self.owner.ended(a, outcome, None)
+        for attempt in unsent:
+            self.owner.ended(attempt, Outcome.CONNECT_FAILED, None)
+        for attempt in sent:
+            self.owner.ended(attempt, outcome, None)
--- a/badgerbend/frames/codec.py
+++ b/badgerbend/frames/codec.py
@@ -64,21 +64,22 @@
     text: bytes
 
 
-def encode_frame(kind: bytes, rest: bytes = b"") -> bytes:
-    return LENGTH.pack(len(kind) + len(rest)) + kind + rest
+def encode_frame(kind: bytes, payload: bytes = b"") -> bytes:
+    """Encodes one frame."""
+    return LENGTH.pack(len(kind) + len(payload)) + kind + payload
 
 
 def encode_call(names: FrameNames, parts: Sequence[tuple[PartRequest, float]]) -> bytes:
     """Encodes one call for several parts, each with the milliseconds for which the broker waits for it."""
     out = bytearray()
-    for ask, wait_ms in parts:
+    for request, wait_ms in parts:
         wait = max(int(wait_ms), 1)
-        if ask.key is None:
-            out += b"%s %d %s=%d %d\n" % (ask.id, ask.shard, names.wait, wait, len(ask.text))
+        if request.key is None:
+            out += b"%s %d %s=%d %d\n" % (request.id, request.shard, names.wait, wait, len(request.text))
         else:
-            line = (ask.id, ask.shard, names.wait, wait, names.key, ask.key, len(ask.text))
+            line = (request.id, request.shard, names.wait, wait, names.key, request.key, len(request.text))
             out += b"%s %d %s=%d,%s=%s %d\n" % line
-        out += ask.text
+        out += request.text
     return encode_frame(names.query, bytes(out))
 
 
@@ -107,47 +108,47 @@
             return out
         buffer = self.buffer
         buffer += data
-        at, end = 0, len(buffer)
+        offset, end = 0, len(buffer)
         try:
-            while end - at >= LENGTH.size:
-                (size,) = LENGTH.unpack_from(buffer, at)
+            while end - offset >= LENGTH.size:
+                (size,) = LENGTH.unpack_from(buffer, offset)
                 if not 1 <= size <= self.max_frame:
                     raise FrameError(f"frame length {size} is out of range; the maximum is {self.max_frame} bytes")
-                if end - at < HEAD:
+                if end - offset < HEAD:
                     break
-                kind = buffer[at + LENGTH.size]
+                kind = buffer[offset + LENGTH.size]
                 if kind not in self._known_kinds:
                     raise FrameError(f"unknown frame kind {kind:#04x}")
-                if end - at < LENGTH.size + size:
+                if end - offset < LENGTH.size + size:
                     if kind == self._answer_kind:
-                        self._check_partial_answer(at + HEAD, end)
+                        self._check_partial_answer(offset + HEAD, end)
                     break
-                rest = bytes(buffer[at + HEAD : at + LENGTH.size + size])
-                at += LENGTH.size + size
+                payload = bytes(buffer[offset + HEAD : offset + LENGTH.size + size])
+                offset += LENGTH.size + size
                 out.append(
-                    self._decode_answer(rest) if kind == self._answer_kind else ControlFrame(bytes([kind]), rest)
+                    self._decode_answer(payload) if kind == self._answer_kind else ControlFrame(bytes([kind]), payload)
                 )
         except FrameError as err:
             self.error = err
             self.buffer = bytearray()
             return out
-        del buffer[:at]
+        del buffer[:offset]
         return out
 
-    def _check_partial_answer(self, at: int, end: int) -> None:
+    def _check_partial_answer(self, offset: int, end: int) -> None:
         """Checks the header line of an incomplete answer, so that errors in it are found before the frame ends."""
-        line_end = self.buffer.find(b"\n", at, min(end, at + MAX_LINE_BYTES))
+        line_end = self.buffer.find(b"\n", offset, min(end, offset + MAX_LINE_BYTES))
         if line_end >= 0:
-            self._decode_line(bytes(self.buffer[at:line_end]))
-        elif end - at >= MAX_LINE_BYTES:
-            raise FrameError("a line without an end")
+            self._decode_line(bytes(self.buffer[offset:line_end]))
+        elif end - offset >= MAX_LINE_BYTES:
+            raise FrameError("the header line has no end or is too long")
 
-    def _decode_answer(self, rest: bytes) -> PartAnswer:
-        line_end = rest.find(b"\n", 0, MAX_LINE_BYTES)
+    def _decode_answer(self, payload: bytes) -> PartAnswer:
+        line_end = payload.find(b"\n", 0, MAX_LINE_BYTES)
         if line_end < 0:
-            raise FrameError("a line without an end")
-        part, outcome, report = self._decode_line(rest[:line_end])
-        value = rest[line_end + 1 :]
+            raise FrameError("the header line has no end or is too long")
+        part, outcome, report = self._decode_line(payload[:line_end])
+        value = payload[line_end + 1 :]
         if outcome is Outcome.OK and not _is_text(value):
             raise FrameError("a served answer has an empty value, or one that is not UTF-8")
         return PartAnswer(part, outcome, report, value)
--- a/badgerbend/frames/transport.py
+++ b/badgerbend/frames/transport.py
@@ -67,6 +67,7 @@
 
     # -- ports.Transport
     def send(self, node: int, attempts: Sequence[Attempt]) -> None:
+        """Sends attempts to a node in one call; ends them as not sent if the node is draining or off the list."""
         address = self.address_of(node)
         if address is None or node in self.draining:
             self._end_all(attempts, Outcome.NOT_SENT)
@@ -90,6 +91,7 @@
         return not isinstance(attempt.handle, Channel) or attempt.handle.begun(attempt)
 
     def close_idle(self, node: int) -> None:
+        """Closes the idle connections to a node."""
         for channel in list(self.channels.get(node, ())):
             if channel.idle():
                 channel.drop()
--- a/badgerbend/runtime/ports.py
+++ b/badgerbend/runtime/ports.py
@@ -80,11 +80,14 @@
     def follow_up_parts(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
         """Returns the parts of the second step after the first answer; none if the first answer is sufficient."""
 
-    def answered(self, results: Sequence[tuple[PartPlan, object]], complete: bool) -> None: ...
+    def answered(self, results: Sequence[tuple[PartPlan, object]], complete: bool) -> None:
+        """Receives the results; complete: whether they are sufficient for a complete answer."""
 
-    def rejected(self, retry_after_ms: float) -> None: ...
+    def rejected(self, retry_after_ms: float) -> None:
+        """Called for a rejected query, which is safe to retry; retry_after_ms: 0 if there is no advice."""
 
-    def failed(self) -> None: ...
+    def failed(self) -> None:
+        """Called for a query that failed; parts of it may have run."""
 
 
 class Transport(Protocol):
@@ -93,7 +96,8 @@
     It reports the end of each attempt to `Driver.attempt_completed` once, unless the attempt was cancelled before.
     """
 
-    def send(self, node: int, attempts: Sequence[Attempt]) -> None: ...
+    def send(self, node: int, attempts: Sequence[Attempt]) -> None:
+        """Sends attempts to a server in one call."""
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancels an attempt. If no byte was sent, none will be; otherwise the server is notified if possible."""
@@ -101,15 +105,18 @@
     def begun(self, attempt: Attempt) -> bool:
         """Whether a byte of the attempt may have been sent."""
 
-    def close_idle(self, node: int) -> None: ...
+    def close_idle(self, node: int) -> None:
+        """Closes the idle connections to a server."""
 
 
 class ServerList(Protocol):
     """The list of servers, for a list that is polled only on request."""
 
-    def follow(self, enabled: bool) -> None: ...
+    def follow(self, enabled: bool) -> None:
+        """Starts or stops polling for changes of the list."""
 
-    def read_list(self) -> None: ...
+    def read_list(self) -> None:
+        """Requests the complete list now."""
 
 
 class Schedule(Protocol):
@@ -127,6 +134,8 @@
 
     def query_ended(self, query: CompletedQuery) -> None: ...
 
-    def stepped(self, events: int, seconds: float) -> None: ...
+    def stepped(self, events: int, seconds: float) -> None:
+        """Called after each step of the aggregator with the number of events and the time it took."""
 
-    def report_fault(self, kind: str, detail: str) -> None: ...
+    def report_fault(self, kind: str, detail: str) -> None:
+        """Called for what an operator should know about."""
--- a/tests/test_simulated_drains.py
+++ b/tests/test_simulated_drains.py
@@ -43,9 +43,9 @@
 
 DEFECTS = {
     "it listens before the agent had its chance": (listens_first, 21),
-    "a call waits for longer than a grace": (lambda m: m.setattr(members, "WAIT_SHARE", 10.0), 5),
-    "a silent call is given up late": (lambda m: m.setattr(members, "ANSWER_TIMEOUT_SHARE", 10.0), 0),
-    "it asks again late": (lambda m: m.setattr(members, "RETRY_SHARE", 5.0), 37),
+    "a call waits for longer than a grace": (lambda m: m.setattr(members, "WAIT_FRACTION", 10.0), 5),
+    "a silent call is given up late": (lambda m: m.setattr(members, "ANSWER_TIMEOUT_FRACTION", 10.0), 0),
+    "it asks again late": (lambda m: m.setattr(members, "RETRY_FRACTION", 5.0), 37),
     "a poll is aborted as the next one is sent": (aborts_what_is_late, 5),
     "a row without all its fields is left out": (
         lambda m: m.setattr(directory.ListReader, "_read_departure", lambda self, raw: None),
