--- a/badgerbend/frames/channel.py
+++ b/badgerbend/frames/channel.py
@@ -21,7 +21,10 @@
 
 
 class Owner(Protocol):
-    """What a channel needs from the transport that it belongs to."""
+    """What a channel needs from the transport that it belongs to.
+
+    `ended` is called once when an attempt ends, unless the attempt was cancelled before.
+    """
 
     names: FrameNames
     streams: int
@@ -29,8 +32,7 @@
 
     def now_ms(self) -> float: ...
 
-    def ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None) -> None:
-        """Called once when an attempt ends, unless it was cancelled before."""
+    def ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None) -> None: ...
 
     def wanted(self, attempt: Attempt) -> bool:
         """Whether a client still waits for the attempt's result."""
--- a/badgerbend/runtime/ports.py
+++ b/badgerbend/runtime/ports.py
@@ -72,7 +72,11 @@
 
 
 class Sink(Protocol):
-    """Receives the result of a query: exactly one of `answered`, `rejected` and `failed` is called, once."""
+    """Receives the result of a query: exactly one of `answered`, `rejected` and `failed` is called, once.
+
+    `answered` states whether the results suffice for a complete answer. A rejected query is safe to retry; its
+    retry_after_ms is 0 if there is no advice. Parts of a failed query may have run.
+    """
 
     def client_has_left(self) -> bool:
         """Whether the client has disconnected, as far as is known now. Nothing more is sent for such a query."""
@@ -80,24 +84,20 @@
     def follow_up_parts(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
         """Returns the parts of the second step after the first answer; none if the first answer is sufficient."""
 
-    def answered(self, results: Sequence[tuple[PartPlan, object]], complete: bool) -> None:
-        """Receives the results; complete: whether they are sufficient for a complete answer."""
+    def answered(self, results: Sequence[tuple[PartPlan, object]], complete: bool) -> None: ...
 
-    def rejected(self, retry_after_ms: float) -> None:
-        """Called for a rejected query, which is safe to retry; retry_after_ms: 0 if there is no advice."""
+    def rejected(self, retry_after_ms: float) -> None: ...
 
-    def failed(self) -> None:
-        """Called for a query that failed; parts of it may have run."""
+    def failed(self) -> None: ...
 
 
 class Transport(Protocol):
-    """Sends calls to servers.
+    """Sends calls to servers; the attempts of one `send` share a call.
 
     It reports the end of each attempt to `Driver.attempt_completed` once, unless the attempt was cancelled before.
     """
 
-    def send(self, node: int, attempts: Sequence[Attempt]) -> None:
-        """Sends attempts to a server in one call."""
+    def send(self, node: int, attempts: Sequence[Attempt]) -> None: ...
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancels an attempt. If no byte was sent, none will be; otherwise the server is notified if possible."""
@@ -105,18 +105,18 @@
     def begun(self, attempt: Attempt) -> bool:
         """Whether a byte of the attempt may have been sent."""
 
-    def close_idle(self, node: int) -> None:
-        """Closes the idle connections to a server."""
+    def close_idle(self, node: int) -> None: ...
 
 
 class ServerList(Protocol):
-    """The list of servers, for a list that is polled only on request."""
+    """The list of servers, where it is polled only on request.
+
+    `follow` starts or stops polling for changes; `read_list` requests the complete list now.
+    """
 
-    def follow(self, enabled: bool) -> None:
-        """Starts or stops polling for changes of the list."""
+    def follow(self, enabled: bool) -> None: ...
 
-    def read_list(self) -> None:
-        """Requests the complete list now."""
+    def read_list(self) -> None: ...
 
 
 class Schedule(Protocol):
@@ -128,14 +128,16 @@
 
 
 class Observer(Protocol):
-    """Receives what is logged and counted. It is called after decisions and never influences them."""
+    """Receives what is logged and counted. It is called after decisions and never influences them.
+
+    `stepped` receives the number of events of a step and the time that the aggregator took for it. `report_fault`
+    receives what an operator should know about.
+    """
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, took_ms: float) -> None: ...
 
     def query_ended(self, query: CompletedQuery) -> None: ...
 
-    def stepped(self, events: int, seconds: float) -> None:
-        """Called after each step of the aggregator with the number of events and the time it took."""
+    def stepped(self, events: int, seconds: float) -> None: ...
 
-    def report_fault(self, kind: str, detail: str) -> None:
-        """Called for what an operator should know about."""
+    def report_fault(self, kind: str, detail: str) -> None: ...
