--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -16,14 +16,14 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from tests.simplatform import World
+from tests.simplatform import SimulatedPlatform
 
 
 def play(seed: int) -> tuple[int, list[tuple[float, str, float]], int, int]:
     """A seed's breaks, sends and queries without an end."""
-    world = World(seed)
-    broken = world.play()
-    return seed, broken, world.sends, world.asked - world.ended
+    platform = SimulatedPlatform(seed)
+    broken = platform.run()
+    return seed, broken, platform.parts_sent, platform.queries_sent - platform.queries_ended
 
 
 def main() -> int:
--- a/tests/crossing_days.py
+++ b/tests/crossing_days.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from tests.platform_stage import Dials, Stage, query, run
+from tests.platform_stage import DelayedConnections, Stage, query, run
 from tests.sockets import until
 
 GRACE_S, WINDOW_S = 0.25, 0.3
@@ -55,7 +55,7 @@
             "ceilings.streamsPerConn": rng.choice([1, 4]),
         }
         self.stage = stage = Stage(each=3, settings=settings, behave=self._part)
-        async with stage, Dials(lambda: stage.nodes.values()) as self.dials:
+        async with stage, DelayedConnections(lambda: stage.nodes.values()) as self.dials:
             kinds = [self.ask, self.leave, self.finish, self.cut, self.end, self.release, self.drain, self.back]
             kinds += [self.reset_watch, self.move]
             for _ in range(self.rounds):
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -1,4 +1,4 @@
-"""What tests of the platform share: nodes and an agent on loopback, one service among them, and its clients."""
+"""Fixtures of the platform's tests: one service on loopback, with its nodes, its discovery agent and a client."""
 
 import asyncio
 import itertools
@@ -78,7 +78,7 @@
     },
     "tenants": [{"name": "acme", "quotaPerS": 1000.0}],
 }
-LIMIT_S = 60.0  # a test that hangs fails by this; no verdict rests on it otherwise
+LIMIT_S = 60.0  # fails a test that hangs; no assertion depends on it
 
 
 def run(main):
@@ -90,7 +90,10 @@
 
 
 def file_of(agent_port, known=None, listen=0, **changes):
-    """A configuration file's bytes; listen 0 cannot stand in one, so the service is told apart."""
+    """Returns the bytes of a configuration file.
+
+    Port 0 is not valid in the file, so a dummy port takes its place and the tests set the port in the configuration.
+    """
     settings = msgspec.json.decode(msgspec.json.encode(SETTINGS))
     for path, value in changes.pop("settings", {}).items():
         where = settings
@@ -113,7 +116,7 @@
 
 
 async def surroundings():
-    """For a broker that is a process: an agent that lists one node in every cell."""
+    """Returns an agent and a node for a broker in another process; the agent lists the node in every cell."""
     agent, node = Agent(), FrameNode()
     await agent.start()
     port = await node.start()
@@ -123,13 +126,23 @@
 
 
 class Stage:
-    """Two nodes a cell, an agent, a service, a client; an async context. known: the list stands in the file too;
-    drained: nodes that drain since."""
-
-    def __init__(self, each=2, known=False, told=True, behave=None, drained=(), **changes):
-        self.each, self.known, self.told, self.behave, self.changes = each, known, told, behave, changes
+    """An async context with nodes, an agent, a service and a client.
+
+    each: nodes per cell. known: whether the configuration file contains the list. wait_for_list: whether to wait until
+    the service has the list. behave: handles the parts that nodes receive. drained: nodes that drain after the known
+    list was written.
+    """
+
+    def __init__(self, each=2, known=False, wait_for_list=True, behave=None, drained=(), **changes):
+        self.each, self.known, self.wait_for_list, self.behave, self.changes = (
+            each,
+            known,
+            wait_for_list,
+            behave,
+            changes,
+        )
         self.drained = drained
-        self.numbers = itertools.count(1)
+        self.request_numbers = itertools.count(1)
 
     async def __aenter__(self):
         self.agent = Agent()
@@ -147,9 +160,9 @@
             self.service.observer, "write_line", lambda what, **values: self.troubles.append((what, values))
         )
         self.port = await self.service.start()
-        self.heard_first = self.service.watch.refreshed_at is not None  # before any client
+        self.has_list_at_start = self.service.watch.refreshed_at is not None  # before the first client connects
         self.pool = Pool("127.0.0.1", self.port, LIMITS)
-        if self.told:
+        if self.wait_for_list:
             await until(lambda: len(self.service.directory.servers) == CELLS * self.each)
         return self
 
@@ -171,10 +184,10 @@
         return node
 
     def head(self, body, cls=b"quote", **changes):
-        """A request's bytes. changes: headers by name with _ for -, None to leave one out."""
+        """Returns the bytes of a request. changes: headers by name with _ for -; None leaves one out."""
         headers = {
             "Host": "x",
-            "X-Correlation-Id": f"q{next(self.numbers)}",
+            "X-Correlation-Id": f"q{next(self.request_numbers)}",
             "X-Service-Class": cls.decode(),
             "X-Account": "acme",
             "X-Time-Left-Ms": "3000",
@@ -185,7 +198,7 @@
         return b"POST /%s/abc HTTP/1.1\r\n%s\r\n" % (cls, lines.encode()) + body
 
     async def ask(self, parts=(1, 2, 3), cls=b"quote", body=None, **changes):
-        """Status and answer of one query."""
+        """Sends one query; returns the status and the answer."""
         reply = await self.reply(self.head(query(parts) if body is None else body, cls, **changes))
         return reply.status, msgspec.json.decode(reply.body) if reply.status == 200 else reply.body
 
@@ -204,8 +217,11 @@
         return [part for node in self.nodes.values() for part in node.parts()]
 
 
-class Dials:
-    """Holds each new connection to one of `nodes()` back until `release`; an async context. waiting: those held now."""
+class DelayedConnections:
+    """An async context that delays new connections to the given nodes until `release` is called.
+
+    nodes: returns the nodes. waiting: the delayed connections.
+    """
 
     def __init__(self, nodes):
         self.nodes = nodes
@@ -221,16 +237,16 @@
         self.release()
 
     def release(self):
-        for dial in self.waiting:
-            if not dial.done():
-                dial.set_result(None)
+        for connecting in self.waiting:
+            if not connecting.done():
+                connecting.set_result(None)
         self.waiting = []
 
     async def _connect(self, factory, *address, **also):
         if address[1] in self.ports:
-            dial = self.loop.create_future()
-            self.waiting.append(dial)
-            await dial
+            connecting = self.loop.create_future()
+            self.waiting.append(connecting)
+            await connecting
         return await self.connect(factory, *address, **also)
 
 
--- a/tests/test_crossings_nodes.py
+++ b/tests/test_crossings_nodes.py
@@ -8,7 +8,7 @@
 from badgerbend.api import Outcome
 from badgerbend.platform.names import FRAMES
 from badgerbend.standin.framenode import FrameNode, Part
-from tests.platform_stage import Dials, Stage, query, run
+from tests.platform_stage import DelayedConnections, Stage, query, run
 from tests.replacing import replace_attribute
 from tests.sockets import until
 from tests.test_frames import attempt, transport_to
@@ -20,7 +20,7 @@
     # zone+brink of hamilton-rural, seed 101: decided 302 ms after the first attempt, begun after 529, window 477 ms.
     async def main():
         stage = Stage(each=2, settings=SHORT_WINDOW, behave=lambda part: None)
-        async with stage, Dials(lambda: stage.nodes.values()) as dials:
+        async with stage, DelayedConnections(lambda: stage.nodes.values()) as dials:
             asked = asyncio.create_task(stage.ask((1,), b"accept"))
             await until(lambda: dials.waiting)
             dials.release()
@@ -47,7 +47,7 @@
     async def main():
         settings = {"ceilings.cancel": cancel, "ceilings.connectTimeoutMs": 2000.0}
         stage = Stage(settings=settings)
-        async with stage, Dials(lambda: stage.nodes.values()) as dials:
+        async with stage, DelayedConnections(lambda: stage.nodes.values()) as dials:
             _, writer = await asyncio.open_connection("127.0.0.1", stage.port)
             writer.write(stage.head(query((1, 2)), X_Correlation_Id="left"))
             await until(lambda: len(dials.waiting) == 2)
@@ -69,7 +69,7 @@
             await until(lambda: held)
             held.pop().served()
             assert (await first)[0] == 200  # a connection to the cell of shard 1 is up
-            async with Dials(lambda: stage.nodes.values()) as dials:
+            async with DelayedConnections(lambda: stage.nodes.values()) as dials:
                 some = asyncio.create_task(stage.ask((1, 2), b"some"))  # half of it is enough
                 await until(lambda: held and dials.waiting)
                 held.pop().served()
@@ -118,7 +118,7 @@
     async def main():
         node = FrameNode(lambda part: None)
         transport, ends, _ = await transport_to(await node.start(), connections=2, connect_timeout_s=30.0)
-        async with Dials(lambda: [node]) as dials:
+        async with DelayedConnections(lambda: [node]) as dials:
             given_up = [attempt(shard) for shard in (1, 2)]
             for one in given_up:
                 transport.send(1, [one])
@@ -213,7 +213,7 @@
     async def main():
         node = FrameNode(lambda part: None)
         transport, _, _ = await transport_to(await node.start(), connect_timeout_s=30.0)
-        async with Dials(lambda: [node]) as dials:
+        async with DelayedConnections(lambda: [node]) as dials:
             transport.send(1, [attempt(1)])
             await until(lambda: dials.waiting)
             await asyncio.sleep(0.2)
@@ -231,7 +231,7 @@
         node = FrameNode(lambda part: None)
         transport, ends, _ = await transport_to(await node.start(), connect_timeout_s=30.0)
         replace_attribute(transport, "wanted", lambda attempt: False)
-        async with Dials(lambda: [node]) as dials:
+        async with DelayedConnections(lambda: [node]) as dials:
             transport.send(1, [attempt(1)])
             await until(lambda: dials.waiting)
             await asyncio.sleep(0.05)
--- a/tests/test_directory_clock.py
+++ b/tests/test_directory_clock.py
@@ -1,4 +1,4 @@
-"""A wall clock that steps makes no server older than it is."""
+"""The age of servers when the wall clock is stepped."""
 
 import msgspec
 import pytest
@@ -12,7 +12,7 @@
 
 
 class Clocks:
-    """A monotonic clock that runs on and a wall clock that steps."""
+    """A monotonic clock, and a wall clock that differs from it by a settable step."""
 
     now, step = 100.0, 0.0
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("step", [-3600.0, -2.0, 0.0, 2.0, 3600.0])
-def test_a_start_is_never_taken_for_earlier_than_it_was(step):
+def test_a_step_of_the_wall_clock_makes_no_server_look_older(step):
     clocks = Clocks()
     steady = SteadyUnixClock(clocks.unix, clocks.monotonic)
     directory = Directory(4, row_parser(names.MEMBERS, ("a",), ("m",)), shared_clock=True)
@@ -37,7 +37,7 @@
 
     assert started_ms(UNIX + 95.0) == pytest.approx(95_000.0, abs=1.0)
     clocks.now, clocks.step = 130.0, step
-    started = started_ms(UNIX + 127.0)  # started anew three seconds ago, by a clock that did not step
+    started = started_ms(UNIX + 127.0)  # restarted three seconds ago, by a clock that was not stepped
     assert 127_000.0 - 1.0 <= started <= 130_000.0
     if step >= 0.0:
         assert started == pytest.approx(127_000.0, abs=1.0)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The list of servers: late, gone, stale, lying."""
+"""The list of servers: reading it in slices, invalid rows, and outages of its service."""
 
 import msgspec
 import pytest
@@ -14,7 +14,7 @@
 from tests.replacing import replace_attribute
 from tests.sockets import Stage, run, until
 
-READY, DRAINING, GONE = api.EndpointState.READY, api.EndpointState.DRAINING, api.EndpointState.REMOVED
+READY, DRAINING, REMOVED = api.EndpointState.READY, api.EndpointState.DRAINING, api.EndpointState.REMOVED
 
 
 def rows(*entries):
@@ -25,74 +25,74 @@
     return msgspec.json.encode([e.as_json() if isinstance(e, Entry) else e for e in entries])
 
 
-def test_a_server_keeps_its_number_and_a_restart_counts_from_when_it_was_seen():
+def test_a_server_keeps_its_number_and_a_restart_counts_from_when_it_was_noticed():
     directory = consul_directory(12)
-    view, _ = directory.read(rows(Entry("a", 1000, 3, 1, 50.0), Entry("b", 1001, 4, 0, 0.0)), 10_000.0, 53.0)
-    a, b = view.endpoints
+    update, _ = directory.read(rows(Entry("a", 1000, 3, 1, 50.0), Entry("b", 1001, 4, 0, 0.0)), 10_000.0, 53.0)
+    a, b = update.endpoints
     assert (a.node, a.cell, a.zone, a.started_ms, a.state) == (1, 3, 1, 7000.0, READY)
     assert b.started_ms == 0.0
-    view, _ = directory.read(rows(Entry("b", 1001, 4, 0, 0.0), Entry("a", 1000, 3, 1, 60.0)), 20_000.0, 99_999.0)
-    assert [(x.node, x.started_ms) for x in view.endpoints] == [(2, 0.0), (1, 20_000.0)]
-    view, _ = directory.read(rows(Entry("a", 1000, 3, 1, 60.0)), 30_000.0, 0.0)
-    assert view.endpoints[0].started_ms == 20_000.0
+    update, _ = directory.read(rows(Entry("b", 1001, 4, 0, 0.0), Entry("a", 1000, 3, 1, 60.0)), 20_000.0, 99_999.0)
+    assert [(x.node, x.started_ms) for x in update.endpoints] == [(2, 0.0), (1, 20_000.0)]
+    update, _ = directory.read(rows(Entry("a", 1000, 3, 1, 60.0)), 30_000.0, 0.0)
+    assert update.endpoints[0].started_ms == 20_000.0
     assert 2 not in directory.addresses
 
 
-def many(count, state="ready", started=0.0):
+def rows_of(count, state="ready", started=0.0):
     return rows(*(Entry(f"s{i}", 1000 + i, i % 12, i % 2, started, state) for i in range(count)))
 
 
-def test_a_long_list_is_read_and_told_in_slices_and_only_what_changed():
+def test_a_long_list_is_read_and_published_in_slices_with_changes_only():
     directory = consul_directory(12)
-    directory.read(many(1000), 0.0, 0.0)
-    reading = ListReader(directory, many(1000, "draining"), 1.0, 1.0)
-    assert len(list(reading.read_slices())) == 1000 / SLICE_SIZE
-    assert directory.servers["s0"].endpoint.state == READY  # not before it is whole
-    reading.apply()
-    views = list(reading.updates())
+    directory.read(rows_of(1000), 0.0, 0.0)
+    reader = ListReader(directory, rows_of(1000, "draining"), 1.0, 1.0)
+    assert len(list(reader.read_slices())) == 1000 / SLICE_SIZE
+    assert directory.servers["s0"].endpoint.state == READY  # nothing is applied before the list is complete
+    reader.apply()
+    views = list(reader.updates())
     assert all(v.kind == api.UpdateKind.DELTA and len(v.endpoints) <= SLICE_SIZE for v in views)
     assert sum(len(v.endpoints) for v in views) == 1000
-    again = ListReader(directory, many(990, "draining"), 2.0, 2.0)
+    again = ListReader(directory, rows_of(990, "draining"), 2.0, 2.0)
     list(again.read_slices())
     again.apply()
-    (view,) = again.updates()
-    assert sorted(x.node for x in view.endpoints) == list(range(991, 1001))
-    assert {x.state for x in view.endpoints} == {GONE}
-    same = ListReader(directory, many(990, "draining"), 3.0, 3.0)
+    (update,) = again.updates()
+    assert sorted(x.node for x in update.endpoints) == list(range(991, 1001))
+    assert {x.state for x in update.endpoints} == {REMOVED}
+    same = ListReader(directory, rows_of(990, "draining"), 3.0, 3.0)
     list(same.read_slices())
     same.apply()
-    assert list(same.updates()) == [api.EndpointUpdate(api.UpdateKind.DELTA, ())]  # heard, and nothing new
+    assert list(same.updates()) == [api.EndpointUpdate(api.UpdateKind.DELTA, ())]  # received, but unchanged
 
 
-def test_a_list_left_half_told_is_told_whole_the_next_time():
+def test_after_an_interrupted_publication_the_next_update_is_full():
     directory = consul_directory(12)
-    directory.read(many(1000), 0.0, 0.0)
-    reading = ListReader(directory, many(1000, "gone"), 1.0, 1.0)
-    list(reading.read_slices())
-    reading.apply()
-    next(reading.updates())
-    after = ListReader(directory, many(1000, "gone"), 2.0, 2.0)
+    directory.read(rows_of(1000), 0.0, 0.0)
+    reader = ListReader(directory, rows_of(1000, "gone"), 1.0, 1.0)
+    list(reader.read_slices())
+    reader.apply()
+    next(reader.updates())
+    after = ListReader(directory, rows_of(1000, "gone"), 2.0, 2.0)
     list(after.read_slices())
     after.apply()
-    (view,) = after.updates()
-    assert view.kind == api.UpdateKind.FULL
-    assert len(view.endpoints) == 1000
+    (update,) = after.updates()
+    assert update.kind == api.UpdateKind.FULL
+    assert len(update.endpoints) == 1000
 
 
-def test_thousands_of_servers_change_while_queries_are_served():
-    """The list grows to 3000 lines in one answer: the module has them all, and nothing was lost over it."""
+def test_queries_are_served_while_thousands_of_servers_are_added():
+    """The list grows by 3000 rows in one answer: the aggregator receives them all in slices, and no query fails."""
 
     async def main():
         async with Stage(count=24) as stage:
             registry = stage.world.registry
             sizes = []
-            tell = stage.broker.driver.update_endpoints
+            update_endpoints = stage.broker.driver.update_endpoints
 
-            def view(told):
-                sizes.append(len(told.endpoints))
-                tell(told)
+            def record(update):
+                sizes.append(len(update.endpoints))
+                update_endpoints(update)
 
-            replace_attribute(stage.broker.driver, "update_endpoints", view)
+            replace_attribute(stage.broker.driver, "update_endpoints", record)
             for i in range(3000):
                 registry.entries[f"x{i}"] = Entry(f"x{i}", 9, i % 12, 1, 0.0, "gone")
             registry.changed()
@@ -107,21 +107,21 @@
     run(main)
 
 
-def test_a_clock_ahead_of_ours_makes_no_server_older_than_new():
-    view, _ = consul_directory(12).read(rows(Entry("a", 1000, 3, 1, 500.0)), 10_000.0, 100.0)
-    assert view.endpoints[0].started_ms == 10_000.0
+def test_a_remote_clock_that_is_ahead_gives_no_negative_age():
+    update, _ = consul_directory(12).read(rows(Entry("a", 1000, 3, 1, 500.0)), 10_000.0, 100.0)
+    assert update.endpoints[0].started_ms == 10_000.0
 
 
-def test_states():
+def test_states_follow_from_checks():
     warn, crit = Entry("w", 1, 0, 0, 0.0, "draining"), Entry("c", 2, 0, 0, 0.0, "gone")
     kept = Entry("m", 3, 0, 0, 0.0).as_json()
     kept["Checks"].append({"CheckID": "_service_maintenance:m", "Status": "critical"})
-    view, _ = consul_directory(4).read(rows(warn, crit, kept), 0.0, 0.0)
-    assert [x.state for x in view.endpoints] == [DRAINING, GONE, DRAINING]
+    update, _ = consul_directory(4).read(rows(warn, crit, kept), 0.0, 0.0)
+    assert [x.state for x in update.endpoints] == [DRAINING, REMOVED, DRAINING]
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"{}", b"[]", b"[1,2]", b"null", b"\xff", b"[" * 50_000])
-def test_what_is_no_list_is_an_error_and_not_news(body):
+def test_an_answer_that_is_not_a_list_is_an_error(body):
     directory = consul_directory(4)
     directory.read(rows(Entry("a", 1000, 3, 0, 0.0)), 0.0, 0.0)
     with pytest.raises(ListError):
@@ -148,13 +148,13 @@
         {"ID": "good"},
     ],
 )
-def test_an_absurd_line_is_left_out_and_named(change):
+def test_an_invalid_row_is_rejected_and_reported(change):
     bad = Entry("bad", 1001, 2, 0, 0.0).as_json()
     bad["Service"].update(change)
-    view, wrong = consul_directory(4).read(rows(Entry("good", 1000, 3, 0, 0.0), bad), 0.0, 0.0)
-    assert [x.cell for x in view.endpoints] == [3]
-    assert len(wrong) == 1
-    assert "line 1" in wrong[0]
+    update, errors = consul_directory(4).read(rows(Entry("good", 1000, 3, 0, 0.0), bad), 0.0, 0.0)
+    assert [x.cell for x in update.endpoints] == [3]
+    assert len(errors) == 1
+    assert "line 1" in errors[0]
 
 
 json = st.recursive(
@@ -167,19 +167,19 @@
 
 
 @given(st.lists(json, max_size=4))
-def test_any_json_is_read_or_refused(rows_):
+def test_arbitrary_json_is_read_or_rejected(json_rows):
     try:
-        view, _ = consul_directory(4).read(decode_rows(msgspec.json.encode(rows_)), 0.0, 0.0)
+        update, _ = consul_directory(4).read(decode_rows(msgspec.json.encode(json_rows)), 0.0, 0.0)
     except ListError:
         return
-    assert all(isinstance(x, api.Endpoint) for x in view.endpoints)
+    assert all(isinstance(x, api.Endpoint) for x in update.endpoints)
 
 
 QUOTE = "{ fullQuote(blocks: [1], amount: 5) { id } }"
 
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
-def test_news_arrive_and_an_outage_of_the_list_loses_nothing(mode):
+def test_changes_arrive_and_an_outage_of_the_list_loses_nothing(mode):
     async def main():
         async with Stage(discovery={"mode": mode, "must_ask_ms": 800.0}) as s:
             node = next(n for n, name in s.broker.directory.names.items() if name == "rates-1")
@@ -202,7 +202,7 @@
     run(main)
 
 
-def test_a_list_emptied_by_mistake_stops_no_service():
+def test_an_emptied_list_does_not_stop_service():
     async def main():
         async with Stage() as s:
             s.world.registry.entries.clear()
@@ -214,7 +214,7 @@
     run(main)
 
 
-def test_a_broker_started_before_its_list_serves_once_it_is_there():
+def test_a_broker_started_during_an_outage_of_the_list_recovers():
     async def main():
         async with Stage() as s:
             s.world.registry.cut(True)
@@ -229,34 +229,34 @@
     run(main)
 
 
-def plain_row(row):
-    """A list's form that says everything, also that a server is gone."""
+def parse_plain_row(row):
+    """Parses rows of a list that states all fields, including that a server was removed."""
     return directory_module.Entry(
-        row["id"], ("127.0.0.1", row["port"]), row["cell"], READY_OR[row["state"]], 0, 0, 0, 1.0
+        row["id"], ("127.0.0.1", row["port"]), row["cell"], STATES[row["state"]], 0, 0, 0, 1.0
     )
 
 
-READY_OR = {"ready": READY, "draining": DRAINING, "gone": GONE}
-ROW = st.fixed_dictionaries(
+STATES = {"ready": READY, "draining": DRAINING, "gone": REMOVED}
+ROWS = st.fixed_dictionaries(
     {
         "id": st.sampled_from([f"s{i}" for i in range(6)]),
         "port": st.integers(1, 3),
         "cell": st.integers(0, 2),
-        "state": st.sampled_from(sorted(READY_OR)),
+        "state": st.sampled_from(sorted(STATES)),
     }
 )
 
 
-@given(st.lists(st.lists(ROW, max_size=4, unique_by=lambda row: row["id"]), max_size=8))
-def test_changes_leave_the_directory_as_a_rebuilt_one_would_be(batches):
-    directory = directory_module.Directory(3, plain_row)
+@given(st.lists(st.lists(ROWS, max_size=4, unique_by=lambda row: row["id"]), max_size=8))
+def test_applied_changes_give_the_same_directory_as_a_rebuild(batches):
+    directory = directory_module.Directory(3, parse_plain_row)
     directory.read(decode_rows(msgspec.json.encode([{"id": "s0", "port": 1, "cell": 0, "state": "ready"}])), 0.0, 0.0)
     expected = {"s0": ("127.0.0.1", 1)}
     for batch in batches:
-        reading = ListReader(directory, decode_rows(msgspec.json.encode(batch)), 1.0, 1.0, is_complete=False)
-        list(reading.read_slices())
-        reading.apply()
-        list(reading.updates())
+        reader = ListReader(directory, decode_rows(msgspec.json.encode(batch)), 1.0, 1.0, is_complete=False)
+        list(reader.read_slices())
+        reader.apply()
+        list(reader.updates())
         for row in batch:
             expected[row["id"]] = ("127.0.0.1", row["port"])
             if row["state"] == "gone":
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames: bytes in any pieces, spoilt answers, and what each end of a connection says of the parts that were out."""
+"""Frames: decoding in arbitrary pieces, invalid answers, and outcomes of parts when their connection ends."""
 
 import asyncio
 
@@ -24,82 +24,82 @@
 from tests.platform_stage import run
 from tests.sockets import until
 
-MOST = 65_536
+MAX_FRAME = 65_536
 
 
-def answer(part=b"q1.3", end=b"served", value=b"0123456789abcdef", score=b"7", report=b"-"):
-    return encode_frame(b"a", b"%s %s %s %s\n%s" % (part, end, score, report, value))
+def answer(part=b"q1.3", outcome=b"served", value=b"0123456789abcdef", score=b"7", report=b"-"):
+    return encode_frame(b"a", b"%s %s %s %s\n%s" % (part, outcome, score, report, value))
 
 
-def fed(*pieces):
-    decoder = Decoder(FRAMES, MOST)
+def decode(*pieces):
+    decoder = Decoder(FRAMES, MAX_FRAME)
     out = [m for piece in pieces for m in decoder.feed(piece)]
     return out, decoder
 
 
-def test_a_call_has_a_line_and_a_text_for_each_part():
+def test_a_call_has_a_header_line_and_a_text_for_each_part():
     ask = [(PartRequest(b"q1.3", 3, None, b"c41e77d0"), 240.9), (PartRequest(b"q2.5", 5, b"k9", b"x\ny"), 0.2)]
-    rest = b"q1.3 3 d=240 8\nc41e77d0q2.5 5 d=1,k=k9 3\nx\ny"
-    assert encode_call(FRAMES, ask) == (len(rest) + 1).to_bytes(4, "little") + b"q" + rest
+    payload = b"q1.3 3 d=240 8\nc41e77d0q2.5 5 d=1,k=k9 3\nx\ny"
+    assert encode_call(FRAMES, ask) == (len(payload) + 1).to_bytes(4, "little") + b"q" + payload
 
 
 @given(st.lists(st.integers(1, 40), max_size=30), st.sampled_from([b"-", b"{}", b"what ever"]))
-def test_any_pieces_give_the_same_messages(sizes, report):
+def test_messages_do_not_depend_on_how_bytes_are_split(sizes, report):
     stream = answer(report=report) + answer(b"q1.4", b"skipped", b"") + encode_frame(b"p", b"served") + answer(b"q.5")
     pieces, at = [], 0
     for size in sizes:
         pieces.append(stream[at : at + size])
         at += size
-    got, decoder = fed(*pieces, stream[at:])
-    assert got == fed(stream)[0] == fed(*(stream[i : i + 1] for i in range(len(stream))))[0]
-    assert got[:2] == [
+    messages, decoder = decode(*pieces, stream[at:])
+    assert messages == decode(stream)[0] == decode(*(stream[i : i + 1] for i in range(len(stream))))[0]
+    assert messages[:2] == [
         PartAnswer(b"q1.3", Outcome.OK, report, b"0123456789abcdef"),
         PartAnswer(b"q1.4", Outcome.REJECTED, b"-", b""),
     ]
-    assert got[2] == ControlFrame(b"p", b"served")
+    assert messages[2] == ControlFrame(b"p", b"served")
     assert not decoder.in_frame
     assert decoder.error is None
 
 
-SPOILT = {
+INVALID = {
     "noise": b"\x93\x01\xfe\xd0\x11\x7f",
-    "a length of nothing": b"\0\0\0\0a",
-    "gigabytes": (3 << 30).to_bytes(4, "little") + b"aq1.3 served 7 -\n" + b"x" * 100,
-    "one more than may come": (MOST + 1).to_bytes(4, "little"),
-    "an unknown letter": encode_frame(b"z", b"q1.3 served 7 -\nabc"),
-    "an unknown letter, not whole": (500).to_bytes(4, "little") + b"z",
-    "an unknown end": answer(end=b"sorted"),
-    "an unknown end, not whole": answer(end=b"sorted", value=b"x" * 900)[:60],
-    "a line without an end": encode_frame(b"a", b"q1.3 served 7 -" + b"y" * 600),
-    "a line without an end, not whole": (MOST).to_bytes(4, "little") + b"a" + b"y" * MAX_LINE_BYTES,
-    "a short line": encode_frame(b"a", b"q1.3 served\nabc"),
-    "a score that is none": answer(score=b"high"),
+    "a length of zero": b"\0\0\0\0a",
+    "a huge length": (3 << 30).to_bytes(4, "little") + b"aq1.3 served 7 -\n" + b"x" * 100,
+    "one byte above the maximum": (MAX_FRAME + 1).to_bytes(4, "little"),
+    "an unknown kind": encode_frame(b"z", b"q1.3 served 7 -\nabc"),
+    "an unknown kind, incomplete": (500).to_bytes(4, "little") + b"z",
+    "an unknown outcome": answer(outcome=b"sorted"),
+    "an unknown outcome, incomplete": answer(outcome=b"sorted", value=b"x" * 900)[:60],
+    "a header line without an end": encode_frame(b"a", b"q1.3 served 7 -" + b"y" * 600),
+    "a header line without an end, incomplete": (MAX_FRAME).to_bytes(4, "little") + b"a" + b"y" * MAX_LINE_BYTES,
+    "a short header line": encode_frame(b"a", b"q1.3 served\nabc"),
+    "a score that is not a number": answer(score=b"high"),
     "no id": answer(part=b""),
     "served without a value": answer(value=b""),
-    "a value that is no text": answer(value=b"\xff\xfe\xfd"),
+    "a value that is not text": answer(value=b"\xff\xfe\xfd"),
 }
 
 
-@pytest.mark.parametrize("what", SPOILT)
-def test_spoilt_bytes_are_an_error_and_what_came_before_counts(what):
-    got, decoder = fed(answer(), SPOILT[what])
-    assert len(got) == 1
+@pytest.mark.parametrize("what", INVALID)
+def test_invalid_bytes_are_an_error_and_earlier_messages_count(what):
+    messages, decoder = decode(answer(), INVALID[what])
+    assert len(messages) == 1
     assert decoder.error is not None
     assert decoder.feed(answer()) == []
-    assert len(decoder.buffer) <= MOST
+    assert len(decoder.buffer) <= MAX_FRAME
 
 
 @given(st.binary(max_size=400))
-def test_no_bytes_break_the_decoder(data):
-    _, decoder = fed(data[: len(data) // 2], data[len(data) // 2 :])
+def test_arbitrary_bytes_do_not_break_the_decoder(data):
+    _, decoder = decode(data[: len(data) // 2], data[len(data) // 2 :])
     assert decoder.error is not None or len(decoder.buffer) <= len(data)
 
 
-# -- one connection, with the kernel's side played by hand
+# -- one channel on a fake transport
 
 
-class Kernel:
-    """A transport that takes all or, when `full`, `takes` bytes of what comes next and then nothing."""
+class FakeTransport:
+    """A transport that accepts everything or, when `full`, the next `takes` bytes and then nothing."""
 
     def __init__(self):
         self.written, self.full, self.channel, self.aborted = b"", False, None, False
@@ -126,10 +126,10 @@
 
 
 class Owner:
-    names, streams, max_frame = FRAMES, 8, MOST
+    names, streams, max_frame = FRAMES, 8, MAX_FRAME
 
     def __init__(self):
-        self.ends, self.troubles, self.forgotten = [], [], []
+        self.ends, self.faults, self.forgotten = [], [], []
 
     now = 0.0
 
@@ -150,10 +150,10 @@
         return True
 
     def report_fault(self, what, detail):
-        self.troubles.append(detail)
+        self.faults.append(detail)
 
 
-class Now:
+class FakeLoop:
     now = 0.0
 
     def time(self):
@@ -161,7 +161,7 @@
 
 
 def attempt(shard, number=0, query=b"q1", text=b"text"):
-    """Decided now: on the running loop's clock, or at the 0 of a test without one."""
+    """Returns an attempt decided on now: by the running loop's clock, or at time 0 in a test without one."""
     ask = PartRequest(b"%s.%d" % (query, shard), shard, None, text)
     try:
         sent_ms = asyncio.get_running_loop().time() * 1000.0
@@ -171,29 +171,29 @@
 
 
 @pytest.fixture
-def scene():
-    owner, kernel = Owner(), Kernel()
-    channel = kernel.channel = Channel(owner, 1, Now())
-    return channel, kernel, owner
+def channel_setup():
+    owner, fake = Owner(), FakeTransport()
+    channel = fake.channel = Channel(owner, 1, FakeLoop())
+    return channel, fake, owner
 
 
-def test_nothing_that_waits_for_the_connection_has_run_if_it_never_comes_up(scene):
-    channel, _, owner = scene
+def test_queued_calls_never_ran_if_the_connection_is_not_established(channel_setup):
+    channel, _, owner = channel_setup
     channel.send([attempt(1), attempt(2)])
     channel.failed_to_connect()
     assert [(i, o) for i, o, _ in owner.ends] == [(b"q1.1", Outcome.CONNECT_FAILED), (b"q1.2", Outcome.CONNECT_FAILED)]
     assert owner.forgotten == [channel]
 
 
-def test_what_was_written_whole_may_have_run_and_the_rest_never_did(scene):
-    channel, kernel, owner = scene
-    channel.connection_made(kernel)
+def test_completely_written_calls_may_have_run_and_the_others_did_not(channel_setup):
+    channel, fake, owner = channel_setup
+    channel.connection_made(fake)
     channel.send([attempt(1)])
-    kernel.full = True
+    fake.full = True
     channel.send([attempt(2)])  # its last byte stays above the kernel
-    channel.send([attempt(3)])  # waits here
-    assert b"q1.2" in kernel.written
-    assert b"q1.3" not in kernel.written
+    channel.send([attempt(3)])  # is queued in the channel
+    assert b"q1.2" in fake.written
+    assert b"q1.3" not in fake.written
     channel.connection_lost(ConnectionResetError())
     assert {i: o for i, o, _ in owner.ends} == {
         b"q1.1": Outcome.RESET,
@@ -202,107 +202,107 @@
     }
 
 
-def test_what_waits_goes_out_when_the_kernel_takes_more_and_comes_back_for_a_drain(scene):
-    channel, kernel, owner = scene
-    channel.connection_made(kernel)
-    kernel.full = True
+def test_queued_calls_are_written_later_and_are_returned_for_a_drain(channel_setup):
+    channel, fake, owner = channel_setup
+    channel.connection_made(fake)
+    fake.full = True
     channel.send([attempt(1)])
     channel.send([attempt(2)])
-    kernel.full, kernel.left, kernel.takes = False, 0, 1
+    fake.full, fake.left, fake.takes = False, 0, 1
     channel.resume_writing()
-    assert b"q1.2" in kernel.written
-    kernel.full = True
+    assert b"q1.2" in fake.written
+    fake.full = True
     channel.send([attempt(3)])
     channel.send([attempt(4)])
     assert [a.plan.shard for a in channel.withdraw()] == [4]
     channel.resume_writing()
-    assert b"q1.4" not in kernel.written
+    assert b"q1.4" not in fake.written
     channel.connection_lost(None)
     assert {i for i, o, _ in owner.ends if o is Outcome.RESET} == {b"q1.1", b"q1.2", b"q1.3"}
 
 
-def test_a_call_of_which_the_kernel_took_nothing_comes_back_and_never_leaves(scene):
-    channel, kernel, owner = scene
-    channel.connection_made(kernel)
+def test_a_call_of_which_the_kernel_accepted_nothing_is_returned_and_never_sent(channel_setup):
+    channel, fake, owner = channel_setup
+    channel.connection_made(fake)
     channel.send([attempt(1)])
-    kernel.full, kernel.takes = True, 0
+    fake.full, fake.takes = True, 0
     two, three = attempt(2), attempt(3)
-    channel.send([two, three])  # lies whole in the buffer above the kernel
+    channel.send([two, three])  # lies completely in the buffer above the kernel
     assert channel.begun(attempt(1))
     assert not channel.begun(two)
     assert channel.withdraw() == [two, three]
-    assert kernel.aborted
+    assert fake.aborted
     assert owner.ends == [(b"q1.1", Outcome.RESET, None)]
 
 
-def test_a_part_given_up_in_a_call_not_begun_takes_its_buffer_along(scene):
-    channel, kernel, owner = scene
-    channel.connection_made(kernel)
-    kernel.full, kernel.takes = True, 0
+def test_cancelling_a_part_of_an_unsent_call_discards_the_buffer(channel_setup):
+    channel, fake, owner = channel_setup
+    channel.connection_made(fake)
+    fake.full, fake.takes = True, 0
     two, three = attempt(2), attempt(3)
     channel.send([two, three])
     channel.cancel(two)
-    assert kernel.aborted
+    assert fake.aborted
     assert owner.ends == [(b"q1.3", Outcome.CONNECT_FAILED, None)]
 
 
-def test_a_word_on_another_part_behind_a_call_does_not_prove_that_the_call_never_left(scene):
-    channel, kernel, owner = scene
-    channel.connection_made(kernel)
+def test_an_unsent_cancellation_does_not_make_the_call_before_it_unsent(channel_setup):
+    channel, fake, owner = channel_setup
+    channel.connection_made(fake)
     one, two = attempt(1), attempt(2)
     channel.send([one, two])
-    kernel.full = True
-    channel.cancel(one)  # a byte of this word is left above the kernel; the call is the node's
+    fake.full = True
+    channel.cancel(one)  # a byte of the cancellation is left above the kernel, but the node has the call
     channel.connection_lost(ConnectionResetError())
     assert owner.ends == [(b"q1.2", Outcome.RESET, None)]
 
 
-def test_what_is_late_to_begin_is_not_written_when_the_connection_comes_up_or_takes_more(scene):
-    channel, kernel, owner = scene
+def test_an_attempt_past_its_begin_deadline_is_not_written(channel_setup):
+    channel, fake, owner = channel_setup
     soon, late = attempt(1), attempt(2)
     soon.begin_by_ms = late.begin_by_ms = 300.0
     channel.send([soon, attempt(3)])
     owner.now = 300.1
-    channel.connection_made(kernel)
+    channel.connection_made(fake)
     assert owner.ends == [(b"q1.1", Outcome.NOT_SENT, None)]
-    assert b"q1.1" not in kernel.written
-    assert b"q1.3" in kernel.written
-    owner.now, kernel.full = 299.9, True
+    assert b"q1.1" not in fake.written
+    assert b"q1.3" in fake.written
+    owner.now, fake.full = 299.9, True
     channel.send([attempt(4)])
     channel.send([late])
-    owner.now, kernel.full, kernel.left = 300.1, False, 0
+    owner.now, fake.full, fake.left = 300.1, False, 0
     channel.resume_writing()
     assert owner.ends[1:] == [(b"q1.2", Outcome.NOT_SENT, None)]
-    assert b"q1.2" not in kernel.written
+    assert b"q1.2" not in fake.written
 
 
-def test_a_part_given_up_is_told_to_the_node_and_its_late_answer_changes_nothing(scene):
-    channel, kernel, owner = scene
-    channel.connection_made(kernel)
+def test_the_node_is_notified_of_a_cancelled_part_and_its_late_answer_is_ignored(channel_setup):
+    channel, fake, owner = channel_setup
+    channel.connection_made(fake)
     one, two = attempt(1), attempt(2)
     channel.send([one, two])
     channel.cancel(one)
-    assert kernel.written.endswith(encode_frame(b"c", b"q1.1"))
+    assert fake.written.endswith(encode_frame(b"c", b"q1.1"))
     assert channel.may_receive_answer(b"q1.1")
     channel.data_received(answer(b"q1.1") + answer(b"q1.2"))
     assert [(i, o) for i, o, _ in owner.ends] == [(b"q1.2", Outcome.OK)]
-    assert not kernel.aborted
+    assert not fake.aborted
     assert not channel.may_receive_answer(b"q1.1")
-    assert not owner.troubles
+    assert not owner.faults
 
 
-def test_a_part_given_up_before_it_was_sent_is_never_sent(scene):
-    channel, kernel, _ = scene
+def test_a_part_cancelled_before_it_was_sent_is_never_sent(channel_setup):
+    channel, fake, _ = channel_setup
     one = attempt(1)
     channel.send([one, attempt(2)])
     channel.cancel(one)
-    channel.connection_made(kernel)
-    assert b"q1.1" not in kernel.written
-    assert b"q1.2" in kernel.written
+    channel.connection_made(fake)
+    assert b"q1.1" not in fake.written
+    assert b"q1.2" in fake.written
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "invalid",
     [
         answer(b"q9.9"),
         answer(b"q1.1", b"huh"),
@@ -312,48 +312,48 @@
         (3 << 30).to_bytes(4, "little") + b"aq1.1 served 7 -\n",
     ],
 )
-def test_a_spoilt_answer_fails_all_that_is_out_and_ends_the_connection(scene, spoil):
-    channel, kernel, owner = scene
-    channel.connection_made(kernel)
+def test_an_invalid_answer_fails_all_parts_in_flight_and_closes_the_connection(channel_setup, invalid):
+    channel, fake, owner = channel_setup
+    channel.connection_made(fake)
     channel.send([attempt(1), attempt(2), attempt(3)])
-    channel.data_received(answer(b"q1.3") + spoil)
+    channel.data_received(answer(b"q1.3") + invalid)
     assert {i: o for i, o, _ in owner.ends} == {
         b"q1.1": Outcome.ERROR,
         b"q1.2": Outcome.ERROR,
         b"q1.3": Outcome.OK,
     }
-    assert kernel.aborted
-    assert owner.troubles
+    assert fake.aborted
+    assert owner.faults
     channel.connection_lost(None)
     assert len(owner.ends) == 3
     assert owner.forgotten == [channel]
 
 
-def test_a_second_copy_right_behind_counts_once_and_the_connection_is_not_used_again(scene):
-    channel, kernel, owner = scene
-    channel.connection_made(kernel)
+def test_a_duplicate_answer_counts_once_and_closes_the_connection(channel_setup):
+    channel, fake, owner = channel_setup
+    channel.connection_made(fake)
     channel.send([attempt(1)])
     channel.data_received(answer(b"q1.1") * 2)
     assert [o for _, o, _ in owner.ends] == [Outcome.OK]
-    assert kernel.aborted
+    assert fake.aborted
 
 
-def test_a_frame_that_never_ends_is_given_up(scene):
-    channel, kernel, owner = scene
-    channel.connection_made(kernel)
+def test_a_frame_that_never_ends_times_out(channel_setup):
+    channel, fake, owner = channel_setup
+    channel.connection_made(fake)
     channel.send([attempt(1)])
     channel.data_received(answer(b"q1.1")[:-3])
     channel.loop.now = 0.2
     assert not channel.stalled(0.2, 0.25)
-    channel.data_received(b"f")  # a byte now and then is no frame
+    channel.data_received(b"f")  # single bytes do not complete the frame
     assert channel.stalled(0.3, 0.25)
     assert owner.ends == [(b"q1.1", Outcome.ERROR, None)]
-    assert kernel.aborted
+    assert fake.aborted
 
 
-def test_parts_given_up_are_remembered_within_bounds(scene):
-    channel, kernel, owner = scene
-    channel.connection_made(kernel)
+def test_the_number_of_remembered_cancellations_is_bounded(channel_setup):
+    channel, fake, owner = channel_setup
+    channel.connection_made(fake)
     for n in range(1000):
         one = attempt(1, query=b"q%d" % n)
         channel.send([one])
@@ -365,20 +365,20 @@
 # -- on sockets
 
 
-class Ends(list):
+class RecordedEnds(list):
     def __call__(self, attempt, outcome, value, report):
         self.append((attempt.plan.shard, outcome, value))
 
 
 async def transport_to(*ports, **limits):
-    ends = Ends()
+    ends = RecordedEnds()
     limits = {"streams": 2, "connections": 10, "connect_timeout_s": 1.0, "idle_s": 30.0, "stall_s": 0.25} | limits
     addresses = {i + 1: ("127.0.0.1", port) for i, port in enumerate(ports)}
-    made = FrameTransport(FRAMES, FrameLimits(**limits), lambda n: addresses.get(n), ends, lambda *_: None)
-    return made, ends, addresses
+    transport = FrameTransport(FRAMES, FrameLimits(**limits), lambda n: addresses.get(n), ends, lambda *_: None)
+    return transport, ends, addresses
 
 
-def test_a_connection_carries_no_more_parts_than_allowed():
+def test_a_connection_carries_no_more_parts_than_the_limit():
     async def main():
         node = FrameNode(lambda part: None)
         transport, ends, _ = await transport_to(await node.start())
@@ -400,7 +400,7 @@
     run(main)
 
 
-def test_no_further_connections_than_allowed_and_the_module_is_told():
+def test_attempts_beyond_the_connection_limit_end_as_not_sent():
     async def main():
         node = FrameNode(lambda part: None)
         transport, ends, _ = await transport_to(await node.start(), connections=1, streams=1)
@@ -413,7 +413,7 @@
     run(main)
 
 
-def test_one_part_again_on_a_node_goes_on_another_connection_while_its_first_answer_may_come():
+def test_a_retry_on_the_same_node_uses_another_connection_while_the_first_answer_may_arrive():
     async def main():
         node = FrameNode(lambda part: None)
         transport, ends, _ = await transport_to(await node.start())
@@ -434,7 +434,7 @@
     run(main)
 
 
-def test_ends_of_connections_as_outcomes():
+def test_outcomes_for_the_ends_of_connections():
     async def main():
         node = FrameNode(lambda part: None)
         port = await node.start()
@@ -457,14 +457,15 @@
     run(main)
 
 
-def test_nothing_waits_for_a_connection_to_a_node_that_drains_or_has_moved():
-    # A connection that comes up late outlasts the grace of a drain. What one turn decided and heard of at once was
-    # handed over after the news; what waited on a connection retired by a new address was never taken back.
+def test_no_attempt_waits_for_a_connection_to_a_node_that_drains_or_moved():
+    # A connection that is established late can outlast the drain grace period. Guards against two faults: attempts that
+    # were decided on in the turn of the drain were handed over after it, and attempts that waited on a connection
+    # retired by a new address were never returned.
     async def main():
         node = FrameNode(lambda part: None)
         port = await node.start()
         transport, ends, addresses = await transport_to(port)
-        transport.send(1, [attempt(1)])  # its connection is not up yet
+        transport.send(1, [attempt(1)])  # its connection is not established yet
         transport.start_draining(1)
         transport.send(1, [attempt(2)])
         assert [(shard, how) for shard, how, _ in ends] == [(1, Outcome.NOT_SENT), (2, Outcome.NOT_SENT)]
@@ -488,7 +489,7 @@
     run(main)
 
 
-def test_a_node_on_a_new_address_is_another_connection_and_the_old_one_ends_with_its_last_answer():
+def test_a_new_address_uses_a_new_connection_and_the_old_one_ends_with_its_last_answer():
     async def main():
         old, new = FrameNode(lambda part: None), FrameNode()
         transport, ends, addresses = await transport_to(await old.start())
@@ -514,7 +515,7 @@
     run(main)
 
 
-def test_a_connection_that_idled_long_is_not_written_to():
+def test_nothing_is_written_to_a_connection_that_was_idle_for_long():
     async def main():
         node = FrameNode()
         transport, ends, _ = await transport_to(await node.start())
@@ -532,7 +533,7 @@
     run(main)
 
 
-def test_a_connection_given_up_while_it_opens_is_not_kept():
+def test_a_connection_abandoned_while_it_is_opened_is_closed():
     async def main():
         node = FrameNode()
         transport, ends, _ = await transport_to(await node.start())
@@ -549,7 +550,7 @@
     run(main)
 
 
-def test_the_stand_in_reads_what_is_sent_as_the_protocol_has_it():
+def test_the_simulated_node_parses_the_header_line_of_a_part():
     part = Part(None, b"q1.3 3 d=240,k=abc 8", b"c41e77d0")
     assert (part.id, part.shard, part.wait_ms, part.key) == (b"q1.3", 3, 240, b"abc")
     with pytest.raises(ValueError, match="a list with"):
--- a/tests/test_keyed_list.py
+++ b/tests/test_keyed_list.py
@@ -1,4 +1,4 @@
-"""A list of servers told as changes of rows by name: slices, drains that win, removals that cost what they change."""
+"""A list of servers that arrives as changes of rows by name: slices, draining servers and removals."""
 
 from collections import Counter
 
@@ -13,7 +13,7 @@
 from badgerbend.publication_validation.changes import validate_change
 from tests.feed_stage import change
 
-READY, DRAINING, GONE = api.EndpointState.READY, api.EndpointState.DRAINING, api.EndpointState.REMOVED
+READY, DRAINING, REMOVED = api.EndpointState.READY, api.EndpointState.DRAINING, api.EndpointState.REMOVED
 CELLS = 12
 
 
@@ -25,8 +25,8 @@
         self.callback = None
 
 
-class Turns:
-    """A clock whose next turn comes when the test says so."""
+class ManualClock:
+    """A clock whose turns are triggered by the test."""
 
     def __init__(self):
         self.now, self.due = 0.0, []
@@ -58,149 +58,156 @@
     return msgspec.json.encode({"address": f"h{number}:80", "cell": number % CELLS, **fields})
 
 
-class Told:
-    """A keyed list, and what a module that hears all its views holds."""
+class ListUnderTest:
+    """A keyed list, and the states of servers that a receiver of all its updates knows."""
 
     def __init__(self):
-        self.turns, self.views, self.troubles, self.taken = Turns(), [], [], 0
+        self.clock, self.updates, self.faults, self.applied = ManualClock(), [], [], 0
         self.directory = keyed_directory(CELLS)
         self.list = KeyedList(
-            self.directory, self.turns, lambda: 1000.0, lambda: 0.0, self.hear, lambda *what: self.troubles.append(what)
+            self.directory,
+            self.clock,
+            lambda: 1000.0,
+            lambda: 0.0,
+            self.record_update,
+            lambda *what: self.faults.append(what),
         )
-        self.list.on_applied = self.count
+        self.list.on_applied = self.count_applied
         self.states, self.ever_ready = {}, set()
 
-    def count(self):
-        self.taken += 1
+    def count_applied(self):
+        self.applied += 1
 
-    def hear(self, view):
-        self.views.append(view)
-        if view.kind == api.UpdateKind.FULL:
+    def record_update(self, update):
+        self.updates.append(update)
+        if update.kind == api.UpdateKind.FULL:
             self.states = {}
-        for line in view.endpoints:
+        for line in update.endpoints:
             self.states[line.node] = line.state
             if line.state == READY:
                 self.ever_ready.add(line.node)
 
-    def holds(self, name):
+    def published_state(self, name):
         known = self.directory.servers.get(name)
         return None if known is None else self.states[known.endpoint.node]
 
 
-def listed(count, **fields):
-    told = Told()
-    told.list.change({f"s{i}": row(i, **fields) for i in range(count)})
-    return told
+def subject_with_servers(count, **fields):
+    subject = ListUnderTest()
+    subject.list.change({f"s{i}": row(i, **fields) for i in range(count)})
+    return subject
 
 
-def test_a_first_list_is_read_in_slices_and_told_whole_once_all_of_it_is_read():
-    told = listed(1000)
-    told.turns.turn()
-    assert not told.views
-    assert not told.directory.servers
-    assert told.list.refreshed_at is None
-    assert 1000 / SLICE_SIZE <= told.turns.run() <= 1000 / SLICE_SIZE + 1
-    (view,) = told.views
-    assert view.kind == api.UpdateKind.FULL
-    assert len(view.endpoints) == len(told.directory.servers) == 1000
-    assert told.taken == 1
-    assert told.list.refreshed_at is not None
+def test_a_first_list_is_read_in_slices_and_published_as_one_full_update():
+    subject = subject_with_servers(1000)
+    subject.clock.turn()
+    assert not subject.updates
+    assert not subject.directory.servers
+    assert subject.list.refreshed_at is None
+    assert 1000 / SLICE_SIZE <= subject.clock.run() <= 1000 / SLICE_SIZE + 1
+    (update,) = subject.updates
+    assert update.kind == api.UpdateKind.FULL
+    assert len(update.endpoints) == len(subject.directory.servers) == 1000
+    assert subject.applied == 1
+    assert subject.list.refreshed_at is not None
 
 
 @pytest.mark.parametrize("turns_before", [0, 1, 5, 9])
-def test_a_drain_that_comes_while_a_snapshot_of_earlier_content_is_read_wins(turns_before):
-    told = listed(1000)
+def test_a_drain_that_arrives_while_an_older_list_is_read_prevails(turns_before):
+    subject = subject_with_servers(1000)
     for _ in range(turns_before):
-        told.turns.turn()
-    told.list.change({"s7": row(7, state="draining"), "s900": row(900, state="draining"), "s3": None})
-    told.turns.run()
-    assert told.holds("s7") == told.holds("s900") == DRAINING
-    assert "s3" not in told.directory.servers
-    never = {told.directory.servers[name].endpoint.node for name in ("s7", "s900")}
-    assert not never & told.ever_ready
-    assert len(told.directory.servers) == 999
-
-
-def test_a_drain_wins_over_a_long_change_that_came_before_it():
-    told = listed(1000)
-    told.turns.run()
-    told.list.change({f"s{i}": row(i, started=5.0) for i in range(1000)})
-    told.list.change({"s1": row(1, state="draining", started=5.0)})
-    told.turns.turn()
-    assert told.holds("s1") == DRAINING  # with the first slice, though it came last
-    told.turns.run()
-    assert told.holds("s1") == DRAINING
-    assert Counter(told.states.values()) == Counter({READY: 999, DRAINING: 1})
-
-
-def test_changes_cost_what_they_change():
-    told = listed(1000)
-    told.turns.run()
-    told.views.clear()
-    told.list.change({"s5": None, "s6": row(6, state="draining"), "new": row(1)})
-    assert told.turns.run() == 2  # rows, then names that left
-    lines = [line for view in told.views for line in view.endpoints]
-    assert all(view.kind == api.UpdateKind.DELTA for view in told.views)
-    assert sorted(line.state for line in lines) == [GONE, READY, DRAINING]
-    assert "s5" not in told.directory.servers
-    assert len(told.directory.addresses) == len(told.directory.names) == 1000
-
-
-def test_removals_that_would_leave_no_server_wait_for_others():
-    told = listed(3)
-    told.turns.run()
-    told.list.change({f"s{i}": None for i in range(3)})
-    told.turns.run()
-    assert len(told.directory.servers) == 3
-    assert told.troubles[-1][0] == "list not read"
-    told.list.change({"other": row(1)})
-    told.turns.run()
-    assert list(told.directory.servers) == ["other"]
-    assert list(told.states.values()).count(READY) == 1
-
-
-def test_an_empty_first_list_is_no_news():
-    told = Told()
-    told.list.change({})
-    assert not told.turns.due
-    told.list.change({"s1": None, "bad": b"{"})
-    told.turns.run()
-    assert not told.views
-    assert told.list.refreshed_at is None
-    told.list.change({"s1": row(1)})
-    told.turns.run()
-    assert told.holds("s1") == READY
-
-
-def test_a_row_that_cannot_be_read_takes_no_server_in_and_leaves_none_in_service():
-    told = listed(3)
-    told.turns.run()
-    told.list.change({"s0": b'{"state": "leaving soon"}', "s1": b"{", "s2": row(2, cell=CELLS), "s9": b'{"cell": 1}'})
-    told.turns.run()
-    assert [told.holds(f"s{i}") for i in range(3)] == [DRAINING, READY, READY]
-    assert "s9" not in told.directory.servers
-    assert sum(what == "list line left out" for what, _ in told.troubles) == 4
-
-
-def test_names_that_left_are_news_of_a_reading_of_changes():
-    told = listed(2)
-    told.turns.run()
-    node = told.directory.servers["s1"].endpoint.node
-    reading = ListReader(told.directory, (), 1.0, 1.0, is_complete=False, removed=["s1", "never"])
+        subject.clock.turn()
+    subject.list.change({"s7": row(7, state="draining"), "s900": row(900, state="draining"), "s3": None})
+    subject.clock.run()
+    assert subject.published_state("s7") == subject.published_state("s900") == DRAINING
+    assert "s3" not in subject.directory.servers
+    draining_nodes = {subject.directory.servers[name].endpoint.node for name in ("s7", "s900")}
+    assert not draining_nodes & subject.ever_ready
+    assert len(subject.directory.servers) == 999
+
+
+def test_a_drain_is_published_before_a_long_change_that_arrived_earlier():
+    subject = subject_with_servers(1000)
+    subject.clock.run()
+    subject.list.change({f"s{i}": row(i, started=5.0) for i in range(1000)})
+    subject.list.change({"s1": row(1, state="draining", started=5.0)})
+    subject.clock.turn()
+    assert subject.published_state("s1") == DRAINING  # in the first slice, although it arrived last
+    subject.clock.run()
+    assert subject.published_state("s1") == DRAINING
+    assert Counter(subject.states.values()) == Counter({READY: 999, DRAINING: 1})
+
+
+def test_updates_contain_changed_servers_only():
+    subject = subject_with_servers(1000)
+    subject.clock.run()
+    subject.updates.clear()
+    subject.list.change({"s5": None, "s6": row(6, state="draining"), "new": row(1)})
+    assert subject.clock.run() == 2  # one for rows, one for removed names
+    lines = [line for update in subject.updates for line in update.endpoints]
+    assert all(update.kind == api.UpdateKind.DELTA for update in subject.updates)
+    assert sorted(line.state for line in lines) == [REMOVED, READY, DRAINING]
+    assert "s5" not in subject.directory.servers
+    assert len(subject.directory.addresses) == len(subject.directory.names) == 1000
+
+
+def test_removals_that_would_leave_no_server_are_deferred():
+    subject = subject_with_servers(3)
+    subject.clock.run()
+    subject.list.change({f"s{i}": None for i in range(3)})
+    subject.clock.run()
+    assert len(subject.directory.servers) == 3
+    assert subject.faults[-1][0] == "list not read"
+    subject.list.change({"other": row(1)})
+    subject.clock.run()
+    assert list(subject.directory.servers) == ["other"]
+    assert list(subject.states.values()).count(READY) == 1
+
+
+def test_an_empty_first_list_is_not_published():
+    subject = ListUnderTest()
+    subject.list.change({})
+    assert not subject.clock.due
+    subject.list.change({"s1": None, "bad": b"{"})
+    subject.clock.run()
+    assert not subject.updates
+    assert subject.list.refreshed_at is None
+    subject.list.change({"s1": row(1)})
+    subject.clock.run()
+    assert subject.published_state("s1") == READY
+
+
+def test_an_unreadable_row_adds_no_server_and_keeps_no_departing_server_in_service():
+    subject = subject_with_servers(3)
+    subject.clock.run()
+    subject.list.change(
+        {"s0": b'{"state": "leaving soon"}', "s1": b"{", "s2": row(2, cell=CELLS), "s9": b'{"cell": 1}'}
+    )
+    subject.clock.run()
+    assert [subject.published_state(f"s{i}") for i in range(3)] == [DRAINING, READY, READY]
+    assert "s9" not in subject.directory.servers
+    assert sum(what == "list line left out" for what, _ in subject.faults) == 4
+
+
+def test_removed_names_are_published_by_a_reader_of_changes():
+    subject = subject_with_servers(2)
+    subject.clock.run()
+    node = subject.directory.servers["s1"].endpoint.node
+    reading = ListReader(subject.directory, (), 1.0, 1.0, is_complete=False, removed=["s1", "never"])
     reading.apply()
-    (view,) = reading.updates()
-    assert [(line.node, line.state) for line in view.endpoints] == [(node, GONE)]
-    assert node not in told.directory.addresses
-    assert node not in told.directory.names
+    (update,) = reading.updates()
+    assert [(line.node, line.state) for line in update.endpoints] == [(node, REMOVED)]
+    assert node not in subject.directory.addresses
+    assert node not in subject.directory.names
     with pytest.raises(ListError):
-        ListReader(told.directory, (), 1.0, 1.0).apply()  # a whole list without rows stays an error
+        ListReader(subject.directory, (), 1.0, 1.0).apply()  # a complete list without rows is an error
 
 
-def test_after_closing_nothing_is_taken():
-    told = listed(3)
-    told.list.close()
-    told.turns.run()
-    assert not told.views
+def test_nothing_is_applied_after_closing():
+    subject = subject_with_servers(3)
+    subject.list.close()
+    subject.clock.run()
+    assert not subject.updates
 
 
 NAMES = st.sampled_from([f"s{i}" for i in range(6)])
@@ -211,27 +218,27 @@
 
 
 @given(STEPS)
-def test_in_the_end_the_last_row_of_each_name_is_in_force(steps):
-    told, last = listed(0), {"kept": row(1)}
-    told.list.change(last)
+def test_the_last_row_of_each_name_prevails(steps):
+    subject, last = subject_with_servers(0), {"kept": row(1)}
+    subject.list.change(last)
     for step in steps:
         if step == "turn":
-            told.turns.turn()
+            subject.clock.turn()
         else:
-            told.list.change(step)
+            subject.list.change(step)
             last |= step
-    told.turns.run()
+    subject.clock.run()
     expected = {}
     for name, value in last.items():
         state = value and msgspec.json.decode(value).get("state", "ready")
         if value and state != "gone":
             expected[name] = READY if state == "ready" else DRAINING
-    assert {name: told.holds(name) for name in told.directory.servers} == expected
-    held = {known.endpoint.node for known in told.directory.servers.values()}
-    assert {node for node, state in told.states.items() if state != GONE} == held
+    assert {name: subject.published_state(name) for name in subject.directory.servers} == expected
+    known_nodes = {known.endpoint.node for known in subject.directory.servers.values()}
+    assert {node for node, state in subject.states.items() if state != REMOVED} == known_nodes
 
 
-def test_the_publishers_check_judges_rows_and_configurations():
+def test_the_publisher_validates_rows_and_configurations():
     assert validate_change(change("node/a", row(1).decode())) == validate_change(change("node/a", None)) == ""
     assert "cell" in validate_change(change("node/a", '{"address": "h:1"}'))
     assert "HOST:PORT" in validate_change(change("node/a", '{"address": "h", "cell": 1}'))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's broker among stand-ins on loopback: clients, nodes, the list, signals, long life."""
+"""The platform's broker among simulated clients, nodes and a discovery agent on loopback."""
 
 import asyncio
 import gc
@@ -31,34 +31,40 @@
 # -- configuration
 
 
-def test_a_configuration_as_settings():
-    got = config.parse(file_of(8500), {})
-    s = got.settings
+def test_a_configuration_file_becomes_settings():
+    result = config.parse(file_of(8500), {})
+    s = result.settings
     assert (s.cell_count, s.cells_per_shard, s.parts_per_call, s.max_attempts, s.broker_count) == (3, 1, 4, 4, 1)
     assert [c.effect for c in s.classes] == ["safe", "safe", "keyed"]
     assert s.classes[1].complete_weight == 0.5
     assert s.tenants == (api.Tenant(1000.0),)
     assert s.connection_idle_ms == 30_000.0
     assert not s.polls_endpoint_list
-    assert (got.classes, got.tenants, got.shards, got.streams) == (("quote", "some", "accept"), ("acme",), 18, 8)
-    assert got.discovery == ("127.0.0.1", 8500)
-    assert got.seed == 0x8C1F30D2
-    assert got.limits.descriptors == 256
+    assert (result.classes, result.tenants, result.shards, result.streams) == (
+        ("quote", "some", "accept"),
+        ("acme",),
+        18,
+        8,
+    )
+    assert result.discovery == ("127.0.0.1", 8500)
+    assert result.seed == 0x8C1F30D2
+    assert result.limits.descriptors == 256
 
 
-def test_variables_stand_in_where_the_file_is_silent(tmp_path):
+def test_environment_variables_supply_fields_missing_from_the_file(tmp_path):
     file = msgspec.json.decode(file_of(8500))
     del file["discovery"], file["name"]
     path = tmp_path / "config.json"
     path.write_bytes(msgspec.json.encode(file))
     env = {"ROUTER_CONFIG": str(path), "ROUTER_NAME": "n7", "ROUTER_DISCOVERY": "127.0.0.2:1"}
-    got = config.load(env)
-    assert (got.name, got.discovery) == ("n7", ("127.0.0.2", 1))
+    result = config.load(env)
+    assert (result.name, result.discovery) == ("n7", ("127.0.0.2", 1))
     path.write_bytes(file_of(8501))
-    assert config.load(env).discovery == ("127.0.0.1", 8501)  # the file prevails: it is what a reload replaces
+    # The file takes precedence, because it is what a reload replaces.
+    assert config.load(env).discovery == ("127.0.0.1", 8501)
 
 
-WRONG = {
+INVALID_FILES = {
     "malformed": lambda f: b"{",
     "settings": lambda f: msgspec.json.encode({k: v for k, v in f.items() if k != "settings"}),
     "listen": lambda f: msgspec.json.encode(f | {"listen": "here"}),
@@ -73,24 +79,26 @@
 }
 
 
-@pytest.mark.parametrize("field", WRONG)
-def test_what_is_wrong_is_named(field):
+@pytest.mark.parametrize("field", INVALID_FILES)
+def test_an_error_names_the_invalid_field(field):
     with pytest.raises(config.ConfigError, match=field.replace(".", r"\.")):
-        config.parse(WRONG[field](msgspec.json.decode(file_of(8500))), {})
+        config.parse(INVALID_FILES[field](msgspec.json.decode(file_of(8500))), {})
 
 
 # -- clients
 
 
-def test_a_query_is_answered_with_what_its_nodes_made_for_it():
+def test_a_query_is_answered_with_the_values_of_its_nodes():
     async def main():
         async with Stage() as s:
-            status, got = await s.ask((1, 2, 7))
+            status, result = await s.ask((1, 2, 7))
             parts = {part.shard: part for part in s.sent()}
             assert status == 200
-            assert got["full"]
+            assert result["full"]
             assert set(parts) == {1, 2, 7}
-            assert {p["tablet"]: p["cell"].encode() for p in got["pieces"]} == {n: p.value() for n, p in parts.items()}
+            assert {p["tablet"]: p["cell"].encode() for p in result["pieces"]} == {
+                n: p.value() for n, p in parts.items()
+            }
             for uid, node in s.nodes.items():
                 assert all(part.shard % CELLS == node.cell for part in node.parts()), uid
             assert {part.id for part in parts.values()} == {b"q1.1", b"q1.2", b"q1.7"}
@@ -99,7 +107,7 @@
     run(main)
 
 
-def test_a_keyed_query_takes_its_key_to_the_nodes():
+def test_the_idempotency_key_of_a_query_is_sent_to_the_nodes():
     async def main():
         async with Stage() as s:
             status, _ = await s.ask((4,), b"accept", Idempotency_Key="5c0f6e")
@@ -109,7 +117,7 @@
     run(main)
 
 
-def test_parts_that_go_to_one_node_in_one_turn_share_calls_up_to_the_settings():
+def test_parts_for_one_node_in_one_turn_share_calls_up_to_the_limit():
     async def main():
         async with Stage(each=1) as s:
             status, _ = await s.ask(tuple(range(0, SHARDS, CELLS)))
@@ -119,69 +127,69 @@
     run(main)
 
 
-def test_an_answer_in_part_says_so_and_an_any_m_query_is_answered_at_m():
+def test_a_class_that_needs_some_parts_is_answered_once_it_has_them():
     async def main():
         async with Stage(behave=lambda part: part.served() if part.shard < 3 else None) as s:
-            status, got = await s.ask((1, 2, 7, 8), b"some")
+            status, result = await s.ask((1, 2, 7, 8), b"some")
             assert status == 200
-            assert got["full"]
-            assert {p["tablet"] for p in got["pieces"]} == {1, 2}
+            assert result["full"]
+            assert {p["tablet"] for p in result["pieces"]} == {1, 2}
             ids = {part.id for part in s.sent() if part.shard > 2}
             await until(lambda: ids <= {c for node in s.nodes.values() for c in node.cancelled})
 
     run(main)
 
 
-BAD = {
+INVALID_REQUESTS = {
     "no body": {"body": b""},
-    "no json": {"body": b"{tablets"},
+    "not json": {"body": b"{tablets"},
     "a list": {"body": b"[]"},
-    "nested without end": {"body": b"[" * 60_000},
+    "nested too deeply": {"body": b"[" * 60_000},
     "no parts": {"body": b'{"tablets":[],"statement":"x"}'},
     "no statement": {"body": b'{"tablets":[{"tablet":1,"fraction":1}]}'},
-    "a shard that is none": {"body": query((1, 18))},
-    "a shard below all": {"body": query((-1, 2))},
-    "a shard that is text": {"body": b'{"tablets":[{"tablet":"1","fraction":1}],"statement":"x"}'},
-    "a shard that is half": {"body": b'{"tablets":[{"tablet":1.5,"fraction":1}],"statement":"x"}'},
+    "an unknown shard": {"body": query((1, 18))},
+    "a negative shard": {"body": query((-1, 2))},
+    "a shard that is a string": {"body": b'{"tablets":[{"tablet":"1","fraction":1}],"statement":"x"}'},
+    "a fractional shard": {"body": b'{"tablets":[{"tablet":1.5,"fraction":1}],"statement":"x"}'},
     "a shard twice": {"body": query((1, 1))},
-    "weights beyond 1": {"body": b'{"tablets":[{"tablet":1,"fraction":7}],"statement":"x"}'},
-    "a weight below 0": {"body": replaced(replaced(query((1, 2)), b"0.5},", b"-0.5},"), b":0.5", b":1.5")},
-    "weights short of 1": {"body": b'{"tablets":[{"tablet":1,"fraction":0.4}],"statement":"x"}'},
-    "a weight that is no number": {"body": b'{"tablets":[{"tablet":1,"fraction":NaN}],"statement":"x"}'},
-    "a guess beyond reason": {"body": b'{"tablets":[{"tablet":1,"fraction":1,"guess":-4}],"statement":"x"}'},
-    "a token of 3": {"body": b'{"tablets":[{"tablet":1,"fraction":1,"token":"abc"}],"statement":"x"}'},
-    "a class that is none": {"cls": b"nosuch"},
+    "a weight above 1": {"body": b'{"tablets":[{"tablet":1,"fraction":7}],"statement":"x"}'},
+    "a negative weight": {"body": replaced(replaced(query((1, 2)), b"0.5},", b"-0.5},"), b":0.5", b":1.5")},
+    "a sum of weights below 1": {"body": b'{"tablets":[{"tablet":1,"fraction":0.4}],"statement":"x"}'},
+    "a weight that is not a number": {"body": b'{"tablets":[{"tablet":1,"fraction":NaN}],"statement":"x"}'},
+    "a guess out of range": {"body": b'{"tablets":[{"tablet":1,"fraction":1,"guess":-4}],"statement":"x"}'},
+    "a token that is too short": {"body": b'{"tablets":[{"tablet":1,"fraction":1,"token":"abc"}],"statement":"x"}'},
+    "an unknown class": {"cls": b"nosuch"},
     "two classes": {"X_Service_Class": "accept"},
     "no id": {"X_Correlation_Id": None},
     "an empty id": {"X_Correlation_Id": ""},
-    "an id with a line's marks": {"X_Correlation_Id": "a b,c"},
-    "an id without end": {"X_Correlation_Id": "a" * 5000},
-    "no time": {"X_Time_Left_Ms": None},
-    "a time in words": {"X_Time_Left_Ms": "soon"},
-    "a time below 0": {"X_Time_Left_Ms": "-5"},
+    "an id with separators": {"X_Correlation_Id": "a b,c"},
+    "an id that is too long": {"X_Correlation_Id": "a" * 5000},
+    "no time left header": {"X_Time_Left_Ms": None},
+    "a time left that is not a number": {"X_Time_Left_Ms": "soon"},
+    "a negative time left": {"X_Time_Left_Ms": "-5"},
     "no time left": {"X_Time_Left_Ms": "0"},
-    "a time beyond reason": {"X_Time_Left_Ms": "9" * 40},
-    "an account that is none": {"X_Account": "nobody"},
-    "no key where one is needed": {"cls": b"accept", "Idempotency_Key": None},
-    "a key with a line's marks": {"cls": b"accept", "Idempotency_Key": "a,b=1 2"},
-    "a length below 0": {"Content_Length": "-3"},
-    "a length in words": {"Content_Length": "ten"},
+    "a time left out of range": {"X_Time_Left_Ms": "9" * 40},
+    "an unknown account": {"X_Account": "nobody"},
+    "a missing idempotency key": {"cls": b"accept", "Idempotency_Key": None},
+    "an idempotency key with separators": {"cls": b"accept", "Idempotency_Key": "a,b=1 2"},
+    "a negative length": {"Content_Length": "-3"},
+    "a length that is not a number": {"Content_Length": "ten"},
     "a huge length": {"Content_Length": "60000000"},
-    "a length beyond all": {"Content_Length": "9" * 30},
+    "a length out of range": {"Content_Length": "9" * 30},
     "a length and chunks": {"Transfer_Encoding": "chunked"},
-    "heads without end": {"X_More": "a" * 70_000},
+    "headers that are too long": {"X_More": "a" * 70_000},
 }
 
 
-@pytest.mark.parametrize("what", BAD)
-def test_what_cannot_be_used_gets_an_error_reaches_no_node_and_harms_nobody(what):
+@pytest.mark.parametrize("what", INVALID_REQUESTS)
+def test_an_invalid_request_gets_an_error_and_has_no_other_effect(what):
     async def main():
         async with Stage() as s:
             try:
-                status, _ = await s.ask(**BAD[what])
+                status, _ = await s.ask(**INVALID_REQUESTS[what])
                 assert 400 <= status < 500
             except ConnectionError:
-                assert what in ("a length beyond all", "a huge length", "heads without end")
+                assert what in ("a length out of range", "a huge length", "headers that are too long")
             assert not s.sent()
             assert not s.service.front.open
             assert not s.service.driver.queries
@@ -190,7 +198,7 @@
     run(main)
 
 
-def test_raw_bytes_that_are_no_http_get_an_error():
+def test_bytes_that_are_not_http_get_an_error():
     async def main():
         async with Stage() as s:
             for noise in (b"\x16\x03\x01\x02" * 50, b"hello\r\n\r\n", b"POST / HTTP/9.9\r\n\r\n"):
@@ -205,7 +213,7 @@
     run(main)
 
 
-def test_an_id_that_is_open_is_refused_to_another_and_the_first_goes_on():
+def test_a_second_request_with_an_open_id_is_rejected_and_the_first_continues():
     async def main():
         held = []
         async with Stage(behave=held.append) as s:
@@ -220,7 +228,7 @@
     run(main)
 
 
-def test_a_request_not_whole_in_time_and_a_silent_connection_are_turned_away(monkeypatch):
+def test_an_incomplete_request_and_a_silent_connection_time_out(monkeypatch):
     async def main():
         async with Stage() as s:
             silent = await asyncio.open_connection("127.0.0.1", s.port)
@@ -245,8 +253,9 @@
     run(main)
 
 
-def test_bytes_come_slowly_does_not_make_a_first_request_longer():
-    """Each piece of a first request does not start its time anew: it counts from the connection's start."""
+def test_bytes_that_arrive_slowly_do_not_extend_the_timeout_of_a_first_request():
+    """Guards against a timeout that restarts with each piece of a first request: it counts from when the connection was
+    opened."""
 
     async def main():
         async with Stage() as s:
@@ -265,7 +274,7 @@
     run(main)
 
 
-def test_a_client_that_leaves_ends_its_query_and_its_attempts():
+def test_the_query_and_attempts_of_a_disconnected_client_are_cancelled():
     async def main():
         held = []
         async with Stage(behave=held.append) as s:
@@ -277,11 +286,11 @@
             assert not s.service.front.open
             assert not s.service.driver.queries
             for part in held:
-                part.served()  # crosses the cancel
-            assert (await asyncio.wait_for(_ask_beside(s, held), 20))[0] == 200
+                part.served()  # these answers cross the cancellations
+            assert (await asyncio.wait_for(_answer_another_query(s, held), 20))[0] == 200
             assert not [v for w, v in s.troubles if w == "trouble"]
 
-    async def _ask_beside(s, held):
+    async def _answer_another_query(s, held):
         known = len(held)
         asked = asyncio.ensure_future(s.ask((1, 2)))
         await until(lambda: len(held) == known + 2)
@@ -292,7 +301,7 @@
     run(main)
 
 
-def test_chunks_pipelined_requests_and_a_kept_connection():
+def test_chunked_and_pipelined_requests_on_a_persistent_connection():
     async def main():
         async with Stage() as s:
             body = query((1,))
@@ -300,31 +309,33 @@
             chunked += b"%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n" % (5, body[:5], len(body) - 5, body[5:])
             reader, writer = await asyncio.open_connection("127.0.0.1", s.port)
             writer.write(chunked + s.head(query((2,))))
-            got = b""
-            while got.count(b"pieces") < 2:
-                got += await reader.read(4096)
-            assert got.index(b'"tablet":1') < got.index(b'"tablet":2')
-            writer.write(s.head(query((4,))) + b"\xff\xff\xff")  # what follows cannot be read: its answer still comes
+            result = b""
+            while result.count(b"pieces") < 2:
+                result += await reader.read(4096)
+            assert result.index(b'"tablet":1') < result.index(b'"tablet":2')
+            writer.write(
+                s.head(query((4,))) + b"\xff\xff\xff"
+            )  # invalid bytes after a request do not prevent its answer
             assert b'"tablet":4' in await reader.read()
             writer.close()
 
     run(main)
 
 
-def test_refusals_and_failures_as_clients_read_them():
+def test_status_codes_of_rejected_and_failed_queries():
     async def main():
         ends = {}
         async with Stage(behave=lambda part: part.connection.send(part.answer(ends["now"]))) as s:
             ends["now"] = b"skipped"
             assert (await s.ask((1,)))[0] == 503
             ends["now"] = b"broke"
-            assert (await s.ask((1,)))[0] == 503  # safe: harmless to ask again
+            assert (await s.ask((1,)))[0] == 503  # a safe query: retrying it is harmless
             assert (await s.ask((1,), b"accept", X_Time_Left_Ms="300"))[0] == 502  # it may have run
 
     run(main)
 
 
-def test_no_room_is_said_at_once():
+def test_a_query_beyond_the_capacity_is_rejected_at_once():
     async def main():
         async with Stage(behave=lambda part: None, settings={"ceilings.maxOpen": 4}) as s:
             first = asyncio.ensure_future(s.ask((1, 2)))
@@ -336,7 +347,7 @@
     run(main)
 
 
-def test_floods_of_silent_connections_leave_the_usual_clients_served():
+def test_clients_are_served_during_a_flood_of_silent_connections():
     async def main():
         async with Stage() as s:
             most = s.service.server.limits.max_connections
@@ -351,9 +362,9 @@
     run(main)
 
 
-def test_clients_that_ask_once_and_keep_their_connections_leave_room_for_others():
-    """Each of many clients asked once and held its connection for good: the rest found none free until the broker
-    closed some for being idle, seconds later."""
+def test_idle_persistent_connections_are_limited_to_leave_room_for_others():
+    """Guards against clients that send one request each and keep their connections open: other clients found no free
+    connection until the broker closed some idle ones seconds later."""
 
     async def main():
         async with Stage() as s:
@@ -373,7 +384,7 @@
             server = s.service.server
             assert closed == 20
             assert len(server.connections) - server.lingering <= kept + 1
-            await until(lambda: len(server.connections) <= kept + 1)  # they linger no longer than their bound
+            await until(lambda: len(server.connections) <= kept + 1)  # connections linger for a limited time only
             for writer in held:
                 writer.close()
 
@@ -383,40 +394,40 @@
 # -- nodes
 
 
-SPOILS = {
+INVALID_ANSWERS = {
     "noise": lambda p: b"\x9c\x02\xff" * 9,
     "an unknown id": lambda p: p.answer(b"served", p.value()).replace(b"q", b"z"),
-    "an unknown end": lambda p: p.answer(b"sorted", p.value()),
+    "an unknown outcome": lambda p: p.answer(b"sorted", p.value()),
     "three gigabytes": lambda p: (3 << 30).to_bytes(4, "little") + b"a%s served 7 -\n" % p.id + b"x" * 5000,
-    "a length that does not fit": lambda p: (40_000).to_bytes(4, "little") + p.answer(b"served", p.value())[4:],
+    "a length that does not match": lambda p: (40_000).to_bytes(4, "little") + p.answer(b"served", p.value())[4:],
     "no end of line": lambda p: (40_000).to_bytes(4, "little") + b"a" + b"x" * 2000,
 }
 
 
-@pytest.mark.parametrize("what", SPOILS)
-def test_a_spoilt_answer_is_no_answer_and_the_part_is_tried_elsewhere(what):
+@pytest.mark.parametrize("what", INVALID_ANSWERS)
+def test_after_an_invalid_answer_the_part_is_retried_elsewhere(what):
     async def main():
-        spoilt = []
+        invalid = []
 
         def behave(part):
-            if not spoilt:
-                spoilt.append(part)
-                part.connection.send(SPOILS[what](part))
+            if not invalid:
+                invalid.append(part)
+                part.connection.send(INVALID_ANSWERS[what](part))
             else:
                 part.served()
 
         async with Stage(behave=behave) as s:
-            status, got = await s.ask((1,))
+            status, result = await s.ask((1,))
             assert status == 200
-            assert got["pieces"][0]["cell"].encode() == spoilt[0].value()
-            first = spoilt[0].connection
-            await until(lambda: first.transport is None)  # it is of no further use
+            assert result["pieces"][0]["cell"].encode() == invalid[0].value()
+            first = invalid[0].connection
+            await until(lambda: first.transport is None)  # the connection was closed
             assert [v["kind"] for w, v in s.troubles if w == "trouble"] == ["spoilt answer"]
 
     run(main)
 
 
-def test_a_good_answer_with_a_report_that_cannot_be_read_counts():
+def test_a_valid_answer_with_an_unreadable_report_counts():
     async def main():
         async with Stage(behave=lambda p: p.connection.send(p.answer(b"served", p.value(), b"{\xff,,"))) as s:
             assert (await s.ask((1,)))[0] == 200
@@ -424,7 +435,7 @@
     run(main)
 
 
-def test_a_node_that_dies_and_comes_back():
+def test_a_node_that_stops_and_restarts_is_used_again():
     async def main():
         async with Stage(each=2) as s:
             assert (await s.ask((0,)))[0] == 200
@@ -449,19 +460,20 @@
 
 def test_a_broker_starts_from_the_known_list_while_the_agent_is_silent():
     async def main():
-        async with Stage(known=True, told=False) as s:
+        async with Stage(known=True, wait_for_list=False) as s:
             s.agent.silent = True
             assert (await s.ask())[0] == 200
 
     run(main)
 
 
-def test_the_agent_has_its_chance_to_answer_before_the_first_client_is_taken():
-    # What the agent has counts as told from a process's first moment. A slow one listened with the known list in force
-    # by the time that the grace of a drain was over, and sent by it until the agent's answer had been read.
+def test_the_broker_waits_for_the_agent_before_it_serves_clients():
+    # The broker counts as notified of what the agent has from the start of its process. Guards against a slow process
+    # that listened with the known list when the drain grace period was already over, and sent parts to draining servers
+    # until it had read the agent's answer.
     async def main():
-        async with Stage(known=True, told=False, drained=("s0", "s1", "s2")) as s:
-            assert s.heard_first
+        async with Stage(known=True, wait_for_list=False, drained=("s0", "s1", "s2")) as s:
+            assert s.has_list_at_start
             assert (await s.ask())[0] == 200
             assert {s.service.directory.servers[f"s{i}"].endpoint.state for i in range(3)} == {
                 api.EndpointState.DRAINING
@@ -479,7 +491,7 @@
         {"uid": "s0", "state": "resting", "pod_group": 0, "endpoint": "127.0.0.1:9"},
     ],
 )
-def test_a_changed_row_without_all_its_fields_still_takes_a_server_out_of_service(row):
+def test_a_changed_row_that_lacks_fields_still_takes_a_server_out_of_service(row):
     async def main():
         async with Stage() as s:
             await until(lambda: s.agent.waiting)
@@ -493,7 +505,7 @@
     run(main)
 
 
-def test_of_two_rows_for_one_server_the_one_that_drains_holds():
+def test_of_two_rows_for_one_server_the_draining_one_prevails():
     directory = Directory(CELLS, members.row_parser(names.MEMBERS, ("here",), ("m",)), shared_clock=True)
     row = {"uid": "s0", "endpoint": "127.0.0.1:9", "az": "here", "model": "m", "pod_group": 0, "state": "up"}
     for states in (("up", "draining"), ("draining", "up")):
@@ -503,7 +515,7 @@
         assert len(wrong) == 1
 
 
-def test_a_row_that_repeats_what_is_known_takes_back_the_one_before_it():
+def test_a_row_equal_to_the_known_state_reverts_an_earlier_row():
     directory = Directory(CELLS, members.row_parser(names.MEMBERS, ("here",), ("m",)), shared_clock=True)
     row = {"uid": "s0", "endpoint": "127.0.0.1:9", "az": "here", "model": "m", "pod_group": 0, "state": "draining"}
     directory.read(decode_rows(msgspec.json.encode([row])), 0.0, 0.0)
@@ -528,7 +540,7 @@
         7,
     ],
 )
-def test_rows_that_are_none_at_all_stop_no_list(row):
+def test_invalid_rows_do_not_stop_the_rest_of_a_list(row):
     leaving = members.departure_parser(names.MEMBERS)
     directory = Directory(
         CELLS, members.row_parser(names.MEMBERS, ("here",), ("m",)), shared_clock=True, parse_departure=leaving
@@ -544,9 +556,9 @@
     assert directory.servers["s0"].endpoint.state == api.EndpointState.READY
 
 
-def test_without_any_list_it_is_not_ready():
+def test_a_broker_without_a_list_is_not_ready():
     async def main():
-        async with Stage(each=0, told=False) as s:
+        async with Stage(each=0, wait_for_list=False) as s:
             get = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
             assert (await s.reply(get)).status == 503
             for cell in range(CELLS):
@@ -557,7 +569,7 @@
     run(main)
 
 
-def test_the_watch_follows_on_and_a_drained_node_gets_nothing_new():
+def test_the_watch_continues_and_a_drained_node_receives_nothing_new():
     async def main():
         async with Stage(each=2) as s:
             await until(lambda: s.agent.waiting)
@@ -576,11 +588,11 @@
     run(main)
 
 
-def test_version_nought_is_a_version_and_is_watched():
-    """The list's first version can be 0: taking it for none asked for the whole list again, without end."""
+def test_version_zero_is_watched_like_any_other():
+    """Guards against taking version 0 for no version: the complete list was then requested in an endless loop."""
 
     async def main():
-        async with Stage(each=0, told=False) as s:
+        async with Stage(each=0, wait_for_list=False) as s:
             node = FrameNode()
             s.nodes["s0"] = node
             row = s.agent.put("s0", await node.start(), 0)
@@ -592,7 +604,7 @@
 
 
 @pytest.mark.parametrize(
-    "rubbish",
+    "answer",
     [
         b"",
         b"[]",
@@ -603,11 +615,11 @@
         b'{"rev":9,"all":true,"targets":[{"uid":"a"},7,null]}',
     ],
 )
-def test_rubbish_from_the_agent_keeps_the_last_list(rubbish):
+def test_an_invalid_answer_of_the_agent_keeps_the_last_list(answer):
     async def main():
         async with Stage() as s:
-            s.agent.answer = rubbish
-            s.agent.put("s0", s.nodes["s0"].port, 0)  # ends the call that waits
+            s.agent.answer = answer
+            s.agent.put("s0", s.nodes["s0"].port, 0)  # ends the long poll
             await until(lambda: s.service.observer.faults["list not read"] >= 2)
             assert len(s.service.directory.servers) == CELLS * 2
             assert (await s.ask())[0] == 200
@@ -618,7 +630,7 @@
     run(main)
 
 
-def test_a_restart_and_a_new_address_are_seen_by_the_one_clock():
+def test_a_restart_and_a_new_address_use_the_shared_clock():
     async def main():
         async with Stage() as s:
             boot = int(time.time() * 1000) - 3000
@@ -636,7 +648,7 @@
 # -- signals
 
 
-def test_a_reload_moves_to_another_agent_without_losing_list_or_queries():
+def test_a_reload_switches_to_another_agent_and_keeps_list_and_queries():
     async def main():
         held = []
         async with Stage(behave=held.append) as s:
@@ -659,7 +671,7 @@
     run(main)
 
 
-def test_a_configuration_that_cannot_be_used_changes_nothing():
+def test_an_invalid_configuration_changes_nothing():
     async def main():
         async with Stage() as s:
             await until(lambda: s.agent.waiting)
@@ -674,9 +686,9 @@
     run(main)
 
 
-def test_ending_serves_on_kept_connections_for_the_grace_and_then_closes_them_between_requests_only():
-    """Clients use the connections they have while another broker starts: closing those at the signal to end left
-    them none for half a second."""
+def test_shutdown_serves_open_connections_for_the_grace_period_and_closes_them_between_requests():
+    """Guards against closing connections at the signal to end: clients keep using them while another broker starts, and
+    had none for half a second."""
 
     async def main():
         held = []
@@ -700,7 +712,7 @@
             assert b"close" not in head
             assert b'"full":true' in body
             new = await asyncio.open_connection("127.0.0.1", s.port)
-            new[1].write(s.head(query((4,))))  # is open when the grace is over
+            new[1].write(s.head(query((4,))))  # this request is open when the grace period ends
             await until(lambda: held[-1].shard == 4)
             assert await kept[0].read() == b""  # closed between requests
             held[-1].served()
@@ -722,17 +734,22 @@
     return subprocess.Popen([sys.executable, "-m", "badgerbend.platform"], cwd=ROOT, env=env, stderr=subprocess.PIPE)
 
 
-def test_a_process_that_is_told_to_end_ends_well(tmp_path):
+def test_a_process_shuts_down_cleanly_on_sigterm(tmp_path):
     async def main():
         agent, node = await surroundings()
         port = free_port()
         process = _process(tmp_path, file_of(agent.http.address[1], listen=port))
         try:
             lines = [msgspec.json.decode(await asyncio.to_thread(process.stderr.readline)) for _ in range(2)]
-            assert [line["what"] for line in lines] == ["list", "listening"]  # the agent's word before any client
+            assert [line["what"] for line in lines] == [
+                "list",
+                "listening",
+            ]  # the list is applied before clients are served
             await until(lambda: agent.waiting)
             process.send_signal(signal.SIGHUP)
-            await until(lambda: sum("since" not in path for path in agent.asked) == 2)  # heard anew
+            await until(
+                lambda: sum("since" not in path for path in agent.asked) == 2
+            )  # the complete list was requested again
             process.send_signal(signal.SIGTERM)
             assert await asyncio.to_thread(process.wait) == 0
         finally:
@@ -744,7 +761,7 @@
     run(main)
 
 
-def test_a_bad_configuration_ends_the_start_with_one_line_that_names_the_field(tmp_path):
+def test_an_invalid_configuration_ends_the_start_with_one_line_that_names_the_field(tmp_path):
     process = _process(tmp_path, file_of(8500, settings={"ceilings.maxAttempts": "many"}))
     _, err = process.communicate()
     assert process.returncode == 2
@@ -752,11 +769,11 @@
     assert b"ceilings.maxAttempts" in err
 
 
-# -- long life
+# -- long-running processes
 
 
-def test_what_is_kept_for_an_id_goes_with_it():
-    """Nodes, clients, ids and keys turn over by the hundreds: what is held afterwards is what was held before."""
+def test_state_kept_for_ids_does_not_grow():
+    """Guards against state that grows as nodes, clients, ids and keys are replaced by the hundreds."""
 
     async def main():
         async with Stage(each=1) as s:
@@ -780,7 +797,7 @@
                     "tasks": len(asyncio.all_tasks()),
                 }
 
-            async def turn(i):
+            async def replace_node(i):
                 cell = i % CELLS
                 await s.add(f"n{i}", cell)
                 await until(lambda: f"n{i}" in service.directory.servers)
@@ -790,21 +807,21 @@
                 await until(lambda: old not in service.directory.servers)
                 s.nodes.pop(old).stop()
 
-            async def settled():
+            async def settle():
                 service.transport.sweep(asyncio.get_running_loop().time())
                 await until(lambda: not service.server.connections and len(service.transport.channels) == CELLS)
 
             for i in range(30):
-                await turn(i)
+                await replace_node(i)
             for cell in range(CELLS):
                 await s.ask((cell,), Connection="close")
-            await settled()
+            await settle()
             before, due = kept(), len(service.driver._timers)
             for i in range(30, 230):
-                await turn(i)
+                await replace_node(i)
             for cell in range(CELLS):
                 await s.ask((cell,), Connection="close")
-            await settled()
+            await settle()
             assert kept() == before
             nodes = service.driver.module.endpoints.servers
             assert len(nodes) <= 2 * CELLS
@@ -813,8 +830,9 @@
     run(main)
 
 
-def test_requests_and_connections_need_no_garbage_collector():
-    """Each request, and each connection, was a cycle that stayed until a collection of the oldest generation."""
+def test_requests_and_connections_form_no_reference_cycles():
+    """Guards against reference cycles in requests and connections: they stay in memory until a collection of the
+    oldest generation."""
 
     async def main():
         async with Stage() as s:
--- a/tests/test_public_platform.py
+++ b/tests/test_public_platform.py
@@ -1,4 +1,4 @@
-"""The platform's HTTP interface, its names on the wire and its log lines stay as they are."""
+"""Guards against unintended changes of the platform's HTTP interface, names on the wire and log lines."""
 
 import dataclasses
 from enum import Enum
@@ -6,7 +6,7 @@
 
 import msgspec
 
-# Whoever renames a class or an attribute that is reached here edits these lines.
+# When a class or an attribute used here is renamed, these imports have to follow.
 from badgerbend.api import Outcome
 from badgerbend.platform import names
 from badgerbend.platform.config import ConfigError
@@ -30,16 +30,16 @@
 )
 
 
-def plain(value):
-    """A table of names as JSON; enum members by their own words."""
+def as_json(value):
+    """Converts a table of names to JSON values; enum members are converted to their values."""
     if dataclasses.is_dataclass(value) or (isinstance(value, tuple) and hasattr(value, "_fields")):
         fields = dataclasses.fields(value) if dataclasses.is_dataclass(value) else ()
         listed = [getattr(value, field.name) for field in fields] or list(value)
-        return [plain(inner) for inner in listed]
+        return [as_json(inner) for inner in listed]
     if isinstance(value, dict) and all(isinstance(inner, str) for inner in value.values()):
-        return list(value.values())  # its keys are names in the code
+        return list(value.values())  # its keys are Python names
     if isinstance(value, dict):
-        return {plain(key): plain(inner) for key, inner in value.items()}
+        return {as_json(key): as_json(inner) for key, inner in value.items()}
     if isinstance(value, bytes):
         return value.decode()
     if isinstance(value, Enum):
@@ -47,48 +47,48 @@
     return value
 
 
-def test_names_on_the_wire_in_their_order():
+def test_wire_names_and_their_order():
     tables = [value for name, value in vars(names).items() if name.isupper()]
-    compare("platform_names", [plain(value) for value in tables])
+    compare("platform_names", [as_json(value) for value in tables])
 
 
-def test_requests_answers_and_log_lines_of_the_service():
+def test_answers_and_log_lines_of_the_service():
     async def main():
-        seen, lines = {}, {}
+        answers, lines = {}, {}
         async with Stage() as stage:
             for what, request in REQUESTS:
-                seen[what] = answer_seen(await stage.reply(request))
-            seen["query"] = answer_seen(await stage.reply(stage.head(query((1, 2, 3)))))
+                answers[what] = answer_seen(await stage.reply(request))
+            answers["query"] = answer_seen(await stage.reply(stage.head(query((1, 2, 3)))))
             for what, changes in HEADERS:
-                seen[what] = answer_seen(await stage.reply(stage.head(query((1, 2, 3)), **changes)))
-            seen["keyed"] = answer_seen(await stage.reply(stage.head(query((1,)), b"accept")))
-            seen["keyed without a key"] = answer_seen(
+                answers[what] = answer_seen(await stage.reply(stage.head(query((1, 2, 3)), **changes)))
+            answers["keyed"] = answer_seen(await stage.reply(stage.head(query((1,)), b"accept")))
+            answers["keyed without a key"] = answer_seen(
                 await stage.reply(stage.head(query((1,)), b"accept", Idempotency_Key=None))
             )
-            seen["other body"] = answer_seen(await stage.reply(stage.head(b"{}")))
+            answers["other body"] = answer_seen(await stage.reply(stage.head(b"{}")))
             stage.service.reload(lambda: stage.config)
-            stage.service.reload(unusable)
+            stage.service.reload(raise_config_error)
             await until(lambda: any(what == "summary" for what, _ in stage.troubles))
             for what, values in stage.troubles:
                 lines.setdefault(what, list(values))
-        compare("platform_http", seen)
+        compare("platform_http", answers)
         compare("platform_lines", dict(sorted(lines.items())))
 
     run(main)
 
 
-def unusable():
+def raise_config_error():
     raise ConfigError("unusable")
 
 
 def test_log_lines_of_queries_and_servers(capsys):
-    tally = LogObserver(("quote",), "server-{}".format)
+    observer = LogObserver(("quote",), "server-{}".format)
     for outcome in Outcome:
-        tally.attempt_ended(SimpleNamespace(node=1), outcome, 2.0)
+        observer.attempt_ended(SimpleNamespace(node=1), outcome, 2.0)
     for how in ("answered", "refused", "failed", "failed by the watch"):
-        tally.query_ended(CompletedQuery(1, "q1", 0, how, "why", 3.0, 1, 0, ()))
-    tally.report_fault("some kind", "some detail")
-    tally.list_applied(7, 0.1, 0.2)
-    tally.summary(cut=0)
+        observer.query_ended(CompletedQuery(1, "q1", 0, how, "why", 3.0, 1, 0, ()))
+    observer.report_fault("some kind", "some detail")
+    observer.list_applied(7, 0.1, 0.2)
+    observer.summary(cut=0)
     lines = [msgspec.json.decode(line) for line in capsys.readouterr().err.splitlines()]
     compare("platform_log", [{"what": line["what"], "keys": shape(line)} for line in lines])
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -1,4 +1,4 @@
-"""The watch on the platform's agent in a time of the test's own: what it does while discovery is silent."""
+"""The watch on the platform's agent on a simulated clock: timeouts and retries while discovery is silent."""
 
 import random
 from dataclasses import replace
@@ -19,89 +19,104 @@
 from tests.replacing import replace_attribute
 
 
-class Fallen:
-    """An agent in a time of the test's own, behind the watch's pool: silent for spans of it, at once otherwise. What it
-    was asked while it was silent, or what waited when that began, it never answers.
+class SimulatedAgent:
+    """A simulated agent that takes the place of the watch's clock and connection pool.
 
-    news: when (seconds) and what state the one server has from then on; those of a silent time it has from its end.
-    drips: from when to when its answers never end. refuses: connections while it is silent.
-    late: what each turn of the broker's loop comes too late, in seconds; a connection, a question and its answer take
-    `steps` of them. drops: an answer comes in so many pieces, one a turn.
+    It answers at once except during its silences. Polls that arrive during a silence, or wait when one begins, are
+    never answered.
+
+    silences: spans of time in seconds. changes: times in seconds and states of the only server from then on; the agent
+    learns of a change during a silence when the silence ends. trickles: the span in which answers never end. refuses:
+    whether connections are refused during a silence. turn_delay_s: the delay of each turn of the broker's event loop;
+    a connection, a request and its answer take `answer_turns` of them. pieces: the number of pieces of an answer, one
+    per turn.
     """
 
-    def __init__(self, *spans, news=(), late=0.0, steps=1, drops=1, drips=None, refuses=False):
-        self.clock, self.spans, self.news = Clock(), spans, sorted(news)
-        self.late, self.steps, self.drops = late, steps, drops
-        self.drips, self.refuses = drips, refuses
-        self.asked = []
+    def __init__(self, *silences, changes=(), turn_delay_s=0.0, answer_turns=1, pieces=1, trickles=None, refuses=False):
+        self.clock, self.silences, self.changes = Clock(), silences, sorted(changes)
+        self.turn_delay_s, self.answer_turns, self.pieces = turn_delay_s, answer_turns, pieces
+        self.trickles, self.refuses = trickles, refuses
+        self.requests = []
 
-    # the watch's clock
+    # -- the watch's clock
     def time(self):
         return self.clock.now / 1000.0
 
     def call_later(self, delay, what):
         timer = Timer()
-        self.clock.at(self.clock.now + (delay + self.late) * 1000.0, lambda: None if timer.off else what())
+        self.clock.at(
+            self.clock.now + (delay + self.turn_delay_s) * 1000.0, lambda: None if timer.cancelled else what()
+        )
         return timer
 
-    # its pool
+    # -- the watch's pool
     def request(self, head, on_reply):
         call, now, since = Timer(), self.time(), None
-        self.asked.append((now, head))
-        waits = 0.0
+        self.requests.append((now, head))
+        wait_s = 0.0
         if b"since=" in head:
-            since, waits = int(head.split(b"since=")[1].split(b"&")[0]), self.waits_of(head)
-        rev_then = self.rev(now)
+            since, wait_s = int(head.split(b"since=")[1].split(b"&")[0]), self.requested_wait_s(head)
+        rev_then = self.revision(now)
         if since is not None and since < rev_then:
-            waits = 0.0
+            wait_s = 0.0
         else:
-            waits = min([waits, *(self.known_at(at) - now for at, _ in self.news if self.known_at(at) > now)])
-        if any(a <= now <= b for a, b in self.spans) and self.refuses:
-            self.later(call, now + 0.001, 1, Reply(End.CONNECT_FAILED, 0, {}, b""), on_reply)
+            wait_s = min(
+                [wait_s, *(self.received_at(at) - now for at, _ in self.changes if self.received_at(at) > now)]
+            )
+        if any(a <= now <= b for a, b in self.silences) and self.refuses:
+            self.deliver(call, now + 0.001, 1, Reply(End.CONNECT_FAILED, 0, {}, b""), on_reply)
             return call
-        if any(a <= now + waits and now <= b for a, b in self.spans):
+        if any(a <= now + wait_s and now <= b for a, b in self.silences):
             return call
-        end = now + waits
-        state = next((s for at, s in reversed(self.news) if self.known_at(at) <= end), "up")
+        end = now + wait_s
+        state = next((s for at, s in reversed(self.changes) if self.received_at(at) <= end), "up")
         whole = since is None
-        rows = [ROW | {"state": state}] if whole or since < self.rev(end) else []
-        body = msgspec.json.encode({"rev": self.rev(end), "all": whole, "targets": rows})
-        if self.drips and self.drips[0] <= end < self.drips[1]:  # a byte every 10 ms, for ever
-            self.later(call, end, 1_000_000, None, on_reply, 0.01)
+        rows = [ROW | {"state": state}] if whole or since < self.revision(end) else []
+        body = msgspec.json.encode({"rev": self.revision(end), "all": whole, "targets": rows})
+        if self.trickles and self.trickles[0] <= end < self.trickles[1]:  # a byte every 10 ms, without end
+            self.deliver(call, end, 1_000_000, None, on_reply, 0.01)
             return call
-        self.later(call, end + 0.001 + self.late * self.steps, self.drops, Reply(End.ANSWER, 200, {}, body), on_reply)
+        self.deliver(
+            call,
+            end + 0.001 + self.turn_delay_s * self.answer_turns,
+            self.pieces,
+            Reply(End.ANSWER, 200, {}, body),
+            on_reply,
+        )
         return call
 
-    def later(self, call, when, drops, reply, on_reply, every=0.0):
+    def deliver(self, call, at_s, pieces, reply, on_reply, interval_s=0.0):
         def piece():
-            if call.off:
+            if call.cancelled:
                 return
             call.received += 1
-            if drops > 1:
-                self.later(call, self.time() + max(self.late, every), drops - 1, reply, on_reply, every)
+            if pieces > 1:
+                self.deliver(
+                    call, self.time() + max(self.turn_delay_s, interval_s), pieces - 1, reply, on_reply, interval_s
+                )
             else:
                 on_reply(reply)
 
-        self.clock.at(when * 1000.0, piece)
+        self.clock.at(at_s * 1000.0, piece)
 
-    def waits_of(self, head):
+    def requested_wait_s(self, head):
         return int(head.split(b"timeout_ms=")[1].split()[0]) / 1000.0
 
-    def known_at(self, at):
-        return next((b for a, b in self.spans if a <= at <= b), at)
+    def received_at(self, at):
+        return next((b for a, b in self.silences if a <= at <= b), at)
 
-    def rev(self, now):
-        return 1 + sum(self.known_at(at) <= now for at, _ in self.news)
+    def revision(self, now):
+        return 1 + sum(self.received_at(at) <= now for at, _ in self.changes)
 
     def close(self): ...
 
 
 class Timer:
-    off = False
+    cancelled = False
     received = 0
 
     def cancel(self):
-        self.off = True
+        self.cancelled = True
 
     abort = cancel
 
@@ -109,19 +124,22 @@
 ROW = {"uid": "s-1", "endpoint": "127.0.0.1:9", "az": "a", "model": "m", "pod_group": 0, "state": "up"}
 
 
-def play(agent, seconds, grace_s=0.5, asks=False, seed=1, module=False):
-    """Times and states of the one server as the module hears them. module: it says when to ask."""
+def run_watch(agent, seconds, grace_s=0.5, polls_on_request=False, seed=1, with_aggregator=False):
+    """Runs a watch; returns it with the times and states of the only server as published by it.
+
+    with_aggregator: whether an aggregator requests the polls.
+    """
     directory = Directory(4, row_parser(names.MEMBERS, ("a",), ("m",)), shared_clock=True)
-    heard = []
+    received = []
 
-    def view(news):
-        if news.kind is api.UpdateKind.FAILED:
-            heard.append((agent.time(), "failed"))
-        heard.extend((agent.time(), line.state) for line in news.endpoints)
-        if module:
-            agent.clock.at(agent.clock.now, lambda: step(news))
+    def on_update(update):
+        if update.kind is api.UpdateKind.FAILED:
+            received.append((agent.time(), "failed"))
+        received.extend((agent.time(), endpoint.state) for endpoint in update.endpoints)
+        if with_aggregator:
+            agent.clock.at(agent.clock.now, lambda: step(update))
 
-    decides = Aggregator(
+    aggregator = Aggregator(
         replace(
             SETTINGS, polls_endpoint_list=True, max_notification_delay_ms=members.MAX_NOTIFICATION_DELAY_S * 1000.0
         ),
@@ -129,7 +147,7 @@
     )
 
     def step(*events):
-        for action in decides.step(agent.clock.now, list(events)):
+        for action in aggregator.step(agent.clock.now, list(events)):
             match action:
                 case api.FollowEndpointList(on):
                     watch.follow(on)
@@ -137,134 +155,149 @@
                     agent.clock.at(agent.clock.now + after, lambda: step(api.TimerFired(token)))
 
     watch = Watch(
-        MembersTarget(names.MEMBERS, ("127.0.0.1", 1), asks, grace_s),
+        MembersTarget(names.MEMBERS, ("127.0.0.1", 1), polls_on_request, grace_s),
         directory,
         agent,
         lambda: agent.clock.now,
         agent.time,
-        view,
+        on_update,
         lambda what, why: None,
         seed,
         "test",
     )
     watch.pool = agent
-    if module:
+    if with_aggregator:
         step()
     else:
         watch.follow(True)
     agent.clock.run(1000.0 * seconds)
-    return heard, watch
+    return received, watch
 
 
 @pytest.mark.parametrize("grace", [0.25, 0.5, 1.0])
-def test_what_the_agent_has_at_its_return_is_heard_within_the_grace_of_a_drain(grace):
-    # Calls waited for 5 s. One that waited when discovery went down is never answered, and was given up only when its
-    # wait was over: what an agent had been told at the return, 2 s later, was not kept for three seconds more.
+def test_a_drain_known_to_the_agent_at_its_return_arrives_within_the_grace_period(grace):
+    # Guards against long polls of 5 s. A poll that waits when discovery goes down is never answered and was abandoned
+    # only after its wait. When discovery returned 2 s later, the agent's changes were ignored for three more seconds.
     for seed in range(300):
         rng = random.Random(seed)
         down = 1.0 + rng.uniform(1.0, 8.0)
-        back = down + rng.choice([rng.uniform(0.05, 0.5), rng.uniform(0.5, 8.0)])
-        drains = rng.uniform(down, back + 6.0)
-        agent = Fallen((down, back), news=[(drains, "draining")])
-        heard, _ = play(agent, 20.0, grace, seed=seed)
-        told = agent.known_at(drains)
-        first = min(t for t, state in heard if state == api.EndpointState.DRAINING)
-        assert told <= first <= told + 0.7 * grace, (seed, down, back, drains)
-
-
-def test_a_slow_broker_does_not_give_up_the_same_question_for_ever():
-    # A turn of the loop that takes as long as the patience, as on a tenth of a core: the answer lies there, unread.
-    # The news come at every point of a cycle of a wait and the turns of an answer.
+        returns = down + rng.choice([rng.uniform(0.05, 0.5), rng.uniform(0.5, 8.0)])
+        drains = rng.uniform(down, returns + 6.0)
+        agent = SimulatedAgent((down, returns), changes=[(drains, "draining")])
+        received, _ = run_watch(agent, 20.0, grace, seed=seed)
+        notified_at = agent.received_at(drains)
+        first = min(t for t, state in received if state == api.EndpointState.DRAINING)
+        assert notified_at <= first <= notified_at + 0.7 * grace, (seed, down, returns, drains)
+
+
+def test_a_slow_broker_does_not_time_out_on_answers_that_have_arrived():
+    # On a tenth of a core, a turn of the event loop takes as long as the answer timeout. Guards against abandoning a
+    # poll whose answer has arrived but is unread. The change arrives at each point of a cycle of wait and answer.
     for hundredth in range(100):
-        told = 5.0 + hundredth / 100.0
-        agent = Fallen(news=[(told, "draining")], late=0.15, steps=4)
-        heard, watch = play(agent, 10.0)
-        assert min(t for t, state in heard if state == api.EndpointState.DRAINING) <= told + 9 * 0.15, told
+        notified_at = 5.0 + hundredth / 100.0
+        agent = SimulatedAgent(changes=[(notified_at, "draining")], turn_delay_s=0.15, answer_turns=4)
+        received, watch = run_watch(agent, 10.0)
+        assert min(t for t, state in received if state == api.EndpointState.DRAINING) <= notified_at + 9 * 0.15, (
+            notified_at
+        )
         assert watch.failures == 0
 
 
-def test_an_answer_in_pieces_is_waited_for_and_one_that_drops_for_ever_is_not():
-    heard, watch = play(Fallen(late=0.05, drops=30), 8.0)
-    assert heard
+def test_an_answer_in_pieces_is_read_and_an_endless_one_is_abandoned():
+    received, watch = run_watch(SimulatedAgent(turn_delay_s=0.05, pieces=30), 8.0)
+    assert received
     assert watch.failures == 0
-    heard, watch = play(Fallen(late=0.05, drops=10_000), 60.0)
-    assert not heard
+    received, watch = run_watch(SimulatedAgent(turn_delay_s=0.05, pieces=10_000), 60.0)
+    assert not received
     assert watch.failures > 3
 
 
 @pytest.mark.parametrize("grace", [0.25, 0.5, 1.0, 4.0])
-def test_an_answer_in_drops_keeps_no_drain_beyond_its_grace(grace):
-    # It was waited for while bytes came, up to three times the grace: what the agent had since was not asked for.
+def test_a_trickling_answer_delays_no_drain_beyond_its_grace_period(grace):
+    # Guards against waiting for a trickling answer for up to three grace periods without polling for later changes.
     for seed in range(100):
         rng = random.Random(seed)
         begin = 2.0 + rng.uniform(0.0, 2.0)
         drains = begin + rng.uniform(0.0, 2 * grace)
-        agent = Fallen(news=[(begin - 0.001, "up"), (drains, "draining")], drips=(begin, drains))
-        heard, _ = play(agent, drains + 8.0, grace, seed=seed)
-        assert min(t for t, state in heard if state == api.EndpointState.DRAINING) <= drains + grace + 0.05, seed
+        agent = SimulatedAgent(changes=[(begin - 0.001, "up"), (drains, "draining")], trickles=(begin, drains))
+        received, _ = run_watch(agent, drains + 8.0, grace, seed=seed)
+        assert min(t for t, state in received if state == api.EndpointState.DRAINING) <= drains + grace + 0.05, seed
 
 
 @pytest.mark.parametrize("grace", [0.25, 2.0])
-def test_a_list_that_is_asked_for_is_obeyed_six_seconds_after_it_could_be_reached(grace):
-    # Whatever became of the call before: the module's pauses doubled up to the time to ask in, which may be longer.
+def test_a_list_polled_on_request_arrives_within_six_seconds_of_being_reachable(grace):
+    # This holds whatever happened to the previous poll. Guards against pauses of the aggregator that doubled up to the
+    # polling interval, which may be longer than six seconds.
     for seed in range(200):
         rng = random.Random(seed)
         down = 1.0 + rng.uniform(0.0, 3.0)
-        back = down + rng.choice([rng.uniform(0.1, 3.0), rng.uniform(3.0, 60.0)])
-        drains = rng.uniform(down, back + 4.0)
-        agent = Fallen((down, back), news=[(drains, "draining")], refuses=rng.random() < 0.5)
-        heard, watch = play(agent, back + 14.0, grace, asks=True, seed=seed, module=True)
-        told = agent.known_at(drains) + 6.0
-        assert min(t for t, state in heard if state == api.EndpointState.DRAINING) <= told, (seed, down, back, drains)
-
-
-@pytest.mark.parametrize("asks", [True, False])
-def test_a_version_that_goes_back_has_the_whole_list_asked_for(asks):
-    # An agent that starts anew counts from the beginning: what it has was taken for nothing new.
-    agent = Fallen(news=[(2.0, "up"), (2.5, "up"), (4.0, "draining")])
-    replace_attribute(agent, "rev", lambda now: 1 + sum(at <= now for at, _ in agent.news) - (3 if now >= 4.0 else 0))
-    heard, watch = play(agent, 8.0, asks=asks)
-    assert min(t for t, state in heard if state == api.EndpointState.DRAINING) <= 4.0 + 2.1
-
-
-def test_two_questions_are_never_out_at_once():
-    agent = Fallen()
-    _, watch = play(agent, 3.0, asks=True)
-    watch.follow(True)
-    watch._send_poll()  # the pause after an answer, and the module's word, in one turn
-    asked = len(agent.asked)
-    agent.clock.run(1000.0 * 1.9)
-    assert len(agent.asked) == asked
-
-
-def test_a_list_that_is_asked_for_is_asked_anew_once_its_watch_falls_silent():
-    # What a silent watch misses counts as told after 6 s; the module's own wait after a failure may be longer.
-    agent = Fallen((2.0, 4.5), news=[(2.1, "draining")])
-    heard, _ = play(agent, 7.0, asks=True)
-    assert min(t for t, state in heard if state == api.EndpointState.DRAINING) <= 2.0 + 6.0
-    agent = Fallen((2.0, 30.0))
-    heard, _ = play(agent, 10.0, asks=True)
-    assert [state for _, state in heard][-1] == "failed"  # the module asks from here on
-    assert max(t for t, _ in agent.asked) < 7.0
+        returns = down + rng.choice([rng.uniform(0.1, 3.0), rng.uniform(3.0, 60.0)])
+        drains = rng.uniform(down, returns + 4.0)
+        agent = SimulatedAgent((down, returns), changes=[(drains, "draining")], refuses=rng.random() < 0.5)
+        received, watch = run_watch(
+            agent, returns + 14.0, grace, polls_on_request=True, seed=seed, with_aggregator=True
+        )
+        notified_at = agent.received_at(drains) + 6.0
+        assert min(t for t, state in received if state == api.EndpointState.DRAINING) <= notified_at, (
+            seed,
+            down,
+            returns,
+            drains,
+        )
+
+
+@pytest.mark.parametrize("polls_on_request", [True, False])
+def test_a_version_that_goes_backwards_causes_a_request_for_the_complete_list(polls_on_request):
+    # A restarted agent counts versions from the beginning. Guards against taking its lower version for no change.
+    agent = SimulatedAgent(changes=[(2.0, "up"), (2.5, "up"), (4.0, "draining")])
+    replace_attribute(
+        agent, "revision", lambda now: 1 + sum(at <= now for at, _ in agent.changes) - (3 if now >= 4.0 else 0)
+    )
+    received, watch = run_watch(agent, 8.0, polls_on_request=polls_on_request)
+    assert min(t for t, state in received if state == api.EndpointState.DRAINING) <= 4.0 + 2.1
 
 
-def test_after_a_call_that_waited_the_next_goes_out_at_once_and_news_without_end_are_spaced_out():
-    # Twenty milliseconds between two calls: what the agent heard in them, before it fell silent, went unheard.
-    agent = Fallen()
-    play(agent, 3.0)
-    times = [at for at, head in agent.asked if b"since=" in head]
+def test_only_one_current_poll_is_in_flight():
+    agent = SimulatedAgent()
+    _, watch = run_watch(agent, 3.0, polls_on_request=True)
+    watch.follow(True)
+    watch._send_poll()  # the pause after an answer ends in the turn of the aggregator's request
+    requests = len(agent.requests)
+    agent.clock.run(1000.0 * 1.9)
+    assert len(agent.requests) == requests
+
+
+def test_a_silent_long_poll_is_followed_by_a_request_for_the_complete_list():
+    # The broker counts as notified of what a silent watch misses after 6 s, and the aggregator's backoff after a
+    # failure may be longer. So the watch polls once more by itself.
+    agent = SimulatedAgent((2.0, 4.5), changes=[(2.1, "draining")])
+    received, _ = run_watch(agent, 7.0, polls_on_request=True)
+    assert min(t for t, state in received if state == api.EndpointState.DRAINING) <= 2.0 + 6.0
+    agent = SimulatedAgent((2.0, 30.0))
+    received, _ = run_watch(agent, 10.0, polls_on_request=True)
+    assert [state for _, state in received][-1] == "failed"  # from here on the aggregator requests the polls
+    assert max(t for t, _ in agent.requests) < 7.0
+
+
+def test_a_poll_that_waited_is_followed_at_once_and_frequent_changes_are_spaced_out():
+    # Guards against a pause of 20 ms between two polls: changes that the agent received in it, just before it stopped
+    # answering, never reached the broker.
+    agent = SimulatedAgent()
+    run_watch(agent, 3.0)
+    times = [at for at, head in agent.requests if b"since=" in head]
     assert all(0.174 < b - a < 0.18 for a, b in zip(times[1:], times[2:], strict=False))
     assert len(times) > 9
-    agent = Fallen(news=[(2.0 + i / 1000.0, "draining") for i in range(500)])
-    play(agent, 3.0)
-    during = [at for at, _ in agent.asked if 2.05 < at < 2.45]
+    agent = SimulatedAgent(changes=[(2.0 + i / 1000.0, "draining") for i in range(500)])
+    run_watch(agent, 3.0)
+    during = [at for at, _ in agent.requests if 2.05 < at < 2.45]
     assert len(during) <= 21
 
 
 @pytest.mark.parametrize("turns", range(6))
-def test_a_list_that_came_whole_is_told_to_its_end_when_discovery_moves(turns):
-    # Its slices were dropped with the call: what the old agent had told was never obeyed while the new one was silent.
-    agent, replies, heard = Fallen(), [], []
+def test_a_received_list_is_published_completely_when_the_target_changes(turns):
+    # Guards against dropping the remaining slices together with the poll: the old agent's changes were then ignored
+    # while the new agent was silent.
+    agent, replies, received = SimulatedAgent(), [], []
     replace_attribute(agent, "request", lambda head, on_reply: replies.append(on_reply) or Timer())
     directory = Directory(4, row_parser(names.MEMBERS, ("a",), ("m",)), shared_clock=True)
     watch = Watch(
@@ -273,7 +306,7 @@
         agent,
         lambda: agent.clock.now,
         agent.time,
-        lambda view: heard.extend(view.endpoints),
+        lambda on_update: received.extend(on_update.endpoints),
         lambda what, why: None,
         1,
         "test",
@@ -281,22 +314,22 @@
     watch.pool = agent
     replace_attribute(watch, "_pool", lambda: agent)
 
-    def tell(state):
+    def answer_poll(state):
         rows = [ROW | {"uid": f"s-{i}", "state": state} for i in range(350)]
         body = msgspec.json.encode({"rev": len(replies), "all": True, "targets": rows})
         replies[-1](Reply(End.ANSWER, 200, {}, body))
 
     watch.follow(True)
-    tell("up")
+    answer_poll("up")
     agent.clock.run(1000.0)
-    heard.clear()
-    tell("draining")
-    asked = len(replies)
+    received.clear()
+    answer_poll("draining")
+    requests = len(replies)
     for _ in range(turns):
         watch._next_list_step()
     watch.switch_target(MembersTarget(names.MEMBERS, ("127.0.0.1", 2), False, 0.5))
-    assert {line.node for line in heard if line.state is api.EndpointState.DRAINING} == set(range(1, 351))
+    assert {line.node for line in received if line.state is api.EndpointState.DRAINING} == set(range(1, 351))
     assert watch.version is None
     assert directory.published
     agent.clock.run(50.0)
-    assert len(replies) == asked + 1  # the new one is asked, once
+    assert len(replies) == requests + 1  # the new target is polled once
--- a/tests/test_simulated_drains.py
+++ b/tests/test_simulated_drains.py
@@ -1,4 +1,4 @@
-"""What is told is obeyed: the whole service in simulated time, judged from what the agent had and the bytes sent.
+"""Drains and removals are obeyed within the grace period: the complete service in simulated time, checked from outside.
 
 More seeds: `python benchmarks/told.py --count 2000`.
 """
@@ -7,34 +7,34 @@
 
 from badgerbend.discovery import directory, members, polls
 from badgerbend.platform.service import Service
-from tests.simplatform import World
+from tests.simplatform import SimulatedPlatform
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_nothing_is_sent_beyond_the_grace_and_every_query_ends_once(seed):
-    world = World(seed)
-    assert world.play() == []
-    assert world.sends
-    assert world.ended == world.asked
+def test_nothing_is_sent_after_the_drain_grace_period_and_every_query_ends_once(seed):
+    platform = SimulatedPlatform(seed)
+    assert platform.run() == []
+    assert platform.parts_sent
+    assert platform.queries_ended == platform.queries_sent
 
 
-def test_a_long_list_read_in_slices_by_a_slow_broker_is_obeyed_too():
-    world = World(5, rows=1024)
-    assert world.play() == []
-    assert len(world.service.directory.servers) > 900
+def test_drains_in_a_long_list_are_obeyed_by_a_slow_broker():
+    platform = SimulatedPlatform(5, rows=1024)
+    assert platform.run() == []
+    assert len(platform.service.directory.servers) > 900
 
 
-def listens_first(monkeypatch):
-    made = Service.__init__
+def listen_before_first_list(monkeypatch):
+    original_init = Service.__init__
 
     def init(self, config):
-        made(self, config)
+        original_init(self, config)
         self.first_list.set()
 
     monkeypatch.setattr(Service, "__init__", init)
 
 
-def aborts_what_is_late(monkeypatch):
+def abort_overdue_polls(monkeypatch):
     def add(self, poll, now):
         poll.abort()
 
@@ -42,12 +42,12 @@
 
 
 DEFECTS = {
-    "it listens before the agent had its chance": (listens_first, 21),
-    "a call waits for longer than a grace": (lambda m: m.setattr(members, "WAIT_FRACTION", 10.0), 5),
-    "a silent call is given up late": (lambda m: m.setattr(members, "ANSWER_TIMEOUT_FRACTION", 10.0), 0),
-    "it asks again late": (lambda m: m.setattr(members, "RETRY_FRACTION", 5.0), 37),
-    "a poll is aborted as the next one is sent": (aborts_what_is_late, 5),
-    "a row without all its fields is left out": (
+    "the broker listens before the agent could answer": (listen_before_first_list, 21),
+    "a poll waits for longer than the grace period": (lambda m: m.setattr(members, "WAIT_FRACTION", 10.0), 5),
+    "a silent poll is abandoned late": (lambda m: m.setattr(members, "ANSWER_TIMEOUT_FRACTION", 10.0), 0),
+    "a failed poll is retried late": (lambda m: m.setattr(members, "RETRY_FRACTION", 5.0), 37),
+    "a poll is aborted as the next one is sent": (abort_overdue_polls, 5),
+    "a row that lacks fields is ignored": (
         lambda m: m.setattr(directory.ListReader, "_read_departure", lambda self, raw: None),
         17,
     ),
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
-def test_each_defect_is_found(defect, monkeypatch):
+def test_each_planted_defect_is_found(defect, monkeypatch):
     make, seed = DEFECTS[defect]
     make(monkeypatch)
-    assert World(seed).play()
+    assert SimulatedPlatform(seed).run()
