--- a/tests/simplatform.py
+++ b/tests/simplatform.py
@@ -321,9 +321,9 @@
         service._sweeper.cancel()
         service.server._sweeper.cancel()
 
-    def _schedule(self, when, what):
-        if when < self.begin + self.scenario.length:
-            self.loop.call_at(when, what)
+    def _schedule(self, at, what):
+        if at < self.begin + self.scenario.length:
+            self.loop.call_at(at, what)
 
     def _send_query(self):
         self.queries_sent += 1
@@ -418,5 +418,5 @@
             body = msgspec.json.format(body)
         data = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(body) + body
         step = -(-len(data) // self.platform.pieces)
-        for place, at in enumerate(range(0, len(data), step)):
-            self.platform.loop.call_later(0.0005 + 0.004 * place, link.deliver, data[at : at + step])
+        for index, at in enumerate(range(0, len(data), step)):
+            self.platform.loop.call_later(0.0005 + 0.004 * index, link.deliver, data[at : at + step])
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -116,8 +116,8 @@
 
     def stepped(self, *_): ...
 
-    def report_fault(self, what, detail):
-        self.faults.append((what, detail))
+    def report_fault(self, kind, detail):
+        self.faults.append((kind, detail))
 
     def ask(self, cls=ALL, shards=(0, 1), time_left_ms=2000.0, more=2):
         sink = Sink(self, len(shards), more)
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -38,9 +38,9 @@
 
 
 def test_a_call_has_a_header_line_and_a_text_for_each_part():
-    ask = [(PartRequest(b"q1.3", 3, None, b"c41e77d0"), 240.9), (PartRequest(b"q2.5", 5, b"k9", b"x\ny"), 0.2)]
+    requests = [(PartRequest(b"q1.3", 3, None, b"c41e77d0"), 240.9), (PartRequest(b"q2.5", 5, b"k9", b"x\ny"), 0.2)]
     payload = b"q1.3 3 d=240 8\nc41e77d0q2.5 5 d=1,k=k9 3\nx\ny"
-    assert encode_call(FRAMES, ask) == (len(payload) + 1).to_bytes(4, "little") + b"q" + payload
+    assert encode_call(FRAMES, requests) == (len(payload) + 1).to_bytes(4, "little") + b"q" + payload
 
 
 @given(st.lists(st.integers(1, 40), max_size=30), st.sampled_from([b"-", b"{}", b"what ever"]))
@@ -103,7 +103,7 @@
 
     def __init__(self):
         self.written, self.full, self.channel, self.aborted = b"", False, None, False
-        self.left, self.takes = 0, 1
+        self.buffered, self.accepts = 0, 1
 
     def set_write_buffer_limits(self, high):
         assert high == 0
@@ -111,12 +111,12 @@
     def write(self, data):
         self.written += data
         if self.full:
-            taken, self.takes = min(self.takes, len(data)), max(self.takes - len(data), 0)
-            self.left += len(data) - taken
+            taken, self.accepts = min(self.accepts, len(data)), max(self.accepts - len(data), 0)
+            self.buffered += len(data) - taken
             self.channel.pause_writing()
 
     def get_write_buffer_size(self):
-        return self.left
+        return self.buffered
 
     def is_closing(self):
         return self.aborted
@@ -162,12 +162,12 @@
 
 def attempt(shard, number=0, query=b"q1", text=b"text"):
     """Returns an attempt decided on now: by the running loop's clock, or at time 0 in a test without one."""
-    ask = PartRequest(b"%s.%d" % (query, shard), shard, None, text)
+    requests = PartRequest(b"%s.%d" % (query, shard), shard, None, text)
     try:
         sent_ms = asyncio.get_running_loop().time() * 1000.0
     except RuntimeError:
         sent_ms = 0.0
-    return Attempt(shard, number, 1, PartPlan(shard, 0.5, None, ask), 1, sent_ms, 1000.0)
+    return Attempt(shard, number, 1, PartPlan(shard, 0.5, None, requests), 1, sent_ms, 1000.0)
 
 
 @pytest.fixture
@@ -208,7 +208,7 @@
     fake.full = True
     channel.send([attempt(1)])
     channel.send([attempt(2)])
-    fake.full, fake.left, fake.takes = False, 0, 1
+    fake.full, fake.buffered, fake.accepts = False, 0, 1
     channel.resume_writing()
     assert b"q1.2" in fake.written
     fake.full = True
@@ -225,7 +225,7 @@
     channel, fake, owner = channel_setup
     channel.connection_made(fake)
     channel.send([attempt(1)])
-    fake.full, fake.takes = True, 0
+    fake.full, fake.accepts = True, 0
     two, three = attempt(2), attempt(3)
     channel.send([two, three])  # lies completely in the buffer above the kernel
     assert channel.begun(attempt(1))
@@ -238,7 +238,7 @@
 def test_cancelling_a_part_of_an_unsent_call_discards_the_buffer(channel_setup):
     channel, fake, owner = channel_setup
     channel.connection_made(fake)
-    fake.full, fake.takes = True, 0
+    fake.full, fake.accepts = True, 0
     two, three = attempt(2), attempt(3)
     channel.send([two, three])
     channel.cancel(two)
@@ -270,7 +270,7 @@
     owner.now, fake.full = 299.9, True
     channel.send([attempt(4)])
     channel.send([late])
-    owner.now, fake.full, fake.left = 300.1, False, 0
+    owner.now, fake.full, fake.buffered = 300.1, False, 0
     channel.resume_writing()
     assert owner.ends[1:] == [(b"q1.2", Outcome.NOT_SENT, None)]
     assert b"q1.2" not in fake.written
--- a/tests/test_keyed_list.py
+++ b/tests/test_keyed_list.py
@@ -193,9 +193,9 @@
     subject = subject_with_servers(2)
     subject.clock.run()
     node = subject.directory.servers["s1"].endpoint.node
-    reading = ListReader(subject.directory, (), 1.0, 1.0, is_complete=False, removed=["s1", "never"])
-    reading.apply()
-    (update,) = reading.updates()
+    reader = ListReader(subject.directory, (), 1.0, 1.0, is_complete=False, removed=["s1", "never"])
+    reader.apply()
+    (update,) = reader.updates()
     assert [(line.node, line.state) for line in update.endpoints] == [(node, REMOVED)]
     assert node not in subject.directory.addresses
     assert node not in subject.directory.names
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -215,12 +215,12 @@
 
 def test_a_second_request_with_an_open_id_is_rejected_and_the_first_continues():
     async def main():
-        held = []
-        async with Stage(behave=held.append) as s:
+        received_parts = []
+        async with Stage(behave=received_parts.append) as s:
             first = asyncio.ensure_future(s.ask((1,), X_Correlation_Id="same"))
-            await until(lambda: held)
+            await until(lambda: received_parts)
             assert (await s.ask((1,), X_Correlation_Id="same"))[0] == 409
-            held[0].served()
+            received_parts[0].served()
             assert (await first)[0] == 200
             assert len(s.sent()) == 1
             assert not s.service.front.open
@@ -234,9 +234,9 @@
             silent = await asyncio.open_connection("127.0.0.1", s.port)
             half = await asyncio.open_connection("127.0.0.1", s.port)
             half[1].write(s.head(query((1,)))[:-10])
-            asked = await asyncio.open_connection("127.0.0.1", s.port)
-            asked[1].write(s.head(query((1,))))
-            assert (await asked[0].readline()).startswith(b"HTTP/1.1 200")
+            served = await asyncio.open_connection("127.0.0.1", s.port)
+            served[1].write(s.head(query((1,))))
+            assert (await served[0].readline()).startswith(b"HTTP/1.1 200")
             await until(lambda: len(s.service.server.connections) == 3)
             connections = list(s.service.server.connections)
             for connection in connections:
@@ -247,7 +247,7 @@
             for connection in connections:
                 connection.since -= 5.0
             await until(lambda: not s.service.server.connections)
-            for _, writer in (silent, half, asked):
+            for _, writer in (silent, half, served):
                 writer.close()
 
     run(main)
@@ -276,27 +276,27 @@
 
 def test_the_query_and_attempts_of_a_disconnected_client_are_cancelled():
     async def main():
-        held = []
-        async with Stage(behave=held.append) as s:
+        received_parts = []
+        async with Stage(behave=received_parts.append) as s:
             _, writer = await asyncio.open_connection("127.0.0.1", s.port)
             writer.write(s.head(query((1, 2))))
-            await until(lambda: len(held) == 2)
+            await until(lambda: len(received_parts) == 2)
             writer.transport.abort()
-            await until(lambda: {c for n in s.nodes.values() for c in n.cancelled} == {p.id for p in held})
+            await until(lambda: {c for n in s.nodes.values() for c in n.cancelled} == {p.id for p in received_parts})
             assert not s.service.front.open
             assert not s.service.driver.queries
-            for part in held:
+            for part in received_parts:
                 part.served()  # these answers cross the cancellations
-            assert (await asyncio.wait_for(_answer_another_query(s, held), 20))[0] == 200
+            assert (await asyncio.wait_for(_answer_another_query(s, received_parts), 20))[0] == 200
             assert not [v for w, v in s.troubles if w == "trouble"]
 
-    async def _answer_another_query(s, held):
-        known = len(held)
-        asked = asyncio.ensure_future(s.ask((1, 2)))
-        await until(lambda: len(held) == known + 2)
-        for part in held[known:]:
+    async def _answer_another_query(s, received_parts):
+        known = len(received_parts)
+        query_task = asyncio.ensure_future(s.ask((1, 2)))
+        await until(lambda: len(received_parts) == known + 2)
+        for part in received_parts[known:]:
             part.served()
-        return await asked
+        return await query_task
 
     run(main)
 
@@ -368,10 +368,10 @@
 
     async def main():
         async with Stage() as s:
-            kept = s.service.server.limits.max_kept
-            assert kept < s.config.limits.descriptors / 3
-            held, closed = [], 0
-            for _ in range(kept + 20):
+            max_kept = s.service.server.limits.max_kept
+            assert max_kept < s.config.limits.descriptors / 3
+            writers, closed = [], 0
+            for _ in range(max_kept + 20):
                 reader, writer = await asyncio.open_connection("127.0.0.1", s.port)
                 writer.write(s.head(query((1,))))
                 head = (await reader.readuntil(b"\r\n\r\n")).lower()
@@ -380,12 +380,12 @@
                 if b"connection: close" in head:
                     closed += 1
                     assert await reader.read() == b""
-                held.append(writer)
+                writers.append(writer)
             server = s.service.server
             assert closed == 20
-            assert len(server.connections) - server.lingering <= kept + 1
-            await until(lambda: len(server.connections) <= kept + 1)  # connections linger for a limited time only
-            for writer in held:
+            assert len(server.connections) - server.lingering <= max_kept + 1
+            await until(lambda: len(server.connections) <= max_kept + 1)  # connections linger for a limited time only
+            for writer in writers:
                 writer.close()
 
     run(main)
@@ -510,21 +510,21 @@
     row = {"uid": "s0", "endpoint": "127.0.0.1:9", "az": "here", "model": "m", "pod_group": 0, "state": "up"}
     for states in (("up", "draining"), ("draining", "up")):
         rows = decode_rows(msgspec.json.encode([row | {"state": state} for state in states]))
-        view, wrong = directory.read(rows, 0.0, 0.0)
+        view, errors = directory.read(rows, 0.0, 0.0)
         assert [line.state for line in view.endpoints] == [api.EndpointState.DRAINING]
-        assert len(wrong) == 1
+        assert len(errors) == 1
 
 
 def test_a_row_equal_to_the_known_state_reverts_an_earlier_row():
     directory = Directory(CELLS, members.row_parser(names.MEMBERS, ("here",), ("m",)), shared_clock=True)
     row = {"uid": "s0", "endpoint": "127.0.0.1:9", "az": "here", "model": "m", "pod_group": 0, "state": "draining"}
     directory.read(decode_rows(msgspec.json.encode([row])), 0.0, 0.0)
-    reading = ListReader(
+    reader = ListReader(
         directory, decode_rows(msgspec.json.encode([row | {"state": "up"}, row])), 1.0, 1.0, is_complete=False
     )
-    list(reading.read_slices())
-    reading.apply()
-    assert [line.state for view in reading.updates() for line in view.endpoints] == []
+    list(reader.read_slices())
+    reader.apply()
+    assert [line.state for view in reader.updates() for line in view.endpoints] == []
     assert directory.servers["s0"].endpoint.state == api.EndpointState.DRAINING
 
 
@@ -547,12 +547,12 @@
     )
     good = {"uid": "s0", "endpoint": "127.0.0.1:9", "az": "here", "model": "m", "pod_group": 0, "state": "up"}
     directory.read(decode_rows(msgspec.json.encode([good])), 0.0, 0.0)
-    news = [row, good | {"uid": "s1", "state": "draining"}]
-    reading = ListReader(directory, decode_rows(msgspec.json.encode(news)), 1.0, 1.0, is_complete=False)
-    list(reading.read_slices())
-    reading.apply()
+    changes = [row, good | {"uid": "s1", "state": "draining"}]
+    reader = ListReader(directory, decode_rows(msgspec.json.encode(changes)), 1.0, 1.0, is_complete=False)
+    list(reader.read_slices())
+    reader.apply()
     assert directory.servers["s1"].endpoint.state == api.EndpointState.DRAINING
-    assert len(reading.errors) == 1
+    assert len(reader.errors) == 1
     assert directory.servers["s0"].endpoint.state == api.EndpointState.READY
 
 
@@ -650,10 +650,10 @@
 
 def test_a_reload_switches_to_another_agent_and_keeps_list_and_queries():
     async def main():
-        held = []
-        async with Stage(behave=held.append) as s:
-            asked = asyncio.ensure_future(s.ask((1,)))
-            await until(lambda: held)
+        received_parts = []
+        async with Stage(behave=received_parts.append) as s:
+            query_task = asyncio.ensure_future(s.ask((1,)))
+            await until(lambda: received_parts)
             other = Agent()
             port = await other.start()
             for uid, node in s.nodes.items():
@@ -664,8 +664,8 @@
             await until(lambda: other.waiting)
             other.put("s0", s.nodes["s0"].port, 0, "draining")
             await until(lambda: s.service.directory.servers["s0"].endpoint.state is api.EndpointState.DRAINING)
-            held[0].served()
-            assert (await asked)[0] == 200
+            received_parts[0].served()
+            assert (await query_task)[0] == 200
             await other.close()
 
     run(main)
@@ -691,37 +691,37 @@
     had none for half a second."""
 
     async def main():
-        held = []
-        async with Stage(behave=held.append) as s:
+        received_parts = []
+        async with Stage(behave=received_parts.append) as s:
 
             async def served(reader, writer, shard):
-                known = len(held)
+                known = len(received_parts)
                 writer.write(s.head(query((shard,))))
-                await until(lambda: len(held) > known)
-                held[-1].served()
+                await until(lambda: len(received_parts) > known)
+                received_parts[-1].served()
                 head = await reader.readuntil(b"\r\n\r\n")
                 body = await reader.readexactly(int(head.lower().split(b"content-length: ")[1].split(b"\r")[0]))
                 return head, body
 
-            kept = await asyncio.open_connection("127.0.0.1", s.port)
-            await served(*kept, 1)
+            persistent = await asyncio.open_connection("127.0.0.1", s.port)
+            await served(*persistent, 1)
             ending = asyncio.ensure_future(s.service.end())
             await until(lambda: s.service.ending)
-            head, body = await served(*kept, 2)
+            head, body = await served(*persistent, 2)
             assert b"200" in head
             assert b"close" not in head
             assert b'"full":true' in body
             new = await asyncio.open_connection("127.0.0.1", s.port)
             new[1].write(s.head(query((4,))))  # this request is open when the grace period ends
-            await until(lambda: held[-1].shard == 4)
-            assert await kept[0].read() == b""  # closed between requests
-            held[-1].served()
+            await until(lambda: received_parts[-1].shard == 4)
+            assert await persistent[0].read() == b""  # closed between requests
+            received_parts[-1].served()
             answer = await new[0].read()
             assert b"200" in answer
             assert b"connection: close" in answer
             assert b'"full":true' in answer
             assert await ending == 0
-            for _, writer in (kept, new):
+            for _, writer in (persistent, new):
                 writer.close()
 
     run(main)
@@ -779,7 +779,7 @@
         async with Stage(each=1) as s:
             service = s.service
 
-            def kept():
+            def state_sizes():
                 module, driver, transport = service.driver.module, service.driver, service.transport
                 return {
                     "directory": len(service.directory.servers) + len(service.directory.names),
@@ -816,13 +816,13 @@
             for cell in range(CELLS):
                 await s.ask((cell,), Connection="close")
             await settle()
-            before, due = kept(), len(service.driver._timers)
+            before, due = state_sizes(), len(service.driver._timers)
             for i in range(30, 230):
                 await replace_node(i)
             for cell in range(CELLS):
                 await s.ask((cell,), Connection="close")
             await settle()
-            assert kept() == before
+            assert state_sizes() == before
             nodes = service.driver.module.endpoints.servers
             assert len(nodes) <= 2 * CELLS
             assert len(service.driver._timers) <= due + 1000
@@ -841,18 +841,18 @@
             def alive():
                 return Counter(type(o).__name__ for o in gc.get_objects() if type(o).__name__ in kinds)
 
-            async def asked():
+            async def send_queries():
                 for _ in range(5):
                     assert (await s.ask((1, 2, 3), Connection="close"))[0] == 200
                 await until(lambda: not s.service.server.connections)
                 await asyncio.sleep(0.05)
 
-            await asked()
+            await send_queries()
             gc.collect()
             gc.disable()
             try:
                 before = alive()
-                await asked()
+                await send_queries()
                 after = alive()
             finally:
                 gc.enable()
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -42,10 +42,10 @@
     def time(self):
         return self.clock.now / 1000.0
 
-    def call_later(self, delay, what):
+    def call_later(self, delay, callback):
         timer = Timer()
         self.clock.at(
-            self.clock.now + (delay + self.turn_delay_s) * 1000.0, lambda: None if timer.cancelled else what()
+            self.clock.now + (delay + self.turn_delay_s) * 1000.0, lambda: None if timer.cancelled else callback()
         )
         return timer
 
@@ -70,9 +70,9 @@
             return call
         end = now + wait_s
         state = next((s for at, s in reversed(self.changes) if self.received_at(at) <= end), "up")
-        whole = since is None
-        rows = [ROW | {"state": state}] if whole or since < self.revision(end) else []
-        body = msgspec.json.encode({"rev": self.revision(end), "all": whole, "targets": rows})
+        is_complete = since is None
+        rows = [ROW | {"state": state}] if is_complete or since < self.revision(end) else []
+        body = msgspec.json.encode({"rev": self.revision(end), "all": is_complete, "targets": rows})
         if self.trickles and self.trickles[0] <= end < self.trickles[1]:  # a byte every 10 ms, without end
             self.deliver(call, end, 1_000_000, None, on_reply, 0.01)
             return call
@@ -161,7 +161,7 @@
         lambda: agent.clock.now,
         agent.time,
         on_update,
-        lambda what, why: None,
+        lambda kind, detail: None,
         seed,
         "test",
     )
@@ -307,7 +307,7 @@
         lambda: agent.clock.now,
         agent.time,
         lambda on_update: received.extend(on_update.endpoints),
-        lambda what, why: None,
+        lambda kind, detail: None,
         1,
         "test",
     )
