--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -314,7 +314,7 @@
             assert newest.driver.module.sites is earlier.driver.module.sites is preference
             next_one = asyncio.ensure_future(stage.client.query(ASK))
             await until(lambda: newest.driver.queries)
-            assert not set(earlier.driver._owners) & set(newest.driver._owners)  # parts are told apart
+            assert not set(earlier.driver._query_of_part) & set(newest.driver._query_of_part)  # parts are told apart
             for status, answer, _ in await asyncio.gather(first, next_one):
                 assert status == 200
                 assert len(answer["data"]["fullQuote"]) == 4
