--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -21,12 +21,12 @@
 from badgerbend.generations.generation import Generation, SharedResources
 from badgerbend.generations.manager import GenerationManager
 from badgerbend.graphql.front import GraphQLFront
-from badgerbend.graphql.schema import Subgraph, subgraph
+from badgerbend.graphql.schema import Subgraph, create_subgraph
 from badgerbend.lease_service.budget_exchange import create_broker_budget
 from badgerbend.lease_service.http import handle_duties
 from badgerbend.lease_service.service import LeaseService
 from badgerbend.lease_service.service_metrics import update_metrics
-from badgerbend.log import get
+from badgerbend.log import get_logger
 from badgerbend.metrics import Metrics
 from badgerbend.net.client import PoolLimits
 from badgerbend.net.server import Exchange, HttpServer, ServerLimits
@@ -47,10 +47,10 @@
 def read_subgraph(settings: Settings, settings_file: Path) -> Subgraph:
     """The subgraph of a settings file; the schema's path is relative to it. Raises OSError, SchemaError."""
     text = (settings_file.parent / settings.schema).read_text(encoding="utf-8")
-    return subgraph(settings, text)
+    return create_subgraph(settings, text)
 
 
-def settle_memory() -> None:
+def tune_garbage_collector() -> None:
     """Once started: what lives on is left out of collections, which come seldom; few objects here form cycles."""
     gc.collect()
     gc.freeze()
@@ -77,7 +77,7 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         self.settings, self.loop = settings, loop
-        self.log = get(part="broker")
+        self.log = get_logger(part="broker")
         self.metrics = Metrics(tuple(c.name for c in settings.class_))
         listed_by_feed = settings.feed is not None and settings.feed.list
         self.directory = (keyed_directory if listed_by_feed else consul_directory)(settings.layout.cells)
@@ -170,7 +170,7 @@
 
     def _follow_generation(self, generation: Generation) -> None:
         """Who learns and who shares duties does so for the newest configuration."""
-        generation.answers.knowledge_exchange = self.knowledge_exchange
+        generation.answer_observer.knowledge_exchange = self.knowledge_exchange
         for part in (self.knowledge_exchange, self.lease_service):
             if part is not None:
                 part.driver = generation.driver
--- a/badgerbend/discovery/watch.py
+++ b/badgerbend/discovery/watch.py
@@ -16,7 +16,7 @@
 from badgerbend import api
 from badgerbend.discovery.directory import SLICE_SIZE, Directory, ListError, ListReader
 from badgerbend.discovery.polls import OverduePolls, Poll, Timer
-from badgerbend.net.client import End, Pool, PoolLimits, Reply
+from badgerbend.net.client import CallResult, Pool, PoolLimits, Reply
 
 # The answer timeout is counted in turns. Each lasts its share of the timeout or, if the event loop comes round later
 # than that, one turn of the loop. Opening a connection, sending a request and reading an answer take four turns of the
@@ -249,8 +249,8 @@
 
     def _read(self, poll: Poll, reply: Reply) -> tuple[int | None, ListReader | None]:
         """Returns the answer's version, and a reader if there are changes. Raises ListError or ValueError."""
-        if reply.end is not End.ANSWER or reply.status != 200:
-            raise ListError(f"{reply.end.name.lower()}, HTTP status {reply.status}")
+        if reply.result is not CallResult.ANSWER or reply.status != 200:
+            raise ListError(f"{reply.result.name.lower()}, HTTP status {reply.status}")
         has_list = self.refreshed_at is not None
         return self.target.read(reply, poll.version, has_list, self.directory, self.now_ms(), self.unix_s())
 
--- a/badgerbend/platform/front.py
+++ b/badgerbend/platform/front.py
@@ -78,7 +78,7 @@
             exchange.respond(err.status, err.reason.encode() + b"\n", TEXT)
             return
         pending = self.open[request_id] = _OpenRequest(self, request_id, exchange)
-        exchange.on_gone = pending.client_disconnected
+        exchange.on_disconnect = pending.client_disconnected
         pending.query_id = self.driver.submit(plan, pending)
 
     def read(self, exchange: Exchange) -> tuple[bytes, QueryPlan]:
@@ -187,7 +187,7 @@
         self._end(502, b"failed; parts of it may have run\n", TEXT)
 
     def client_disconnected(self) -> None:
-        self.exchange.on_gone = None
+        self.exchange.on_disconnect = None
         self.front.open.pop(self.request_id, None)
         if self.query_id is not None:
             self.front.driver.client_disconnected(self.query_id)
@@ -195,7 +195,7 @@
     def _end(self, status: int, body: bytes, kind: bytes, extra: Headers = ()) -> None:
         self.front.open.pop(self.request_id, None)
         # The callback refers back to this object; without this line each request would wait for the garbage collector.
-        self.exchange.on_gone = None
+        self.exchange.on_disconnect = None
         self.exchange.respond(status, body, kind, extra)
 
 
--- a/badgerbend/platform/service.py
+++ b/badgerbend/platform/service.py
@@ -97,11 +97,11 @@
             self.front.handle,
             ServerLimits(
                 max_connections=int(descriptors * CLIENT_FRACTION),
-                max_kept=int(descriptors * KEEP_ALIVE_FRACTION),
+                max_keep_alive=int(descriptors * KEEP_ALIVE_FRACTION),
                 max_body_bytes=MAX_BODY,
                 read_timeout_s=READ_TIMEOUT_S,
                 idle_timeout_s=IDLE_TIMEOUT_S,
-                silent_timeout_s=READ_TIMEOUT_S,
+                first_byte_timeout_s=READ_TIMEOUT_S,
             ),
         )
         self.ending = False
@@ -230,7 +230,7 @@
                 nodes=self.transport.open,
                 opened=self.transport.opened,
                 rejected=self.front.rejected,
-                turned_away=self.server.turned_away,
+                turned_away=self.server.rejected_connections,
                 accepts_failed=self.server.accepts_failed,
                 overdue_polls=self.watch.overdue_polls,
             )
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -7,7 +7,7 @@
 
 import pytest
 from clock import Clock
-from conftest import ALL, ANY, KEY, ONCE, SETTINGS, TWO, line
+from conftest import ALL, ANY, KEYED, SETTINGS, TWO_STEP, UNSAFE, endpoint
 
 from badgerbend import api
 from badgerbend.decisions import Aggregator
@@ -63,7 +63,7 @@
         self.unsent = set()  # keys of attempts of which no byte was sent
         settings = replace(SETTINGS, **changes)
         self.driver = Driver(settings, module(settings, seed), self, self, self, self)
-        lines = tuple(line(10 + i, i % 4) for i in range(8))
+        lines = tuple(endpoint(10 + i, i % 4) for i in range(8))
         self.driver.update_endpoints(api.EndpointUpdate(api.UpdateKind.CACHED, lines))
         self.run(1.0)
 
@@ -153,11 +153,11 @@
 
 def test_a_second_step_is_fetched_and_its_query_answered_once():
     network = SimulatedNetwork(succeed())
-    sink = network.ask(TWO, shards=(0, 1, 2))
+    sink = network.ask(TWO_STEP, shards=(0, 1, 2))
     network.run(200.0)
     assert len(network.sent) == 5
     assert [result for _, result in sink.results_reported] == ["answered"]
-    none = network.ask(TWO, shards=(0, 1, 2), more=0)
+    none = network.ask(TWO_STEP, shards=(0, 1, 2), more=0)
     network.run(200.0)
     assert [result for _, result in none.results_reported] == ["answered"]
     assert none.complete
@@ -222,7 +222,7 @@
 
 def test_a_retry_not_begun_within_its_window_is_cancelled_and_its_query_fails():
     network = SimulatedNetwork(lambda attempt: (api.Outcome.RESET, 100.0) if not attempt.number else None)
-    sink = network.ask(KEY, shards=(0,))
+    sink = network.ask(KEYED, shards=(0,))
     network.run(150.0)
     (_, first), (_, again) = network.sent
     assert again.begin_by_ms == first.sent_ms + 400.0 - EARLY_FINISH_MS
@@ -280,8 +280,8 @@
     network = SimulatedNetwork(outcome_of, seed, max_open=60, parts_per_call=rng.choice([1, 4]))
     sinks, disconnected = [], set()
     for _ in range(150):
-        cls = rng.choice([ALL, ANY, KEY, ONCE, TWO])
-        shards = rng.sample(range(4), 1 if cls in (KEY, ONCE) else rng.randint(1, 4))
+        cls = rng.choice([ALL, ANY, KEYED, UNSAFE, TWO_STEP])
+        shards = rng.sample(range(4), 1 if cls in (KEYED, UNSAFE) else rng.randint(1, 4))
         sink = network.ask(cls, shards, rng.choice([0.0, 50.0, 500.0, 2500.0]), rng.choice([0, 2]))
         sinks.append(sink)
         network.run(rng.choice([0.0, 1.0, 30.0]))
@@ -291,7 +291,7 @@
         if rng.random() < 0.05:
             state = rng.choice(list(api.EndpointState))
             network.driver.update_endpoints(
-                api.EndpointUpdate(api.UpdateKind.DELTA, (line(10 + rng.randrange(8), rng.randrange(4), state),))
+                api.EndpointUpdate(api.UpdateKind.DELTA, (endpoint(10 + rng.randrange(8), rng.randrange(4), state),))
             )
     network.run(20_000.0)
     for sink in sinks:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -355,7 +355,7 @@
             silent = [await asyncio.open_connection("127.0.0.1", s.port) for _ in range(most + 30)]
             assert (await s.ask())[0] == 200
             assert len(s.service.server.connections) <= most
-            assert not s.service.server.turned_away
+            assert not s.service.server.rejected_connections
             for _, writer in silent:
                 writer.close()
 
@@ -368,7 +368,7 @@
 
     async def main():
         async with Stage() as s:
-            max_kept = s.service.server.limits.max_kept
+            max_kept = s.service.server.limits.max_keep_alive
             assert max_kept < s.config.limits.descriptors / 3
             writers, closed = [], 0
             for _ in range(max_kept + 20):
--- a/tests/test_silent_agent.py
+++ b/tests/test_silent_agent.py
@@ -12,7 +12,7 @@
 from badgerbend.discovery.directory import Directory
 from badgerbend.discovery.members import MembersTarget, row_parser
 from badgerbend.discovery.watch import Watch
-from badgerbend.net.client import End, Reply
+from badgerbend.net.client import CallResult, Reply
 from badgerbend.platform import names
 from tests.clock import Clock
 from tests.conftest import SETTINGS
@@ -64,7 +64,7 @@
                 [wait_s, *(self.received_at(at) - now for at, _ in self.changes if self.received_at(at) > now)]
             )
         if any(a <= now <= b for a, b in self.silences) and self.refuses:
-            self.deliver(call, now + 0.001, 1, Reply(End.CONNECT_FAILED, 0, {}, b""), on_reply)
+            self.deliver(call, now + 0.001, 1, Reply(CallResult.CONNECT_FAILED, 0, {}, b""), on_reply)
             return call
         if any(a <= now + wait_s and now <= b for a, b in self.silences):
             return call
@@ -80,7 +80,7 @@
             call,
             end + 0.001 + self.turn_delay_s * self.answer_turns,
             self.pieces,
-            Reply(End.ANSWER, 200, {}, body),
+            Reply(CallResult.ANSWER, 200, {}, body),
             on_reply,
         )
         return call
@@ -317,7 +317,7 @@
     def answer_poll(state):
         rows = [ROW | {"uid": f"s-{i}", "state": state} for i in range(350)]
         body = msgspec.json.encode({"rev": len(replies), "all": True, "targets": rows})
-        replies[-1](Reply(End.ANSWER, 200, {}, body))
+        replies[-1](Reply(CallResult.ANSWER, 200, {}, body))
 
     watch.follow(True)
     answer_poll("up")
