--- a/badgerbend/frames/codec.py
+++ b/badgerbend/frames/codec.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartAnswer:
-    """A node's answer for one part. report: the node's load report as received, `-` if there is none."""
+    """A node's answer for one part. report: the node's report as received, `-` if there is none."""
 
     id: bytes
     outcome: Outcome
