--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -314,7 +314,7 @@
             assert newest.driver.module.sites is earlier.driver.module.sites is preference
             next_one = asyncio.ensure_future(stage.client.query(ASK))
             await until(lambda: newest.driver.queries)
-            assert not set(earlier.driver._owners) & set(newest.driver._owners)  # parts are told apart
+            assert not set(earlier.driver._query_of_part) & set(newest.driver._query_of_part)  # parts are told apart
             for status, answer, _ in await asyncio.gather(first, next_one):
                 assert status == 200
                 assert len(answer["data"]["fullQuote"]) == 4
@@ -430,7 +430,7 @@
             assert not stage.seen("told")  # Consul's stand-in was never asked
             stage.relay_server.mark_current(stage.relay_server.clock())
             await until(lambda: stage.broker.feed_subscription.age_s < 60.0)  # with the relay's next heartbeat
-            stage.broker._gauges()
+            stage.broker._update_gauges()
             assert stage.broker.metrics.list_age._value.get() < 60.0
 
     run(main)
--- a/tests/test_wire_bytes_feed.py
+++ b/tests/test_wire_bytes_feed.py
@@ -25,7 +25,7 @@
 )
 from badgerbend.feed_service import control_wire
 from tests.test_wire_bytes_consensus import MESSAGES as CONSENSUS_MESSAGES
-from tests.test_wire_bytes_leases import ACTS
+from tests.test_wire_bytes_leases import PEER_MESSAGES
 from tests.test_wire_bytes_leases import MESSAGES as DUTIES_MESSAGES
 from tests.wire_bytes import assert_same_bytes, fixture_bytes, fixture_keys
 
@@ -139,7 +139,7 @@
     [
         *((b"v", key, message) for key, message in CONSENSUS_MESSAGES.items()),
         *((b"s", key, message) for key, message in DUTIES_MESSAGES.items()),
-        *((b"a", key, message) for key, message in ACTS.items()),
+        *((b"a", key, message) for key, message in PEER_MESSAGES.items()),
     ],
 )
 def test_other_datagrams_are_read_as_between_brokers(letter, key, message):
