--- a/tests/test_wire_bytes_feed.py
+++ b/tests/test_wire_bytes_feed.py
@@ -25,8 +25,8 @@
 )
 from badgerbend.feed_service import control_wire
 from tests.test_wire_bytes_consensus import MESSAGES as CONSENSUS_MESSAGES
-from tests.test_wire_bytes_leases import PEER_MESSAGES
 from tests.test_wire_bytes_leases import MESSAGES as DUTIES_MESSAGES
+from tests.test_wire_bytes_leases import PEER_MESSAGES
 from tests.wire_bytes import assert_same_bytes, fixture_bytes, fixture_keys
 
 CHECKPOINT = Checkpoint(
