--- a/badgerbend/generations/driver.py
+++ b/badgerbend/generations/driver.py
@@ -1,4 +1,4 @@
-"""The driver of a generation: it continues with the observations that earlier generations made."""
+"""The driver of a generation, which starts from the observations of earlier generations."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from badgerbend import api
 from badgerbend.runtime.driver import Driver
 
-MAX_INHERITED_ANSWERS = 400  # response times of servers handed from one generation to the next
+MAX_INHERITED_ANSWERS = 400  # response times of servers passed from one generation to the next
 
 
 class SuccessorDriver(Driver):
-    """A driver whose own observations continue those of the generation before it."""
+    """A driver that adds its own observations to those of the previous generation."""
 
     _inherited = api.Observations((), ())
     _inherited_at_ms = 0.0
 
     def inherit(self, observations: api.Observations) -> None:
-        """Pass what earlier generations of this broker observed to the module, and count it as observed here."""
+        """Pass the observations of earlier generations to the module, and count them as this broker's own."""
         self._inherited = observations
         self._inherited_at_ms = self.schedule.now_ms()
         self.learn(observations)
--- a/badgerbend/generations/generation.py
+++ b/badgerbend/generations/generation.py
@@ -1,4 +1,4 @@
-"""One generation of a broker: the parts that are built for one configuration."""
+"""One generation of a broker: the components that are built for one configuration."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedResources:
-    """What all generations of one broker share.
+    """The resources that all generations of one broker share.
 
-    ids: numbers queries and parts, so that the site preference and the slow start budget, which are shared too, can
-    tell those of different generations apart.
+    ids: numbers for queries and parts. They are unique across generations because the site preference and the slow
+    start budget, which are shared too, identify queries and parts by number.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -48,9 +48,9 @@
 
 
 class Generation:
-    """The parts built for one configuration.
+    """The components built for one configuration.
 
-    on_idle: called after each turn of the loop that leaves no query and no attempt under way.
+    on_idle: called after each turn of the event loop that leaves no query and no attempt in flight.
     """
 
     def __init__(
@@ -66,7 +66,9 @@
         module = module_settings(settings)
         seed = settings.seed * 1_000_003 + settings.identity.index
         aggregator = shared.make_aggregator(module, seed, shared.site_preference, shared.slow_start_budget)
-        self.answer_observer = AnswerObserver(shared.metrics.of_classes(tuple(one.name for one in settings.class_)))
+        self.answer_observer = AnswerObserver(
+            shared.metrics.of_classes(tuple(query_class.name for query_class in settings.class_))
+        )
         self.schedule = LoopSchedule(shared.loop)
         self.transport = FetchTransport(
             shared.pool_of,
@@ -88,11 +90,11 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing that began under this configuration is under way."""
+        """Whether no request that began under this configuration is still in flight."""
         return self.driver.idle and not self.front.operations
 
     def begin(self, directory: Directory, observations: api.Observations) -> None:
-        """Feed the driver its first events: the current endpoint list, and what earlier generations observed of it."""
+        """Pass the driver the current endpoint list and the observations of its servers by earlier generations."""
         lines = tuple(known.line for known in directory.known.values())
         self.driver.view(api.EndpointUpdate(api.UpdateKind.CACHED, lines))
         listed = tuple(node for node in observations.nodes if node.node in directory.names)
@@ -100,7 +102,7 @@
             self.driver.inherit(api.Observations(listed, observations.answers))
 
     def close(self) -> None:
-        """Stop taking turns of the loop."""
+        """Stop processing events on the event loop."""
         self.schedule.close()
 
     def _attempt_ended(
--- a/badgerbend/generations/manager.py
+++ b/badgerbend/generations/manager.py
@@ -9,14 +9,14 @@
 from badgerbend.generations.generation import Generation, SharedResources
 from badgerbend.graphql.schema import Subgraph
 
-MAX_GENERATIONS = 16  # alive at once: each holds a module with every server of the endpoint list
+MAX_GENERATIONS = 16  # live at once; each holds decision state for every server of the endpoint list
 
 
 class GenerationManager:
     """Creates generations and closes those that have drained.
 
     on_current_changed: called with a generation as it becomes the current one.
-    on_drained: called, within a turn of the loop, after a draining generation has been closed.
+    on_drained: called after a draining generation has been closed, within a turn of the event loop.
     """
 
     def __init__(self, settings: Settings, graph: Subgraph, shared: SharedResources) -> None:
@@ -29,12 +29,12 @@
 
     @property
     def has_capacity(self) -> bool:
-        """Whether another generation may begin now."""
+        """Whether another generation may be created now."""
         return len(self.draining) + 1 < MAX_GENERATIONS
 
     @property
     def live(self) -> tuple[Generation, ...]:
-        """The current generation, then the draining ones, the earliest first."""
+        """The current generation, followed by the draining ones, oldest first."""
         return (self.current, *self.draining)
 
     @property
@@ -44,11 +44,14 @@
 
     @property
     def cancelled_calls(self) -> int:
-        """The number of calls to servers that were cancelled so far."""
+        """The number of calls to servers that have been cancelled so far."""
         return self._cancelled_by_closed + sum(generation.transport.called_off for generation in self.live)
 
     def activate(self, settings: Settings, graph: Subgraph) -> None:
-        """Put a configuration in force. Called between two turns of the loop, and only where there is capacity."""
+        """Make a configuration the current one.
+
+        It must be called between two turns of the event loop, and only while `has_capacity` is true.
+        """
         previous = self.current
         self.current = self._create(settings, graph)
         self.current.begin(self.shared.directory, previous.driver.known())
@@ -57,7 +60,7 @@
         self._close_if_drained(previous)
 
     def update_endpoints(self, update: api.EndpointUpdate) -> None:
-        """Pass a change of the endpoint list to all generations that still decide by it."""
+        """Pass an endpoint list update to all live generations."""
         for generation in self.live:
             generation.driver.view(update)
 
@@ -65,7 +68,7 @@
         return Generation(settings, graph, self.shared, self._close_if_drained)
 
     def _close_if_drained(self, generation: Generation) -> None:
-        """Close a draining generation that has nothing under way."""
+        """Close a draining generation that has nothing in flight any more."""
         if generation in self.draining and generation.idle:
             self.draining.remove(generation)
             self._cancelled_by_closed += generation.transport.called_off
--- a/badgerbend/knowledge/record.py
+++ b/badgerbend/knowledge/record.py
@@ -1,8 +1,8 @@
-"""The record of what one broker has observed: versioned, bounded, typed.
+"""The record of what one broker has observed, with a version, size limits and typed fields.
 
-It contains what the broker observed itself, never what it learned from peers, so that old observations cannot pass as
-fresh by being passed on. It states ages instead of times: clocks of different machines are not compared. Servers go by
-their names on the endpoint list, since their numbers differ between brokers.
+It contains only what the broker observed itself, never what it learned from peers: an old observation that is passed on
+would otherwise look fresh. Observations have ages instead of timestamps, because the clocks of different machines are
+not compared. Servers are identified by their names on the endpoint list, since their numbers differ between brokers.
 """
 
 from __future__ import annotations
@@ -25,38 +25,38 @@
 
 
 class RecordError(Exception):
-    """Bytes that are not a record this broker can read."""
+    """The data is not a record that this broker can read."""
 
 
 class RecordTooLargeError(RecordError):
-    """A record is longer than `MAX_RECORD_BYTES`."""
+    """The record is longer than `MAX_RECORD_BYTES`."""
 
     def __init__(self, size_bytes: int) -> None:
-        super().__init__(f"a record of {size_bytes} bytes; at most {MAX_RECORD_BYTES} are read")
+        super().__init__(f"record has {size_bytes} bytes; the limit is {MAX_RECORD_BYTES}")
         self.size_bytes = size_bytes
 
 
 class MalformedRecordError(RecordError):
-    """A record is not encoded as one, or has a value out of range. reason: which one."""
+    """The record cannot be decoded, or has a value out of range. reason: what is wrong with it."""
 
     def __init__(self, reason: str) -> None:
-        super().__init__(f"not a record: {reason}")
+        super().__init__(f"malformed record: {reason}")
         self.reason = reason
 
 
 class RecordVersionError(RecordError):
-    """A record is of another version."""
+    """The record has a version that this broker does not support."""
 
     def __init__(self, version: int) -> None:
-        super().__init__(f"a record of version {version}; this broker reads {VERSION}")
+        super().__init__(f"record has version {version}; this broker supports version {VERSION}")
         self.version = version
 
 
 class ServerObservation(msgspec.Struct, array_like=True, frozen=True):
     """What was observed of one server.
 
-    time_ms: latency of a usual part; age_ms: time since that was observed; dead: it has refused or broken connections
-    since.
+    time_ms: its typical latency for a part; age_ms: the time since that was observed; dead: whether it has refused or
+    reset connections since.
     """
 
     name: Name
@@ -66,7 +66,7 @@
 
 
 class AnswerLatency(msgspec.Struct, array_like=True, frozen=True):
-    """The latency of one part. censored: it was cancelled or lost, so its latency would have been longer."""
+    """The latency of one part. censored: the part was cancelled or lost, so its latency would have been longer."""
 
     age_ms: Milliseconds
     latency_ms: Milliseconds
@@ -76,8 +76,9 @@
 class KnowledgeRecord(msgspec.Struct, frozen=True):
     """What one broker has observed. Field names are part of the encoding.
 
-    broker, zone: which broker it is; open_parts: its own load; servers: the most recently observed first; answers: the
-    oldest first; chosen: redundancy chosen, as rows of parts needed, parts in all, and attempts sent.
+    broker, zone: the index and the zone of the broker; open_parts: its parts in flight; servers: the most recently
+    observed first; answers: the oldest first; chosen: the chosen redundancy, in rows of the number of parts needed,
+    the number of all parts and the number of attempts sent.
     """
 
     version: int
@@ -99,7 +100,7 @@
 
 
 def decode(data: bytes) -> KnowledgeRecord:
-    """Decode a record. Raises RecordError."""
+    """Decode a record. Raises RecordError if it is too large, malformed or of another version."""
     if len(data) > MAX_RECORD_BYTES:
         raise RecordTooLargeError(len(data))
     try:
@@ -119,9 +120,10 @@
     open_parts: int,
     chosen: Mapping[tuple[int, int], int],
 ) -> KnowledgeRecord:
-    """Make a record of a broker's own observations; of too many servers the most recently observed.
+    """Make a record of a broker's own observations, limited to the most recently observed servers.
 
-    names: of servers, by their numbers in the observations; chosen: redundancy by parts needed and parts in all.
+    names: of servers, by their numbers in the observations; chosen: the number of attempts sent, by the number of parts
+    needed and the number of all parts.
     """
     latest = sorted(observations.nodes, key=lambda observation: observation.age_ms)[:MAX_SERVERS]
     servers = tuple(
@@ -144,7 +146,10 @@
 
 
 def aged(record: KnowledgeRecord, by_ms: float) -> KnowledgeRecord:
-    """Return the record with all ages increased, by the time it was on its way or in a file; never decreased."""
+    """Return the record with all ages increased by the time that it spent in transit or in a file.
+
+    A negative time counts as 0, so that no observation becomes younger.
+    """
     increase_ms = max(by_ms, 0.0)
     servers = tuple(
         ServerObservation(server.name, server.time_ms, min(server.age_ms + increase_ms, MAX_MS), server.dead)
--- a/badgerbend/knowledge/report.py
+++ b/badgerbend/knowledge/report.py
@@ -1,4 +1,4 @@
-"""Records as tables for a terminal."""
+"""Formats records as tables for a terminal."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 from badgerbend.knowledge.record import KnowledgeRecord, ServerObservation
 
-MIN_DIFFERENCE_RATIO = 1.5  # two views of a server are shown if their times differ by more than this factor
-MIN_TIME_MS = 1e-9  # shorter times count as this, so that a ratio exists
+MIN_DIFFERENCE_RATIO = 1.5  # a difference is shown if the times differ by more than this factor
+MIN_TIME_MS = 1e-9  # lower bound of a time, so that no ratio divides by zero
 
 
 @dataclass(frozen=True, slots=True)
 class RecordComparison:
-    """A table of the servers that two records state differently, and their number."""
+    """A table of the servers on which two records differ, and the number of those servers."""
 
     table: Table
     differences: int
 
 
 def record_table(record: KnowledgeRecord) -> Table:
-    """Make a table of a record: servers, the slowest first, and quartiles of latency in the title."""
+    """Make a table of a record: its servers, slowest first, and the quartiles of its latencies in the title."""
     table = Table(
         title=f"broker {record.broker}, zone {record.zone}: {len(record.servers)} servers, "
         f"{len(record.answers)} answers (ms at quartiles: {_quartiles(record)})"
@@ -37,7 +37,7 @@
 
 
 def compare_records(first: KnowledgeRecord, second: KnowledgeRecord) -> RecordComparison:
-    """Compare what two records state of each server."""
+    """Compare the observations of each server in two records."""
     table = Table(title=f"broker {first.broker} against broker {second.broker}")
     for heading in ("server", "first, ms", "second, ms"):
         table.add_column(heading)
@@ -62,7 +62,7 @@
 
 
 def _differ(one: ServerObservation, other: ServerObservation) -> bool:
-    """Whether the two state different things of the same server."""
+    """Whether two observations of the same server differ enough to be shown."""
     shorter_ms = max(min(one.time_ms, other.time_ms), MIN_TIME_MS)
     longer_ms = max(one.time_ms, other.time_ms)
     return one.dead != other.dead or longer_ms > MIN_DIFFERENCE_RATIO * shorter_ms
