--- a/badgerbend/knowledge/record.py
+++ b/badgerbend/knowledge/record.py
@@ -32,7 +32,7 @@
     """The record is longer than `MAX_RECORD_BYTES`."""
 
     def __init__(self, size_bytes: int) -> None:
-        super().__init__(f"record has {size_bytes} bytes; the limit is {MAX_RECORD_BYTES}")
+        super().__init__(f"record has {size_bytes} bytes; at most {MAX_RECORD_BYTES} are allowed")
         self.size_bytes = size_bytes
 
 
--- a/badgerbend/knowledge/trust.py
+++ b/badgerbend/knowledge/trust.py
@@ -122,7 +122,7 @@
         return {node: claim if node in slowest else Claim(1.0, claim.age_ms) for node, claim in claims.items()}
 
     def _combine_answers(self, peer_records: Sequence[PeerRecord]) -> AnswerSample:
-        """Combine answers into one sample: an equal number of each peer whose typical latency agrees with the others."""
+        """Combine answers into one sample, equally many of each peer whose typical latency agrees with the others'."""
         usable = [
             peer_record
             for peer_record in peer_records
