--- a/badgerbend/peering/__init__.py
+++ b/badgerbend/peering/__init__.py
@@ -1,1 +1,1 @@
-"""Peers of a broker: membership over UDP, records of knowledge over HTTP, and the broker's own snapshot file."""
+"""Communication with peer brokers: membership over UDP and knowledge records over HTTP; and the own snapshot file."""
--- a/badgerbend/peering/exchange.py
+++ b/badgerbend/peering/exchange.py
@@ -1,7 +1,7 @@
-"""Records of knowledge over HTTP, authenticated on both sides.
+"""Transfers knowledge records over HTTP, with authentication of both sides.
 
-The client signs a fresh nonce, and the server signs that nonce together with its record: each shows that it has a key,
-and neither message can be replayed.
+The client signs a fresh nonce, and the server signs that nonce together with its record. Each side thereby proves that
+it has a key, and a recorded answer cannot be replayed.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from badgerbend.net.seal import sign, verify
 from badgerbend.net.server import Exchange, HttpServer, ServerLimits
 
-NONCE = b"badgerbend-nonce"  # header: fresh for each request
-MAC = b"badgerbend-mac"  # header: the signature of the request, or of the answer
+NONCE = b"badgerbend-nonce"  # header with a nonce that is fresh for each request
+MAC = b"badgerbend-mac"  # header with the signature of the request or of the answer
 PATH = b"/knowledge"
 NONCE_BYTES = 16
 NONCE_DIGITS = 2 * NONCE_BYTES  # hexadecimal
-REQUEST_PREFIX = b"ask"  # what is signed begins with one of these, so that a signature serves one purpose
+REQUEST_PREFIX = b"ask"  # signed data begins with one of these prefixes, so that no signature is valid for both
 ANSWER_PREFIX = b"tell"
 REQUEST = b"GET %s HTTP/1.1\r\nhost: x\r\n%s: %s\r\n%s: %s\r\nconnection: close\r\n\r\n"
 SERVER_LIMITS = ServerLimits(max_connections=1024, max_body_bytes=1024, read_timeout_s=2.0, idle_timeout_s=5.0)
@@ -28,7 +28,10 @@
 
 
 class FetchError(Exception):
-    """A record could not be fetched from a peer. reason: the connection, the status, the signature or the record."""
+    """A record could not be fetched from a peer.
+
+    reason: what failed: the connection, the HTTP status, the signature or the record itself.
+    """
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -38,7 +41,7 @@
 class KnowledgeServer:
     """Serves this broker's record to clients that have one of the keys.
 
-    served, rejected: requests answered with a record, and with 403.
+    served: the number of requests answered with a record; rejected: the number of requests answered with 403.
     """
 
     def __init__(self, keys: tuple[bytes, ...], record: Callable[[], KnowledgeRecord]) -> None:
@@ -61,14 +64,14 @@
         exchange.respond(200, body, b"application/msgpack", ((MAC, mac),))
 
     def _key_of(self, nonce: bytes, mac: bytes) -> bytes | None:
-        """The key by which a request is signed; None if it is none of ours."""
+        """The key with which a request is signed; None if it is none of this broker's keys."""
         if len(nonce) != NONCE_DIGITS:
             return None
         return next((key for key in self.keys if verify(key, REQUEST_PREFIX + nonce, mac)), None)
 
 
 def fetch_record(key: bytes, host: str, port: int, on_result: Callable[[KnowledgeRecord | FetchError], None]) -> Call:
-    """Fetch a peer's record. The callback gets it, its ages increased by the time on the way, or what went wrong."""
+    """Fetch a peer's record. The callback gets the record, with its ages increased by the elapsed time, or an error."""
     nonce = os.urandom(NONCE_BYTES).hex().encode()
     pool = Pool(host, port, CLIENT_LIMITS)
     began = time.monotonic()
@@ -87,7 +90,7 @@
 
 
 def _record_of(reply: Reply, key: bytes, nonce: bytes) -> KnowledgeRecord:
-    """Check and decode an answer. Raises FetchError."""
+    """Verify and decode an answer. Raises FetchError."""
     if reply.end is not End.ANSWER or reply.status != 200:
         raise FetchError(f"{reply.end.name.lower()} {reply.status}")
     if not verify(key, ANSWER_PREFIX + nonce + reply.body, _bytes_of_hex(reply.headers.get(MAC, b""))):
@@ -99,7 +102,7 @@
 
 
 def _bytes_of_hex(text: bytes) -> bytes:
-    """The bytes that hexadecimal digits stand for; none if the text is malformed."""
+    """Decode hexadecimal digits; empty if the text is malformed."""
     try:
         return bytes.fromhex(text.decode("ascii"))
     except ValueError:
--- a/badgerbend/peering/observer.py
+++ b/badgerbend/peering/observer.py
@@ -1,4 +1,4 @@
-"""An observer of attempts that compares answers with what peers stated."""
+"""An observer of attempts that checks the claims of peers against this broker's own answers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AnswerObserver:
-    """Passes everything on to another observer, and each good answer to the knowledge exchange, if there is one."""
+    """Forwards all calls to another observer, and reports successful answers to the knowledge exchange, if any."""
 
     def __init__(self, inner: Observer) -> None:
         self.inner = inner
@@ -18,7 +18,7 @@
         self.trouble = inner.trouble
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, took_ms: float) -> None:
-        """Take note of the end of an attempt."""
+        """Forward the end of an attempt, and check the claims of peers if it was successful."""
         self.inner.attempt_ended(attempt, outcome, took_ms)
         if self.knowledge_exchange is not None and outcome == api.Outcome.OK:
             self.knowledge_exchange.check_answer(attempt.node, took_ms)
--- a/badgerbend/peering/own_snapshot.py
+++ b/badgerbend/peering/own_snapshot.py
@@ -1,4 +1,4 @@
-"""The broker's own snapshot file: read at its start, written periodically and at its end."""
+"""The broker's own snapshot file, which is read at startup and written periodically and at shutdown."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class OwnSnapshot:
-    """Keeps a record in a file. What goes wrong is logged, and never fails the broker."""
+    """Saves this broker's record in a file. Errors are logged and never make the broker fail."""
 
     def __init__(self, settings: Snapshot, record: Callable[[], KnowledgeRecord]) -> None:
         self._path = Path(settings.file)
@@ -27,32 +27,32 @@
         self._write_in_progress: asyncio.Future[None] | None = None
 
     def restore(self) -> KnowledgeRecord | None:
-        """Read the record of the last run; None if there is none that can be used."""
+        """Read the record of the previous run; None if there is none that can be used."""
         try:
             return read_snapshot(self._path, time.time())
         except FileNotFoundError:
-            self._log.info("no snapshot yet", file=str(self._path))
+            self._log.info("no snapshot file yet", file=str(self._path))
         except SnapshotError as err:
             self._log.warning("snapshot not used", file=str(self._path), why=str(err))
         return None
 
     def start(self) -> None:
-        """Begin to write periodically."""
+        """Start to write periodically."""
         self._timer = self._loop.call_later(self._interval_s, self._write_periodically)
 
     def stop(self) -> None:
-        """End periodic writing."""
+        """Stop writing periodically."""
         if self._timer is not None:
             self._timer.cancel()
 
     async def write_last(self) -> None:
-        """Write the record once more, after any write in progress. Blocks on the disk."""
+        """Write the record a last time, after any write in progress. Blocks the event loop while it writes."""
         if self._write_in_progress is not None:
             await asyncio.wait([self._write_in_progress])
         self._write(encode_snapshot(self._record(), time.time()))
 
     def _write_periodically(self) -> None:
-        # a slow disk delays the next write and nothing else: at most one is in progress
+        # At most one write is in progress, so that a slow disk only delays the next write.
         if self._write_in_progress is None or self._write_in_progress.done():
             data = encode_snapshot(self._record(), time.time())
             self._write_in_progress = self._loop.run_in_executor(None, self._write, data)
@@ -62,4 +62,4 @@
         try:
             write_atomically(self._path, data)
         except OSError as err:
-            self._log.warning("snapshot not written", file=str(self._path), why=str(err))
+            self._log.warning("snapshot could not be written", file=str(self._path), why=str(err))
--- a/badgerbend/peering/pull.py
+++ b/badgerbend/peering/pull.py
@@ -1,4 +1,4 @@
-"""Pulling records from peers: which peers can be asked, one round of requests, and when rounds take place."""
+"""Pulls records from peers: the eligible peers, one round of requests, and the schedule of the rounds."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from badgerbend.net.client import Call
 from badgerbend.peering.exchange import FetchError, fetch_record
 
-PULL_TIMEOUT_S = 1.0  # peers that have not answered by then are left out
-FIRST_PULL_DELAY_S = 0.1  # after the first peer was met; others may be met meanwhile
+PULL_TIMEOUT_S = 1.0  # records of peers that have not answered by then are not used
+FIRST_PULL_DELAY_S = 0.1  # after the first peer was found, so that others may be found meanwhile
 
 RecordsCallback = Callable[[Mapping[str, KnowledgeRecord]], None]
 
 
 @dataclass(frozen=True, slots=True)
 class KnowledgePeer:
-    """A peer, and the address where its record is served."""
+    """A peer, and the address at which it serves its record."""
 
     name: str
     host: str
@@ -32,7 +32,7 @@
 
 
 def knowledge_peers(members: Iterable[Member]) -> list[KnowledgePeer]:
-    """Return the members that are alive and state an address in their metadata."""
+    """Return the members that are alive and have an address of a knowledge server in their metadata."""
     peers = []
     for member in members:
         host, _, port = member.metadata.rpartition(":")
@@ -42,7 +42,7 @@
 
 
 class KnowledgePull:
-    """One round: some peers are asked at once. It ends when all have answered, or after `PULL_TIMEOUT_S`."""
+    """One round of concurrent requests to peers, which ends when all have answered or after `PULL_TIMEOUT_S`."""
 
     def __init__(self, peers: Sequence[KnowledgePeer], key: bytes, on_records: RecordsCallback) -> None:
         self._log = get(part="learning")
@@ -54,11 +54,11 @@
 
     @property
     def is_done(self) -> bool:
-        """Whether no request is in flight any more; one may be even after the round has ended."""
+        """Whether no request is in flight any more. Requests may outlast the round, which ends at its timeout."""
         return all(call.done for call in self._calls)
 
     def cancel(self) -> None:
-        """End the round and its requests; the callback is not called any more."""
+        """End the round and abort its requests; the callback is not called any more."""
         self._timeout.cancel()
         for call in self._calls:
             call.abort()
@@ -68,10 +68,10 @@
 
     def _on_result(self, name: str, result: KnowledgeRecord | FetchError) -> None:
         if name not in self._unanswered:
-            return  # the round is over
+            return  # the round has ended
         self._unanswered.discard(name)
         if isinstance(result, FetchError):
-            self._log.info("peer did not tell", peer=name, why=str(result))
+            self._log.info("record could not be fetched from peer", peer=name, why=str(result))
         else:
             self._records[name] = result
         if not self._unanswered:
@@ -84,9 +84,9 @@
 
 
 class PullSchedule:
-    """Decides when peers are asked: once soon after the first is met, then periodically for a while.
+    """Decides when records are pulled: once, shortly after the first peer is found, and then periodically for a while.
 
-    candidates: called for each round, for the peers that can be asked. pulls: rounds so far.
+    candidates: returns the peers that can be asked; called for each round. pulls: the number of rounds so far.
     """
 
     def __init__(
@@ -110,16 +110,16 @@
         self._rounds: list[KnowledgePull] = []
 
     def start(self) -> None:
-        """Begin the periodic rounds."""
+        """Schedule the next periodic round."""
         self._repeat_timer = self._loop.call_later(self._settings.every_ms / 1000.0, self._repeat)
 
     def request_first(self) -> None:
-        """Schedule the first round, if a peer can be asked; later calls do nothing."""
+        """Schedule the first round, if there is a peer to ask; does nothing once that round is scheduled."""
         if self._first_timer is None and self._candidates():
             self._first_timer = self._loop.call_later(FIRST_PULL_DELAY_S, self._pull)
 
     def close(self) -> None:
-        """End all rounds, present and future."""
+        """Cancel all rounds, both current and scheduled ones."""
         for timer in (self._first_timer, self._repeat_timer):
             if timer is not None:
                 timer.cancel()
@@ -132,7 +132,7 @@
             self.start()
 
     def _pull(self) -> None:
-        """Ask some of the peers, chosen at random."""
+        """Start a round with some of the peers, chosen at random."""
         candidates = self._candidates()
         if not candidates:
             return
--- a/badgerbend/peering/service.py
+++ b/badgerbend/peering/service.py
@@ -1,6 +1,6 @@
-"""The exchange of knowledge: what a broker has observed is served to peers, and what they have observed is learned.
+"""The exchange of knowledge: a broker serves its observations of servers to its peers and learns theirs.
 
-How far peers are trusted is decided by `knowledge.trust`; what a server is worth, by the decisions.
+`knowledge.trust` decides how far peers are trusted; the decisions use the result when they choose servers.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 from badgerbend.peering.udp import MembershipSocket
 from badgerbend.runtime.driver import Driver
 
-OWN_SNAPSHOT = "own snapshot"  # the name under which this broker's earlier record is combined
+OWN_SNAPSHOT = "own snapshot"  # stands for a peer's name when this broker's own earlier record is used
 PROBE_TIMEOUT_SHARE = 0.3  # of the probe interval
-CLOSE_GRACE_S = 0.2  # for answers under way
+CLOSE_GRACE_S = 0.2  # for answers in flight
 
 
 class KnowledgeExchange:
-    """One broker's part in the exchange, for as long as it runs, over all of its configurations.
+    """One broker's side of the exchange. It exists as long as the broker runs, across all of its configurations.
 
-    driver: of the newest configuration. report_fault: called with a kind of fault and its detail.
+    driver: that of the current configuration. report_fault: called with the kind of a fault and its detail.
     """
 
     def __init__(
@@ -55,13 +55,13 @@
         self._rng = random.Random(settings.seed * 7919 + settings.identity.index)
         self._pull_schedule: PullSchedule | None = None
         self._snapshot: OwnSnapshot | None = None
-        self._restored: KnowledgeRecord | None = None  # until servers have numbers
+        self._restored: KnowledgeRecord | None = None  # read at startup, used once the servers have numbers
         self._closed = False
 
-    # -- start and end
+    # -- startup and shutdown
 
     async def start(self) -> None:
-        """Read the snapshot and open the sockets, as far as they are set. Raises OSError or KeyFileError."""
+        """Read the snapshot and open the sockets, if they are configured. Raises OSError or KeyFileError."""
         if self.settings.snapshot is not None:
             self._snapshot = OwnSnapshot(self.settings.snapshot, self.own_record)
             self._restored = self._snapshot.restore()
@@ -77,12 +77,12 @@
         self.socket = MembershipSocket(Seal(keys, started_ms), self._member_changed)
         self.membership_port = await self.socket.open(peers.host, peers.port)
         swim = self._swim(peers, started_ms)
-        self._pull_schedule = PullSchedule(peers, keys[0], self._rng, self._peers_to_ask, self._learn)
+        self._pull_schedule = PullSchedule(peers, keys[0], self._rng, self._trusted_peers, self._learn)
         self.socket.start(swim, tuple(_address(seed) for seed in peers.seed))
         self._pull_schedule.start()
 
     def _swim(self, peers: Peers, incarnation: int) -> Swim:
-        """The local member, whose metadata is the address of the knowledge server."""
+        """Create the local member, whose metadata is the address of the knowledge server."""
         interval_s = peers.period_ms / 1000.0
         return Swim(
             f"broker-{self.settings.identity.index}",
@@ -94,7 +94,7 @@
         )
 
     async def close(self) -> None:
-        """Leave the group, end all requests, and write a last snapshot."""
+        """Leave the group, cancel all requests, and write a last snapshot."""
         self._closed = True
         if self._snapshot is not None:
             self._snapshot.stop()
@@ -107,10 +107,10 @@
         if self._snapshot is not None:
             await self._snapshot.write_last()
 
-    # -- what this broker knows
+    # -- this broker's own observations
 
     def own_record(self) -> KnowledgeRecord:
-        """What this broker has observed itself."""
+        """A record of what this broker has observed itself."""
         identity = self.settings.identity
         return make_record(
             self.driver.known(),
@@ -122,20 +122,20 @@
         )
 
     def check_answer(self, node: int, latency_ms: float) -> None:
-        """Compare an own answer with what peers stated of its server."""
+        """Compare an own answer with the claims of peers about its server."""
         module = self.driver.module
         for peer in self.trust.check_answer(node, latency_ms, module.latency.typical_ms, module.now_ms):
             self.report_fault("peer not believed", peer)
 
-    # -- what it learns
+    # -- observations learned from peers
 
     @property
     def pulls(self) -> int:
-        """Rounds of requests to peers so far."""
+        """The number of rounds of requests to peers so far."""
         return self._pull_schedule.pulls if self._pull_schedule is not None else 0
 
     def endpoint_list_loaded(self) -> None:
-        """The endpoint list is there, so servers have numbers: the snapshot can be used, and peers can be asked."""
+        """Use the snapshot and ask peers, now that the endpoint list is loaded and servers have numbers."""
         if self._restored is not None:
             self._learn({OWN_SNAPSHOT: self._restored}, is_own=True)
             self._restored = None
@@ -147,16 +147,16 @@
             self._request_first_pull()
 
     def _request_first_pull(self) -> None:
-        """Ask peers as soon as there are both an endpoint list and a peer."""
+        """Schedule the first pull, if there is an endpoint list; the schedule also needs a peer."""
         if self._pull_schedule is not None and self.directory.known:
             self._pull_schedule.request_first()
 
-    def _peers_to_ask(self) -> Sequence[KnowledgePeer]:
+    def _trusted_peers(self) -> Sequence[KnowledgePeer]:
         now_ms = self.driver.schedule.now_ms()
         return [peer for peer in knowledge_peers(self._members()) if self.trust.is_trusted(peer.name, now_ms)]
 
     def _learn(self, records: Mapping[str, KnowledgeRecord], *, is_own: bool = False) -> None:
-        """Hand records, by peer, to the decisions."""
+        """Combine records, given by peer, and pass the result to the decisions."""
         if not records or self._closed:
             return
         node_by_name = {name: node for node, name in self.directory.names.items()}
@@ -168,7 +168,7 @@
     # -- status
 
     def status(self) -> PeersStatus:
-        """The members of the group, and what was learned from them."""
+        """The members of the group, and figures on what was learned from them."""
         swim = self.socket.swim if self.socket is not None else None
         return PeersStatus(
             pulls=self.pulls,
@@ -178,7 +178,7 @@
         )
 
     def _members(self) -> list[Member]:
-        """All other members, dead and departed ones included; none while the socket is closed."""
+        """All other members, including dead and departed ones; empty while the socket is closed."""
         swim = self.socket.swim if self.socket is not None else None
         return list(swim.members.values()) if swim is not None else []
 
@@ -193,6 +193,6 @@
 
 
 def _address(text: str) -> Address:
-    """The address in a text of the form HOST:PORT, which the settings have checked."""
+    """Parse an address of the form HOST:PORT, which the settings have validated."""
     host, _, port = text.rpartition(":")
     return (host, int(port))
--- a/badgerbend/peering/status.py
+++ b/badgerbend/peering/status.py
@@ -1,4 +1,4 @@
-"""The status page of peers. Field names of its JSON are part of the interface, and stay when attributes are renamed."""
+"""The status page of peers. The field names of its JSON are a public interface and do not change with attributes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """One member of the group. address: HOST:PORT of its membership socket; trusted: its records are used."""
+    """One member of the group. address: HOST:PORT of its membership socket; trusted: whether its records are used."""
 
     name: str
     address: str
@@ -16,7 +16,7 @@
 
 
 class PeersStatus(msgspec.Struct, frozen=True):
-    """All members, and what was learned from them. pulls: rounds of requests; health_score: 0 is healthy."""
+    """All members, and what was learned from them. pulls: rounds of requests so far; health_score: 0 means healthy."""
 
     pulls: int
     servers_learned: int = msgspec.field(name="learned")
--- a/badgerbend/peering/udp.py
+++ b/badgerbend/peering/udp.py
@@ -1,4 +1,4 @@
-"""Membership on a UDP socket: reads the clock for the state machine, and wakes it when it has something to do."""
+"""Runs the membership protocol on a UDP socket: passes the time and datagrams to its state machine, and sets timers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MembershipSocket(SealedSocket):
-    """Drives one `Swim`, which is None before `start` and after `close`. Its events go to `on_change`."""
+    """Drives one `Swim`, which is None before `start` and after `close`, and passes its events to `on_change`."""
 
     def __init__(self, seal: Seal, on_change: Callable[[MemberChanged], None]) -> None:
         super().__init__(seal)
@@ -23,7 +23,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, swim: Swim, seeds: tuple[Address, ...]) -> None:
-        """Join the group by its seeds. The socket must be open."""
+        """Join the group through its seeds. The socket must be open."""
         self.swim = swim
         swim.join(time.monotonic(), seeds)
         self._process_output(swim)
@@ -39,16 +39,16 @@
         self.shut()
 
     def body(self, body: bytes, source: Address) -> None:
-        """Handle the body of a datagram whose seal is good."""
+        """Handle the body of an authenticated datagram."""
         if self.swim is not None:
             self.swim.receive(time.monotonic(), body, source)
             self._process_output(self.swim)
 
     def _process_output(self, swim: Swim) -> None:
-        """Send and report what the state machine has put out, and set the timer anew."""
+        """Send the datagrams and report the events that the state machine has produced, and set the timer again."""
         self._flush(swim)
         if self.swim is None:
-            return  # closed by who was notified of an event
+            return  # closed by an event handler
         if self._timer is not None:
             self._timer.cancel()
         delay_s = max(swim.next_wakeup_at - time.monotonic(), MIN_WAKEUP_S)
--- a/badgerbend/site_service/__init__.py
+++ b/badgerbend/site_service/__init__.py
@@ -1,1 +1,1 @@
-"""What preference among sites needs of a running broker: timers, connections, metrics and HTTP pages."""
+"""Connects the preference among sites to a running broker: its timers, connections, metrics and HTTP pages."""
--- a/badgerbend/site_service/http.py
+++ b/badgerbend/site_service/http.py
@@ -1,6 +1,6 @@
-"""The HTTP pages of sites: `GET /sites` shows their status; `POST /sites/NAME/drain` and `/return` are for operators.
+"""The HTTP interface of sites: `GET /sites` shows their status; operators use `POST /sites/NAME/drain` and `/return`.
 
-An operator sends the content of the key file as a bearer token.
+An operator authenticates with the content of the key file as a bearer token.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class SitesHandler:
-    """Answers requests on sites. operator_key: None where no key is configured, so that no command is accepted."""
+    """Answers requests about sites. operator_key: None if no key is configured, in which case commands are rejected."""
 
     def __init__(self, preference: LocalityPreference, now_ms: Callable[[], float], operator_key: bytes | None) -> None:
         self.preference = preference
@@ -30,7 +30,7 @@
         self.operator_key = operator_key
 
     def handle(self, exchange: Exchange) -> None:
-        """Answers a request for `/sites` or below."""
+        """Answers a request for `/sites` or a path below it."""
         path = exchange.target.split(b"?", 1)[0].decode("latin-1")
         if path == "/sites" and exchange.method == b"GET":
             self._respond_status(exchange)
--- a/badgerbend/site_service/operator_key.py
+++ b/badgerbend/site_service/operator_key.py
@@ -1,25 +1,25 @@
-"""The key by which operators may drain and return sites."""
+"""The key with which operators may drain and return sites."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
-MIN_KEY_BYTES = 16  # a shorter one can be guessed
+MIN_KEY_BYTES = 16  # shorter keys can be guessed
 
 
 class OperatorKeyError(ValueError):
-    """A key file holds too little to be a key."""
+    """A key file contains too few bytes."""
 
     def __init__(self, name: str, length: int) -> None:
-        super().__init__(f"the sites' key {name} has less than {MIN_KEY_BYTES} bytes")
+        super().__init__(f"operator key file {name} contains fewer than {MIN_KEY_BYTES} bytes")
         self.name = name
         self.length = length
 
 
 def read_operator_key(folder: Path, name: str) -> bytes:
-    """Reads a key file of the folder, without white space around the key.
+    """Reads a key file in the folder, and strips white space around the key.
 
-    Raises OperatorKeyError, or OSError where the file cannot be read.
+    Raises OperatorKeyError if the key is too short, OSError if the file cannot be read.
     """
     key = (folder / name).read_bytes().strip()
     if len(key) < MIN_KEY_BYTES:
--- a/badgerbend/site_service/service.py
+++ b/badgerbend/site_service/service.py
@@ -1,4 +1,4 @@
-"""Runs a broker's preference among sites: opens connections in advance, logs changes of sites, and sets metrics."""
+"""Runs a broker's preference among sites: opens connections in advance, logs state changes, and sets metrics."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from badgerbend.sites.preference import LocalityPreference
 from badgerbend.sites.status import SiteStatus, sites_status
 
-PRECONNECT_INTERVAL_S = 0.1  # also of the log; short beside the steps of a recovery ramp
-SEED_FACTOR = 1_000_003  # a prime: gives the brokers of one seed random numbers of their own
+PRECONNECT_INTERVAL_S = 0.1  # also the interval of logging; short compared with the steps of a recovery ramp
+SEED_FACTOR = 1_000_003  # a prime, so that brokers with the same seed draw different random numbers
 
 
 class SiteService:
     """Owns the broker's `LocalityPreference`.
 
-    folder: what the key's file is relative to; pool_of: the connections to a server, None where it is not known;
-    now_ms: the decisions' clock. Raises OperatorKeyError, a ValueError, for a key that is too short, OSError for one
-    that cannot be read.
+    folder: the path of the key file is relative to it; pool_of: returns the connection pool of a server, or None for an
+    unknown server; now_ms: the clock of the decisions. Raises OperatorKeyError, a ValueError, if the key is too short,
+    and OSError if it cannot be read.
     """
 
     def __init__(
@@ -53,11 +53,11 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begins to open connections in advance and to log changes."""
+        """Starts to open connections in advance and to log state changes."""
         self._timer = asyncio.get_running_loop().call_later(PRECONNECT_INTERVAL_S, self._run)
 
     def close(self) -> None:
-        """Stops what `start` began."""
+        """Stops the timer that `start` has set."""
         if self._timer is not None:
             self._timer.cancel()
 
@@ -77,11 +77,11 @@
         self.preference.preconnector.record_result(self.now_ms(), node, connected)
 
     def handle(self, exchange: Exchange) -> None:
-        """Answers a request for `/sites` or below."""
+        """Answers a request for `/sites` or a path below it."""
         self._handler.handle(exchange)
 
     def update_metrics(self) -> None:
-        """Sets the gauges of sites and of rejections."""
+        """Sets the gauges of sites and of rejected queries."""
         status = sites_status(self.preference, self.now_ms())
         for site in status.sites:
             for what, value in _gauge_values(site).items():
@@ -95,7 +95,7 @@
 
 
 def _gauge_values(site: SiteStatus) -> dict[str, float | None]:
-    """The values of the gauge `badgerbend_site`, by its label `what`."""
+    """The values of the gauge `badgerbend_site`, by the value of its label `what`."""
     return {
         "share": site.share,
         "sent_per_s": site.sent_per_s,
