--- a/badgerbend/sites/admission.py
+++ b/badgerbend/sites/admission.py
@@ -1,4 +1,4 @@
-"""Which queries are admitted: those that cannot be answered, or do not fit, are rejected at once."""
+"""Admission of queries: those that cannot be answered, or exceed the available capacity, are rejected at once."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from badgerbend.sites.priority_admission import PriorityAdmission, PriorityBand
 from badgerbend.sites.site import SiteTable
 
-SAFETY = 0.95  # of the rates to other sites that is given out: retries and chance take the rest
-WEIGHT_TOLERANCE = 1e-4  # sums of parts' weights may come up short by this
+RATE_SAFETY_FACTOR = 0.95  # fraction of the rates to other sites that is allotted; the rest is for retries and chance
+WEIGHT_TOLERANCE = 1e-4  # accepted shortfall in a sum of parts' weights
 
 
 class RejectionReason(StrEnum):
-    """Why a query was rejected; the words are on status pages and in metric labels, part of their interface."""
+    """Why a query was rejected. The values appear on status pages and in metric labels, as part of their interface."""
 
     NO_SITE = "no site holds it"
     SPILL_LIMIT = "spill limit"
 
 
 class Rejection(NamedTuple):
-    """What rejected queries are counted by."""
+    """The key by which rejected queries are counted."""
 
     reason: RejectionReason
     class_index: int
@@ -41,7 +41,7 @@
         self.rejections: Counter[Rejection] = Counter()
 
     def admits(self, query: api.Query, over_quota: bool, fewest_parts: int) -> bool:
-        """Whether a query is admitted; fewest_parts: how many of its parts make a complete answer."""
+        """Whether a query is admitted. fewest_parts: the least number of its parts that make a complete answer."""
         query_class = self.table.policy.classes[query.class_index]
         if not self._can_be_answered(query, query_class):
             self._count_rejection(query, RejectionReason.NO_SITE)
@@ -59,7 +59,7 @@
         return False
 
     def allows_surplus(self) -> bool:
-        """Whether parts beyond the fewest may be sent now."""
+        """Whether parts beyond the least number that is needed may be sent now."""
         return self.own_load.serves_all or self.priorities.surplus_fits(self.table.now_ms, self._capacity())
 
     def _can_be_answered(self, query: api.Query, query_class: api.QueryClass) -> bool:
@@ -67,14 +67,14 @@
         return reachable >= min(query_class.minimum_weight, query_class.complete_weight) - WEIGHT_TOLERANCE
 
     def _serves_trial(self, query: api.Query, query_class: api.QueryClass) -> bool:
-        """Whether a query can try a site: while all others are rejected, a site on trial would get no parts."""
+        """Whether a query can be used for a trial; if all were rejected, a site on trial would receive no parts."""
         if query_class.effect != "safe":
             return False
         shard = query.parts[0].shard
         return any(site.state is SiteState.TRIAL and self.table.accepts(site, shard) for site in self.table.sites)
 
     def _capacity(self) -> float:
-        """Parts a millisecond that this broker may send anywhere, without trials."""
+        """The rate, in parts per millisecond, at which this broker may send to all sites together, trials excluded."""
         table = self.table
         own_active = table.own.state is SiteState.ACTIVE
         capacity = 0.0
@@ -83,7 +83,7 @@
         for site in table.sites:
             unlimited = site.is_own and own_active
             if site.state is not SiteState.TRIAL and not unlimited:
-                capacity += site.bucket.rate * SAFETY
+                capacity += site.bucket.rate * RATE_SAFETY_FACTOR
         return capacity
 
     def _count_rejection(self, query: api.Query, reason: RejectionReason) -> None:
--- a/badgerbend/sites/availability.py
+++ b/badgerbend/sites/availability.py
@@ -1,15 +1,15 @@
-"""Whether a site is used, ejected, on trial or recovering, as one broker sees it.
+"""Whether one broker considers a site active, ejected, on trial or recovering.
 
     ACTIVE --- fails, or has no ready server ---> EJECTED --- ejection time over, servers ready ---> TRIAL
     TRIAL --- consecutive successes ---> RECOVERING --- the share has grown to 1 ---> ACTIVE
     TRIAL, RECOVERING --- fails ---> EJECTED
 
-There is hysteresis: a site is ejected when its success rate falls below `ejection_threshold`; it is used again only
-after the ejection time, a number of consecutive successes, and a recovery ramp. The ramp grows while at most
-MAX_RAMP_FAILURES of the site's parts fail, and stands still above that. Ejections are counted, and the count decays:
-the ejection time doubles with each and the steps of the ramp grow longer, so that a site that comes and goes is used
-the less the more often it was ejected. Both times are jittered by each broker's own random numbers, so that brokers
-that observed the same do not act in lockstep.
+The state machine has hysteresis: a site is ejected when its success rate falls below `ejection_threshold`, and becomes
+active again only after the ejection time, a number of consecutive successes, and a recovery ramp. The share on the ramp
+grows while at most MAX_RAMP_FAILURES of the site's parts fail, and stays the same above that. Ejections are counted,
+and the count decays. Each ejection doubles the ejection time and lengthens the steps of the ramp, so that a flapping
+site is used the less the more often it was ejected. Both times are jittered by each broker's own random numbers, so
+that brokers that have observed the same do not act in lockstep.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from badgerbend.sites.decaying import DecayingSum
 from badgerbend.sites.policy import SitePolicy
 
-MAX_RAMP_FAILURES = 0.1  # fraction of recent parts; with more failures the ramp stands still
-RAMP_GROWTH = 1.5  # factor on the share at each step: eight steps from a twentieth to all
-JITTER = 0.25  # fraction of ejection times and steps, either way
-MAX_STEP_DOUBLINGS = 3.0  # a step of the ramp is doubled at most this often
-MIN_STEP_SUCCESSES = 3  # answers that a step of the ramp must have brought for the share to grow
+MAX_RAMP_FAILURES = 0.1  # fraction of recent parts; the share does not grow while more of them fail
+RAMP_GROWTH = 1.5  # factor on the share at each step: eight steps lead from a share of 1/20 to 1
+JITTER = 0.25  # fraction by which ejection times and steps are shortened or lengthened at most
+MAX_STEP_DOUBLINGS = 3.0  # a step of the ramp is doubled at most this many times
+MIN_STEP_SUCCESSES = 3  # successful answers required during a step for the share to grow
 
 
 class SiteState(Enum):
-    """The state of a site; values are the words on status pages and in logs, part of their interface."""
+    """The state of a site. The values appear on status pages and in logs and are part of their interface."""
 
     ACTIVE = "in"
     EJECTED = "out"
@@ -38,33 +38,33 @@
 
 
 class SiteObservation(NamedTuple):
-    """What a site's state is evaluated by."""
+    """The observations from which a site's state is evaluated."""
 
     ready: bool  # whether the site has ready servers
-    success_rate: float | None  # fraction of recent parts; None for too few
+    success_rate: float | None  # fraction of recent parts; None if there were too few
     consecutive_successes: int  # since the last failure
-    successes: float  # so far: a count that only grows
+    successes: float  # total so far; it never decreases
 
 
 def jittered(rng: random.Random, duration_ms: float) -> float:
-    """A duration stretched or shortened at random by up to `JITTER`."""
+    """The duration, randomly lengthened or shortened by up to `JITTER`."""
     return float(duration_ms * rng.uniform(1.0 - JITTER, 1.0 + JITTER))
 
 
 class SiteAvailability:
-    """One site's state. `share`, 0 to 1, is the part of its usual work that a site may be given."""
+    """The state of one site. `share` is the fraction of its normal traffic that the site may receive, 0 to 1."""
 
     def __init__(self, policy: SitePolicy, rng: random.Random) -> None:
         self.policy = policy
         self.rng = rng
         self.state = SiteState.ACTIVE
         self.share = 1.0
-        self.wait_until_ms = 0.0  # end of the ejection time or of a step of the ramp
+        self.wait_until_ms = 0.0  # end of the ejection time or of the current step of the ramp
         self.ejections = DecayingSum(policy.ejection_half_life_ms)
         self._successes_at_step = 0
 
     def ejection_ms(self, now_ms: float) -> float:
-        """How long the site would stay ejected if that began now, before jitter."""
+        """How long the site would stay ejected if it were ejected now, before jitter."""
         doublings = max(self.ejections.read(now_ms) - 1.0, 0.0)
         return float(min(self.policy.base_ejection_ms * 2.0**doublings, self.policy.max_ejection_ms))
 
--- a/badgerbend/sites/decaying.py
+++ b/badgerbend/sites/decaying.py
@@ -1,4 +1,4 @@
-"""A sum that decays exponentially, from which recent rates and shares are estimated."""
+"""An exponentially decaying sum, from which recent rates and fractions are estimated."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
         self.updated_ms = -math.inf
 
     def add(self, now_ms: float, amount: float) -> None:
-        """Adds an item of full weight."""
+        """Adds an item with its full weight."""
         self.value = self.read(now_ms) + amount
         self.updated_ms = max(now_ms, self.updated_ms)
 
     def read(self, now_ms: float) -> float:
-        """The sum, with its items weighted by their age."""
+        """The present sum, in which items are weighted by their age."""
         if not self.value or now_ms <= self.updated_ms:
             return self.value
         return float(self.value * 2.0 ** -((now_ms - self.updated_ms) / self.half_life_ms))
 
     def rate(self, now_ms: float) -> float:
-        """The rate, per millisecond, of a steady stream that would give the present sum."""
+        """The rate, per millisecond, of a steady stream of items that would result in the present sum."""
         return self.read(now_ms) * math.log(2.0) / self.half_life_ms
--- a/badgerbend/sites/drain.py
+++ b/badgerbend/sites/drain.py
@@ -1,4 +1,4 @@
-"""Draining a site by an operator: its work moves to other sites step by step, as far as it fits there."""
+"""Draining of a site by an operator: its traffic moves to other sites in steps, as far as they have capacity."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class SiteDrain:
-    """Whether a site is drained. `retained_share`, 0 to 1, is the part of its work that it still keeps."""
+    """The drain of one site. `retained_share` is the fraction of its traffic that it still keeps, 0 to 1."""
 
     def __init__(self, policy: SitePolicy, rng: random.Random) -> None:
         self.policy = policy
         self.rng = rng
         self.drained = False
         self.retained_share = 1.0
-        self.wait_until_ms = 0.0  # of the next step
+        self.wait_until_ms = 0.0  # time of the next step
 
     def set_drained(self, now_ms: float, drained: bool) -> None:
-        """Begins to drain the site, or to return it. Nothing is rejected because of a drain."""
+        """Starts to drain the site, or to return it to service. No query is rejected because of a drain."""
         if drained != self.drained:
             self.drained = drained
             self._begin_step(now_ms)
 
     def update(self, now_ms: float) -> None:
-        """Takes a step when it is due."""
+        """Changes the share by one step if the step is due."""
         target = 0.0 if self.drained else 1.0
         if now_ms < self.wait_until_ms or self.retained_share == target:
             return
--- a/badgerbend/sites/from_settings.py
+++ b/badgerbend/sites/from_settings.py
@@ -1,4 +1,4 @@
-"""From the settings of a broker to its policy of preference among sites."""
+"""Converts the settings of a broker to its policy of preference among sites."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def site_policy(settings: Settings, sites: Sites) -> SitePolicy:
-    """The policy for the broker of these settings.
+    """The site policy of the broker with these settings.
 
-    `sites` is that of the settings, which have checked that the broker's zone stands in one of them.
+    `sites` is that of the settings, whose validation ensures that the broker's zone belongs to one of the sites.
     """
     module = module_settings(settings)
     report = settings.servers.report
--- a/badgerbend/sites/inventory.py
+++ b/badgerbend/sites/inventory.py
@@ -1,7 +1,7 @@
 """The servers of each site and cell, from the endpoint list: which are ready, how warm they are, and their capacity.
 
-Sums by site are updated with each changed endpoint, so that reading a site's capacity does not walk over thousands of
-servers: only those that are warming up or failing are visited one by one.
+Sums by site are updated with each changed endpoint, so that computing a site's capacity does not iterate over thousands
+of servers, but only over those that are warming up or failing.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from badgerbend import api
 from badgerbend.sites.policy import SitePolicy
 
-UNREADY_MEMORY_MS = 600_000.0  # a server that left the list counts as missing for this long, then as removed
+UNREADY_MEMORY_MS = 600_000.0  # a server that is not ready counts towards the full capacity for this long
 NO_SITE = -1  # the site index of a server whose zone belongs to no site
 
 
@@ -24,21 +24,21 @@
     site: int  # index in the policy's sites, or NO_SITE
     cell: int
     size: float
-    started_ms: float  # 0: long ago
+    started_ms: float  # 0 if it started long ago
     ready: bool
     unready_since_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class SiteCapacity:
-    """What a site can serve, in parts a millisecond. full: with all of its known servers ready and warm."""
+    """The rate that a site can serve, in parts per millisecond. full: with all of its known servers ready and warm."""
 
     available: float
     full: float
 
 
 class SiteInventory:
-    """All known servers, with sums by site. Sites are named by their index in `policy.sites`."""
+    """All known servers, with sums by site. Sites are identified by their index in `policy.sites`."""
 
     def __init__(self, policy: SitePolicy) -> None:
         self.policy = policy
@@ -47,14 +47,14 @@
         self.cells: dict[tuple[int, int], dict[int, SiteServer]] = {}  # by site and cell
         self.total_size = [0.0 for _ in policy.sites]  # of all known servers
         self.ready_size = [0.0 for _ in policy.sites]
-        self.ready_count = [0 for _ in policy.sites]  # counted apart: rounding leaves a rest in the sums of sizes
+        self.ready_count = [0 for _ in policy.sites]  # separate, because rounding leaves a remainder in sums of sizes
         self.warming_up: list[dict[int, SiteServer]] = [{} for _ in policy.sites]
         self.unready: dict[int, SiteServer] = {}
 
     # -- updates of the endpoint list
 
     def apply(self, now_ms: float, update: api.EndpointUpdate) -> list[SiteServer]:
-        """Applies an update; returns the servers that have restarted, as it shows."""
+        """Applies an update; returns the servers that have restarted according to it."""
         if update.kind == api.UpdateKind.FAILED:
             return []
         restarted: list[SiteServer] = []
@@ -75,7 +75,7 @@
             self._set(now_ms, server, False, server.size, server.started_ms)
 
     def _apply_endpoint(self, now_ms: float, endpoint: api.Endpoint) -> SiteServer | None:
-        """Applies a changed endpoint; returns its server if it was known and has restarted."""
+        """Applies a changed endpoint; returns its server if it was already known and has restarted."""
         site = self.site_of_zone.get(endpoint.zone, NO_SITE)
         server = self.servers.get(endpoint.node)
         if server is not None and (server.site, server.cell) != (site, endpoint.cell):
@@ -125,12 +125,12 @@
     # -- queries
 
     def site_of(self, node: int) -> int:
-        """The index of a server's site, or NO_SITE; also for a server that is not known."""
+        """The index of a server's site; NO_SITE if it belongs to none or the server is unknown."""
         server = self.servers.get(node)
         return server.site if server is not None else NO_SITE
 
     def has_ready_servers(self, site: int) -> bool:
-        """Whether the endpoint list has a ready server at a site."""
+        """Whether the endpoint list contains a ready server at a site."""
         return self.ready_count[site] > 0
 
     def ready_servers(self, site: int) -> list[SiteServer]:
@@ -138,7 +138,7 @@
         return [s for s in self.servers.values() if s.site == site and s.ready]
 
     def replicas(self, site: int, shard: int) -> Iterable[SiteServer]:
-        """The servers that hold a shard at a site, ready or not."""
+        """The servers of a site that serve a shard, ready or not."""
         for offset in range(self.policy.cells_per_shard):
             yield from self.cells.get((site, (shard + offset) % self.policy.cell_count), {}).values()
 
@@ -152,7 +152,7 @@
         return healthy / total if total else 0.0
 
     def warmth(self, now_ms: float, server: SiteServer) -> float:
-        """The fraction of its capacity that a server can give during slow start; 1 after it."""
+        """The fraction of its capacity that a server provides during slow start; 1 after it."""
         if not server.started_ms:
             return 1.0
         policy = self.policy
@@ -160,7 +160,7 @@
         return min(1.0, policy.slow_start_from + (1.0 - policy.slow_start_from) * elapsed)
 
     def capacity(self, now_ms: float, site: int, failing: Iterable[int]) -> SiteCapacity:
-        """What a site can serve now, and what it could. failing: servers that give nothing though they are listed."""
+        """The capacity of a site now and with all servers. failing: listed servers that provide no capacity now."""
         available = self.ready_size[site]
         for server in list(self.warming_up[site].values()):
             warmth = self.warmth(now_ms, server)
--- a/badgerbend/sites/policy.py
+++ b/badgerbend/sites/policy.py
@@ -1,4 +1,4 @@
-"""The policy of preference among sites: the sites as one broker sees them, limits, and the classes of queries."""
+"""The policy of preference among sites: the sites from the view of one broker, limits, and the classes of queries."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class LocalityTier(IntEnum):
-    """How near a site is to the broker; sites of a lower tier are preferred."""
+    """How near a site is to the broker. Sites of a lower tier are preferred."""
 
     OWN = 0
     NEAR = 1
@@ -17,7 +17,7 @@
 
     @property
     def label(self) -> str:
-        """The word for this tier on status pages, which is part of their interface."""
+        """The name of this tier on status pages, which is part of their interface."""
         return _TIER_LABELS[self]
 
 
@@ -25,16 +25,16 @@
 
 
 class SitePolicyError(ValueError):
-    """Not exactly one site of a policy is the broker's own. own_sites: their names."""
+    """A policy does not have exactly one own site of the broker. own_sites: the names of all that it has."""
 
     def __init__(self, own_sites: tuple[str, ...]) -> None:
-        super().__init__(f"a broker has one site of its own, not {len(own_sites)}")
+        super().__init__(f"a broker must have exactly one own site, not {len(own_sites)}")
         self.own_sites = own_sites
 
 
 @dataclass(frozen=True, slots=True)
 class SiteSpec:
-    """A site. zones: those of its servers; brokers: how many brokers stand there."""
+    """A site. zones: the zones of its servers; brokers: the number of brokers at the site."""
 
     name: str
     zones: tuple[int, ...]
@@ -44,26 +44,26 @@
 
 @dataclass(frozen=True, slots=True)
 class SitePolicy:
-    """What `config.fleet.Sites` sets, which explains the values. Times in milliseconds, rates per millisecond.
+    """The parameters configured by `config.fleet.Sites`, which explains them. Times are in milliseconds, rates per ms.
 
-    Raises SitePolicyError where not exactly one site is the broker's own.
+    Raises SitePolicyError unless exactly one site is the broker's own.
     """
 
     sites: tuple[SiteSpec, ...]
-    brokers: int  # of all sites
+    brokers: int  # of all sites together
     cell_count: int
     cells_per_shard: int
-    server_rate: float  # parts a millisecond that a warm server of size 1 serves
+    server_rate: float  # parts per millisecond that a warm server of size 1 serves
     spill_share: float = 0.8
     target_utilization: float = 0.85
-    observation_share: float = 0.03  # of parts that go to other sites in good times, to observe those
-    utilization_index: int | None = 0  # place of the utilization in load reports; None: it is not reported
+    observation_share: float = 0.03  # fraction of parts sent to other sites to observe them, while the own is healthy
+    utilization_index: int | None = 0  # index of the utilization in load reports; None if it is not reported
     ejection_threshold: float = 0.5  # success rate below which a site is ejected
     base_ejection_ms: float = 1500.0
     max_ejection_ms: float = 60_000.0
-    ejection_half_life_ms: float = 30_000.0  # of the count of past ejections
-    trial_successes: int = 8  # consecutive, that end a trial
-    initial_share: float = 0.05  # of its usual work, at the start of the recovery ramp
+    ejection_half_life_ms: float = 30_000.0  # half-life of the count of past ejections
+    trial_successes: int = 8  # consecutive successes that end a trial
+    initial_share: float = 0.05  # fraction of its normal traffic at the start of the recovery ramp
     ramp_step_ms: float = 500.0
     connection_rate: float = 0.02  # connections opened in advance, per millisecond
     slow_start_from: float = 0.2
--- a/badgerbend/sites/preconnect.py
+++ b/badgerbend/sites/preconnect.py
@@ -1,4 +1,4 @@
-"""Connections opened in advance to the servers of a site that comes back, so that its first parts do not wait."""
+"""Opens connections in advance to the servers of a recovering site, so that the first parts need not wait for them."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Preconnector:
-    """Chooses the servers to connect to, at a bounded rate."""
+    """Chooses the servers to connect to, at a limited rate."""
 
     def __init__(self, table: SiteTable) -> None:
         self.table = table
         self._bucket = TokenBucket()
 
     def servers_due(self, now_ms: float) -> list[int]:
-        """Servers of sites on trial or recovering to which a connection is to be opened now."""
+        """The servers of sites on trial or recovering to which a connection should be opened now."""
         self._bucket.set_rate(now_ms, self.table.policy.connection_rate)
         due: list[int] = []
         for site in self.table.sites:
@@ -29,7 +29,7 @@
         return due
 
     def record_result(self, now_ms: float, node: int, connected: bool) -> None:
-        """How opening a connection went. A failure counts against the site; success proves too little to count."""
+        """Records the result of opening a connection. Only failures count: a connection alone does not prove health."""
         site = self.table.site_of(node)
         if site is not None and not connected:
             site.health.record_connection_failure(now_ms, node)
--- a/badgerbend/sites/preference.py
+++ b/badgerbend/sites/preference.py
@@ -1,4 +1,4 @@
-"""Preference among sites by locality: the decisions' `api.SitePreference`, made of the other modules here."""
+"""Preference among sites by locality: implements `api.SitePreference` by means of the other modules here."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from badgerbend.sites.site import Site, SiteTable
 from badgerbend.sites.state_tracker import SiteStateTracker
 
-UPDATE_INTERVAL_MS = 100.0  # of states and limits; short beside an ejection and a step of a ramp
+UPDATE_INTERVAL_MS = 100.0  # of states and limits; short compared with an ejection and a step of a ramp
 
 
 class LocalityPreference:
-    """One broker's preference. `seed` gives it random numbers of its own."""
+    """The preference of one broker. Brokers need different seeds, so that they do not act in lockstep."""
 
     def __init__(self, policy: SitePolicy, seed: int) -> None:
         self.policy = policy
@@ -45,13 +45,13 @@
         return self.table.sites
 
     def use_slow_start_budget(self, budget: api.SlowStartBudget | None) -> None:
-        """Lets brokers share out by demand what a recovering site may get."""
+        """Sets the budget by which brokers divide the rate to a recovering site according to demand."""
         self.limits.slow_start_budget = budget
 
     # -- events
 
     def observe(self, now_ms: float, events: Sequence[api.Event]) -> None:
-        """Takes note of all that happened, before any decision on it."""
+        """Processes the events of a step, before any decision is made about them."""
         self.table.now_ms = now_ms
         for event in events:
             match event:
@@ -66,7 +66,7 @@
     def _attempt_completed(self, event: api.AttemptCompleted) -> None:
         attempt = (event.part, event.attempt)
         site = self.table.site_of(event.node)
-        if site is None or attempt not in site.health.in_flight:  # its server was moved or removed since
+        if site is None or attempt not in site.health.in_flight:  # the server has moved or was removed since
             site = next((s for s in self.table.sites if attempt in s.health.in_flight), None)
         if site is None:
             return
@@ -106,27 +106,29 @@
     def _update_limits(self) -> None:
         self.limits.update()
 
-    # -- questions of the decisions
+    # -- queries from the decisions
 
     def admits(self, query: api.Query, over_quota: bool, fewest: int) -> bool:
-        """Whether a query is admitted; fewest: how many of its parts make a complete answer."""
+        """Whether a query is admitted. fewest: the least number of its parts that make a complete answer."""
         return self.admission.admits(query, over_quota, fewest)
 
     def allows_surplus(self) -> bool:
-        """Whether parts beyond the fewest may be sent now."""
+        """Whether parts beyond the least number that is needed may be sent now."""
         return self.admission.allows_surplus()
 
     def rank(self, shard: int) -> int:
-        """How near the nearest site is that a part of this shard may go to now: greater is nearer, 0 for none."""
+        """The proximity of the nearest site that accepts a part of this shard now: greater is nearer, 0 means none."""
         return self.table.rank(shard)
 
     def eligible(self, shard: int, nodes: Sequence[int], safe: bool) -> Sequence[int]:
-        """Those of a shard's servers that a part may go to now; none: it must wait. See `ReplicaFilter`."""
+        """The servers of a shard to which a part may be sent now; if empty, it must wait. See `ReplicaFilter`."""
         return self.replica_filter.eligible(shard, nodes, safe)
 
     def site_rate(self, node: int) -> float:
-        """A warm server's share of the rate at which this broker may send to its site, in parts a millisecond; 0 where
-        no limit holds there."""
+        """A warm server's share of the rate at which this broker may send to its site, in parts per millisecond.
+
+        0 means that the site has no limit.
+        """
         site = self.table.site_of(node) or self.own
         if site.is_own and site.state is SiteState.ACTIVE:
             return 0.0
@@ -135,11 +137,11 @@
         return site.bucket.rate / (site.capacity / self.policy.server_rate)
 
     def attempt_sent(self, part: int, attempt: int, node: int) -> None:
-        """An attempt was sent to a server."""
+        """Records that an attempt was sent to a server."""
         self.replica_filter.attempt_sent(part, attempt, node)
 
     # -- operators
 
     def set_drained(self, now_ms: float, site: Site, drained: bool) -> None:
-        """Moves a site's work to other sites, or lets it come back."""
+        """Drains a site, so that its traffic moves to other sites, or returns it to service."""
         self.states.set_drained(now_ms, site, drained)
--- a/badgerbend/sites/rate_limits.py
+++ b/badgerbend/sites/rate_limits.py
@@ -1,4 +1,4 @@
-"""The rates at which a broker may send to each site: spill-over limits, trials and recovery ramps."""
+"""The rates at which a broker may send to each site, from spill-over limits, trials and recovery ramps."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from badgerbend.sites.site import Site, SiteTable
 from badgerbend.sites.spill_limit import spill_allowance
 
-TRIAL_RATE = 0.016  # parts a millisecond to a site on trial: enough successes to end it take half a second
+TRIAL_RATE = 0.016  # parts per millisecond to a site on trial; the successes that end it then take half a second
 
 
 class SiteRateLimits:
     """Sets the rate of every site's token bucket.
 
-    slow_start_budget: where brokers share out by demand what a recovering site may get; None: each keeps to its own
-    share.
+    slow_start_budget: divides the rate to a recovering site between brokers according to demand; None: each broker uses
+    an equal share.
     """
 
     def __init__(self, table: SiteTable) -> None:
@@ -22,7 +22,7 @@
         self.slow_start_budget: api.SlowStartBudget | None = None
 
     def update(self) -> None:
-        """Sets all rates anew, from the sites' states, capacities and utilization."""
+        """Recomputes all rates from the states, capacities and utilization of the sites."""
         demand_rate = self.table.demand.rate(self.table.now_ms)
         for site in self.table.sites:
             site.bucket.set_rate(self.table.now_ms, self._rate(site, demand_rate))
@@ -45,7 +45,7 @@
         )
 
     def _own_rate(self, site: Site, demand_rate: float) -> float:
-        """The own site is limited only while it recovers; its brokers take equal shares of its capacity."""
+        """The rate to the own site, limited only while it recovers. Its brokers have equal shares of its capacity."""
         recovering = site.state is SiteState.RECOVERING
         wanted = site.availability.share * demand_rate
         bound = self.table.policy.target_utilization * site.capacity / site.local_brokers
--- a/badgerbend/sites/replica_filter.py
+++ b/badgerbend/sites/replica_filter.py
@@ -1,9 +1,10 @@
-"""Which of a shard's servers a part may go to, by the site at which they stand.
+"""Selects the servers of a shard to which a part may be sent, by their sites.
 
-A part goes to the broker's own site. It goes elsewhere where its shard has no healthy replica there, where the site is
-ejected, and, by a share, where the site is too busy or too slow for all of its work or recovers from an outage. What
-spills over takes a token of the limit of its target; near sites come before far ones. Where no limit has a token left,
-a part stays at its own site if that is active at all, for it is only preferred elsewhere; otherwise it waits.
+A part normally goes to the broker's own site. It goes elsewhere if its shard has no healthy replica there or the site
+is ejected. A fraction of the parts also goes elsewhere while the own site is too busy or too slow for all of its
+traffic, or recovers from an outage. A part that spills over takes a token from the limit of its target site; near sites
+come before far ones. If no limit has a token left, the part stays at the own site if that is active, since other sites
+are only preferred; otherwise it waits.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 from badgerbend.sites.policy import LocalityTier
 from badgerbend.sites.site import Site, SiteTable
 
-TRIAL_PRECEDENCE = LocalityTier.OWN  # a site on trial comes before every other site but the own one
+TRIAL_PRECEDENCE = LocalityTier.OWN  # a site on trial comes before all sites except the own one
 
 
 class _Candidate(NamedTuple):
-    """A site to spill to, in the order of preference: by tier, then by the most tokens."""
+    """A site to which a part may spill over, ordered by preference: by tier, then by the most tokens."""
 
     precedence: int
     negative_tokens: float
@@ -30,18 +31,19 @@
 
 
 class ReplicaFilter:
-    """Filters servers by site, and charges what is sent to the limit it was let through by."""
+    """Filters servers by site, and charges each attempt to the rate limit under which it was allowed."""
 
     def __init__(self, table: SiteTable, own_load: OwnSiteLoad, rng: random.Random) -> None:
         self.table = table
         self.own_load = own_load
         self.rng = rng
-        self._charged_site: Site | None = None  # whose limit the part placed last takes a token of
+        self._charged_site: Site | None = None  # the site whose limit the last selected part is charged to
 
     def eligible(self, shard: int, nodes: Sequence[int], safe: bool) -> Sequence[int]:
-        """Those of a shard's servers that a part may go to now; none: it must wait.
+        """The servers of a shard to which a part may be sent now; if empty, the part must wait.
 
-        safe: it may be lost, or run twice, without harm. `attempt_sent` refers to what was returned last.
+        safe: whether the part may be lost, or executed twice, without harm. The next `attempt_sent` is charged to the
+        limit that was used here last.
         """
         self._charged_site = None
         own = self.table.own
@@ -58,7 +60,7 @@
         return nodes_by_site.get(NO_SITE, [])
 
     def attempt_sent(self, part: int, attempt: int, node: int) -> None:
-        """An attempt was sent to a server."""
+        """Records that an attempt was sent to a server."""
         site = self.table.site_of(node)
         if site is None:
             return
@@ -78,11 +80,11 @@
         return nodes_by_site
 
     def _is_spill(self, shard: int) -> bool:
-        """Whether a shard's work belongs to the own site: one never held there belongs where it is held."""
+        """Whether a part at another site counts as spill-over: only if the own site has replicas of its shard."""
         return self.table.has_replicas(self.table.own, shard)
 
     def _stays_at_own_site(self, shard: int, safe: bool) -> bool:
-        """Whether a part with replicas at the own site goes there."""
+        """Whether a part whose shard has replicas at the own site goes there."""
         own = self.table.own
         retained_share = own.drain.retained_share
         if retained_share < 1.0 and self.rng.random() >= retained_share:
@@ -102,7 +104,7 @@
                 assert_never(never)
 
     def _spill_target(self, nodes_by_site: dict[int, list[int]], shard: int, safe: bool) -> Site | None:
-        """The site with a token that comes first: one on trial, then by tier, then the one with the most tokens."""
+        """The preferred other site: one on trial, then by tier, then by most tokens. Spill-over needs a token."""
         is_spill = self._is_spill(shard)
         candidates: list[_Candidate] = []
         for site in self.table.others:
--- a/badgerbend/sites/state_tracker.py
+++ b/badgerbend/sites/state_tracker.py
@@ -1,4 +1,4 @@
-"""Moves all sites through their states, by the health of their servers and by the endpoint list."""
+"""Updates the states of all sites from their health and from the endpoint list."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 
 class SiteChange(NamedTuple):
-    """A change of a site that an operator may want to see in the log."""
+    """A state change of a site, to be logged for operators."""
 
     site: str
     description: str
 
 
 class SiteStateTracker:
-    """Updates the states of all sites. `changes` is emptied by who logs them."""
+    """Updates the states of all sites. `changes` is cleared by the caller that logs them."""
 
     def __init__(self, table: SiteTable) -> None:
         self.table = table
         self.changes: list[SiteChange] = []
 
     def update(self) -> None:
-        """Evaluates every site's state, and takes the steps of drains that are due."""
+        """Evaluates the state of every site, and performs the steps of drains that are due."""
         for site in self.table.sites:
             self._update_site(site)
 
     def set_drained(self, now_ms: float, site: Site, drained: bool) -> None:
-        """Drains a site for an operator, or returns it."""
+        """Drains a site on behalf of an operator, or returns it to service."""
         site.drain.set_drained(now_ms, drained)
-        self.changes.append(SiteChange(site.name, "drained by hand" if drained else "returned by hand"))
+        self.changes.append(SiteChange(site.name, "drained by operator" if drained else "returned by operator"))
 
     def _update_site(self, site: Site) -> None:
         table = self.table
@@ -38,7 +38,7 @@
         success_rate = site.health.success_rate(table.now_ms)
         failing = success_rate is not None and success_rate < table.policy.ejection_threshold
         if failing and not self._has_healthy_alternative(site):
-            success_rate = None  # ejecting it would only reject what it may still answer
+            success_rate = None  # ejection would only reject what the site may still answer
         observed = SiteObservation(ready, success_rate, site.health.consecutive_successes, site.successes)
         if site.availability.update(table.now_ms, observed):
             if site.state in (SiteState.EJECTED, SiteState.TRIAL):
--- a/badgerbend/sites/status.py
+++ b/badgerbend/sites/status.py
@@ -1,4 +1,4 @@
-"""The status of sites, for the HTTP page, the command line and metrics. Field names of the JSON are its interface."""
+"""The status of sites for the HTTP page, the command line and metrics. The field names of its JSON are an interface."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class SiteStatus(msgspec.Struct, frozen=True):
-    """One site. Rates are parts a second of this broker alone; shares 0 to 1; None where nothing is known."""
+    """One site. Rates are in parts per second and of this broker alone; shares are 0 to 1; None means unknown."""
 
     name: str
     tier: str
     state: str
     drained: bool
-    share: float  # of its usual work that it may be given
+    share: float  # of its normal traffic that it may receive
     ejections: float = msgspec.field(name="turns")
     success_rate: float | None = msgspec.field(name="success")
     utilization: float | None = msgspec.field(name="used")
@@ -26,12 +26,12 @@
     full_capacity_per_s: float = msgspec.field(name="whole_per_s")
     sent_per_s: float
     spilled_per_s: float
-    allowed_per_s: float | None  # None: no limit
+    allowed_per_s: float | None  # None means no limit
     failing_servers: int = msgspec.field(name="failing")
 
 
 class RetainedShares(msgspec.Struct, frozen=True):
-    """The shares of its work that the own site keeps."""
+    """The shares of its traffic that the own site keeps."""
 
     by_utilization: float = msgspec.field(name="by_load")
     by_latency: float = msgspec.field(name="by_time")
@@ -47,7 +47,7 @@
 
 
 class SitesStatus(msgspec.Struct, frozen=True):
-    """All sites as one broker sees them."""
+    """All sites as one broker observes them."""
 
     own: str
     list_age_ms: int | None
@@ -58,7 +58,7 @@
 
 
 def sites_status(preference: LocalityPreference, now_ms: float) -> SitesStatus:
-    """The present status."""
+    """The current status of all sites."""
     table = preference.table
     load = preference.own_load
     updated_ms = table.list_updated_ms
--- a/badgerbend/sites/token_bucket.py
+++ b/badgerbend/sites/token_bucket.py
@@ -1,13 +1,13 @@
-"""A token bucket that keeps a rate which changes over time."""
+"""A token bucket whose rate can change over time."""
 
 from __future__ import annotations
 
-BURST_MS = 250.0  # tokens saved up over this long can be spent at once
-MIN_DEPTH = 2.0  # tokens: with a smaller bucket a query of several parts might never be sent
+BURST_MS = 250.0  # tokens accrued over this long can be used at once
+MIN_DEPTH = 2.0  # in tokens; with a smaller bucket a query of several parts might never be sent
 
 
 class TokenBucket:
-    """Tokens accrue at `rate`, per millisecond, up to a burst; each part sent takes one."""
+    """Tokens accrue at `rate`, per millisecond, up to the size of a burst. Each part that is sent takes one."""
 
     __slots__ = ("rate", "tokens", "updated_ms")
 
@@ -22,7 +22,7 @@
         self.rate = rate
 
     def available(self, now_ms: float) -> float:
-        """Accrues tokens up to now; returns how many there are."""
+        """Accrues tokens up to now, and returns their number."""
         depth = max(self.rate * BURST_MS, MIN_DEPTH if self.rate else 0.0)
         if now_ms > self.updated_ms:
             self.tokens += self.rate * (now_ms - self.updated_ms)
