--- a/tests/knowledge_records.py
+++ b/tests/knowledge_records.py
@@ -1,4 +1,4 @@
-"""Records of ten servers, of which two are slow, for tests of knowledge and snapshots."""
+"""Knowledge records of ten servers, two of which are slow, for tests of knowledge and snapshots."""
 
 from badgerbend.knowledge.record import AnswerLatency, KnowledgeRecord, ServerObservation
 
--- a/tests/simsites.py
+++ b/tests/simsites.py
@@ -1,4 +1,4 @@
-"""Two sites in simulated time: brokers with the real driver, module and preference, servers with cores and a queue."""
+"""Simulates two sites: brokers with the real driver, module and preference; servers with cores and a queue."""
 
 import math
 import random
@@ -18,12 +18,12 @@
 CELL_COUNT = 4
 CELLS_PER_SHARD = 2
 CORES = 2
-WORK_MS = 40.0  # of a part on a warm core
-SERVER_RATE = CORES / WORK_MS  # parts a millisecond of a warm server
+WORK_MS = 40.0  # service time of a part on a warm core
+SERVER_RATE = CORES / WORK_MS  # parts per millisecond that a warm server can serve
 NETWORK_DELAY_MS = 0.5  # one way
-DETECTION_DELAY_MS = 300.0  # until the endpoint list shows that a site is lost
+DETECTION_DELAY_MS = 300.0  # until the endpoint list shows the loss of a site
 SLOW_START_MS = 5000.0
-SLOW_START_FROM = 0.25  # share of its rate that a server has at its start
+SLOW_START_FROM = 0.25  # fraction of its full rate at which a server starts
 SITE_NAMES = ("north", "south")
 
 
@@ -45,7 +45,7 @@
 
 
 class QueryEnd(NamedTuple):
-    """How a query ended: "whole" (a complete answer), "part", "refused" or "failed"."""
+    """The end of a query. outcome: "whole" (a complete answer), "part" (a partial one), "refused" or "failed"."""
 
     at_ms: float
     broker: int
@@ -61,7 +61,7 @@
 
 
 class Server:
-    """A server with cores, a queue and slow start. silent: it accepts all and answers nothing."""
+    """A server with cores, a queue and slow start. silent: it accepts all attempts and answers none."""
 
     def __init__(self, world, node, cell, zone):
         self.world = world
@@ -98,9 +98,9 @@
             return
         self.busy_cores -= 1
         while self.queue and self.busy_cores < CORES:
-            following = self.queue.popleft()
-            if not following.ended:
-                self._start(following)
+            next_job = self.queue.popleft()
+            if not next_job.ended:
+                self._start(next_job)
         if not job.ended:
             job.broker.complete(job, api.Outcome.OK, (self.busy_cores / CORES, 0.0))
 
@@ -118,7 +118,7 @@
 
 
 class Job:
-    """An attempt on its way, at a server or back."""
+    """An attempt in flight. ended: it has an outcome or was cancelled."""
 
     def __init__(self, broker, attempt):
         self.broker = broker
@@ -127,13 +127,13 @@
 
 
 class Broker:
-    """Schedule, transport, list and observer of one driver."""
+    """A broker in simulation: the schedule, transport, server list and observer of one driver."""
 
     def __init__(self, world, index, home, seed, brokers, make, **changes):
         self.world = world
         self.index = index
         self.home = home
-        self.jobs = {}  # in flight, by part and number of the attempt
+        self.jobs = {}  # in flight, by the part and the number of the attempt
         self._wake_at = math.inf
         self.preference = make(site_policy(home, brokers, **changes), seed)
         budget = world.slow_start_budget(index, seed)
@@ -155,7 +155,7 @@
         self.driver = Driver(settings, module, self, self, self, self)
 
     def submit(self, class_index, parts, tenant=0, left_ms=3000.0):
-        """A client's query of that many parts, of consecutive shards."""
+        """Submits a client's query with a number of parts, which belong to consecutive shards."""
         first = self.world.rng.randrange(CELL_COUNT)
         plans = [PartPlan((first + i) % CELL_COUNT, 1 / parts, None, None) for i in range(parts)]
         submitted_ms = self.world.now
@@ -172,7 +172,7 @@
             self.jobs.pop((job.attempt.part_id, job.attempt.number), None)
             self.driver.ended(job.attempt, outcome, None, report)
 
-    # -- what the driver calls
+    # -- methods that the driver calls
 
     def now_ms(self):
         return self.world.now
@@ -242,7 +242,7 @@
 class World(Clock):
     """Two sites with their brokers and servers.
 
-    make: creates a broker's preference, from its policy and a seed; changes: to that policy.
+    make: creates the preference of a broker from its policy and a seed; changes: changed fields of that policy.
     """
 
     settings = {"overload_factor": 3.0}  # noqa: RUF012
@@ -255,11 +255,11 @@
             for i in range(servers):
                 node = 100 * zone + i
                 self.servers[node] = Server(self, node, i % CELL_COUNT, zone)
-        self.own_parts = Counter()  # sent by brokers of the same site, by site and second
-        self.spilled_parts = Counter()  # sent by others
+        self.own_parts = Counter()  # parts sent to a site by its own brokers, by site and second
+        self.spilled_parts = Counter()  # parts sent to a site by other brokers, by site and second
         self.queries = []
         self.ends = []
-        self.rate_factor = 1.0  # on the rates of all loads
+        self.rate_factor = 1.0  # factor on the rates of all loads
         self.brokers = []
         homes = [0] * brokers[0] + [1] * brokers[1]
         for i, home in enumerate(homes):
@@ -267,7 +267,7 @@
         self.publish_endpoints()
 
     def slow_start_budget(self, index, seed):
-        """A broker's share of what may go to servers that are warming up; None: brokers share out nothing."""
+        """The slow start budget of a broker; None if brokers do not share one."""
         return
 
     def count(self, broker, server):
@@ -295,21 +295,21 @@
         return [server for server in self.servers.values() if server.zone == zone]
 
     def crash_site(self, zone):
-        """All servers of a site crash; the endpoint list shows it a moment later."""
+        """Crashes all servers of a site; the endpoint list shows it after `DETECTION_DELAY_MS`."""
         for server in self.site_servers(zone):
             server.crash()
         self.at(self.now + DETECTION_DELAY_MS, self.publish_endpoints)
 
     def restart_site(self, zone):
-        """All servers of a site are back, and cold."""
+        """Restarts all servers of a site, which then warm up."""
         for server in self.site_servers(zone):
             server.restart()
         self.publish_endpoints()
 
     def add_load(self, home, queries_per_s, class_index=0, parts=4, weights=None):
-        """Queries to the brokers of a site at random times, so many a second together.
+        """Submits queries to the brokers of a site at random times, at a mean rate for all of them together.
 
-        weights: how much of them each broker gets, if not all the same.
+        weights: the relative share of each broker; equal by default.
         """
         brokers = [broker for broker in self.brokers if broker.home == home]
 
@@ -322,7 +322,7 @@
         self.at(self.now, submit)
 
     def spill_limit(self, zone, second, share=0.8):
-        """The most parts that may spill to a site in a second."""
+        """The number of parts that may spill over to a site in one second."""
         capacity = len(self.site_servers(zone)) * SERVER_RATE * 1000.0
         return share * max(capacity - self.own_parts[zone, second], 0.0)
 
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -1,4 +1,4 @@
-"""What is believed of peers: old, absurd and lying records."""
+"""Tests of knowledge records and of the trust in peers whose records are old, absurd or wrong."""
 
 import contextlib
 
@@ -51,7 +51,7 @@
         KnowledgeRecord(1, 0, 999, 0, (), ()),
     ],
 )
-def test_absurd_records_are_rejected(bad):
+def test_records_with_values_out_of_range_are_rejected(bad):
     with pytest.raises(RecordError):
         decode(encode(bad))
 
@@ -67,13 +67,15 @@
     assert len(data) < MAX_RECORD_BYTES
     assert decode(data) == out
     assert aged(out, 250.0).servers[0].age_ms == 250.0
-    assert aged(out, -50.0).servers[0].age_ms == 0.0  # nothing becomes younger
+    assert aged(out, -50.0).servers[0].age_ms == 0.0  # no observation becomes younger
 
 
 # -- trust
-def test_the_median_of_three_is_what_two_honest_peers_state():
+def test_of_three_peers_one_liar_cannot_change_which_servers_look_slow():
     lies = [
-        {n: 20.0 if n in ("s8", "s9") else 900.0 for n in LATENCIES_MS},  # healthy servers slow, slow ones fast
+        {
+            n: 20.0 if n in ("s8", "s9") else 900.0 for n in LATENCIES_MS
+        },  # claims that healthy servers are slow and slow ones fast
         dict.fromkeys(LATENCIES_MS, 0.0),
         dict.fromkeys(LATENCIES_MS, 1000000000.0),
         {},
@@ -85,16 +87,16 @@
         assert slow_nodes(trust.combine(records, NAMES, 0.0)) == {8, 9}, lie
 
 
-def test_one_liar_of_two_can_hide_a_slow_server_but_make_none_look_slow():
+def test_of_two_peers_one_liar_can_hide_a_slow_server_but_make_none_look_slow():
     for lie in (dict.fromkeys(LATENCIES_MS, 900.0), dict.fromkeys(LATENCIES_MS, 1.0)):
         prior = PeerTrust().combine({"a": record(LATENCIES_MS), "liar": record(lie)}, NAMES, 0.0)
         assert slow_nodes(prior) <= {8, 9}
 
 
-def test_a_sole_peer_may_state_few_servers_to_be_slow():
+def test_a_sole_peer_can_make_only_few_servers_look_slow():
     assert slow_nodes(PeerTrust().combine({"a": record(LATENCIES_MS)}, NAMES, 0.0)) == {8, 9}
     half = LATENCIES_MS | {f"s{i}": 160.0 for i in range(5)}
-    assert len(slow_nodes(PeerTrust().combine({"a": record(half)}, NAMES, 0.0))) == 3  # of ten, though it states seven
+    assert len(slow_nodes(PeerTrust().combine({"a": record(half)}, NAMES, 0.0))) == 3  # of ten; the peer claims seven
     assert len(slow_nodes(PeerTrust().combine({"own": record(half)}, NAMES, 0.0, is_own=True))) == 7
 
 
@@ -132,10 +134,10 @@
     trust = PeerTrust()
     lie = {n: 200.0 if t == 20.0 else 20.0 for n, t in LATENCIES_MS.items()}
     trust.combine({"b": record(LATENCIES_MS), "liar": record(lie)}, NAMES, 0.0)
-    lost = [p for node in range(10) for p in trust.check_answer(node, LATENCIES_MS[f"s{node}"], 20.0, 100.0)]
-    assert lost == ["liar"]
+    distrusted = [p for node in range(10) for p in trust.check_answer(node, LATENCIES_MS[f"s{node}"], 20.0, 100.0)]
+    assert distrusted == ["liar"]
     assert trust.is_trusted("b", 100.0)
-    over = 100.0 + policy.distrust_ms
-    assert not trust.is_trusted("liar", over - 1)
-    assert trust.is_trusted("liar", over)
+    end_ms = 100.0 + policy.distrust_ms
+    assert not trust.is_trusted("liar", end_ms - 1)
+    assert trust.is_trusted("liar", end_ms)
     assert slow_nodes(trust.combine({"b": record(LATENCIES_MS), "liar": record({})}, NAMES, 200.0)) == {8, 9}
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -1,4 +1,4 @@
-"""Brokers that learn from each other, on real sockets: joining, serving, rejecting, and what must not change."""
+"""Tests of peering on real sockets: joining and leaving, serving and rejecting records, and the own snapshot."""
 
 import asyncio
 import socket
@@ -42,7 +42,7 @@
 
 
 class Brokers:
-    """A stage's world with more brokers before it, one the seed of the others."""
+    """Additional brokers for the servers of a stage. The first one is the seed of the others."""
 
     def __init__(self, stage, key):
         self.stage = stage
@@ -79,7 +79,7 @@
 
 
 def test_a_new_broker_learns_which_servers_are_slow(keys, monkeypatch):
-    # in 25 rounds each broker meets all servers, without queues of its own
+    # with this, each broker observes all servers in 25 rounds without building up queues itself
     monkeypatch.setattr(replicas, "EXPLORATION_SHARE", 1.0)
 
     async def main():
@@ -135,7 +135,7 @@
     run(main)
 
 
-def test_a_departure_is_noticed_and_a_stop_is_clean(keys):
+def test_a_stopped_broker_is_seen_to_have_left(keys):
     async def main():
         async with Stage() as s:
             group = Brokers(s, keys / "key")
@@ -171,10 +171,10 @@
         assert bad == [403] * 3
         await server.http.close(0)
 
-        def liar(exchange):  # knows no key, and plays back a body
+        def lying_peer(exchange):  # has no key, and replays a body
             exchange.respond(200, encode(own), b"", ((b"badgerbend-mac", b"00" * 32),))
 
-        replace_attribute(server.http, "handler", liar)
+        replace_attribute(server.http, "handler", lying_peer)
         port = await server.http.start("127.0.0.1", 0)
         server.http.closing = False
         fetch_record(key, "127.0.0.1", port, got.append)
@@ -186,7 +186,7 @@
     run(main)
 
 
-def test_a_broker_uses_its_own_snapshot_and_writes_the_next(tmp_path):
+def test_a_broker_uses_its_own_snapshot_and_writes_a_new_one(tmp_path):
     file = tmp_path / "seen"
     servers = tuple(ServerObservation(f"rates-{i}", 150.0 if i == 4 else 20.0, 100.0) for i in range(12))
     write_atomically(
@@ -208,7 +208,7 @@
     assert len(file.read_bytes()) > 100
 
 
-def test_a_bad_snapshot_or_an_unwritable_one_never_fails_a_start(tmp_path):
+def test_a_broker_starts_despite_an_invalid_or_unwritable_snapshot(tmp_path):
     (tmp_path / "torn").write_bytes(b"bbknow\r\n\x00")
 
     async def main():
@@ -220,7 +220,7 @@
     run(main)
 
 
-def test_without_settings_nothing_is_opened():
+def test_without_settings_of_peers_there_is_no_knowledge_exchange():
     async def main():
         async with Stage() as s:
             assert s.broker.knowledge_exchange is None
@@ -236,7 +236,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("(peers)", "key is missing"),
         ('(peers (key "a" "b" "c"))', "one file, or two"),
@@ -245,6 +245,6 @@
         ("(snapshot (every-ms 5))", "file is missing"),
     ],
 )
-def test_settings_of_peers_are_checked(text, says):
-    with pytest.raises(SettingsError, match=says):
+def test_settings_of_peers_are_validated(text, message):
+    with pytest.raises(SettingsError, match=message):
         parse(EXAMPLE.read_text().rstrip().removesuffix(")") + text + ")", "x")
--- a/tests/test_site_service.py
+++ b/tests/test_site_service.py
@@ -1,4 +1,4 @@
-"""Sites on sockets: a short day judged from its records, drains by operators, and which settings are rejected."""
+"""Tests of sites on real sockets: a short simulated day, drains by operators, and the validation of settings."""
 
 import asyncio
 import sys
@@ -31,7 +31,7 @@
 )
 
 
-def test_every_example_of_sites_is_a_day_that_fits():
+def test_every_example_of_sites_can_be_loaded_as_a_day():
     days = [p for p in sorted(EXAMPLES.glob("*.conf")) if p.name != "broker.conf"]
     assert len(days) >= 9
     for path in days:
@@ -40,9 +40,9 @@
 
 
 def test_a_short_day_without_a_site_keeps_the_rules_and_the_spill_limit(tmp_path):
-    """Two sites, four brokers as processes; the north is lost for 3 s and comes back cold.
+    """Loses the northern one of two sites for 3 s, with four broker processes; its servers restart cold.
 
-    Brokers keep back more of a client's time than usual: CI machines stall.
+    Brokers reserve a larger part of the client's deadline for the answer than by default, since CI machines stall.
     """
     schema = (EXAMPLES / "../../badgerbend/standin/rates/schema.graphql").resolve()
     text = (EXAMPLES / "broker.conf").read_text()
@@ -54,19 +54,21 @@
     result = uvloop.run(play(load_day(path), path, None))
     assert not [c for r in result.rules for c in r.cases if r.name != "no query lost"]
     lost = next(r for r in result.rules if r.name == "no query lost")
-    assert not [c for c in lost.cases if "late" not in c], "a machine that stalls makes answers late, never none"
-    gone = [s for s in result.seconds if s.sites["north"].room == 0.0]
-    assert gone
-    assert all(s.sites["north"].own == 0 for s in gone[1:])
-    assert sum(s.sites["south"].spilled for s in gone) > 50
+    assert not [c for c in lost.cases if "late" not in c], "a stall of the machine delays answers but loses none"
+    lost_seconds = [s for s in result.seconds if s.sites["north"].room == 0.0]
+    assert lost_seconds
+    assert all(s.sites["north"].own == 0 for s in lost_seconds[1:])
+    assert sum(s.sites["south"].spilled for s in lost_seconds) > 50
     assert all(s.sites["south"].spilled <= s.sites["south"].limit for s in result.seconds)
-    assert {name for held in result.brokers_hold.values() for name in (x["name"] for x in held["sites"])} == {
+    assert {name for status in result.brokers_hold.values() for name in (x["name"] for x in status["sites"])} == {
         "north",
         "south",
     }
 
 
 class BrokerInFolder(Broker):
+    """A broker whose key file is in a folder of the test."""
+
     folder = Path()
 
     def __init__(self, settings, graph):
@@ -86,22 +88,22 @@
 def test_a_site_is_drained_and_returned_by_operators_who_have_the_key(tmp_path):
     (tmp_path / "key").write_text(KEY + "\n")
 
-    class Here(BrokerInFolder):
+    class BrokerWithKey(BrokerInFolder):
         folder = tmp_path
 
     async def main():
-        async with Stage(count=24, broker=Here, sites=SITES) as stage:
+        async with Stage(count=24, broker=BrokerWithKey, sites=SITES) as stage:
             await send_queries(stage)
             assert parts_received(stage, 0) > 100
             assert parts_received(stage, 1) == 0
-            for method, path, token, says in (
+            for method, path, token, expected_status in (
                 ("POST", "/sites/north/drain", None, "403"),
                 ("POST", "/sites/north/drain", "wrong", "403"),
                 ("POST", "/sites/west/drain", KEY, "404"),
                 ("POST", "/sites/north/sink", KEY, "404"),
                 ("GET", "/sites/north/drain", KEY, "405"),
             ):
-                with pytest.raises(ConnectionError, match=says):
+                with pytest.raises(ConnectionError, match=expected_status):
                     await fetch(stage.port, path, "127.0.0.1", method, token)
             status = await fetch(stage.port, "/sites/north/drain", "127.0.0.1", "POST", KEY)
             assert status["sites"][0]["drained"]
@@ -128,14 +130,14 @@
     run(main)
 
 
-def test_a_lost_site_is_ejected_and_connections_are_opened_in_advance_of_its_return(tmp_path):
+def test_a_lost_site_is_ejected_and_connections_are_opened_before_it_returns(tmp_path):
     (tmp_path / "key").write_text(KEY)
 
-    class Here(BrokerInFolder):
+    class BrokerWithKey(BrokerInFolder):
         folder = tmp_path
 
     async def main():
-        async with Stage(count=24, broker=Here, sites=SITES) as stage:
+        async with Stage(count=24, broker=BrokerWithKey, sites=SITES) as stage:
             await send_queries(stage)
             north = [s.name for s in stage.world.servers.values() if s.zone == 0]
             for name in north:
@@ -149,19 +151,19 @@
             await until(lambda: len(own.preconnected) == len(north))
             assert own.state.value != "in"
 
-            async def back():
+            async def send_until_active():
                 while own.state.value != "in":
                     await send_queries(stage, 4)
                     await asyncio.sleep(0.02)
 
-            await back()
+            await send_until_active()
             assert not stage.seen("fell")
 
     run(main)
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "message"),
     [
         ("(zones 1)", "(zones 0)", "zone 0 stands in two sites"),
         ("(site south", "(site north", "two sites are named north"),
@@ -173,16 +175,16 @@
         ("(spill 0.8)", "(hold-ms 9000) (hold-most-ms 100)", "hold-most-ms must not be less than hold-ms"),
     ],
 )
-def test_inconsistent_settings_of_sites_are_rejected_with_their_place(old, new, says):
+def test_inconsistent_settings_of_sites_are_rejected_with_their_location(old, new, message):
     text = (EXAMPLES / "broker.conf").read_text()
     assert old in text
     with pytest.raises(SettingsError) as err:
         parse(replaced(text, old, new), "x.conf")
-    assert says in str(err.value)
+    assert message in str(err.value)
     assert str(err.value).startswith("x.conf:")
 
 
-def test_a_key_that_can_be_guessed_is_rejected(tmp_path, monkeypatch):
+def test_a_key_that_is_too_short_is_rejected(tmp_path, monkeypatch):
     (tmp_path / "key").write_text("short")
     text = replaced((EXAMPLES / "broker.conf").read_text(), "(spill 0.8)", '(key "key")')
     schema = (EXAMPLES / "../../badgerbend/standin/rates/schema.graphql").resolve()
@@ -197,11 +199,11 @@
 def test_sites_are_shown_and_drained_from_the_command_line(tmp_path):
     (tmp_path / "key").write_text(KEY)
 
-    class Here(BrokerInFolder):
+    class BrokerWithKey(BrokerInFolder):
         folder = tmp_path
 
     async def main():
-        async with Stage(count=24, broker=Here, sites=SITES) as stage:
+        async with Stage(count=24, broker=BrokerWithKey, sites=SITES) as stage:
             await send_queries(stage, 5)
 
             async def command(*args):
@@ -236,7 +238,7 @@
     run(main)
 
 
-def test_replacing_the_settings_of_a_stage_keeps_their_checks():
+def test_settings_with_replaced_fields_are_validated_again():
     base = load(EXAMPLES / "broker.conf")
     with pytest.raises(ValueError, match="in no site"):
         msgspec.structs.replace(base, identity=cfg.Identity(0, 4, 9)).__post_init__()
--- a/tests/test_wire_bytes_knowledge.py
+++ b/tests/test_wire_bytes_knowledge.py
@@ -1,4 +1,4 @@
-"""A broker's record of what it has seen, and the file it is stored in, keep their bytes."""
+"""Tests that the encodings of a knowledge record and of the snapshot file stay the same, byte by byte."""
 
 import pytest
 
@@ -48,7 +48,7 @@
     assert store.decode_snapshot(SNAPSHOT.read_bytes(), WRITTEN_S) == RECORD
 
 
-def test_snapshot_file_is_read_as_old_as_the_absence(tmp_path):
+def test_ages_in_a_snapshot_file_increase_by_the_time_since_it_was_written(tmp_path):
     path = tmp_path / "snapshot"
     path.write_bytes(SNAPSHOT.read_bytes())
     record = store.read_snapshot(path, WRITTEN_S + 2.0)
