--- a/badgerbend/peering/service.py
+++ b/badgerbend/peering/service.py
@@ -28,8 +28,8 @@
 from badgerbend.runtime.driver import Driver
 
 OWN_SNAPSHOT = "own snapshot"  # stands for a peer's name when this broker's own earlier record is used
-PROBE_TIMEOUT_SHARE = 0.3  # of the probe interval
-CLOSE_GRACE_S = 0.2  # for answers in flight
+PROBE_TIMEOUT_SHARE = 0.3  # fraction of the probe interval
+CLOSE_GRACE_S = 0.2  # time for answers in flight
 
 
 class KnowledgeExchange:
@@ -76,12 +76,12 @@
         self.knowledge_port = await self.server.http.start(peers.host, peers.knowledge_port)
         self.socket = MembershipSocket(Seal(keys, started_ms), self._member_changed)
         self.membership_port = await self.socket.open(peers.host, peers.port)
-        swim = self._swim(peers, started_ms)
+        swim = self._create_swim(peers, started_ms)
         self._pull_schedule = PullSchedule(peers, keys[0], self._rng, self._trusted_peers, self._learn)
         self.socket.start(swim, tuple(_address(seed) for seed in peers.seed))
         self._pull_schedule.start()
 
-    def _swim(self, peers: Peers, incarnation: int) -> Swim:
+    def _create_swim(self, peers: Peers, incarnation: int) -> Swim:
         """Create the local member, whose metadata is the address of the knowledge server."""
         interval_s = peers.period_ms / 1000.0
         return Swim(
--- a/badgerbend/sites/health.py
+++ b/badgerbend/sites/health.py
@@ -30,11 +30,11 @@
     overdue: bool = False
 
 
-def _outcomes() -> DecayingSum:
+def _new_outcome_sum() -> DecayingSum:
     return DecayingSum(OUTCOME_HALF_LIFE_MS)
 
 
-def _loads() -> DecayingSum:
+def _new_load_sum() -> DecayingSum:
     return DecayingSum(LOAD_HALF_LIFE_MS)
 
 
@@ -52,14 +52,14 @@
     An attempt is identified by its part and its number.
     """
 
-    successes: DecayingSum = field(default_factory=_outcomes)
-    failures: DecayingSum = field(default_factory=_outcomes)
-    latency_sum_ms: DecayingSum = field(default_factory=_outcomes)
-    utilization_sum: DecayingSum = field(default_factory=_loads)
-    utilization_samples: DecayingSum = field(default_factory=_loads)
+    successes: DecayingSum = field(default_factory=_new_outcome_sum)
+    failures: DecayingSum = field(default_factory=_new_outcome_sum)
+    latency_sum_ms: DecayingSum = field(default_factory=_new_outcome_sum)
+    utilization_sum: DecayingSum = field(default_factory=_new_load_sum)
+    utilization_samples: DecayingSum = field(default_factory=_new_load_sum)
     new_reports: list[float] = field(default_factory=list)  # utilization reported since the last sample
     last_utilization: float | None = None
-    sent: DecayingSum = field(default_factory=_loads)
+    sent: DecayingSum = field(default_factory=_new_load_sum)
     in_flight: dict[tuple[int, int], InFlightAttempt] = field(default_factory=dict)
     failing_servers: dict[int, float] = field(default_factory=dict)  # failure time by server, if it failed last
     consecutive_successes: int = 0
--- a/badgerbend/sites/inventory.py
+++ b/badgerbend/sites/inventory.py
@@ -72,7 +72,7 @@
     def _mark_unlisted(self, now_ms: float, listed_nodes: set[int]) -> None:
         unlisted = [s for s in self.servers.values() if s.ready and s.id not in listed_nodes]
         for server in unlisted:
-            self._set(now_ms, server, False, server.size, server.started_ms)
+            self._update_server(now_ms, server, False, server.size, server.started_ms)
 
     def _apply_endpoint(self, now_ms: float, endpoint: api.Endpoint) -> SiteServer | None:
         """Applies a changed endpoint; returns its server if it was already known and has restarted."""
@@ -85,7 +85,7 @@
         if server is None:
             server = self._add(now_ms, endpoint, site)
         ready = endpoint.state == api.EndpointState.READY
-        self._set(now_ms, server, ready, endpoint.size, endpoint.started_ms)
+        self._update_server(now_ms, server, ready, endpoint.size, endpoint.started_ms)
         return server if restarted else None
 
     def _add(self, now_ms: float, endpoint: api.Endpoint, site: int) -> SiteServer:
@@ -96,7 +96,7 @@
             self.cells.setdefault((site, endpoint.cell), {})[server.id] = server
         return server
 
-    def _set(self, now_ms: float, server: SiteServer, ready: bool, size: float, started_ms: float) -> None:
+    def _update_server(self, now_ms: float, server: SiteServer, ready: bool, size: float, started_ms: float) -> None:
         if server.site != NO_SITE:
             self.total_size[server.site] += size - server.size
             self.ready_size[server.site] += size * ready - server.size * server.ready
@@ -116,7 +116,7 @@
                 self.warming_up[server.site][server.id] = server
 
     def _remove(self, now_ms: float, server: SiteServer) -> None:
-        self._set(now_ms, server, False, 0.0, server.started_ms)
+        self._update_server(now_ms, server, False, 0.0, server.started_ms)
         del self.servers[server.id]
         del self.unready[server.id]
         if server.site != NO_SITE:
--- a/badgerbend/sites/priority_admission.py
+++ b/badgerbend/sites/priority_admission.py
@@ -26,7 +26,7 @@
     over_quota: bool
 
 
-def _demand() -> DecayingSum:
+def _new_demand_sum() -> DecayingSum:
     return DecayingSum(DEMAND_HALF_LIFE_MS)
 
 
@@ -38,8 +38,8 @@
     """
 
     priority: float = 0.0
-    fewest_parts: DecayingSum = field(default_factory=_demand)
-    all_parts: DecayingSum = field(default_factory=_demand)
+    fewest_parts: DecayingSum = field(default_factory=_new_demand_sum)
+    all_parts: DecayingSum = field(default_factory=_new_demand_sum)
     credit: float = 0.0  # a query is admitted when this reaches 1
 
 
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -57,25 +57,23 @@
 
 
 def test_a_record_is_bounded_and_ages():
-    seen = tuple(api.EndpointObservation(i, 5.0, float(i), False) for i in range(5000))
+    observed = tuple(api.EndpointObservation(i, 5.0, float(i), False) for i in range(5000))
     rows = tuple((1.0, 5.0, False) for _ in range(900))
-    out = make_record(api.Observations(seen, rows), {i: f"server-{i}" for i in range(5000)}, 1, 0, 7, {(2, 4): 3})
-    assert len(out.servers) == 2000
-    assert max(s.age_ms for s in out.servers) == 1999.0
-    assert len(out.answers) == 400
-    data = encode(out)
+    made = make_record(api.Observations(observed, rows), {i: f"server-{i}" for i in range(5000)}, 1, 0, 7, {(2, 4): 3})
+    assert len(made.servers) == 2000
+    assert max(s.age_ms for s in made.servers) == 1999.0
+    assert len(made.answers) == 400
+    data = encode(made)
     assert len(data) < MAX_RECORD_BYTES
-    assert decode(data) == out
-    assert aged(out, 250.0).servers[0].age_ms == 250.0
-    assert aged(out, -50.0).servers[0].age_ms == 0.0  # no observation becomes younger
+    assert decode(data) == made
+    assert aged(made, 250.0).servers[0].age_ms == 250.0
+    assert aged(made, -50.0).servers[0].age_ms == 0.0  # no observation becomes younger
 
 
 # -- trust
 def test_of_three_peers_one_liar_cannot_change_which_servers_look_slow():
     lies = [
-        {
-            n: 20.0 if n in ("s8", "s9") else 900.0 for n in LATENCIES_MS
-        },  # claims that healthy servers are slow and slow ones fast
+        {n: 20.0 if n in ("s8", "s9") else 900.0 for n in LATENCIES_MS},  # healthy servers are slow, and slow ones fast
         dict.fromkeys(LATENCIES_MS, 0.0),
         dict.fromkeys(LATENCIES_MS, 1000000000.0),
         {},
