--- a/badgerbend/generations/generation.py
+++ b/badgerbend/generations/generation.py
@@ -67,7 +67,7 @@
         seed = settings.seed * 1_000_003 + settings.identity.index
         aggregator = shared.make_aggregator(module, seed, shared.site_preference, shared.slow_start_budget)
         self.answer_observer = AnswerObserver(
-            shared.metrics.of_classes(tuple(query_class.name for query_class in settings.class_))
+            shared.metrics.for_classes(tuple(query_class.name for query_class in settings.class_))
         )
         self.schedule = LoopSchedule(shared.loop)
         self.transport = FetchTransport(
@@ -95,8 +95,8 @@
 
     def begin(self, directory: Directory, observations: api.Observations) -> None:
         """Pass the driver the current endpoint list and the observations of its servers by earlier generations."""
-        lines = tuple(known.line for known in directory.known.values())
-        self.driver.view(api.EndpointUpdate(api.UpdateKind.CACHED, lines))
+        endpoints = tuple(server.endpoint for server in directory.servers.values())
+        self.driver.update_endpoints(api.EndpointUpdate(api.UpdateKind.CACHED, endpoints))
         listed = tuple(node for node in observations.nodes if node.node in directory.names)
         if listed or observations.answers:
             self.driver.inherit(api.Observations(listed, observations.answers))
@@ -112,7 +112,7 @@
         result: object,
         report: tuple[float, ...] = (),
     ) -> None:
-        self.driver.ended(attempt, outcome, result, report)
+        self.driver.attempt_completed(attempt, outcome, result, report)
 
     def _turn(self) -> None:
         self.driver.turn()
--- a/badgerbend/generations/manager.py
+++ b/badgerbend/generations/manager.py
@@ -54,7 +54,7 @@
         """
         previous = self.current
         self.current = self._create(settings, graph)
-        self.current.begin(self.shared.directory, previous.driver.known())
+        self.current.begin(self.shared.directory, previous.driver.observations())
         self.on_current_changed(self.current)
         self.draining.append(previous)
         self._close_if_drained(previous)
@@ -62,7 +62,7 @@
     def update_endpoints(self, update: api.EndpointUpdate) -> None:
         """Pass an endpoint list update to all live generations."""
         for generation in self.live:
-            generation.driver.view(update)
+            generation.driver.update_endpoints(update)
 
     def _create(self, settings: Settings, graph: Subgraph) -> Generation:
         return Generation(settings, graph, self.shared, self._close_if_drained)
--- a/badgerbend/knowledge/trust.py
+++ b/badgerbend/knowledge/trust.py
@@ -155,7 +155,7 @@
             continue  # most peers make no claim about it, so a lying peer may have invented it
         slowdown = lower_median([claim.slowdown for claim in claims])
         age_ms = upper_median([claim.age_ms for claim in claims])
-        nodes.append(api.EndpointObservation(node, max(slowdown, 1.0) * typical_ms, age_ms, dead=False))
+        nodes.append(api.EndpointObservation(node, max(slowdown, 1.0) * typical_ms, age_ms, is_down=False))
     return tuple(nodes)
 
 
--- a/badgerbend/peering/service.py
+++ b/badgerbend/peering/service.py
@@ -14,11 +14,11 @@
 from badgerbend.discovery.directory import Directory
 from badgerbend.knowledge.record import KnowledgeRecord, make_record
 from badgerbend.knowledge.trust import PeerTrust
-from badgerbend.log import get
+from badgerbend.log import get_logger
 from badgerbend.membership.members import Address, Member
 from badgerbend.membership.messages import MemberState
 from badgerbend.membership.swim import MemberChanged, Swim, SwimConfig
-from badgerbend.net.seal import Seal, read_key
+from badgerbend.net.seal import DatagramSealer, read_key
 from badgerbend.net.udp import address_text
 from badgerbend.peering.exchange import KnowledgeServer
 from badgerbend.peering.own_snapshot import OwnSnapshot
@@ -46,7 +46,7 @@
         self.directory = directory
         self.report_fault = report_fault
         self.trust = PeerTrust()
-        self.log = get(part="learning")
+        self.log = get_logger(part="learning")
         self.socket: MembershipSocket | None = None
         self.server: KnowledgeServer | None = None
         self.membership_port = 0
@@ -74,7 +74,7 @@
         started_ms = int(time.time() * 1000)
         self.server = KnowledgeServer(keys, self.own_record)
         self.knowledge_port = await self.server.http.start(peers.host, peers.knowledge_port)
-        self.socket = MembershipSocket(Seal(keys, started_ms), self._member_changed)
+        self.socket = MembershipSocket(DatagramSealer(keys, started_ms), self._member_changed)
         self.membership_port = await self.socket.open(peers.host, peers.port)
         swim = self._create_swim(peers, started_ms)
         self._pull_schedule = PullSchedule(peers, keys[0], self._rng, self._trusted_peers, self._learn)
@@ -113,7 +113,7 @@
         """A record of what this broker has observed itself."""
         identity = self.settings.identity
         return make_record(
-            self.driver.known(),
+            self.driver.observations(),
             self.directory.names,
             identity.index,
             identity.zone,
@@ -148,7 +148,7 @@
 
     def _request_first_pull(self) -> None:
         """Schedule the first pull, if there is an endpoint list; the schedule also needs a peer."""
-        if self._pull_schedule is not None and self.directory.known:
+        if self._pull_schedule is not None and self.directory.servers:
             self._pull_schedule.request_first()
 
     def _trusted_peers(self) -> Sequence[KnowledgePeer]:
@@ -163,7 +163,7 @@
         prior = self.trust.combine(records, node_by_name, self.driver.schedule.now_ms(), is_own=is_own)
         self.servers_learned += len(prior.nodes)
         self.log.info("learned", peers=sorted(records), servers=len(prior.nodes), answers=len(prior.answers))
-        self.driver.learn(prior)
+        self.driver.add_observations(prior)
 
     # -- status
 
--- a/badgerbend/platform/front.py
+++ b/badgerbend/platform/front.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from badgerbend.frames.codec import Ask
+from badgerbend.frames.codec import PartRequest
 from badgerbend.net.server import Exchange, Headers
 from badgerbend.platform import names
 from badgerbend.platform.config import Config
@@ -78,7 +78,7 @@
             exchange.respond(err.status, err.why.encode() + b"\n", TEXT)
             return
         pending = self.open[request] = _Pending(self, request, exchange)
-        exchange.on_gone = pending.gone
+        exchange.on_disconnect = pending.gone
         pending.query_id = self.driver.submit(plan, pending)
 
     def read(self, exchange: Exchange) -> tuple[bytes, QueryPlan]:
@@ -142,7 +142,7 @@
                 raise Rejected(400, "a token is 16 hexadecimal digits")
             seen.add(shard)
             total += weight
-            ask = Ask(b"%s.%d" % (request, shard), shard, key, text)
+            ask = PartRequest(b"%s.%d" % (request, shard), shard, key, text)
             plans.append(PartPlan(shard, weight, None if cost is None else cost / 1000.0, ask))
         if not plans or abs(total - 1.0) > SUM_WITHIN:
             raise Rejected(400, "the weights do not add up to 1")
@@ -161,7 +161,7 @@
     def client_has_left(self) -> bool:
         return self.exchange.client_has_left()
 
-    def more(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
+    def follow_up_parts(self, results: Sequence[tuple[PartPlan, object]]) -> Sequence[PartPlan]:
         return ()
 
     def answered(self, results: Sequence[tuple[PartPlan, object]], whole: bool) -> None:
@@ -172,7 +172,7 @@
         full = b"true" if whole else b"false"
         self._end(200, b'{"%s":%s,"%s":[%s]}' % (names.WHOLE, full, names.HITS, hits), JSON)
 
-    def refused(self, retry_after_ms: float) -> None:
+    def rejected(self, retry_after_ms: float) -> None:
         advice = ((b"retry-after", b"%.3f" % (retry_after_ms / 1000.0)),) if retry_after_ms > 0 else ()
         self._end(503, b"refused; nothing is lost by asking again\n", TEXT, advice)
 
@@ -180,14 +180,14 @@
         self._end(502, b"failed; parts of it may have run\n", TEXT)
 
     def gone(self) -> None:
-        self.exchange.on_gone = None
+        self.exchange.on_disconnect = None
         self.front.open.pop(self.request, None)
         if self.query_id is not None:
-            self.front.driver.gone(self.query_id)
+            self.front.driver.client_disconnected(self.query_id)
 
     def _end(self, status: int, body: bytes, kind: bytes, extra: Headers = ()) -> None:
         self.front.open.pop(self.request, None)
-        self.exchange.on_gone = None  # it points back here: else each request waits for the garbage collector
+        self.exchange.on_disconnect = None  # it points back here: else each request waits for the garbage collector
         self.exchange.respond(status, body, kind, extra)
 
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -27,7 +27,7 @@
     return uvloop.run(limited())
 
 
-class Stage:
+class BrokerFixture:
     """World, broker and client; an async context."""
 
     def __init__(self, count=12, model=QUICK, broker=Broker, **changes):
@@ -50,7 +50,7 @@
         self.broker = self.make(self.settings, read_subgraph(self.settings, EXAMPLE))
         self.port = await self.broker.start()
         self.client = Client(self.port)
-        await until(lambda: self.broker.watch.heard_at is not None)
+        await until(lambda: self.broker.watch.refreshed_at is not None)
         return self
 
     async def __aexit__(self, *_):
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -14,7 +14,7 @@
 from badgerbend.standin.traffic import Asker, Flow
 from badgerbend.standin.work import Model
 from tests.replacing import replace_attribute
-from tests.sockets import EXAMPLE, Stage, run, until
+from tests.sockets import EXAMPLE, BrokerFixture, run, until
 
 RULES = ("lost", "duplicated", "drains", "cold", "honest", "budget")
 
@@ -25,12 +25,12 @@
     def client_has_left(self):
         return False
 
-    def more(self, results):
+    def follow_up_parts(self, results):
         return ()
 
     def answered(self, results, whole): ...
 
-    def refused(self, retry_after_ms): ...
+    def rejected(self, retry_after_ms): ...
 
     def failed(self): ...
 
@@ -132,7 +132,7 @@
 
 
 async def findings(broker, flow, trouble, changes):
-    async with Stage(broker=broker, listen={"answer_allowance_ms": 500.0}, **changes) as stage:
+    async with BrokerFixture(broker=broker, listen={"answer_allowance_ms": 500.0}, **changes) as stage:
         facts = Facts(stage.settings, answer_slack_ms=500.0, wire_slack_ms=500.0)  # CI machines stall
         asker = Asker([stage.port], 24, 5, stage.records.append)
         asker.start(flow)
