--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -42,10 +42,10 @@
 
 
 class Brokers:
-    """Additional brokers for the servers of a stage. The first one is the seed of the others."""
+    """Additional brokers for the servers of a `BrokerFixture`. The first one is the seed of the others."""
 
-    def __init__(self, stage, key):
-        self.stage = stage
+    def __init__(self, fixture, key):
+        self.fixture = fixture
         self.key = str(key)
         self.seed = f"127.0.0.1:{free_port()}"
         self.all = []
@@ -54,10 +54,10 @@
         port = int(self.seed.rpartition(":")[2]) if not self.all else 0
         peers = Peers((changes.pop("key", self.key),), (self.seed,), port=port, knowledge_port=0, period_ms=100.0)
         peers = msgspec.structs.replace(peers, **changes)
-        base = self.stage.settings
+        base = self.fixture.settings
         identity = msgspec.structs.replace(base.identity, index=index, count=10)
         settings = msgspec.structs.replace(base, peers=peers, identity=identity)
-        broker = Broker(settings, self.stage.broker.front.subgraph)
+        broker = Broker(settings, self.fixture.broker.front.subgraph)
         self.all.append(broker)
         await broker.start()
         return broker
--- a/tests/test_site_service.py
+++ b/tests/test_site_service.py
@@ -75,14 +75,14 @@
         super().__init__(settings, graph, self.folder)
 
 
-async def send_queries(stage, count=40):
+async def send_queries(fixture, count=40):
     text = "{ rateCompare(blocks: [1, 2, 3, 4], amount: 9000) { id } }"
-    await asyncio.gather(*(stage.client.query(text) for _ in range(count)))
+    await asyncio.gather(*(fixture.client.query(text) for _ in range(count)))
 
 
-def parts_received(stage, zone):
-    names = {s.name for s in stage.world.servers.values() if s.zone == zone}
-    return sum(len(r["parts"]) for r in stage.seen("arrive") if r["server"] in names)
+def parts_received(fixture, zone):
+    names = {s.name for s in fixture.world.servers.values() if s.zone == zone}
+    return sum(len(r["parts"]) for r in fixture.seen("arrive") if r["server"] in names)
 
 
 def test_a_site_is_drained_and_returned_by_operators_who_have_the_key(tmp_path):
@@ -92,10 +92,10 @@
         folder = tmp_path
 
     async def main():
-        async with BrokerFixture(count=24, broker=BrokerWithKey, sites=SITES) as stage:
-            await send_queries(stage)
-            assert parts_received(stage, 0) > 100
-            assert parts_received(stage, 1) == 0
+        async with BrokerFixture(count=24, broker=BrokerWithKey, sites=SITES) as fixture:
+            await send_queries(fixture)
+            assert parts_received(fixture, 0) > 100
+            assert parts_received(fixture, 1) == 0
             for method, path, token, expected_status in (
                 ("POST", "/sites/north/drain", None, "403"),
                 ("POST", "/sites/north/drain", "wrong", "403"),
@@ -104,28 +104,28 @@
                 ("GET", "/sites/north/drain", KEY, "405"),
             ):
                 with pytest.raises(ConnectionError, match=expected_status):
-                    await fetch(stage.port, path, "127.0.0.1", method, token)
-            status = await fetch(stage.port, "/sites/north/drain", "127.0.0.1", "POST", KEY)
+                    await fetch(fixture.port, path, "127.0.0.1", method, token)
+            status = await fetch(fixture.port, "/sites/north/drain", "127.0.0.1", "POST", KEY)
             assert status["sites"][0]["drained"]
-            own = stage.broker.site_service.preference.own
+            own = fixture.broker.site_service.preference.own
             while own.drain.retained_share > 0:
-                await send_queries(stage, 4)
+                await send_queries(fixture, 4)
                 await asyncio.sleep(0.02)
-            stage.records.clear()
+            fixture.records.clear()
             answers = await asyncio.gather(
-                *(stage.client.query("{ fullQuote(blocks: [1, 2], amount: 9000) { id } }") for _ in range(10))
+                *(fixture.client.query("{ fullQuote(blocks: [1, 2], amount: 9000) { id } }") for _ in range(10))
             )
             assert all("errors" not in a for _, a, _ in answers)
-            assert parts_received(stage, 1) > parts_received(stage, 0)
-            await fetch(stage.port, "/sites/north/return", "127.0.0.1", "POST", KEY)
+            assert parts_received(fixture, 1) > parts_received(fixture, 0)
+            await fetch(fixture.port, "/sites/north/return", "127.0.0.1", "POST", KEY)
             while own.drain.retained_share < 1:
-                await send_queries(stage, 4)
+                await send_queries(fixture, 4)
                 await asyncio.sleep(0.02)
-            stage.records.clear()
-            await send_queries(stage, 10)
-            assert parts_received(stage, 1) == 0 < parts_received(stage, 0)
-            stage.broker._gauges()
-            assert b'badgerbend_site{site="north",what="share"} 1.0' in stage.broker.metrics.text()
+            fixture.records.clear()
+            await send_queries(fixture, 10)
+            assert parts_received(fixture, 1) == 0 < parts_received(fixture, 0)
+            fixture.broker._gauges()
+            assert b'badgerbend_site{site="north",what="share"} 1.0' in fixture.broker.metrics.text()
 
     run(main)
 
@@ -137,27 +137,27 @@
         folder = tmp_path
 
     async def main():
-        async with BrokerFixture(count=24, broker=BrokerWithKey, sites=SITES) as stage:
-            await send_queries(stage)
-            north = [s.name for s in stage.world.servers.values() if s.zone == 0]
+        async with BrokerFixture(count=24, broker=BrokerWithKey, sites=SITES) as fixture:
+            await send_queries(fixture)
+            north = [s.name for s in fixture.world.servers.values() if s.zone == 0]
             for name in north:
-                stage.world.crash(name)
-            own = stage.broker.site_service.preference.own
+                fixture.world.crash(name)
+            own = fixture.broker.site_service.preference.own
             await until(lambda: own.state.value == "out")
-            _, answer, _ = await stage.client.query("{ fullQuote(blocks: [1, 2], amount: 9000) { id } }")
+            _, answer, _ = await fixture.client.query("{ fullQuote(blocks: [1, 2], amount: 9000) { id } }")
             assert "errors" not in answer
             for name in north:
-                await stage.world.restart(name)
+                await fixture.world.restart(name)
             await until(lambda: len(own.preconnected) == len(north))
             assert own.state.value != "in"
 
             async def send_until_active():
                 while own.state.value != "in":
-                    await send_queries(stage, 4)
+                    await send_queries(fixture, 4)
                     await asyncio.sleep(0.02)
 
             await send_until_active()
-            assert not stage.seen("fell")
+            assert not fixture.seen("fell")
 
     run(main)
 
@@ -203,8 +203,8 @@
         folder = tmp_path
 
     async def main():
-        async with BrokerFixture(count=24, broker=BrokerWithKey, sites=SITES) as stage:
-            await send_queries(stage, 5)
+        async with BrokerFixture(count=24, broker=BrokerWithKey, sites=SITES) as fixture:
+            await send_queries(fixture, 5)
 
             async def command(*args):
                 process = await asyncio.create_subprocess_exec(
@@ -214,7 +214,7 @@
                     "site",
                     *args,
                     "--port",
-                    str(stage.port),
+                    str(fixture.port),
                     stdout=asyncio.subprocess.PIPE,
                     stderr=asyncio.subprocess.PIPE,
                 )
@@ -228,12 +228,12 @@
             status, out, _ = await command("drain", "north", "--key", str(tmp_path / "key"))
             assert status == 0
             assert "drained" in out
-            assert stage.broker.site_service.preference.own.drain.drained
+            assert fixture.broker.site_service.preference.own.drain.drained
             (tmp_path / "other").write_text("another key of letters")
             status, _, err = await command("return", "north", "--key", str(tmp_path / "other"))
             assert status == 3
             assert "403" in err
-            assert stage.broker.site_service.preference.own.drain.drained
+            assert fixture.broker.site_service.preference.own.drain.drained
 
     run(main)
 
