--- a/badgerbend/slow_start_budget/broker.py
+++ b/badgerbend/slow_start_budget/broker.py
@@ -56,9 +56,7 @@
         self.sites: dict[str, ResourceBudget] = {}
         self.request_times: dict[int, float] = {}  # by number of the request
         self.grants_applied = 0
-        self._last_request = (
-            incarnation << REQUEST_NUMBER_BITS
-        )  # so that replies to earlier incarnations match no request
+        self._last_request = incarnation << REQUEST_NUMBER_BITS  # replies to earlier incarnations match no request
 
     # -- called by the decisions
 
