--- a/badgerbend/lease_service/commands.py
+++ b/badgerbend/lease_service/commands.py
@@ -66,16 +66,16 @@
 
 def _hand_over(service: LeaseService) -> CommandResult:
     if not service.release_leases():
-        return CommandResult(accepted=False, message="this broker holds no lease")
-    return CommandResult(accepted=True, message="leases returned")
+        return CommandResult(accepted=False, message="nothing is held here")
+    return CommandResult(accepted=True, message="given back")
 
 
 def _change_voters(service: LeaseService, name: str, *, add: bool) -> CommandResult:
     if service.local_voter is None or not service.local_voter.is_leader:
         leader = service.holder.leader if service.holder is not None else ""
-        return CommandResult(accepted=False, message=f"this broker's voter does not lead; leader: {leader}")
+        return CommandResult(accepted=False, message=f"not the leader; that is {leader}")
     rejection = service.local_voter.change_membership(name, add=add)
     service.send_and_schedule()
     if rejection:
         return CommandResult(accepted=False, message=rejection)
-    return CommandResult(accepted=True, message="the change is in progress; see the status")
+    return CommandResult(accepted=True, message="on the way; see the status")
--- a/badgerbend/lease_service/http.py
+++ b/badgerbend/lease_service/http.py
@@ -19,13 +19,13 @@
 def handle_duties(service: LeaseService | None, exchange: Exchange, path: bytes) -> None:
     """Handles a request for a path that begins with /duties."""
     if service is None:
-        exchange.respond(404, b"no duties are configured\n", TEXT)
+        exchange.respond(404, b"no duties are set\n", TEXT)
     elif path == STATUS_PATH:
         exchange.respond(200, msgspec.json.encode(service_status(service)), JSON)
     elif exchange.method != b"POST":
-        exchange.respond(405, b"commands require the method POST\n", TEXT, ((b"allow", b"POST"),))
+        exchange.respond(405, b"POST it\n", TEXT, ((b"allow", b"POST"),))
     elif not has_bearer_key(exchange.headers.get(b"authorization", b""), service.keys):
-        exchange.respond(403, b"commands require the duties' key as a bearer token\n", TEXT)
+        exchange.respond(403, b"the duties' key is wanted, as a bearer token\n", TEXT)
     else:
         _handle_command(service, exchange, path.removeprefix(COMMAND_PREFIX).decode("latin-1"))
 
