--- a/tests/feed_stage.py
+++ b/tests/feed_harness.py
@@ -24,10 +24,10 @@
 SIGNER = Ed25519Signer(bytes(range(32)))
 VERIFIER = Ed25519Verifier(SIGNER.public_key())
 RETENTION = Retention()
-AT_ONCE = PublisherTuning(batch_window=0.0)
+NO_BATCHING = PublisherTuning(batch_window=0.0)
 RELAY = RelayTuning()
 ADDRESS = RelayAddress("relay-1", "north", "127.0.0.1", 1)
-MANY = 3000  # nodes of a full stage
+FULL_NODE_COUNT = 3000  # nodes of a full harness
 
 
 def change(key, value):
@@ -52,7 +52,7 @@
 class Control:
     """One control machine without consensus: commands are applied as they come."""
 
-    def __init__(self, retention=RETENTION, tuning=AT_ONCE, check=lambda change: ""):
+    def __init__(self, retention=RETENTION, tuning=NO_BATCHING, check=lambda change: ""):
         self.machine = FeedStateMachine(retention)
         self.index = 0
         self.publisher = Publisher(self.machine.log, check, SIGNER, tuning)
@@ -92,7 +92,7 @@
             self.publisher.log_advanced(now)
 
 
-class Stage:
+class FeedHarness:
     """One relay and its followers. `stalled`: followers whose connection takes nothing for now."""
 
     def __init__(self, control, relay_tuning=RELAY):
@@ -121,10 +121,10 @@
         self.rejected[name] = []
         if start:
             follower.start(self.now)
-            self.settle()
+            self.process_actions()
         return follower
 
-    def settle(self):
+    def process_actions(self):
         """Carry out actions until there are none."""
         busy = True
         while busy:
@@ -145,13 +145,13 @@
             self.now = min(self.now + step, end)
             self.relay.mark_current(self.now)
             self.relay.tick(self.now)
-            self.settle()
+            self.process_actions()
 
     def publish(self, *changes):
         """Publish one batch; return the changes that were rejected."""
         rejected = self.control.publish(self.now, *changes)
         self.relay.log_advanced(self.now)
-        self.settle()
+        self.process_actions()
         return rejected
 
     def disconnect(self, name):
@@ -167,7 +167,7 @@
         for number, data in self.buffered.pop(name, []):
             if number in self.sessions:
                 self._deliver(number, name, data)
-        self.settle()
+        self.process_actions()
 
     def _follower_action(self, name, follower, action):
         match action:
@@ -221,19 +221,19 @@
         self.relay.drained(self.now, number)
 
 
-def new_stage(**tuning):
+def new_harness(**tuning):
     """A relay whose publisher has the lease; `tuning` of the relay."""
     control = Control()
     control.grant()
-    return Stage(control, RelayTuning(**tuning))
+    return FeedHarness(control, RelayTuning(**tuning))
 
 
-def full_stage(retention=RETENTION, **tuning):
-    """A stage whose feed holds a list of many nodes."""
+def full_harness(retention=RETENTION, **tuning):
+    """A harness whose feed holds a list of many nodes."""
     control = Control(retention)
     control.grant()
-    rows = [change(f"node/{i}", f"ready at 10.0.{i // 256}.{i % 256}:80 " + "x" * 40) for i in range(MANY)]
-    stage = Stage(control, RelayTuning(**tuning))
-    stage.publish(*rows[: MANY // 2])
-    stage.publish(*rows[MANY // 2 :])
-    return stage
+    rows = [change(f"node/{i}", f"ready at 10.0.{i // 256}.{i % 256}:80 " + "x" * 40) for i in range(FULL_NODE_COUNT)]
+    harness = FeedHarness(control, RelayTuning(**tuning))
+    harness.publish(*rows[: FULL_NODE_COUNT // 2])
+    harness.publish(*rows[FULL_NODE_COUNT // 2 :])
+    return harness
--- a/tests/feed_process.py
+++ b/tests/feed_process.py
@@ -20,6 +20,7 @@
 from badgerbend.feed_service.follower import FollowerClient
 from badgerbend.feed_service.relay import RelayServer
 from badgerbend.feed_service.timer import monotonic
+from tests.feed_harness import SIGNER, VERIFIER, Control, change
 from tests.feed_lines import (
     UNKNOWN_AGE_S,
     ControlReport,
@@ -42,7 +43,6 @@
     decode_setup,
     encode_line,
 )
-from tests.feed_stage import SIGNER, VERIFIER, Control, change
 
 CONFIRM_EVERY_S = 0.05
 LINE_BYTES = 4 * 1024 * 1024  # of one command
--- a/tests/test_capacity_feed.py
+++ b/tests/test_capacity_feed.py
@@ -11,7 +11,7 @@
 from badgerbend.feed.messages import Change
 from badgerbend.feed.relay import Relay
 from badgerbend.feed.relay_types import RelayTuning, SendTo
-from tests.feed_stage import Control, Stage
+from tests.feed_harness import Control, FeedHarness
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "benchmarks"))
 
@@ -110,7 +110,7 @@
     """A stage with so many followers that have so many rows."""
     control = Control()
     control.grant()
-    stage = Stage(control)
+    stage = FeedHarness(control)
     first = list(ContentChanges(nodes, SEED).first())
     for at in range(0, len(first), 1000):
         stage.publish(*first[at : at + 1000])
@@ -148,7 +148,7 @@
         stage.follower(f"late{number}", start=False).start(stage.now)
     pieces = []
     stage._relay_action, carry_out = lambda action: (pieces.append(action), carry_out(action)), stage._relay_action
-    stage.settle()
+    stage.process_actions()
     large = [action.frame for action in pieces if isinstance(action, SendTo) and len(action.frame) > 2000]
     assert relay.snapshots_started == 16
     assert len(large) % 16 == 0
--- a/tests/test_configuration_validation.py
+++ b/tests/test_configuration_validation.py
@@ -4,19 +4,19 @@
 
 from badgerbend.feed.messages import Change
 from badgerbend.publication_validation.configurations import validate_configuration
-from tests.feed_stage import Control, Stage, change
+from tests.feed_harness import Control, FeedHarness, change
 from tests.replacing import replaced
 from tests.test_settings import GOOD
 
 KEY = "configuration/broker"
 
 
-def staged():
+def new_validating_harness():
     control = Control(check=validate_configuration)
     control.grant()
-    stage = Stage(control)
-    stage.follower("f")
-    return stage
+    harness = FeedHarness(control)
+    harness.follower("f")
+    return harness
 
 
 @pytest.mark.parametrize(
@@ -35,16 +35,16 @@
 )
 def test_a_bad_configuration_is_rejected_by_line_and_field_before_any_broker_receives_it(old, new, reason):
     assert old in GOOD
-    stage = staged()
-    stage.publish(change(KEY, GOOD))
-    (problem,) = stage.publish(change("node/1", "ready"), change(KEY, replaced(GOOD, old, new)))
+    harness = new_validating_harness()
+    harness.publish(change(KEY, GOOD))
+    (problem,) = harness.publish(change("node/1", "ready"), change(KEY, replaced(GOOD, old, new)))
     assert problem.key == KEY, problem.reason
     assert problem.reason.startswith(reason), problem.reason
-    stage.pass_time(5.0)
-    assert stage.control.machine.log.revision == 1
-    assert len(stage.installed["f"]) == 1
-    assert stage.followers["f"].log.content.get(KEY) == GOOD.encode()
-    assert stage.followers["f"].log.content.get("node/1") is None  # of the same batch: all of it or nothing
+    harness.pass_time(5.0)
+    assert harness.control.machine.log.revision == 1
+    assert len(harness.installed["f"]) == 1
+    assert harness.followers["f"].log.content.get(KEY) == GOOD.encode()
+    assert harness.followers["f"].log.content.get("node/1") is None  # of the same batch: all of it or nothing
 
 
 def test_bytes_that_are_no_text_are_rejected():
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -24,7 +24,7 @@
 from badgerbend.feed_subscription.subscription import WAITING_FOR_CAPACITY
 from badgerbend.generations import manager
 from badgerbend.publication_validation.changes import validate_change
-from tests.feed_stage import SIGNER, Control, change
+from tests.feed_harness import SIGNER, Control, change
 from tests.replacing import replaced
 from tests.sockets import EXAMPLE, BrokerFixture, run, until
 
--- a/tests/test_feed_content.py
+++ b/tests/test_feed_content.py
@@ -1,7 +1,7 @@
 """Content and its digest."""
 
 from badgerbend.feed.content import Content
-from tests.feed_stage import change
+from tests.feed_harness import change
 
 
 def test_equal_content_has_equal_digests_whatever_the_order_of_changes():
--- a/tests/test_feed_control_node.py
+++ b/tests/test_feed_control_node.py
@@ -17,7 +17,7 @@
 from badgerbend.leases.messages import GrantLease, encode
 from badgerbend.leases.timing import LeaseTiming
 from badgerbend.leases.voter import Voter
-from tests.feed_stage import SIGNER, change
+from tests.feed_harness import SIGNER, change
 from tests.replacing import replace_attribute
 
 DEFAULT_RETENTION = Retention()
--- a/tests/test_feed_faults.py
+++ b/tests/test_feed_faults.py
@@ -20,6 +20,7 @@
 from badgerbend.feed_service.follower import FollowerClient
 from badgerbend.feed_service.relay import RelayServer
 from badgerbend.feed_service.stream import WRITE_HIGH
+from tests.feed_harness import VERIFIER, Control, change
 from tests.feed_lines import Fill, FollowersSetup, Installed, PieceCame, Publish, Refused, RelaySetup
 from tests.feed_processes import (
     FeedProcesses,
@@ -28,7 +29,6 @@
     installs_of,
     published,
 )
-from tests.feed_stage import VERIFIER, Control, change
 from tests.replacing import replace_attribute
 from tests.tcp_proxy import Link, TcpProxy
 from tests.test_feed_sockets import Owner
--- a/tests/test_feed_faulty_relays.py
+++ b/tests/test_feed_faulty_relays.py
@@ -23,14 +23,14 @@
     SnapshotPiece,
     encode_changes,
 )
-from tests.feed_stage import ADDRESS, VERIFIER, change, entries, new_stage, signed
+from tests.feed_harness import ADDRESS, VERIFIER, change, entries, new_harness, signed
 
 
 @pytest.mark.parametrize("lie", ["changes", "checkpoint", "frame"])
 def test_a_lying_relay_is_left_and_changes_nothing(lie):
-    stage = new_stage()
-    follower = stage.follower("a")
-    stage.publish(change("node/1", "ready"))
+    harness = new_harness()
+    follower = harness.follower("a")
+    harness.publish(change("node/1", "ready"))
     before = entries(follower.log)
     reader = FrameReader()
 
@@ -51,33 +51,33 @@
             )
         return data[:-1] + bytes([data[-1] ^ 1])
 
-    stage.damage = damage
-    stage.publish(change("node/1", "draining"))
+    harness.damage = damage
+    harness.publish(change("node/1", "draining"))
     expected = {"changes": TamperedChangesError, "checkpoint": SignatureError, "frame": MalformedMessageError}[lie]
-    assert [type(error) for error in stage.rejected["a"]] == [expected]
+    assert [type(error) for error in harness.rejected["a"]] == [expected]
     assert entries(follower.log) == before
     assert follower.log.revision == 1
-    stage.damage = None
-    stage.pass_time(1.0)
+    harness.damage = None
+    harness.pass_time(1.0)
     assert entries(follower.log) == {"node/1": b"draining"}  # it was the only relay there is
 
 
 def test_half_a_frame_and_silence_lead_to_a_retry():
-    stage = new_stage()
-    follower = stage.follower("a", progress_timeout=2.0)
-    stage.damage = lambda data: data[: len(data) // 2]
-    stage.publish(change("node/1", "ready"))
-    stage.damage = lambda data: b""
-    stage.pass_time(4.5)
-    stage.damage = None
-    stage.pass_time(8.0)
-    assert follower.log.checkpoint == stage.relay.log.checkpoint
+    harness = new_harness()
+    follower = harness.follower("a", progress_timeout=2.0)
+    harness.damage = lambda data: data[: len(data) // 2]
+    harness.publish(change("node/1", "ready"))
+    harness.damage = lambda data: b""
+    harness.pass_time(4.5)
+    harness.damage = None
+    harness.pass_time(8.0)
+    assert follower.log.checkpoint == harness.relay.log.checkpoint
     assert follower.attempt > 1
 
 
 def test_a_relay_whose_snapshot_is_not_the_signed_one_is_quarantined():
-    stage = new_stage()
-    stage.publish(change("a", "1"))
+    harness = new_harness()
+    harness.publish(change("a", "1"))
     relays = [ADDRESS, RelayAddress("relay-2", "north", "127.0.0.1", 2)]
     follower = Follower("a", "north", relays, VERIFIER, FollowerTuning(start_jitter=0.0), 1)
     follower.start(0.0)
@@ -85,7 +85,7 @@
     (first,) = follower.take_actions()
     follower.connected(0.0, first.attempt)
     altered = zlib.compress(encode_changes((change("a", "2"),)))
-    follower.received(0.0, first.attempt, SnapshotBegin(stage.relay.log.checkpoint, 1))
+    follower.received(0.0, first.attempt, SnapshotBegin(harness.relay.log.checkpoint, 1))
     follower.received(0.0, first.attempt, SnapshotPiece(0, altered))
     assert follower.log.revision == 0
     for second in range(1, 50):
@@ -96,20 +96,20 @@
 
 
 def test_a_piece_without_a_snapshot_is_rejected():
-    stage = new_stage()
-    follower = stage.follower("a")
-    stage.publish(change("a", "1"))
-    follower.received(stage.now, follower.attempt, SnapshotPiece(0, b""))
-    stage.settle()
-    assert [type(error) for error in stage.rejected["a"]] == [OutOfSequenceError]
+    harness = new_harness()
+    follower = harness.follower("a")
+    harness.publish(change("a", "1"))
+    follower.received(harness.now, follower.attempt, SnapshotPiece(0, b""))
+    harness.process_actions()
+    assert [type(error) for error in harness.rejected["a"]] == [OutOfSequenceError]
 
 
 def test_a_suspended_follower_ignores_the_heartbeats_that_waited():
-    stage = new_stage()
-    follower = stage.follower("a")
-    stage.publish(change("a", "1"))
-    stage.pass_time(1.0)
-    late = stage.now + follower.tuning.heartbeat_timeout + 1.0
+    harness = new_harness()
+    follower = harness.follower("a")
+    harness.publish(change("a", "1"))
+    harness.pass_time(1.0)
+    late = harness.now + follower.tuning.heartbeat_timeout + 1.0
     age_s = follower.age_s(late)
     checkpoint = follower.log.checkpoint
     follower.received(late, follower.attempt, Heartbeat(checkpoint.epoch, checkpoint.revision, 0))
@@ -118,28 +118,28 @@
 
 
 def test_a_relay_without_progress_is_left():
-    stage = new_stage()
-    follower = stage.follower("a", progress_timeout=5.0)
+    harness = new_harness()
+    follower = harness.follower("a", progress_timeout=5.0)
     reader = FrameReader()
 
     def withhold(data):
         (message,) = reader.feed(data)
         return data if isinstance(message, Heartbeat) else b""
 
-    stage.damage = withhold
-    stage.publish(change("a", "1"))
-    stage.pass_time(8.0)
-    assert [type(error) for error in stage.rejected["a"]] == [NoProgressError]
+    harness.damage = withhold
+    harness.publish(change("a", "1"))
+    harness.pass_time(8.0)
+    assert [type(error) for error in harness.rejected["a"]] == [NoProgressError]
     assert follower.log.revision == 0
 
 
 def test_the_age_grows_while_nothing_is_confirmed():
-    stage = new_stage()
-    follower = stage.follower("a")
-    stage.pass_time(2.0)
-    assert follower.age_s(stage.now) <= 1.0
+    harness = new_harness()
+    follower = harness.follower("a")
+    harness.pass_time(2.0)
+    assert follower.age_s(harness.now) <= 1.0
     for _ in range(20):  # the relay beats on but hears of no leader
-        stage.now += 0.5
-        stage.relay.tick(stage.now)
-        stage.settle()
-    assert 9.0 <= follower.age_s(stage.now) <= 12.0
+        harness.now += 0.5
+        harness.relay.tick(harness.now)
+        harness.process_actions()
+    assert 9.0 <= follower.age_s(harness.now) <= 12.0
--- a/tests/test_feed_log.py
+++ b/tests/test_feed_log.py
@@ -12,7 +12,7 @@
 from badgerbend.feed.messages import (
     Publication,
 )
-from tests.feed_stage import change, entries, signed
+from tests.feed_harness import change, entries, signed
 
 
 def test_the_log_accepts_only_what_follows():
--- a/tests/test_feed_machine.py
+++ b/tests/test_feed_machine.py
@@ -3,7 +3,7 @@
 from badgerbend.feed.commands import split_publication
 from badgerbend.feed.log import Retention
 from badgerbend.feed.machine import PUBLISH_LEASE, FeedStateMachine
-from tests.feed_stage import Control, change, entries, signed
+from tests.feed_harness import Control, change, entries, signed
 
 
 def test_a_publication_needs_the_lease():
--- a/tests/test_feed_publisher.py
+++ b/tests/test_feed_publisher.py
@@ -5,7 +5,7 @@
     Change,
 )
 from badgerbend.feed.publisher import PublisherTuning
-from tests.feed_stage import MANY, Control, change, entries, full_stage, signed
+from tests.feed_harness import FULL_NODE_COUNT, Control, change, entries, full_harness, signed
 
 
 def test_changes_whose_revision_another_publication_has_are_published_again():
@@ -85,6 +85,6 @@
 
 
 def test_many_changes_are_published_in_several_publications():
-    stage = full_stage()
-    assert stage.control.machine.log.revision >= 2
-    assert len(stage.control.machine.log.content) == MANY
+    harness = full_harness()
+    assert harness.control.machine.log.revision >= 2
+    assert len(harness.control.machine.log.content) == FULL_NODE_COUNT
--- a/tests/test_feed_relay_selection.py
+++ b/tests/test_feed_relay_selection.py
@@ -5,7 +5,7 @@
 from badgerbend.feed.messages import (
     Heartbeat,
 )
-from tests.feed_stage import ADDRESS, VERIFIER
+from tests.feed_harness import ADDRESS, VERIFIER
 
 
 def test_a_follower_prefers_its_region_and_fails_back():
--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -12,7 +12,7 @@
 from badgerbend.feed.relay_types import RelayTuning
 from badgerbend.feed_service.follower import FollowerClient
 from badgerbend.feed_service.relay import RelayServer
-from tests.feed_stage import VERIFIER, Control, change
+from tests.feed_harness import VERIFIER, Control, change
 from tests.replacing import replace_attribute
 
 TIMEOUT_S = 20.0  # a wait that takes so long has failed
--- a/tests/test_keyed_list.py
+++ b/tests/test_keyed_list.py
@@ -11,7 +11,7 @@
 from badgerbend.discovery.directory import SLICE, ListError, ListReader
 from badgerbend.discovery.keyed import KeyedList, keyed_directory
 from badgerbend.publication_validation.changes import validate_change
-from tests.feed_stage import change
+from tests.feed_harness import change
 
 READY, DRAINING, GONE = api.EndpointState.READY, api.EndpointState.DRAINING, api.EndpointState.REMOVED
 CELLS = 12
