--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -99,7 +99,7 @@
             self.clock,
             self.messenger,
             self.log_event,
-            self._settle,
+            self._process_actions,
             machine,
         )
 
@@ -118,13 +118,13 @@
         """Bind both sockets; returns the relay's port. Raises OSError."""
         await self.open(*self.own_address)
         port = await self.relay_server.start(*self.settings.relay_address)
-        self._settle()
+        self._process_actions()
         return port
 
     async def close(self) -> None:
         """Return the lease, transfer leadership of the log to another voter, and end."""
         self.lease_holder.shut_down(self.clock())
-        self._settle()
+        self._process_actions()
         self.local_voter.transfer_leadership()
         self._closed = True
         self.messenger.close()
@@ -148,7 +148,7 @@
         if not self.is_publisher:
             raise NotPublishingError(self.lease_holder.duties[PUBLISH_LEASE].holder)
         problems = self.publisher.submit(self.clock(), changes)
-        self._settle()
+        self._process_actions()
         return problems
 
     def progress(self, revision: int) -> RolloutProgress:
@@ -167,7 +167,7 @@
             self.refused += 1
             return
         self._receive(message, source)
-        self._settle()
+        self._process_actions()
 
     def _receive(self, message: control_wire.ControlMessage, source: Address) -> None:
         match message:
@@ -196,7 +196,7 @@
 
     def _receive_own_reply(self, reply: LeaseReply) -> None:
         self.lease_holder.receive_reply(self.clock(), reply)
-        self._settle()
+        self._process_actions()
 
     # Time and actions.
 
@@ -207,9 +207,9 @@
         if now >= self.local_voter.next_at:
             self.local_voter.tick()
         self.control_node.tick(now)
-        self._settle()
+        self._process_actions()
 
-    def _settle(self) -> None:
+    def _process_actions(self) -> None:
         """Carry out the actions of all parts until there are none, and schedule the next tick."""
         if self._closed:
             return
--- a/badgerbend/feed_subscription/subscription.py
+++ b/badgerbend/feed_subscription/subscription.py
@@ -49,7 +49,9 @@
         self.endpoint_list = endpoint_list
         self.log = get_logger(part="feed")
         reader = ConfigurationReader(settings, feed.configuration, generations)
-        self.in_force = ActiveConfiguration(reader.read, UsableConfiguration(settings, generations.current.graph))
+        self.active_configuration = ActiveConfiguration(
+            reader.read, UsableConfiguration(settings, generations.current.graph)
+        )
         follower = Follower(
             f"broker-{settings.identity.index}",
             feed.region,
@@ -88,8 +90,8 @@
         for change in changes:
             if change.key == self.feed.configuration:
                 self._receive_configuration(revision, change.value)
-        if self.in_force.rejected is not None:
-            return self.in_force.rejected.reason
+        if self.active_configuration.rejected is not None:
+            return self.active_configuration.rejected.reason
         return WAITING_FOR_CAPACITY if self._waiting_for_capacity else ""
 
     def rejected(self, relay: str, error: FeedError) -> None:
@@ -101,9 +103,9 @@
     def _receive_configuration(self, revision: int, value: bytes | None) -> None:
         """Check a configuration and activate it; a removed one (None) leaves the one in force as it is."""
         if value is None:
-            self.in_force.rejected = None
+            self.active_configuration.rejected = None
             return
-        reason = self.in_force.stage(revision, value)
+        reason = self.active_configuration.stage(revision, value)
         if reason:
             self.metrics.report_fault("configuration not usable", f"revision {revision}: {reason}")
             return
@@ -112,14 +114,14 @@
     def _activate(self) -> None:
         """Put the newest usable configuration in force, or wait for capacity."""
         self._waiting_for_capacity = not self.generations.has_capacity
-        if self._waiting_for_capacity or not self.in_force.activate():
+        if self._waiting_for_capacity or not self.active_configuration.activate():
             return
-        usable = self.in_force.current.settings
+        usable = self.active_configuration.current.settings
         if usable.settings != self.generations.current.settings:
             self.generations.activate(usable.settings, usable.graph)
         self.log.info(
             "configuration in force",
-            revision=self.in_force.current.revision,
+            revision=self.active_configuration.current.revision,
             earlier=len(self.generations.draining),
         )
 
@@ -131,7 +133,7 @@
     def _activate_waiting(self) -> None:
         self._activation = None
         self._activate()
-        if not self._waiting_for_capacity and self.in_force.rejected is None:
+        if not self._waiting_for_capacity and self.active_configuration.rejected is None:
             self.client.follower.accepted(self.client.clock())
 
 
--- a/tests/feed_process.py
+++ b/tests/feed_process.py
@@ -233,8 +233,8 @@
 
     reported_revision = 0
 
-    def _settle(self):
-        super()._settle()
+    def _process_actions(self):
+        super()._process_actions()
         log = self.relay.log
         if log.revision > self.reported_revision:
             self.reported_revision = log.revision
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -106,7 +106,7 @@
     async def put_in_force(self, text):
         """Publishes a configuration and waits until the broker has it in force."""
         revision = self.publish(text)
-        await until(lambda: self.broker.feed_subscription.in_force.current.revision == revision)
+        await until(lambda: self.broker.feed_subscription.active_configuration.current.revision == revision)
 
     def slow_down(self, part_ms):
         for server in self.world.servers.values():
