--- a/badgerbend/feed/__init__.py
+++ b/badgerbend/feed/__init__.py
@@ -1,4 +1,5 @@
-"""A versioned feed of changes (list of nodes, configuration) from a few control machines to every broker. Pure.
+"""A versioned feed of changes (endpoint list, configuration) from a few control machines to every broker.
 
-The agreed log (`consensus`) orders publications; `relay` fans them out; `follower` keeps a verified replica.
+The replicated log (`consensus`) orders publications, `relay` fans them out to followers, and `follower` keeps a
+verified replica. The modules of this package are state machines that do no I/O and read no clock.
 """
--- a/badgerbend/feed/commands.py
+++ b/badgerbend/feed/commands.py
@@ -1,6 +1,7 @@
-"""Commands of the agreed log that publish. A publication is split into parts, since an entry of the log is small.
+"""Commands of the replicated log that carry publications.
 
-Parts may reach the log's leader in any order and more than once, as datagrams do. Pure.
+The size of a log entry is limited, so a publication is split into parts. Parts travel in datagrams and may therefore
+reach the leader in any order and more than once. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 from badgerbend.feed.errors import PublicationTooLargeError
 from badgerbend.feed.messages import MAX_CHANGES, Number, Publication, decode_with
 
-COMMAND_HEAD_BYTES = 60  # of an encoded part, beside its data
-MAX_PART_BYTES = MAX_COMMAND_BYTES - COMMAND_HEAD_BYTES  # of a publication's bytes in one entry
+COMMAND_OVERHEAD_BYTES = 60  # upper bound of the size of an encoded part without its data
+MAX_PART_BYTES = MAX_COMMAND_BYTES - COMMAND_OVERHEAD_BYTES  # data of one part
 MAX_PARTS = 400
-PUBLICATION_ID_BYTES = 8  # of the hash that distinguishes publications of the same revision
-MAX_PUBLICATION_BYTES = MAX_PART_BYTES * MAX_PARTS  # of an encoded publication
+PUBLICATION_ID_BYTES = 8  # length of the hash prefix that distinguishes publications of the same revision
+MAX_PUBLICATION_BYTES = MAX_PART_BYTES * MAX_PARTS  # size of an encoded publication
 
 
 class PublishPart(msgspec.Struct, array_like=True, frozen=True, tag="publish"):
-    """One part of a publication, which takes effect once all of its parts are there."""
+    """One part of a publication. The publication takes effect once all of its parts have been applied."""
 
     epoch: Number
     revision: Number
@@ -38,7 +39,7 @@
 
 
 def split_publication(publication: Publication) -> list[bytes]:
-    """Encode a publication as commands, in order. Raises PublicationTooLargeError."""
+    """Encode a publication as a list of commands, one for each part. Raises PublicationTooLargeError."""
     data = _encoder.encode(publication)
     if len(data) > MAX_PUBLICATION_BYTES or len(publication.changes) > MAX_CHANGES:
         raise PublicationTooLargeError(len(data), MAX_PUBLICATION_BYTES)
@@ -52,7 +53,7 @@
 
 
 def decode_part(data: bytes) -> PublishPart | None:
-    """Decode a part; None for a command of another kind."""
+    """Decode a part, or return None for a command of another kind."""
     try:
         return _part_decoder.decode(data)
     except msgspec.MsgspecError:
--- a/badgerbend/feed/configuration.py
+++ b/badgerbend/feed/configuration.py
@@ -1,6 +1,8 @@
-"""The active configuration of one process: validated when it arrives, activated between two turns of the loop. Pure.
+"""The active configuration of one process.
 
-Work that began under a configuration ends under it: it holds its generation until it is done.
+A configuration is validated when it is received and activated between two iterations of the event loop. Work that has
+started under a configuration also finishes under it, because it keeps a reference to its generation. This module does
+no I/O.
 """
 
 from __future__ import annotations
@@ -13,12 +15,12 @@
 
 
 class UnusableConfigurationError(Exception):
-    """A configuration that this process cannot use; the text names the line and the field."""
+    """Raised for a configuration that this process cannot use; the text names the line and the field."""
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Generation(Generic[Settings]):
-    """Settings and the revision of the feed that brought them."""
+    """Settings and the revision of the feed that contained them."""
 
     revision: int
     settings: Settings
@@ -33,16 +35,16 @@
 
 
 class ActiveConfiguration(Generic[Settings]):
-    """The generation in use. `read` makes settings of bytes and raises UnusableConfigurationError."""
+    """The generation in use. `read` decodes settings from bytes and may raise UnusableConfigurationError."""
 
     def __init__(self, read: Callable[[bytes], Settings], first: Settings) -> None:
         self.read = read
         self.current = Generation(0, first)
-        self.rejected: RejectedConfiguration | None = None  # the newest configuration, if it cannot be used
+        self.rejected: RejectedConfiguration | None = None  # set while the newest configuration cannot be used
         self._staged: Generation[Settings] | None = None
 
     def stage(self, revision: int, data: bytes) -> str:
-        """Validate a configuration for the next `activate`; return what is wrong with it, or nothing."""
+        """Validate a configuration for the next `activate`. Returns the error text, or an empty string."""
         try:
             settings = self.read(data)
         except UnusableConfigurationError as error:
@@ -53,7 +55,7 @@
         return ""
 
     def activate(self) -> bool:
-        """Use what was staged, between two turns of the loop; whether there was anything."""
+        """Make the staged configuration the current one. Returns whether a configuration was staged."""
         if self._staged is None:
             return False
         self.current = self._staged
--- a/badgerbend/feed/control.py
+++ b/badgerbend/feed/control.py
@@ -1,9 +1,10 @@
-"""One control machine's part in publishing: it connects voter, lease holder, publisher and relay. Pure.
+"""The components of one control machine, connected: voter, lease holder, publisher and relay.
 
-Each control machine has a vote, a relay of its own replica of the agreed log, and a publisher that works only while the
-machine holds the lease on publishing. Their owner calls them directly, and `synchronize` after each call.
+Each control machine is a voter, runs a relay that serves its own replica of the replicated log, and has a publisher
+that works only while the machine holds the publishing lease. The owner calls the components directly and calls
+`ControlNode.synchronize` after each such call.
 
-Times are seconds on any clock that does not go backwards; it is read by the caller only.
+This module does no I/O. Times are seconds on any monotonic clock, which only the caller reads.
 """
 
 from __future__ import annotations
@@ -21,18 +22,18 @@
 from badgerbend.leases.holder import LeaseHolder
 from badgerbend.leases.voter import Voter
 
-MAX_SUMMARY_BYTES = 1200  # leaves room for a datagram's seal and head
+MAX_SUMMARY_BYTES = 1200  # leaves space for the seal and the header of a datagram
 
 
 @dataclass(frozen=True, slots=True)
 class ControlTuning:
     """Intervals of a control machine, in seconds.
 
-    A large publication goes to the leader in bursts that fit into a datagram socket's buffer; otherwise the same parts
-    of it would be lost at each retry.
+    The parts of a large publication are sent to the leader in bursts that fit into the buffer of a datagram socket.
+    Without this limit, the same parts would be lost at each retry.
     """
 
-    confirm_interval: float = 0.5  # between confirmations of a leader's lead, which ages rest on
+    confirm_interval: float = 0.5  # between leadership confirmations, from which replica ages are derived
     summary_interval: float = 1.0
     proposal_burst: int = 32  # commands
     proposal_interval: float = 0.01  # between bursts
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """Send a command for the agreed log to its leader."""
+    """Send a command to the leader of the replicated log."""
 
     leader: str
     command: bytes
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportSummary:
-    """Send the relay's summary to the machine that publishes."""
+    """Send the relay's summary to the machine that holds the publishing lease."""
 
     publisher: str
     summary: Summary
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangesAbandoned:
-    """The lease is over, and these changes are not known to be published."""
+    """The lease has ended before these changes were known to be published."""
 
     changes: tuple[Change, ...]
 
@@ -65,7 +66,7 @@
 
 
 class ControlNode:
-    """Connects the parts of one control machine; the caller carries out `take_actions` after each call."""
+    """Connects the components of one control machine. The caller carries out `take_actions` after each call."""
 
     def __init__(
         self,
@@ -84,22 +85,22 @@
         self.publisher = publisher
         self.relay = relay
         self.tuning = tuning
-        self.log_changed = True  # since the publisher and the relay were notified
+        self.log_changed = True  # since the publisher and the relay were last notified
         self._confirm_at = now
         self._summary_at = now
-        self._proposals: deque[bytes] = deque()  # commands that wait for their burst
+        self._proposals: deque[bytes] = deque()  # commands waiting for a burst
         self._propose_at = now
         self._actions: list[Action] = []
         machine.on_log_change = self._note_log_change
 
     @property
     def next_at(self) -> float:
-        """When `tick`, and `synchronize` after it, have something to do."""
+        """The time at which `tick`, followed by `synchronize`, next has something to do."""
         propose_at = self._propose_at if self._proposals else math.inf
         return min(self._confirm_at, self._summary_at, self.publisher.next_at, propose_at)
 
     def synchronize(self, now: float) -> bool:
-        """Notify the parts of what a call of one of them led to; whether the log has changed."""
+        """Pass on the effects of a call of one component to the others. Returns whether the log has changed."""
         has_changed = self.log_changed
         self.log_changed = False
         if has_changed:
@@ -111,7 +112,7 @@
         return has_changed
 
     def tick(self, now: float) -> None:
-        """Do what is due by now, beside the ticks of voter, lease holder and relay."""
+        """Do what is due by now. The owner calls the ticks of voter, lease holder and relay itself."""
         if now >= self._confirm_at:
             self._confirm_at = now + self.tuning.confirm_interval
             self.voter.confirm(now)
@@ -131,9 +132,10 @@
         self.log_changed = True
 
     def _follow_lease(self, now: float) -> None:
-        """Publish under the epoch of the own lease only.
+        """Start and stop the publisher, so that it works only under the epoch of this machine's own lease.
 
-        The publisher starts once the own replica has applied the grant: it then holds all that was published before.
+        The publisher starts once this machine's replica has applied the grant, since the replica then contains
+        everything that was published under earlier leases.
         """
         epoch = self.holder.may_act(now, PUBLISH_LEASE)
         if self.publisher.epoch and self.publisher.epoch != epoch:
@@ -147,7 +149,7 @@
             self.publisher.lease_granted(now, lease.epoch)
 
     def _propose(self, now: float) -> None:
-        """Send the next burst to the leader, if it is known; the publisher retries what is lost."""
+        """Send the next burst to the leader, if it is known. The publisher retries lost commands."""
         self._proposals.extend(self.publisher.take_commands())
         if not self._proposals or now < self._propose_at:
             return
@@ -175,7 +177,7 @@
 
 
 def fit_to_datagram(summary: Summary) -> Summary:
-    """Drop laggards, the most advanced first, until the summary fits into a datagram."""
+    """Remove laggards, the most advanced first, until the summary fits into a datagram."""
     while summary.laggards and len(encode(summary)) > MAX_SUMMARY_BYTES:
         summary = msgspec.structs.replace(summary, laggards=summary.laggards[:-1])
     return summary
--- a/badgerbend/feed/follower.py
+++ b/badgerbend/feed/follower.py
@@ -1,8 +1,9 @@
-"""A follower: it keeps a connection to one relay and passes what its replica receives on to its owner. Pure.
+"""A follower: it keeps a connection to one relay and passes the changes of its replica on to its owner.
 
-The replica itself, with all verification, is `feed.replica`; the connection and the choice of relays are
-`feed.upstream` and `feed.relay_selection`; ages are `feed.staleness`.
-Times are seconds on any clock that does not go backwards; it is read by the caller only.
+The replica with all verification is in `feed.replica`, the connection in `feed.upstream`, the choice of relays in
+`feed.relay_selection`, and the age of the replica in `feed.staleness`.
+
+This module does no I/O. Times are seconds on any monotonic clock, which only the caller reads.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 
 class Follower:
-    """State machine of one follower; the caller carries out `take_actions` after each call."""
+    """State machine of one follower. The caller carries out `take_actions` after each call."""
 
     replica_type: type[Replica] = Replica
     staleness_type: type[StalenessTracker] = StalenessTracker
@@ -68,7 +69,7 @@
 
     @property
     def log(self) -> PublicationLog:
-        """The replica's log of publications, which a relay may serve to others."""
+        """The log of publications of the replica, which a relay may serve to other followers."""
         return self.replica.log
 
     @property
@@ -78,24 +79,25 @@
 
     @property
     def relay(self) -> RelayAddress | None:
-        """The relay that is connected, or about to be."""
+        """The relay of the current connection or connection attempt."""
         return self._upstream.relay
 
     @property
     def attempt(self) -> int:
-        """Number of the latest connection."""
+        """The number of the latest connection attempt."""
         return self._upstream.attempt
 
     @property
     def next_at(self) -> float:
-        """When `tick` has something to do."""
+        """The time at which `tick` next has something to do."""
         return min(self._upstream.next_at, self.status.next_at)
 
     def age_s(self, now: float) -> float:
-        """Upper bound of the time since the replica held all that was agreed on; infinite before any heartbeat.
+        """Return an upper bound of the time since the replica contained all committed publications.
 
-        Too low by as long as the last heartbeat was on its way: over a connection that takes a relay's window in less
-        than `heartbeat_timeout`, no longer than that and one heartbeat.
+        It is infinite before the first heartbeat. It may be too low by the transit time of the last heartbeat, which is
+        at most `heartbeat_timeout` plus one heartbeat interval if the connection transmits a relay's send window within
+        `heartbeat_timeout`.
         """
         return self._staleness.age_s(now)
 
@@ -106,16 +108,16 @@
         return actions
 
     def start(self, now: float) -> None:
-        """Begin to look for a relay."""
+        """Schedule the first connection attempt."""
         self._upstream.back_off_until(now + self._random.random() * self.tuning.start_jitter)
 
     def stop(self) -> None:
-        """Close the connection and open no other; the replica stays."""
+        """Close the connection and open no further one; the replica is kept."""
         self._upstream.stop()
         self.status.disconnected()
 
     def connected(self, now: float, attempt: int) -> None:
-        """The connection of this attempt is open."""
+        """Handle the establishment of this attempt's connection."""
         if attempt != self.attempt or self.phase is not FollowerPhase.CONNECTING:
             return
         self._upstream.opened(now)
@@ -126,15 +128,15 @@
         self.status.connected(now)
 
     def closed(self, now: float, attempt: int) -> None:
-        """The connection of this attempt has ended, or could not be opened."""
+        """Handle the end of this attempt's connection, or the failure to open it."""
         if self._upstream.is_active(attempt):
             self._upstream.retry(now)
 
     def received(self, now: float, attempt: int, message: Message) -> None:
-        """A message of the relay arrived on the connection of this attempt."""
+        """Handle a message that was received on this attempt's connection."""
         if not self._upstream.is_current(attempt):
             return
-        if self._upstream.is_overdue(now):  # this process was suspended: the age of what waited is unknown
+        if self._upstream.is_overdue(now):  # this process was suspended, and the age of buffered messages is unknown
             self._upstream.deadline_passed(now)
             return
         self._upstream.extend_deadline(now)
@@ -144,7 +146,7 @@
             self.protocol_error(now, attempt, error)
 
     def protocol_error(self, now: float, attempt: int, error: FeedError) -> None:
-        """The relay sent something invalid: try another one, with the replica as it was."""
+        """Leave a relay that sent invalid data and try another one; the replica is unchanged."""
         if attempt != self.attempt or self.relay is None:
             return
         self._actions.append(MessageRejected(self.relay.name, error))
@@ -154,19 +156,19 @@
         self._upstream.abandon(now)
 
     def applied(self, now: float, revision: int) -> None:
-        """The owner has applied this revision."""
+        """Note that the owner has applied this revision."""
         if revision > self.status.applied_revision:
             self.status.applied_revision = revision
             self._status_changed(now)
 
     def rejected(self, now: float, revision: int, reason: str) -> None:
-        """The owner could not use the configuration of this revision and keeps the one before."""
+        """Note that the owner cannot use the configuration of this revision and keeps the previous one."""
         self.status.rejected_revision = revision
         self.status.rejected_reason = reason
         self._status_changed(now)
 
     def accepted(self, now: float) -> None:
-        """The owner uses a later configuration than the rejected one."""
+        """Note that the owner uses a later configuration than the rejected one."""
         self.rejected(now, 0, "")
 
     def tick(self, now: float) -> None:
@@ -211,7 +213,7 @@
         self._snapshot_advanced(changes)
 
     def _snapshot_advanced(self, changes: Changes | None) -> None:
-        """Install the changes of a complete snapshot."""
+        """Update the phase, and install the changes once the snapshot is complete."""
         if changes is None:
             self._upstream.phase = FollowerPhase.RECEIVING_SNAPSHOT
             return
--- a/badgerbend/feed/follower_types.py
+++ b/badgerbend/feed/follower_types.py
@@ -1,4 +1,4 @@
-"""Values that a follower exchanges with its owner: addresses of relays, settings, phases and actions."""
+"""Types that a follower shares with its owner: addresses of relays, settings, phases and actions."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
     """Timeouts and intervals of a follower, in seconds."""
 
     start_jitter: float = 0.5  # spreads the first connections of followers that start together
-    backoff_base: float = 0.1  # bound of the first pause between attempts; each further one doubles, with full jitter
+    backoff_base: float = 0.1  # upper bound of the first backoff; doubles with each attempt, with full jitter
     backoff_max: float = 10.0
     connect_timeout: float = 3.0
-    heartbeat_timeout: float = 4.0  # without any message from the relay; covers four heartbeats
-    quarantine: float = 60.0  # for a relay that sent something invalid
-    progress_timeout: float = 30.0  # from an announced revision to the first message that leads to it
-    staleness_limit: float = 5.0  # a relay whose own log is older than this is left for another one
+    heartbeat_timeout: float = 4.0  # without any message from the relay; covers four heartbeat intervals
+    quarantine: float = 60.0  # for a relay that sent invalid data
+    progress_timeout: float = 30.0  # from the announcement of a revision to the first message towards it
+    staleness_limit: float = 5.0  # a relay whose own log is older is left for another relay
     stale_retry_interval: float = 30.0  # before a stale relay is tried again
-    failback_interval: float = 120.0  # connected to another region, before a relay of the own region is tried again
-    status_min_interval: float = 1.0  # upper bound of the delay of a changed status
-    status_max_interval: float = 10.0  # between statuses that did not change
+    failback_interval: float = 120.0  # on a relay of another region, before one of the own region is tried again
+    status_min_interval: float = 1.0  # upper bound of the delay before a changed status is sent
+    status_max_interval: float = 10.0  # between statuses that have not changed
 
 
 @dataclass(frozen=True, slots=True)
 class Connect:
-    """Open a connection; its events carry this attempt's number."""
+    """Open a connection to a relay. Its events carry the number of this attempt."""
 
     attempt: int
     relay: RelayAddress
@@ -55,14 +55,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """Close the connection of this attempt, or give up opening it."""
+    """Close the connection of this attempt, or stop opening it."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class Install:
-    """The replica is at this revision: apply these changes, then call `applied` or `rejected`."""
+    """Apply the changes that lead to this revision, then call `Follower.applied` or `Follower.rejected`."""
 
     revision: int
     changes: tuple[Change, ...]
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageRejected:
-    """For the log: a message of this relay was not used."""
+    """Log that a message of this relay was rejected."""
 
     relay: str
     error: FeedError
@@ -82,7 +82,7 @@
 class FollowerPhase(Enum):
     """State of the connection to a relay."""
 
-    BACKING_OFF = auto()  # until the next attempt
+    BACKING_OFF = auto()  # waiting for the next attempt
     CONNECTING = auto()
     STREAMING = auto()
     RECEIVING_SNAPSHOT = auto()
--- a/badgerbend/feed/framing.py
+++ b/badgerbend/feed/framing.py
@@ -1,4 +1,4 @@
-"""Framing of messages on a stream of bytes: length, checksum, message. Pure."""
+"""Framing of messages in a byte stream: length, checksum, message. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -19,27 +19,29 @@
 
 
 class FrameReader:
-    """Decodes messages from chunks of any size. Once it has raised, the stream cannot be used any more."""
+    """Decodes messages from chunks of any size. The stream is unusable once `feed` has raised an error."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Iterate over the messages that are complete by now. Raises MalformedMessageError."""
+        """Buffer a chunk and iterate over the messages that are now complete. Raises MalformedMessageError."""
         self._buffer += data
         start = 0
         try:
             while len(self._buffer) - start >= FRAME_HEADER.size:
                 length, checksum = FRAME_HEADER.unpack_from(self._buffer, start)
                 if length > MAX_FRAME_BYTES:
-                    raise MalformedMessageError(f"a frame of {length} bytes; {MAX_FRAME_BYTES} at most")
+                    raise MalformedMessageError(
+                        f"a frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes"
+                    )
                 end = start + FRAME_HEADER.size + length
                 if len(self._buffer) < end:
                     return
                 body = bytes(self._buffer[start + FRAME_HEADER.size : end])
                 start = end
                 if zlib.crc32(body) != checksum:
-                    raise MalformedMessageError("a frame whose checksum does not fit")
+                    raise MalformedMessageError("the checksum of a frame does not match")
                 yield decode(body)
         finally:
             del self._buffer[:start]
--- a/badgerbend/feed/log.py
+++ b/badgerbend/feed/log.py
@@ -1,6 +1,7 @@
-"""The log of publications: the content at the last revision, and the latest publications for replicas a little behind.
+"""The log of publications: the content at the last revision, and recent publications for replicas that lag slightly.
 
-Compaction drops the oldest publications by number and by bytes; a replica behind them needs a snapshot. Pure.
+Compaction drops the oldest publications once there are too many or they use too many bytes. A replica that is behind
+the oldest retained publication needs a snapshot. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
     encode_changes,
 )
 
-# Of an empty content at revision 0, before anything is published; nobody signs it.
+# The checkpoint of the empty content at revision 0, before the first publication. It is not signed.
 EMPTY_CHECKPOINT = Checkpoint(0, 0, Content().digest(), bytes(DIGEST_BYTES), bytes(SIGNATURE_BYTES))
 
 
 @dataclass(frozen=True, slots=True)
 class Retention:
-    """How many publications a log retains, and how many bytes of them. The default lasts for minutes of an outage."""
+    """The number and total size of publications that a log retains. The defaults cover an outage of minutes."""
 
     publications: int = 4096
     bytes: int = 16 * 1024 * 1024
@@ -37,9 +38,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RetainedPublication:
-    """A publication as sent to followers, encoded once for all of them.
+    """A publication as it is sent to followers, encoded once for all of them.
 
-    end_offset: bytes of all frames of the log up to the end of this one.
+    end_offset: total size of all frames of the log up to and including this one.
     """
 
     checkpoint: Checkpoint
@@ -53,16 +54,16 @@
 
 
 class PublicationLog:
-    """Content with its recent publications. Digests are checked here, signatures by `feed.replica`."""
+    """Content with its recent publications. Digests are checked here, and signatures in `feed.replica`."""
 
     def __init__(self, retention: Retention = NO_RETENTION) -> None:
         self.retention = retention
         self.content = Content()
         self.checkpoint = EMPTY_CHECKPOINT
         self._retained: deque[RetainedPublication] = deque()
-        self._bytes = 0  # of all retained frames
-        self._end_offset = 0  # bytes of all frames so far
-        self._before = EMPTY_CHECKPOINT  # the checkpoint before the oldest publication retained
+        self._bytes = 0  # total size of the retained frames
+        self._end_offset = 0  # total size of all frames so far
+        self._before = EMPTY_CHECKPOINT  # the checkpoint before the oldest retained publication
 
     @property
     def revision(self) -> int:
@@ -71,18 +72,18 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch of the publisher of the last revision."""
+        """The epoch under which the last revision was published."""
         return self.checkpoint.epoch
 
     @property
     def oldest_revision(self) -> int:
-        """The earliest revision that the retained publications continue from."""
+        """The revision before the oldest retained publication."""
         return self._before.revision
 
     def append(self, publication: Publication) -> None:
-        """Append the publication that follows.
+        """Append the next publication.
 
-        Raises RevisionGapError, StaleEpochError, TamperedChangesError or DigestMismatchError without any change.
+        Raises RevisionGapError, StaleEpochError, TamperedChangesError or DigestMismatchError, and then changes nothing.
         """
         checkpoint = publication.checkpoint
         if checkpoint.revision != self.revision + 1:
@@ -99,7 +100,7 @@
         self._retain(publication)
 
     def install_snapshot(self, content: Content, checkpoint: Checkpoint) -> None:
-        """Replace the content by that of a complete snapshot. Raises DigestMismatchError without any change."""
+        """Replace the content by that of a complete snapshot. Raises DigestMismatchError and then changes nothing."""
         if content.digest() != checkpoint.content_digest:
             raise DigestMismatchError(checkpoint.revision, of_snapshot=True)
         self.content = content
@@ -109,12 +110,12 @@
         self._bytes = 0
 
     def next_after(self, revision: int) -> RetainedPublication | None:
-        """Return the publication that follows a revision, which must be `oldest_revision` or later."""
+        """Return the publication after a revision, which must be `oldest_revision` or later."""
         index = revision - self.oldest_revision
         return self._retained[index] if index < len(self._retained) else None
 
     def bytes_after(self, revision: int) -> int:
-        """Return the bytes of the publications that follow a revision, which must be `oldest_revision` or later."""
+        """Return the size of the publications after a revision, which must be `oldest_revision` or later."""
         index = revision - self.oldest_revision
         if index >= len(self._retained):
             return 0
@@ -122,14 +123,14 @@
         return self._end_offset - following.end_offset + len(following.frame)
 
     def checkpoint_at(self, revision: int) -> Checkpoint | None:
-        """Return the checkpoint of a retained revision, None for others."""
+        """Return the checkpoint of a retained revision, or None for any other revision."""
         if revision == self.oldest_revision:
             return self._before
         index = revision - self.oldest_revision - 1
         return self._retained[index].checkpoint if 0 <= index < len(self._retained) else None
 
     def digest_at(self, revision: int) -> bytes | None:
-        """Return the content's digest at a retained revision, None for others."""
+        """Return the digest of the content at a retained revision, or None for any other revision."""
         checkpoint = self.checkpoint_at(revision)
         return None if checkpoint is None else checkpoint.content_digest
 
--- a/badgerbend/feed/machine.py
+++ b/badgerbend/feed/machine.py
@@ -1,7 +1,8 @@
-"""The replicated state machine of the control machines: the log of publications beside the table of leases. Pure.
+"""The replicated state machine of the control machines: the log of publications and the table of leases.
 
-A publication is accepted only under the epoch of the current lease on `PUBLISH_LEASE`, and only as the next revision.
-A deposed publisher can therefore publish nothing more, however late its commands arrive. Every voter decides alike.
+A publication is accepted only under the epoch of the current `PUBLISH_LEASE`, and only as the next revision. Late
+commands of a publisher that has lost the lease therefore have no effect. All voters apply the same commands in the same
+order and reach the same decisions. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 from badgerbend.feed.messages import Change, Checkpoint, Publication
 from badgerbend.leases.table import LeaseTable
 
-PUBLISH_LEASE = "publish"  # name of the lease whose holder publishes
+PUBLISH_LEASE = "publish"  # name of the publishing lease
 
 
 @dataclass(frozen=True, slots=True)
 class PublicationKey:
-    """Distinguishes the publications whose parts arrive."""
+    """Identifies the publication that a part belongs to."""
 
     epoch: int = 0
     revision: int = 0
@@ -31,7 +32,7 @@
 
 
 class _Dump(msgspec.Struct, array_like=True):
-    """The stored state: a positional array, so that only the order of its fields matters."""
+    """The stored state, encoded as a positional array: the order of the fields is the format, not their names."""
 
     table: bytes
     checkpoint: Checkpoint
@@ -43,14 +44,14 @@
 
 
 class FeedStateMachine:
-    """A `consensus.types.StateMachine`; `on_log_change` is called after each change of the log of publications."""
+    """A `consensus.types.StateMachine` that calls `on_log_change` after each change of the log of publications."""
 
     def __init__(self, retention: Retention, on_log_change: Callable[[], None] = lambda: None) -> None:
         self.table = LeaseTable()
         self.log = PublicationLog(retention)
         self.on_log_change = on_log_change
-        self.last_error: FeedError | None = None  # why the last rejected publication was rejected
-        self._pending_key = PublicationKey()  # of the publication whose parts arrive
+        self.last_error: FeedError | None = None  # the reason for the last rejection of a publication
+        self._pending_key = PublicationKey()  # of the incomplete publication
         self._pending_parts: dict[int, bytes] = {}
 
     def apply(self, index: int, data: bytes) -> None:
@@ -62,14 +63,14 @@
             self._add(part)
 
     def needs_part(self, command: bytes) -> bool:
-        """Whether a command is worth proposing: false for a part that is there already."""
+        """Whether a command has to be proposed; false for a part that has already been applied."""
         part = decode_part(command)
         if part is None:
             return True
         return _key_of(part) != self._pending_key or part.part_index not in self._pending_parts
 
     def is_current_epoch(self, epoch: int) -> bool:
-        """Whether this is the epoch of a lease on publishing that is held now."""
+        """Whether this is the epoch of the publishing lease and the lease has a holder."""
         lease = self.table.lease(PUBLISH_LEASE)
         return bool(lease.holder) and lease.epoch == epoch
 
@@ -87,7 +88,7 @@
         return msgspec.msgpack.encode(state)
 
     def load(self, state: bytes) -> None:
-        """Replace the state. Raises msgspec.MsgspecError or DigestMismatchError for what `dump` never wrote."""
+        """Replace the state. Raises msgspec.MsgspecError or DigestMismatchError for invalid data."""
         dump = msgspec.msgpack.decode(state, type=_Dump)
         content = Content()
         content.apply(Change(key, value) for key, value in dump.entries)
@@ -98,7 +99,7 @@
         self.on_log_change()
 
     def _add(self, part: PublishPart) -> None:
-        """Collect parts in any order; a part of another publication discards those collected so far."""
+        """Collect parts in any order. A part of another publication discards the parts collected so far."""
         key = _key_of(part)
         if key != self._pending_key:
             self._pending_key = key
@@ -120,7 +121,7 @@
         self.on_log_change()
 
     def _check_position(self, part: PublishPart, publication: Publication) -> None:
-        """The epoch that was compared with the lease must be the signed one."""
+        """Check that the epoch that was compared with the lease is the signed one. Raises PartMismatchError."""
         checkpoint = publication.checkpoint
         if (checkpoint.epoch, checkpoint.revision) != (part.epoch, part.revision):
             raise PartMismatchError(part.epoch, part.revision)
--- a/badgerbend/feed/messages.py
+++ b/badgerbend/feed/messages.py
@@ -1,4 +1,7 @@
-"""Messages between relays, followers and the publisher: typed MessagePack arrays, bounded when decoded. Pure."""
+"""Messages between relays, followers and the publisher: typed MessagePack arrays whose sizes are checked on decoding.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +11,11 @@
 
 from badgerbend.feed.errors import MalformedMessageError
 
-MAX_FRAME_BYTES = 512 * 1024  # of one message: a publication or a piece of a snapshot
-MAX_CHANGES = 8192  # of one publication
-MAX_VALUE_BYTES = 256 * 1024  # bytes of one value
-MAX_PIECE_BYTES = 256 * 1024  # of a snapshot's piece after decompression
-MAX_LAGGARDS = 16  # followers that a summary names
+MAX_FRAME_BYTES = 512 * 1024  # size of one encoded message, such as a publication or a piece of a snapshot
+MAX_CHANGES = 8192  # in one publication
+MAX_VALUE_BYTES = 256 * 1024  # size of one value
+MAX_PIECE_BYTES = 256 * 1024  # nominal size of a decompressed piece of a snapshot; twice this size is the hard limit
+MAX_LAGGARDS = 16  # followers listed by name in a summary
 DIGEST_BYTES = 16
 SIGNATURE_BYTES = 64
 
@@ -28,16 +31,16 @@
 
 
 class Change(msgspec.Struct, array_like=True, frozen=True):
-    """One key's new value; None removes the key."""
+    """The new value of a key, or None to remove the key."""
 
     key: Key
     value: Value | None
 
 
 class Checkpoint(msgspec.Struct, array_like=True, frozen=True):
-    """The content at a revision, as the publisher signed it.
+    """The state of the content at a revision, signed by the publisher.
 
-    changes_digest: of the changes that led there from the revision before.
+    changes_digest: digest of the changes since the previous revision.
     """
 
     epoch: Number
@@ -47,12 +50,12 @@
     signature: Signature
 
     def signed_bytes(self) -> bytes:
-        """Return the payload of the signature."""
+        """Return the payload that the signature covers."""
         return signed_bytes(self.epoch, self.revision, self.content_digest, self.changes_digest)
 
 
 def signed_bytes(epoch: int, revision: int, content_digest: bytes, changes_digest: bytes) -> bytes:
-    """Return the payload that a publisher signs; of fixed length, so that no two checkpoints share one."""
+    """Return the payload that a publisher signs. Its length is fixed, so that no two checkpoints share a payload."""
     return (
         b"badgerbend feed 1\0"
         + epoch.to_bytes(8, "big")
@@ -62,20 +65,21 @@
     )
 
 
-# -- relay to follower
+# -- From a relay to a follower.
 
 
 class Publication(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A batch of changes that takes a replica from the revision before the checkpoint's to the checkpoint's."""
+    """A batch of changes that leads from the previous revision to the revision of the checkpoint."""
 
     checkpoint: Checkpoint
     changes: Annotated[tuple[Change, ...], msgspec.Meta(max_length=MAX_CHANGES)]
 
 
 class Heartbeat(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """The relay's position, and the age of its log: the time since it knew that nothing newer was agreed on.
+    """The position of the relay and the age of its log.
 
-    snapshot_pending: to a follower that waits for its snapshot; then the position is the follower's own.
+    The age is the time since the relay last knew that its log contained all committed publications. snapshot_pending:
+    the follower is waiting for its snapshot, and the position is the follower's own.
     """
 
     epoch: Number
@@ -85,24 +89,27 @@
 
 
 class SnapshotBegin(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """A snapshot follows, in so many pieces."""
+    """The start of a snapshot that is sent in `piece_count` pieces."""
 
     checkpoint: Checkpoint
     piece_count: Annotated[int, msgspec.Meta(ge=0, le=65536)]
 
 
 class SnapshotPiece(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """A piece of a snapshot: a MessagePack array of changes, compressed by zlib."""
+    """A piece of a snapshot: a MessagePack array of changes, compressed with zlib."""
 
     index: Number
     compressed: Annotated[bytes, msgspec.Meta(max_length=MAX_FRAME_BYTES)]
 
 
-# -- follower to relay
+# -- From a follower to its relay.
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """A follower's first message: the position and digest of its replica, or that it needs a snapshot in any case."""
+    """The first message of a follower: the position and digest of its replica.
+
+    wants_snapshot: the replica is damaged, so that the follower needs a snapshot whatever its position is.
+    """
 
     name: Name
     epoch: Number
@@ -112,7 +119,10 @@
 
 
 class Status(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """What a follower has applied. rejected_revision: of the newest configuration that it cannot use, 0 for none."""
+    """What a follower has applied.
+
+    rejected_revision: revision of the newest configuration if the follower cannot use it, else 0.
+    """
 
     applied_revision: Number
     rejected_revision: Number
@@ -120,7 +130,7 @@
     age_ms: Milliseconds
 
 
-# -- relay to publisher
+# -- From a relay to the publisher.
 
 
 class Laggard(msgspec.Struct, array_like=True, frozen=True):
@@ -133,9 +143,11 @@
 
 
 class Summary(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """A relay's followers in a message of bounded size: how many have applied `revision`, and some that have not.
+    """The state of a relay's followers in a message of bounded size.
 
-    rejected: followers that cannot use the configuration; oldest_applied: the lowest revision that one has applied.
+    applied: number of followers that have applied `revision`. rejected: number of followers that cannot use the
+    configuration. oldest_applied: the lowest revision that any follower has applied. laggards: some of the followers
+    that have not applied `revision`.
     """
 
     relay: Name
@@ -155,7 +167,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """Encode a message, without a frame."""
+    """Encode a message without a frame header."""
     return _encoder.encode(message)
 
 
@@ -173,7 +185,7 @@
 
 
 def encode_changes(changes: tuple[Change, ...]) -> bytes:
-    """Encode changes, for digests and for pieces of snapshots."""
+    """Encode changes for digests and for pieces of snapshots."""
     return _encoder.encode(changes)
 
 
--- a/badgerbend/feed/relay.py
+++ b/badgerbend/feed/relay.py
@@ -1,10 +1,10 @@
-"""A relay: it fans the log of publications out to followers, in bounded memory. Pure.
+"""A relay: it fans the log of publications out to followers, in bounded memory.
 
-A follower's queue is a position in the log and nothing more: what its connection cannot take now stays in the log,
-which all share. A follower that falls behind the log's retention, or whose content differs, gets a snapshot
-(`feed.snapshot_transfers`).
+The relay keeps no send queue for a follower, only its position in the shared log. Publications that a connection cannot
+transmit yet stay in the log. A follower that is behind the retained publications, or whose content differs, receives a
+snapshot (`feed.snapshot_transfers`).
 
-Times are seconds on any clock that does not go backwards; it is read by the caller only.
+This module does no I/O. Times are seconds on any monotonic clock, which only the caller reads.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 from badgerbend.feed.session import SNAPSHOT_PHASES, Session, SessionPhase
 from badgerbend.feed.snapshot_transfers import SnapshotTransfers
 
-UNKNOWN_AGE_S = 1e9  # sent in place of an age that is not known, or longer
+UNKNOWN_AGE_S = 1e9  # sent instead of an age that is unknown or higher
 
 
 class Relay:
-    """Fan-out of one log; the caller carries out `take_actions` after each call."""
+    """Fan-out of one log. The caller carries out `take_actions` after each call."""
 
     transfers_type: type[SnapshotTransfers] = SnapshotTransfers
 
@@ -43,7 +43,7 @@
         self.log = log
         self.tuning = tuning
         self.sessions: dict[int, Session] = {}
-        self.evicted = 0  # connections given up because their followers sent or took nothing
+        self.evicted = 0  # connections closed because their followers sent no messages or accepted no data
         self.transfers = self.transfers_type(self)
         self._current_as_of = -math.inf
         self._heartbeat_at = math.inf
@@ -51,20 +51,20 @@
 
     @property
     def snapshots_started(self) -> int:
-        """Snapshots that were begun so far."""
+        """The number of snapshot transfers started so far."""
         return self.transfers.started
 
     @property
     def next_at(self) -> float:
-        """When `tick` has something to do."""
+        """The time at which `tick` next has something to do."""
         return min(self._heartbeat_at, self.transfers.next_at)
 
     def age_s(self, now: float) -> float:
-        """Upper bound of the time since the log held all that was agreed on."""
+        """Return an upper bound of the time since the log contained all committed publications."""
         return max(now - self._current_as_of, 0.0)
 
     def summary(self) -> Summary:
-        """How many followers have applied the log's revision, and the furthest behind."""
+        """Summarize how many followers have applied the log's revision, and which ones are the furthest behind."""
         return summarize(self.name, self.log.revision, self.sessions.values())
 
     def take_actions(self) -> list[Action]:
@@ -74,18 +74,18 @@
         return actions
 
     def mark_current(self, now: float, as_of: float | None = None) -> None:
-        """The log held all that was agreed on at `as_of`, by default now."""
+        """Note that the log contained all publications committed by `as_of`, which defaults to now."""
         self._current_as_of = max(self._current_as_of, now if as_of is None else as_of)
 
     def log_advanced(self, now: float) -> None:
-        """The log has grown, or was replaced by a snapshot."""
+        """Handle the growth of the log, or its replacement by a snapshot."""
         for session in self.sessions.values():
             if session.phase is SessionPhase.STREAMING:
                 self.catch_up(now, session)
         self.transfers.run(now)
 
     def opened(self, now: float, number: int) -> None:
-        """A connection was accepted; the caller numbers them."""
+        """Handle an accepted connection, to which the caller has assigned a number."""
         if len(self.sessions) >= self.tuning.max_sessions:
             self._actions.append(Close(number, "too many followers"))
             return
@@ -94,13 +94,13 @@
             self._heartbeat_at = now + self.tuning.heartbeat_interval
 
     def closed(self, now: float, number: int) -> None:
-        """A connection has ended."""
+        """Handle the end of a connection."""
         if self.sessions.pop(number, None) is not None:
             self.transfers.cancel(number)
             self.transfers.run(now)
 
     def received(self, now: float, number: int, message: Message) -> None:
-        """A message of a follower arrived."""
+        """Handle a message of a follower."""
         session = self.sessions.get(number)
         if session is None:
             return
@@ -111,11 +111,11 @@
             self.protocol_error(now, number, error)
 
     def protocol_error(self, now: float, number: int, error: FeedError) -> None:
-        """A follower sent something invalid."""
+        """Disconnect a follower that sent invalid data."""
         self._close(now, number, str(error))
 
     def drained(self, now: float, number: int) -> None:
-        """The connection has taken what was in flight."""
+        """Handle the acceptance of all data in flight by the connection."""
         session = self.sessions.get(number)
         if session is None:
             return
@@ -136,13 +136,13 @@
     def catch_up(self, now: float, session: Session) -> None:
         """Send the publications that follow the session's position, as far as its window allows."""
         if session.position > self.log.revision:
-            return  # the follower is ahead of this relay, which notices when the log has passed it
+            return  # the follower is ahead of this relay; it is checked again when the log has passed its position
         is_behind_retention = session.position < self.log.oldest_revision
         if session.wants_snapshot or is_behind_retention or not self._has_same_history(session):
             is_acceptable = session.position < self.log.revision or session.epoch < self.log.epoch
             if session.wants_snapshot or is_acceptable:
                 self.transfers.enqueue(now, session)
-            return  # a snapshot that would be rejected is not sent: the follower waits for a later revision
+            return  # the follower would reject a snapshot, so it waits for a later revision
         while session.in_flight < self.tuning.send_window:
             following = self.log.next_after(session.position)
             if following is None:
@@ -151,7 +151,7 @@
             self.send_frame(now, session, following.frame)
 
     def send_frame(self, now: float, session: Session, data: bytes) -> None:
-        """Send a frame and count it in the session's window."""
+        """Send a frame and count it towards the send window of the session."""
         session.sent(now, len(data), self.tuning.send_window)
         self._actions.append(SendTo(session.number, data))
 
@@ -167,21 +167,24 @@
                 assert_never(message)
 
     def _handle_hello(self, now: float, session: Session, message: Hello) -> None:
-        session.greet(message)
+        session.record_hello(message)
         self.send_frame(now, session, encode_frame(self._heartbeat(now)))
         session.wants_snapshot = message.wants_snapshot or self._is_snapshot_cheaper(message.revision)
         session.phase = SessionPhase.STREAMING
         self.catch_up(now, session)
 
     def _is_snapshot_cheaper(self, revision: int) -> bool:
-        """Whether the publications since are more than the content itself: they would go out without a pace."""
+        """Whether the publications since a revision are larger than the content itself.
+
+        Publications are not rate-limited, unlike snapshots.
+        """
         if not self.log.oldest_revision <= revision < self.log.revision:
             return False
         limit = max(self.log.content.size_bytes, self.tuning.send_window)
         return revision == 0 or self.log.bytes_after(revision) > limit
 
     def _has_same_history(self, session: Session) -> bool:
-        """Whether the follower's content equalled the log's at its revision; compared once."""
+        """Whether the follower's content equals that of the log at the same revision; compared only once."""
         if session.digest is None:
             return True
         if session.digest != self.log.digest_at(session.position):
@@ -194,7 +197,7 @@
         return Heartbeat(self.log.epoch, self.log.revision, age_ms)
 
     def _send_heartbeats(self, now: float) -> None:
-        """Send heartbeats to all followers, and disconnect those that send or take nothing."""
+        """Send heartbeats to all followers, and disconnect those that send no messages or accept no data."""
         newest = encode_frame(self._heartbeat(now))
         for number, session in list(self.sessions.items()):
             reason = session.failure(now, self.tuning)
@@ -211,6 +214,9 @@
 
 
 def _pending_heartbeat(session: Session) -> bytes:
-    """To a follower that waits for its snapshot: no age, and no revision that other transfers may hold up."""
+    """Encode the heartbeat for a follower that is waiting for its snapshot.
+
+    It gives no age. Its revision is the follower's own, because other transfers may delay any newer one.
+    """
     unknown_age_ms = round(UNKNOWN_AGE_S * 1000.0)
     return encode_frame(Heartbeat(session.epoch, session.position, unknown_age_ms, snapshot_pending=True))
--- a/badgerbend/feed/relay_summary.py
+++ b/badgerbend/feed/relay_summary.py
@@ -1,4 +1,4 @@
-"""A relay's summary of its followers for the publisher, of bounded size. Pure."""
+"""The summary of a relay's followers for the publisher, of bounded size. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def summarize(relay: str, revision: int, sessions: Iterable[Session]) -> Summary:
-    """How many followers have applied this revision, and those that are the furthest behind by name."""
+    """Summarize how many followers have applied this revision, and name those that are the furthest behind."""
     greeted = [session for session in sessions if session.phase is not SessionPhase.AWAITING_HELLO]
     behind = [session for session in greeted if session.applied_revision < revision or session.rejected_revision]
     behind.sort(key=lambda session: session.applied_revision)
--- a/badgerbend/feed/replica.py
+++ b/badgerbend/feed/replica.py
@@ -1,7 +1,8 @@
-"""A follower's verified replica of the feed. Pure.
+"""A follower's verified replica of the feed.
 
-Nothing unverified ever becomes part of it: a publication is applied as a whole or not at all, a snapshot replaces the
-content only once all of its pieces have arrived and its digest is the signed one, and the revision never goes back.
+Only verified data becomes part of the replica. A publication is applied completely or not at all. A snapshot replaces
+the content only once all of its pieces have been received and its digest matches the signed one. The revision never
+decreases. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -16,28 +17,28 @@
 
 
 class Replica:
-    """Each method that receives a message returns the changes to install, or None where the content stays."""
+    """The replica. Methods that handle a message return the changes to install, or None if the content is unchanged."""
 
     def __init__(self, verifier: Verifier, retention: Retention) -> None:
         self.verifier = verifier
         self.log = PublicationLog(retention)
-        self.is_damaged = False  # the content differs from what the publisher signed: only a snapshot helps
-        self.assembly: SnapshotAssembly | None = None  # a snapshot that is on its way
+        self.is_damaged = False  # the content differs from the signed one, which only a snapshot repairs
+        self.assembly: SnapshotAssembly | None = None  # the snapshot that is being received
 
     def check_integrity(self) -> bytes:
-        """Compare the content with its checkpoint, note damage, and return the digest of the content."""
+        """Compare the content with its checkpoint and note any damage. Returns the digest of the content."""
         digest = self.log.content.digest()
         self.is_damaged = self.is_damaged or digest != self.log.checkpoint.content_digest
         return digest
 
     def discard_assembly(self) -> None:
-        """Forget the pieces of a snapshot that is not complete."""
+        """Discard the pieces of an incomplete snapshot."""
         self.assembly = None
 
     def apply_publication(self, publication: Publication) -> Changes | None:
-        """Append a publication. Raises a FeedError that leaves the content as it was."""
+        """Append a publication. Raises FeedError, and then leaves the content unchanged."""
         if self.assembly is not None:
-            raise OutOfSequenceError("a publication amid a snapshot")
+            raise OutOfSequenceError("received a publication during a snapshot")
         if publication.checkpoint.revision <= self.log.revision:
             return None  # a duplicate
         self._verify(publication.checkpoint)
@@ -49,26 +50,26 @@
         return publication.changes
 
     def begin_snapshot(self, message: SnapshotBegin) -> Changes | None:
-        """Start to assemble a snapshot. Raises a FeedError that leaves the content as it was."""
+        """Start to assemble a snapshot. Raises FeedError, and then leaves the content unchanged."""
         checkpoint = message.checkpoint
         if self.assembly is not None or not self._can_be_replaced_by(checkpoint):
-            text = f"a snapshot of revision {checkpoint.revision} at {self.log.revision}"
+            text = f"received a snapshot of revision {checkpoint.revision} at revision {self.log.revision}"
             raise OutOfSequenceError(text, received=checkpoint.revision, expected=self.log.revision)
         self._verify(checkpoint)
         if checkpoint.epoch < self.log.epoch:
             raise StaleEpochError(checkpoint.epoch, self.log.epoch, of_snapshot=True)
         self.assembly = SnapshotAssembly(message)
-        return self._install_complete_snapshot()  # no piece follows for an empty content
+        return self._install_complete_snapshot()  # a snapshot of empty content has no pieces
 
     def add_snapshot_piece(self, message: SnapshotPiece) -> Changes | None:
-        """Add a piece to the snapshot. Raises a FeedError that leaves the content as it was."""
+        """Add a piece to the snapshot. Raises FeedError, and then leaves the content unchanged."""
         if self.assembly is None:
-            raise OutOfSequenceError("a piece of no snapshot", received=message.index)
+            raise OutOfSequenceError("received a piece without the start of a snapshot", received=message.index)
         self.assembly.add(message)
         return self._install_complete_snapshot()
 
     def _can_be_replaced_by(self, checkpoint: Checkpoint) -> bool:
-        """Whether a snapshot of this checkpoint moves the replica forward, or repairs it."""
+        """Whether a snapshot of this checkpoint advances the replica or repairs it."""
         if checkpoint.revision == self.log.revision:
             return self.is_damaged or checkpoint.epoch > self.log.epoch
         return checkpoint.revision > self.log.revision
--- a/badgerbend/feed/rollout.py
+++ b/badgerbend/feed/rollout.py
@@ -1,4 +1,4 @@
-"""Progress of a revision on its way to all followers, summed up from the relays' summaries. Pure."""
+"""Progress of the rollout of a revision to all followers, from the summaries of relays. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutProgress:
-    """How many of the known followers have applied a revision, or cannot use it, and some that lag."""
+    """How many of the known followers have applied a revision or cannot use it, and some of those that lag."""
 
     revision: int
     followers: int
     applied: int
     rejected: int
     laggards: tuple[Laggard, ...]
-    silent_relays: tuple[str, ...]  # whose last summary is too old to count
+    silent_relays: tuple[str, ...]  # relays whose last summary is too old
 
 
 class SummaryTable:
-    """The latest summary of each relay, and when it arrived."""
+    """The latest summary of each relay, with the time at which it was received."""
 
     def __init__(self) -> None:
         self._latest: dict[str, tuple[float, Summary]] = {}
 
     def record(self, now: float, summary: Summary) -> None:
-        """Keep a relay's latest summary."""
+        """Store the latest summary of a relay."""
         self._latest[summary.relay] = (now, summary)
 
     def progress(self, now: float, revision: int, summary_ttl: float) -> RolloutProgress:
-        """Sum up the summaries that arrived within `summary_ttl` seconds."""
+        """Add up the summaries that were received within the last `summary_ttl` seconds."""
         fresh: list[Summary] = []
         silent: list[str] = []
         for relay, (received_at, summary) in sorted(self._latest.items()):
@@ -49,7 +49,10 @@
 
 
 def _applied(summary: Summary, revision: int) -> int:
-    """Followers that surely have a revision: all of them if none is older, else those at the relay's own revision."""
+    """Return a lower bound of the number of followers that have applied a revision.
+
+    It is the number of all followers if none is behind the revision, else the number of those at the relay's revision.
+    """
     if summary.oldest_applied >= revision:
         return summary.followers
     return summary.applied if summary.revision >= revision else 0
--- a/badgerbend/feed/session.py
+++ b/badgerbend/feed/session.py
@@ -1,4 +1,7 @@
-"""One follower's connection as its relay sees it: position in the log, window in flight, reported status. Pure."""
+"""A relay's state for the connection of one follower: position in the log, send window and reported status.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 class SessionPhase(Enum):
-    """What a relay does for a follower."""
+    """What a relay is currently doing for a follower."""
 
     AWAITING_HELLO = auto()
     STREAMING = auto()
@@ -26,28 +29,28 @@
 
 @dataclass(slots=True, eq=False)
 class Session:
-    """State of one connection. The owner of the relay numbers connections."""
+    """State of one connection. `number` is assigned by the owner of the relay."""
 
     number: int
     last_received_at: float
     name: str = ""
     phase: SessionPhase = SessionPhase.AWAITING_HELLO
-    epoch: int = 0  # of the replica, as of the hello or of the last snapshot
-    position: int = 0  # the revision up to which the follower has been sent everything
-    digest: bytes | None = None  # of the replica at its position, until compared with the log's
-    wants_snapshot: bool = False  # whatever the follower holds, it cannot use it
+    epoch: int = 0  # of the replica at the time of the hello or of the last snapshot
+    position: int = 0  # the revision up to which everything has been sent to the follower
+    digest: bytes | None = None  # of the replica at its position, until it has been compared with that of the log
+    wants_snapshot: bool = False  # independently of the position of the replica
     applied_revision: int = 0
     rejected_revision: int = 0
     reason: str = ""
-    image: SnapshotImage | None = None  # the snapshot on its way
+    image: SnapshotImage | None = None  # the snapshot being sent
     next_piece: int = 0
-    in_flight: int = 0  # bytes that the connection has not taken
-    blocked_since: float = math.inf  # since when the window is full
+    in_flight: int = 0  # bytes that the connection has not accepted yet
+    blocked_since: float = math.inf  # time since which the send window has been full
 
-    def greet(self, message: Hello) -> None:
-        """Note what a follower holds. Raises OutOfSequenceError for a second hello."""
+    def record_hello(self, message: Hello) -> None:
+        """Record the position of a follower. Raises OutOfSequenceError for a second hello."""
         if self.phase is not SessionPhase.AWAITING_HELLO:
-            raise OutOfSequenceError("a second hello")
+            raise OutOfSequenceError("received a second hello")
         self.name = message.name
         self.epoch = message.epoch
         self.position = message.revision
@@ -55,26 +58,26 @@
         self.applied_revision = message.revision
 
     def record_status(self, message: Status) -> None:
-        """Note what a follower reports. Raises OutOfSequenceError before the hello."""
+        """Record the status of a follower. Raises OutOfSequenceError before the hello."""
         if self.phase is SessionPhase.AWAITING_HELLO:
-            raise OutOfSequenceError("a status before the hello")
+            raise OutOfSequenceError("received a status before the hello")
         self.applied_revision = message.applied_revision
         self.rejected_revision = message.rejected_revision
         self.reason = message.reason
 
     def sent(self, now: float, size_bytes: int, window: int) -> None:
-        """Count bytes that are on their way."""
+        """Count bytes that are now in flight."""
         self.in_flight += size_bytes
         if self.in_flight >= window:
             self.blocked_since = min(self.blocked_since, now)
 
     def drained(self) -> None:
-        """The connection has taken everything."""
+        """Note that the connection has accepted everything in flight."""
         self.in_flight = 0
         self.blocked_since = math.inf
 
     def snapshot_sent(self, image: SnapshotImage) -> None:
-        """All of a snapshot is on its way: the log goes on from its revision."""
+        """Continue with the log from the revision of a snapshot that has been sent completely."""
         self.image = None
         self.digest = None
         self.wants_snapshot = False
@@ -83,16 +86,16 @@
         self.phase = SessionPhase.STREAMING
 
     def failure(self, now: float, tuning: RelayTuning) -> str:
-        """Why the connection is to be given up, empty while it is healthy."""
+        """Return the reason to close the connection, or an empty string while it is healthy."""
         silence = now - self.last_received_at
         if self.phase is SessionPhase.AWAITING_HELLO:
-            return "no hello" if silence > tuning.hello_timeout else ""
+            return "no hello received" if silence > tuning.hello_timeout else ""
         if silence > tuning.idle_timeout:
-            return "says nothing"
+            return "no messages received"
         if now - self.blocked_since > tuning.stall_timeout:
-            return "takes nothing"
+            return "send window full for too long"
         return ""
 
     def as_laggard(self) -> Laggard:
-        """The follower as a summary names it."""
+        """Return the follower's entry for a summary."""
         return Laggard(self.name, self.applied_revision, self.rejected_revision, self.reason)
--- a/badgerbend/feed/signature.py
+++ b/badgerbend/feed/signature.py
@@ -1,4 +1,7 @@
-"""The publisher's signature on checkpoints: Ed25519 from the cryptography library. Relays neither sign nor verify."""
+"""The publisher's Ed25519 signature of checkpoints, based on the cryptography library.
+
+Relays neither sign nor verify.
+"""
 
 from __future__ import annotations
 
@@ -25,22 +28,22 @@
 
 
 class Ed25519Signer:
-    """A `Signer` with a private key of 32 bytes."""
+    """A `Signer` that uses a private key of 32 bytes."""
 
     def __init__(self, private_key: bytes) -> None:
         self._key = Ed25519PrivateKey.from_private_bytes(private_key)
 
     def sign(self, payload: bytes) -> bytes:
-        """Return the signature of a payload, 64 bytes."""
+        """Return the signature of a payload, which has 64 bytes."""
         return self._key.sign(payload)
 
     def public_key(self) -> bytes:
-        """Return the public key, 32 bytes."""
+        """Return the public key, which has 32 bytes."""
         return self._key.public_key().public_bytes_raw()
 
 
 class Ed25519Verifier:
-    """A `Verifier` with the public key of 32 bytes."""
+    """A `Verifier` that uses a public key of 32 bytes."""
 
     def __init__(self, public_key: bytes) -> None:
         self._key = Ed25519PublicKey.from_public_bytes(public_key)
--- a/badgerbend/feed/snapshot.py
+++ b/badgerbend/feed/snapshot.py
@@ -1,4 +1,7 @@
-"""Snapshots in pieces: compressed once by a relay for all its followers, and assembled by a follower. Pure."""
+"""Snapshots in pieces: a relay compresses them once for all its followers, and followers assemble them.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -19,13 +22,13 @@
     encode_changes,
 )
 
-PIECE_TARGET_BYTES = 64 * 1024  # of entries before compression; a larger value makes a piece of its own
+PIECE_TARGET_BYTES = 64 * 1024  # size of the entries before compression; a larger entry is a piece of its own
 ENTRY_OVERHEAD_BYTES = 16  # upper bound of what encoding adds to a key and its value
 assert MAX_VALUE_BYTES + PIECE_TARGET_BYTES <= 2 * MAX_PIECE_BYTES
 
 
 class SnapshotImage:
-    """The content at one revision, frozen, as frames. A piece is compressed when it is first asked for."""
+    """An immutable image of the content at one revision, as frames. Each piece is compressed on first use."""
 
     def __init__(self, content: Content, checkpoint: Checkpoint) -> None:
         self.checkpoint = checkpoint
@@ -35,7 +38,7 @@
 
     @property
     def piece_count(self) -> int:
-        """The number of pieces, without the first frame."""
+        """The number of pieces, not counting the frame that starts the snapshot."""
         return len(self._groups)
 
     def piece_frame(self, index: int) -> bytes:
@@ -50,7 +53,7 @@
 
 
 def _grouped(content: Content) -> Iterator[tuple[Change, ...]]:
-    """Group entries to about PIECE_TARGET_BYTES."""
+    """Group entries into pieces of about PIECE_TARGET_BYTES."""
     group: list[Change] = []
     size = 0
     for key, value in content.items():
@@ -66,7 +69,7 @@
 
 
 class SnapshotAssembly:
-    """The pieces of one snapshot as they arrive, kept apart from the replica until all of them are there."""
+    """Collects the pieces of one snapshot, separately from the replica until all of them have been received."""
 
     def __init__(self, begin: SnapshotBegin) -> None:
         self.checkpoint = begin.checkpoint
@@ -76,25 +79,25 @@
 
     @property
     def complete(self) -> bool:
-        """Whether all pieces are there."""
+        """Whether all pieces have been received."""
         return self._next == self._piece_count
 
     def add(self, piece: SnapshotPiece) -> None:
         """Add the next piece. Raises OutOfSequenceError or MalformedMessageError."""
         if piece.index != self._next or self.complete:
-            text = f"piece {piece.index} of a snapshot, {self._next} was due"
+            text = f"received piece {piece.index} of a snapshot instead of piece {self._next}"
             raise OutOfSequenceError(text, received=piece.index, expected=self._next)
         self.content.apply(decode_changes(_decompress(piece.compressed)))
         self._next += 1
 
 
 def _decompress(compressed: bytes) -> bytes:
-    """Raises MalformedMessageError, also for what would take more memory than a piece may."""
+    """Decompress a piece. Raises MalformedMessageError, also if the result exceeds the maximum size of a piece."""
     decompressor = zlib.decompressobj()
     try:
         data = decompressor.decompress(compressed, 2 * MAX_PIECE_BYTES)
     except zlib.error as error:
-        raise MalformedMessageError(f"a piece that does not unpack: {error}") from error
+        raise MalformedMessageError(f"cannot decompress a piece of a snapshot: {error}") from error
     if not decompressor.eof:
-        raise MalformedMessageError(f"a piece that is cut short or larger than {2 * MAX_PIECE_BYTES} bytes")
+        raise MalformedMessageError(f"a piece of a snapshot is truncated or larger than {2 * MAX_PIECE_BYTES} bytes")
     return data
--- a/badgerbend/feed/snapshot_transfers.py
+++ b/badgerbend/feed/snapshot_transfers.py
@@ -1,7 +1,7 @@
-"""Snapshots on their way from a relay to its followers, limited in number and in bytes per second. Pure.
+"""Transfers of snapshots from a relay to its followers, limited in number and in bytes per second.
 
-An image of the content is packed once and shared by all followers that need one; a token bucket paces the bytes of all
-transfers together, so that many followers may return at once.
+An image of the content is compressed once and shared by all followers that need a snapshot. A token bucket limits the
+rate of all transfers together, so that many followers can reconnect at once. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from badgerbend.feed.session import Session, SessionPhase
 from badgerbend.feed.snapshot import SnapshotImage
 
-BEGIN_FRAME = -1  # index of a snapshot's first frame, before its pieces
-NO_REVISION = -1  # of a follower whose replica does not matter
+BEGIN_FRAME = -1  # index of the frame that starts a snapshot, before its pieces
+NO_REVISION = -1  # for an image whose age relative to a follower does not matter
 
 
 class TransferOwner(Protocol):
-    """The relay, as its transfers use it."""
+    """The interface of the relay that transfers use."""
 
     log: PublicationLog
     tuning: RelayTuning
@@ -31,39 +31,41 @@
         ...
 
     def catch_up(self, now: float, session: Session) -> None:
-        """Send the publications that follow the session's position."""
+        """Send the publications after the session's position."""
         ...
 
 
 class TokenBucket:
-    """Bytes that may be sent now. The last frame may overdraw it."""
+    """The number of bytes that may be sent now. One frame may overdraw the bucket."""
 
     def __init__(self, tokens: float) -> None:
         self.tokens = tokens
         self._refilled_at = -math.inf
 
     def refill(self, now: float, tuning: RelayTuning) -> None:
-        """Add the bytes that the time since the last refill allows, up to the burst."""
+        """Add tokens for the time since the last refill, up to the size of a burst."""
         passed = max(now - self._refilled_at, 0.0)
         refilled = self.tokens + passed * tuning.snapshot_bytes_per_second
         self.tokens = min(refilled, float(tuning.snapshot_burst_bytes))
         self._refilled_at = now
 
     def next_at(self, now: float, tuning: RelayTuning) -> float:
-        """When an empty bucket has tokens again."""
+        """Return the time at which an empty or overdrawn bucket is refilled to zero."""
         return now - self.tokens / tuning.snapshot_bytes_per_second
 
 
 class SnapshotCache:
-    """The image that new transfers share."""
+    """Caches the image that new transfers share."""
 
     def __init__(self) -> None:
         self.image: SnapshotImage | None = None
 
     def image_for(self, log: PublicationLog, max_lag: int, follower_revision: int = NO_REVISION) -> SnapshotImage:
-        """The last image while the log leads on from it and is not far ahead, else a new one.
+        """Return the cached image, or create a new one.
 
-        A follower rejects an image that is not later than its own replica, unless that is of the log's own revision.
+        The cached image is used while the log still retains its revision with the same content and is at most
+        `max_lag` revisions ahead. A follower rejects an image that is not later than its own replica, unless the image
+        has the log's current revision.
         """
         image = self.image
         if image is not None:
@@ -78,35 +80,35 @@
 
 
 class SnapshotTransfers:
-    """Queue of followers that need a snapshot, and the transfers under way."""
+    """The queue of followers that need a snapshot, and the transfers in progress."""
 
     def __init__(self, owner: TransferOwner) -> None:
         self.owner = owner
         self.cache = SnapshotCache()
-        self.active = set[int]()  # numbers of sessions
+        self.active = set[int]()  # session numbers
         self.started = 0
-        self.next_at = math.inf  # when the pace lets more bytes out
-        self._queue: deque[int] = deque()  # numbers of sessions
+        self.next_at = math.inf  # when the rate limit allows more bytes
+        self._queue: deque[int] = deque()  # session numbers
         self._bucket = TokenBucket(float(owner.tuning.snapshot_burst_bytes))
 
     def enqueue(self, now: float, session: Session) -> None:
-        """Send a follower a snapshot as soon as the limits allow."""
+        """Queue a snapshot for a follower; it is sent as soon as the limits allow."""
         session.phase = SessionPhase.SNAPSHOT_QUEUED
         self._queue.append(session.number)
         self.run(now)
 
     def cancel(self, number: int) -> None:
-        """The session is gone."""
+        """Cancel the transfer to a session that has ended."""
         self.active.discard(number)
 
     def run(self, now: float) -> None:
-        """Begin transfers and send pieces, as the limits allow."""
+        """Start queued transfers and send pieces as far as the limits allow."""
         tuning = self.owner.tuning
         self._bucket.refill(now, tuning)
         while self._queue and len(self.active) < tuning.max_concurrent_snapshots:
             self._begin(self._queue.popleft())
         for number in list(self.active):
-            if number in self.active:  # the end of another transfer may have run this one to its own end
+            if number in self.active:  # completing another transfer may have completed this one as well
                 self._send_pieces(now, self.owner.sessions[number])
         is_paced = self._bucket.tokens <= 0 and bool(self.active)
         self.next_at = self._bucket.next_at(now, tuning) if is_paced else math.inf
--- a/badgerbend/feed/upstream.py
+++ b/badgerbend/feed/upstream.py
@@ -1,4 +1,7 @@
-"""A follower's connection to one relay at a time: attempts, backoff, timeouts and failback to the own region. Pure."""
+"""A follower's connection to one relay at a time: attempts, backoff, timeouts and failback to the own region.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,8 @@
 class UpstreamConnection:
     """Phase and deadlines of the connection.
 
-    `emit` receives the actions; `on_lost` is called whenever the follower is without a connection.
+    emit: receives the actions. on_lost: called at the start of each backoff, when the follower has
+    no connection.
     """
 
     def __init__(
@@ -37,16 +41,16 @@
         self.tuning = tuning
         self.selector = selector
         self.phase = FollowerPhase.BACKING_OFF
-        self.relay: RelayAddress | None = None  # the one that is connected, or about to be
-        self.attempt = 0  # number of the connection, which its events carry
+        self.relay: RelayAddress | None = None  # of the current connection or connection attempt
+        self.attempt = 0  # number of the latest attempt, which its events carry
         self._emit = emit
         self._on_lost = on_lost
-        self._deadline = math.inf  # of the phase
+        self._deadline = math.inf  # of the current phase
         self._failback_at = math.inf
 
     @property
     def next_at(self) -> float:
-        """When `tick` has something to do."""
+        """The time at which `tick` next has something to do."""
         return min(self._deadline, self._failback_at)
 
     def is_current(self, attempt: int) -> bool:
@@ -58,22 +62,22 @@
         return attempt == self.attempt and self.phase in ACTIVE_PHASES
 
     def is_overdue(self, now: float) -> bool:
-        """Whether the phase has lasted longer than it may."""
+        """Whether the deadline of the current phase has passed."""
         return now >= self._deadline
 
     def opened(self, now: float) -> None:
-        """The connection of the current attempt is open."""
+        """Handle the establishment of the current attempt's connection."""
         self.phase = FollowerPhase.STREAMING
         self.extend_deadline(now)
         is_remote = self.relay is not None and self.selector.is_remote(self.relay)
         self._failback_at = now + self.tuning.failback_interval if is_remote else math.inf
 
     def extend_deadline(self, now: float) -> None:
-        """The relay was heard of."""
+        """Restart the heartbeat timeout after a message from the relay."""
         self._deadline = now + self.tuning.heartbeat_timeout
 
     def send(self, message: Hello | Status) -> None:
-        """Send a message, if the connection is open."""
+        """Send a message if the connection is open."""
         if self.phase in CONNECTED_PHASES:
             self._emit(Send(self.attempt, encode_frame(message)))
 
@@ -87,23 +91,23 @@
             self.back_off_until(now)
 
     def deadline_passed(self, now: float) -> None:
-        """Connect after a pause; give up a connection that did not open in time, or whose relay is silent."""
+        """Connect at the end of a backoff, else abandon a connection that timed out or whose relay is silent."""
         if self.phase is FollowerPhase.BACKING_OFF:
             self._connect(now)
         else:
             self.abandon(now)
 
     def abandon(self, now: float) -> None:
-        """Close the connection and try again after a pause."""
+        """Close the connection and retry after a backoff."""
         self._drop()
         self.retry(now)
 
     def retry(self, now: float) -> None:
-        """Try again after a pause; the connection is closed already."""
+        """Retry after a backoff; the connection is already closed."""
         self.back_off_until(now + self.selector.next_backoff())
 
     def leave_stale_relay(self, now: float) -> bool:
-        """Leave a relay that is cut off from the agreed log, if there is another one; whether it did."""
+        """Leave a relay whose log is stale, if there is an alternative. Returns whether the relay was left."""
         if self.relay is None or not self.selector.has_alternative(self.relay, now):
             return False
         self.selector.avoid_stale(self.relay, now)
@@ -111,7 +115,7 @@
         return True
 
     def back_off_until(self, until: float) -> None:
-        """Stay without a connection until then."""
+        """Stay disconnected until the given time."""
         self.phase = FollowerPhase.BACKING_OFF
         self.relay = None
         self._deadline = until
@@ -119,7 +123,7 @@
         self._on_lost()
 
     def stop(self) -> None:
-        """Close the connection and open no other."""
+        """Close the connection and open no further one."""
         self._drop()
         self.phase = FollowerPhase.STOPPED
         self._deadline = math.inf
--- a/tests/test_feed_backpressure.py
+++ b/tests/test_feed_backpressure.py
@@ -16,7 +16,7 @@
     assert held < 10_000 + 3_000
     assert fast.log.checkpoint == harness.relay.log.checkpoint
     harness.pass_time(5.0)
-    assert ("slow", "takes nothing") in harness.closed
+    assert ("slow", "send window full for too long") in harness.closed
     harness.resume("slow")
     harness.pass_time(3.0)
     assert harness.followers["slow"].log.checkpoint == harness.relay.log.checkpoint
@@ -117,7 +117,7 @@
     harness.sessions[99] = "nobody"
     harness.follower("nobody", start=False)
     harness.pass_time(4.0)
-    assert ("nobody", "no hello") in harness.closed
+    assert ("nobody", "no hello received") in harness.closed
 
 
 def test_a_follower_behind_by_more_than_the_content_gets_a_paced_snapshot():
--- a/tests/test_feed_rejections.py
+++ b/tests/test_feed_rejections.py
@@ -11,12 +11,15 @@
     [
         (errors.MalformedMessageError("cut short"), "Malformed: cut short"),
         (errors.SignatureError(7), "BadSignature: revision 7 is not signed by the publisher"),
-        (errors.TamperedChangesError(7), "TamperedChanges: revision 7: other changes than were signed"),
-        (errors.DigestMismatchError(7), "DigestMismatch: revision 7: other content than was signed"),
-        (errors.StaleEpochError(2, 3), "OldEpoch: epoch 2 after 3"),
-        (errors.RevisionGapError(9, 7), "RevisionGap: revision 9 after 7"),
-        (errors.OutOfSequenceError("a piece of no snapshot"), "OutOfSequence: a piece of no snapshot"),
-        (errors.NoProgressError(9, 7), "NoProgress: revision 9 announced, 7 sent"),
+        (errors.TamperedChangesError(7), "TamperedChanges: the changes of revision 7 differ from the signed ones"),
+        (errors.DigestMismatchError(7), "DigestMismatch: the content of revision 7 differs from the signed one"),
+        (errors.StaleEpochError(2, 3), "OldEpoch: received epoch 2 after epoch 3"),
+        (errors.RevisionGapError(9, 7), "RevisionGap: received revision 9 after revision 7"),
+        (
+            errors.OutOfSequenceError("received a piece without the start of a snapshot"),
+            "OutOfSequence: received a piece without the start of a snapshot",
+        ),
+        (errors.NoProgressError(9, 7), "NoProgress: the relay announced revision 9 but has sent only revision 7"),
     ],
 )
 def test_a_rejected_message_is_logged_under_a_stable_name(error, logged):
