--- a/badgerbend/feed/upstream.py
+++ b/badgerbend/feed/upstream.py
@@ -27,8 +27,8 @@
 class UpstreamConnection:
     """Phase and deadlines of the connection.
 
-    emit: receives the actions. on_lost: called at the start of each backoff, when the follower has
-    no connection.
+    emit: receives the actions. on_lost: called at the start of each backoff, when there is no
+    connection.
     """
 
     def __init__(
--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -1,6 +1,6 @@
-"""A control machine over sockets: consensus and leases over sealed datagrams, a relay over TCP.
+"""A control machine over sockets: consensus and leases use sealed datagrams, and the relay uses TCP.
 
-What is published and when is decided by `feed.control`.
+`feed.control` decides what is published and when.
 """
 
 from __future__ import annotations
@@ -37,22 +37,25 @@
 from badgerbend.net.seal import DatagramSealer
 from badgerbend.net.udp import Address, SealedSocket, address_text
 
-MAX_ROUNDS = 64  # of actions at once: the parts of one machine answer each other
+MAX_ROUNDS = 64  # of actions per call, since the components of one machine reply to each other
 
 
 class NotPublishingError(Exception):
-    """This machine does not hold the lease on publishing. holder: who does, as last heard; empty for nobody."""
+    """Raised when this machine does not hold the publishing lease.
+
+    holder: the last known holder, or an empty string if there is none.
+    """
 
     def __init__(self, holder: str) -> None:
-        super().__init__(f"{holder or 'nobody'} publishes")
+        super().__init__(f"this machine does not hold the publishing lease; its holder is {holder or 'unknown'}")
         self.holder = holder
 
 
 class ControlServer(SealedSocket):
-    """One control machine: a voter, the lease on publishing, a publisher and a relay.
+    """One control machine: a voter, a holder of the publishing lease, a publisher and a relay.
 
-    Built and used on one running loop. validate: what is wrong with a change, or an empty string. log_event: writes an
-    event with its fields to the log. Raises StoreError or OSError if the voter's store cannot be used.
+    Created and used on one running event loop. validate: returns the reason to reject a change, or an empty string.
+    log_event: writes an event with its fields to the log. Raises StoreError or OSError if the store is unusable.
     """
 
     def __init__(
@@ -115,14 +118,14 @@
         )
 
     async def start(self) -> int:
-        """Bind both sockets; returns the relay's port. Raises OSError."""
+        """Bind both sockets and return the port of the relay. Raises OSError."""
         await self.open(*self.own_address)
         port = await self.relay_server.start(*self.settings.relay_address)
         self._process_actions()
         return port
 
     async def close(self) -> None:
-        """Return the lease, transfer leadership of the log to another voter, and end."""
+        """Return the lease, transfer the leadership of the log to another voter, and close the sockets."""
         self.lease_holder.shut_down(self.clock())
         self._process_actions()
         self.local_voter.transfer_leadership()
@@ -137,13 +140,13 @@
 
     @property
     def is_publisher(self) -> bool:
-        """Whether this machine holds the lease on publishing now."""
+        """Whether this machine publishes under its lease now."""
         return bool(self.publisher.epoch)
 
     def submit(self, changes: Iterable[Change]) -> tuple[RejectedChange, ...]:
-        """Accept all of these changes for publication, or none.
+        """Accept all of these changes for publication, or none of them.
 
-        Returns the problems of those that are rejected. Raises NotPublishingError.
+        Returns the rejected changes with their reasons. Raises NotPublishingError.
         """
         if not self.is_publisher:
             raise NotPublishingError(self.lease_holder.duties[PUBLISH_LEASE].holder)
@@ -152,7 +155,7 @@
         return problems
 
     def progress(self, revision: int) -> RolloutProgress:
-        """How many followers have a revision in force, as far as relays have reported."""
+        """Return how many followers have applied a revision, according to the reports of relays."""
         return self.publisher.progress(self.clock(), revision)
 
     # Datagrams.
@@ -190,7 +193,7 @@
             ):
                 self.local_voter.handle_consensus_message(message)
             case SuspicionReport() | ProbeReport() | BudgetRequest() | BudgetReply():
-                self.refused += 1  # messages between brokers
+                self.refused += 1  # these messages are exchanged between brokers only
             case _:
                 assert_never(message)
 
@@ -198,7 +201,7 @@
         self.lease_holder.receive_reply(self.clock(), reply)
         self._process_actions()
 
-    # Time and actions.
+    # Timer and actions.
 
     def _tick(self) -> None:
         now = self.clock()
@@ -210,7 +213,7 @@
         self._process_actions()
 
     def _process_actions(self) -> None:
-        """Carry out the actions of all parts until there are none, and schedule the next tick."""
+        """Carry out the actions of all components until there are none, and schedule the next tick."""
         if self._closed:
             return
         for _ in range(MAX_ROUNDS):
--- a/badgerbend/feed_service/control_settings.py
+++ b/badgerbend/feed_service/control_settings.py
@@ -1,4 +1,4 @@
-"""The settings of one control machine."""
+"""Settings of one control machine."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlSettings:
-    """One control machine.
+    """Settings of one control machine.
 
-    name: its own, one of `voters`. store_path: the folder of its voter's records. voters: where all control machines
-    receive datagrams, by name. relay_address: where its relay listens. keys: seal the datagrams, the current one first.
+    name: this machine's key in `voters`. store_path: the directory of its voter's records. voters: the datagram
+    addresses of all control machines by name. relay_address: the listening address of its relay. keys: the keys that
+    seal datagrams, the current one first.
     """
 
     name: str
--- a/badgerbend/feed_service/control_wire.py
+++ b/badgerbend/feed_service/control_wire.py
@@ -1,6 +1,6 @@
-"""Datagrams between control machines: one byte for the kind, then the encoded message.
+"""Datagrams between control machines: one byte that identifies the kind, followed by the encoded message.
 
-Kinds not defined here are those of `lease_service.wire`.
+Kinds that are not defined here are defined by `lease_service.wire`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A command for the replicated log, from the publisher to the leader."""
+    """A command for the replicated log, sent by the publisher to the leader."""
 
     command: bytes
 
@@ -28,17 +28,17 @@
 
 
 def encode_proposal(command: bytes) -> bytes:
-    """Return the datagram that proposes a command."""
+    """Encode the datagram that proposes a command."""
     return PROPOSAL + command
 
 
 def encode_summary(summary: Summary) -> bytes:
-    """Return the datagram that reports what a relay's followers have in force."""
+    """Encode the datagram that reports what the followers of a relay have applied."""
     return SUMMARY + messages.encode(summary)
 
 
 def decode(body: bytes) -> ControlMessage:
-    """Return the message of a datagram. Raises MalformedMessageError."""
+    """Decode the message of a datagram. Raises MalformedMessageError."""
     kind = body[:1]
     if kind == PROPOSAL:
         return Proposal(body[1:])
@@ -53,5 +53,5 @@
     except MalformedFeedMessageError as error:
         raise MalformedMessageError(str(error)) from error
     if not isinstance(message, Summary):
-        raise MalformedMessageError(f"{type(message).__name__} where a summary was due")
+        raise MalformedMessageError(f"expected Summary, received {type(message).__name__}")
     return message
--- a/badgerbend/feed_service/follower.py
+++ b/badgerbend/feed_service/follower.py
@@ -1,4 +1,4 @@
-"""A follower's connection: connects `feed.follower.Follower` to its owner and to TCP."""
+"""The network client of a follower: connects `feed.follower.Follower` to its owner and to TCP."""
 
 from __future__ import annotations
 
@@ -16,68 +16,68 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """Bytes of the feed's frames, without the headers of the network's protocols."""
+    """Traffic in bytes of the feed's frames, not counting the headers of network protocols."""
 
     received_bytes: int
     sent_bytes: int
 
     def plus(self, stream: MessageStream) -> Traffic:
-        """Return this traffic and that of one connection so far."""
+        """Return the sum of this traffic and that of a connection so far."""
         return Traffic(self.received_bytes + stream.bytes_received, self.sent_bytes + stream.bytes_sent)
 
 
 class FollowerOwner(Protocol):
-    """Puts in force what the feed brings. Called between two turns of the loop, never within one."""
+    """Applies the changes of the feed. It is called between two turns of the owner's loop, never within one."""
 
     def install(self, revision: int, changes: tuple[Change, ...]) -> str:
-        """Apply changes. Returns why the newest configuration of the feed is not in force, or an empty string.
+        """Apply changes. Returns why the newest configuration of the feed is not active, or an empty string.
 
-        A configuration that cannot be used leaves the one in force as it is. An exception ends the follower and is
-        raised in the loop.
+        A configuration that cannot be used leaves the active one unchanged. An exception stops the follower and
+        propagates to the event loop.
         """
         ...
 
     def rejected(self, relay: str, error: FeedError) -> None:
-        """A relay sent something that was not used."""
+        """Handle the rejection of a message or of invalid bytes from a relay."""
         ...
 
 
 class FollowerClient:
-    """A follower and its connection. Built and used on one running loop."""
+    """A follower and its connection. Created and used on one running event loop."""
 
     def __init__(self, follower: Follower, owner: FollowerOwner, clock: Clock = monotonic) -> None:
         self.follower = follower
         self.owner = owner
         self.clock = clock
         self.loop = asyncio.get_running_loop()
-        self._closed_traffic = Traffic(0, 0)  # of connections that have ended
+        self._closed_traffic = Traffic(0, 0)  # total of the connections that have ended
         self._stream: MessageStream | None = None
         self._connecting: asyncio.Task[None] | None = None
         self._timer = Timer(clock, self._tick)
         self._processing = False
 
     def start(self) -> None:
-        """Begin to look for a relay."""
+        """Start the follower, which then connects to a relay."""
         self.follower.start(self.clock())
         self._process_actions()
 
     def stop(self) -> None:
-        """End the connection; the replica stays."""
+        """Close the connection; the replica is kept."""
         self.follower.stop()
         self._process_actions()
         self._timer.cancel()
 
     @property
     def traffic(self) -> Traffic:
-        """The traffic of all connections so far."""
+        """The total traffic of all connections so far."""
         if self._stream is None:
             return self._closed_traffic
         return self._closed_traffic.plus(self._stream)
 
-    # The listener of the connection.
+    # Implementation of StreamListener.
 
     def stream_opened(self, stream: MessageStream) -> None:
-        """Tell the follower that its attempt to connect has succeeded."""
+        """Notify the follower that its connection attempt has succeeded."""
         self.follower.connected(self.clock(), stream.number)
         self._process_actions()
 
@@ -87,15 +87,15 @@
         self._process_actions()
 
     def stream_malformed(self, stream: MessageStream, error: FeedError) -> None:
-        """Report bytes that are no message to the follower."""
+        """Report invalid bytes to the follower."""
         self.follower.protocol_error(self.clock(), stream.number, error)
         self._process_actions()
 
     def stream_writable(self, stream: MessageStream) -> None:
-        """Ignored: what a follower sends is small, and nothing is held back."""
+        """Do nothing: a follower sends only small messages and does not wait for the write buffer."""
 
     def stream_closed(self, stream: MessageStream) -> None:
-        """Tell the follower that its connection has ended."""
+        """Notify the follower that its connection has ended."""
         self._forget(stream)
         self.follower.closed(self.clock(), stream.number)
         self._process_actions()
@@ -107,7 +107,7 @@
         self._process_actions()
 
     def _process_actions(self) -> None:
-        """Carry out the follower's actions in their order. A call from within an action leaves the rest to it."""
+        """Carry out the follower's actions in order. A call from within an action leaves the rest to the outer call."""
         if self._processing:
             return
         self._processing = True
@@ -123,7 +123,10 @@
         self._timer.schedule(self.follower.next_at)
 
     def _fail(self) -> None:
-        """End after the owner failed within an install: it is unknown what is in force, so nothing is reported."""
+        """Stop after an exception while carrying out actions, such as a failed install.
+
+        It is then unknown what has been applied, so nothing is reported.
+        """
         self.follower.stop()
         self.follower.take_actions()
         self._disconnect()
--- a/badgerbend/feed_service/relay.py
+++ b/badgerbend/feed_service/relay.py
@@ -1,4 +1,4 @@
-"""A relay's listening socket: connects `feed.relay.Relay` to the TCP connections of followers."""
+"""The network server of a relay: connects `feed.relay.Relay` to the TCP connections of followers."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from badgerbend.feed_service.stream import MessageStream
 from badgerbend.feed_service.timer import Clock, Timer, monotonic
 
-BACKLOG = 4096  # connections that wait to be accepted: a zone's followers reconnect at once
-MAX_ROUNDS = 16  # of actions in one turn of the loop; the rest follows in the next turn
+BACKLOG = 4096  # connections waiting to be accepted; the followers of a whole zone may reconnect at once
+MAX_ROUNDS = 16  # of actions in one iteration of the event loop; the rest follows in the next one
 
 
 class RelayServer:
-    """A relay and its connections. Built and used on one running loop.
+    """A relay and its connections. Created and used on one running event loop.
 
-    connections_accepted: counts all connections since the start.
+    connections_accepted: number of connections accepted since the start.
     """
 
     def __init__(self, relay: Relay, clock: Clock = monotonic) -> None:
@@ -30,13 +30,13 @@
         self.connections_accepted = 0
         self._numbers = count(1)
         self._streams: dict[int, MessageStream] = {}
-        self._written = set[int]()  # connections written to since the relay was last told which of them have drained
+        self._written = set[int]()  # connections written to since drained connections were last reported
         self._timer = Timer(clock, self._tick)
         self._server: asyncio.Server | None = None
         self._next_turn: asyncio.Handle | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Listen; returns the port. Raises OSError."""
+        """Listen on an address and return the port. Raises OSError."""
         self._server = await self.loop.create_server(self._create_stream, host, port, backlog=BACKLOG)
         return int(self._server.sockets[0].getsockname()[1])
 
@@ -60,11 +60,11 @@
         self.process_actions()
 
     def mark_current(self, as_of: float) -> None:
-        """Notify the relay that its log held everything committed by a time of `clock`."""
+        """Notify the relay that its log contained everything committed by a time of `clock`."""
         self.relay.mark_current(self.clock(), as_of)
 
     def process_actions(self) -> None:
-        """Carry out the relay's actions. To be called after each call of the relay."""
+        """Carry out the relay's actions. Must be called after each call of the relay."""
         for _ in range(MAX_ROUNDS):
             actions = self.relay.take_actions()
             if not actions and not self._written:
@@ -82,13 +82,13 @@
         return len(self._streams)
 
     def max_unsent_bytes(self) -> int:
-        """The unsent bytes of the slowest follower."""
+        """Return the largest number of unsent bytes of any connection."""
         return max((stream.unsent_bytes for stream in self._streams.values()), default=0)
 
-    # The listener of the connections.
+    # Implementation of StreamListener.
 
     def stream_opened(self, stream: MessageStream) -> None:
-        """Begin a session, unless the server was stopped after it had accepted the connection."""
+        """Start a session, unless the server has been stopped since it accepted the connection."""
         if self._server is None or not self._server.is_serving():
             stream.abort()
             return
@@ -103,12 +103,12 @@
         self.process_actions()
 
     def stream_malformed(self, stream: MessageStream, error: FeedError) -> None:
-        """Report bytes that are no message to the relay."""
+        """Report invalid bytes to the relay."""
         self.relay.protocol_error(self.clock(), stream.number, error)
         self.process_actions()
 
     def stream_writable(self, stream: MessageStream) -> None:
-        """Report to the relay that the connection takes further frames."""
+        """Report to the relay that the connection accepts further frames."""
         self._written.add(stream.number)
         self.process_actions()
 
@@ -142,7 +142,7 @@
                 assert_never(action)
 
     def _report_drained(self) -> None:
-        """Tell the relay which connections have taken what was written; a full one becomes writable later."""
+        """Notify the relay of connections with buffer space; full connections are reported when they are writable."""
         written = self._written
         self._written = set()
         for number in written:
--- a/badgerbend/feed_service/stream.py
+++ b/badgerbend/feed_service/stream.py
@@ -9,12 +9,12 @@
 from badgerbend.feed.framing import FrameReader
 from badgerbend.feed.messages import Message
 
-WRITE_HIGH = 64 * 1024  # unsent bytes from which on the connection counts as full
-WRITE_LOW = 16 * 1024  # unsent bytes at which a full connection is writable again
+WRITE_HIGH = 64 * 1024  # unsent bytes above which the connection counts as full
+WRITE_LOW = 16 * 1024  # unsent bytes at or below which a full connection becomes writable again
 
 
 class StreamListener(Protocol):
-    """Receives the events of connections. A connection that its listener has aborted has no more events."""
+    """Receives the events of connections. There are no further events after the listener aborts a connection."""
 
     def stream_opened(self, stream: MessageStream) -> None:
         """The connection is established."""
@@ -23,13 +23,13 @@
         """A message was received."""
 
     def stream_malformed(self, stream: MessageStream, error: FeedError) -> None:
-        """Bytes were received that are no message; the connection stays open until it is aborted."""
+        """Invalid bytes were received; the connection stays open until it is aborted."""
 
     def stream_writable(self, stream: MessageStream) -> None:
-        """The connection was full, and now takes further frames."""
+        """The connection was full and now accepts further frames."""
 
     def stream_closed(self, stream: MessageStream) -> None:
-        """The other side or the network has ended the connection."""
+        """The peer or the network has closed the connection."""
 
 
 class MessageStream(asyncio.Protocol):
@@ -50,17 +50,17 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes written that the socket has not taken yet."""
+        """The number of written bytes that the socket has not accepted yet."""
         return 0 if self._transport is None else self._transport.get_write_buffer_size()
 
     def write(self, frame: bytes) -> None:
-        """Send a frame; does nothing if the connection has ended."""
+        """Send a frame. Does nothing if the connection has ended."""
         if self._transport is not None and not self._ended:
             self.bytes_sent += len(frame)
             self._transport.write(frame)
 
     def abort(self) -> None:
-        """Close the connection at once and discard its unsent bytes."""
+        """Close the connection immediately and discard its unsent bytes."""
         self._ended = True
         if self._transport is not None:
             self._transport.abort()
@@ -68,7 +68,7 @@
     # The methods of asyncio.Protocol.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Tell the listener, unless it has aborted the connection while it was being established."""
+        """Notify the listener, unless it has aborted the connection while it was being established."""
         self._transport = cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(WRITE_HIGH, WRITE_LOW)
         if self._ended:
@@ -77,7 +77,7 @@
             self.listener.stream_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Pass on each message that is complete."""
+        """Pass complete messages on to the listener."""
         self.bytes_received += len(data)
         try:
             for message in self._reader.feed(data):
@@ -93,13 +93,13 @@
         self.full = True
 
     def resume_writing(self) -> None:
-        """Tell the listener that no more than WRITE_LOW bytes are unsent."""
+        """Notify the listener that no more than WRITE_LOW bytes are unsent."""
         self.full = False
         if not self._ended:
             self.listener.stream_writable(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the listener, unless it has aborted the connection itself."""
+        """Notify the listener, unless it has aborted the connection itself."""
         if not self._ended:
             self._ended = True
             self.listener.stream_closed(self)
--- a/badgerbend/feed_service/timer.py
+++ b/badgerbend/feed_service/timer.py
@@ -1,4 +1,4 @@
-"""One timer on an asyncio loop, for a state machine that says when it has something to do next."""
+"""A timer on an asyncio event loop for a state machine that knows when it next has something to do."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 import time
 from collections.abc import Callable
 
-Clock = Callable[[], float]  # seconds, never going backwards
+Clock = Callable[[], float]  # monotonic time in seconds
 monotonic: Clock = time.monotonic
 
 
 class Timer:
-    """Calls `on_due` once at the time scheduled last. Built and used on one running loop."""
+    """Calls `on_due` once at the most recently scheduled time. Created and used on one running event loop."""
 
     def __init__(self, clock: Clock, on_due: Callable[[], None]) -> None:
         self.clock = clock
@@ -22,7 +22,7 @@
         self._handle: asyncio.TimerHandle | None = None
 
     def schedule(self, due_at: float) -> None:
-        """Replace the time scheduled before, in seconds of `clock`; infinity schedules nothing."""
+        """Replace the scheduled time, which is in seconds of `clock`. Infinity schedules nothing."""
         if due_at == self._due_at and self._handle is not None:
             return
         self.cancel()
@@ -31,7 +31,7 @@
             self._handle = self.loop.call_later(max(due_at - self.clock(), 0.0), self._run)
 
     def cancel(self) -> None:
-        """Schedule nothing."""
+        """Cancel the scheduled call, if there is one."""
         if self._handle is not None:
             self._handle.cancel()
         self._clear()
--- a/badgerbend/feed_subscription/public_key.py
+++ b/badgerbend/feed_subscription/public_key.py
@@ -1,4 +1,4 @@
-"""The publisher's public key, as the operator installs it on each broker."""
+"""The publisher's public key, which the operator installs on each broker."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class PublicKeyError(ValueError):
-    """A file that does not hold a public key. file: its path; reason: what is wrong with it."""
+    """Raised for a file that does not contain a public key. file: its path. reason: what is wrong with it."""
 
     def __init__(self, file: Path, reason: str) -> None:
         super().__init__(f"the feed's public key {file} {reason}")
--- a/badgerbend/feed_subscription/reader.py
+++ b/badgerbend/feed_subscription/reader.py
@@ -1,4 +1,4 @@
-"""Reads published configurations and decides whether this broker can use them."""
+"""Parses published configurations and decides whether this broker can use them."""
 
 from __future__ import annotations
 
@@ -21,9 +21,10 @@
 
 
 class ConfigurationReader:
-    """Reads the values of one key of the feed.
+    """Parses the values of one key of the feed.
 
-    local_settings: those of the broker's settings file; a published configuration may leave out what it may not change.
+    local_settings: the settings from the broker's settings file. A published configuration may omit the settings that
+    it cannot change; they are taken from the file.
     """
 
     def __init__(self, local_settings: Settings, key: str, generations: GenerationManager) -> None:
@@ -32,7 +33,7 @@
         self.generations = generations
 
     def read(self, data: bytes) -> UsableConfiguration:
-        """Read a configuration. Raises UnusableConfigurationError, whose text names the line and the field."""
+        """Parse a configuration. Raises UnusableConfigurationError, whose text names the line and the field."""
         try:
             settings = settings_in_force(self.local_settings, data.decode(), self.key)
             return UsableConfiguration(settings, self._graph(settings))
@@ -44,7 +45,7 @@
             raise UnusableConfigurationError(f"{self.key}: schema: {error}") from error
 
     def _graph(self, settings: Settings) -> Subgraph:
-        """Return the current subgraph if it is built from the same fields and entities, or build another."""
+        """Return the current subgraph if it was built from the same fields and entities, else a new one."""
         current = self.generations.current
         if (settings.field, settings.entity) == (current.settings.field, current.settings.entity):
             return current.graph
--- a/badgerbend/feed_subscription/rejections.py
+++ b/badgerbend/feed_subscription/rejections.py
@@ -1,6 +1,6 @@
-"""How the log names the reason why something that a relay sent was not used.
+"""Names in the log for the reasons to reject data that a relay sent.
 
-The names are part of the log's format, so they are stated here and do not follow the names of the error classes.
+The names are part of the log format. They are listed here so that they do not depend on the names of error classes.
 """
 
 from __future__ import annotations
@@ -20,6 +20,6 @@
 
 
 def describe_rejection(relay: str, error: errors.FeedError) -> str:
-    """Return the log's text: the relay, the kind of error and its message."""
+    """Return the text for the log: the relay, the kind of error and its message."""
     kind = LOGGED_NAMES.get(type(error), type(error).__name__)
     return f"{relay}: {kind}: {error}"
--- a/badgerbend/feed_subscription/subscription.py
+++ b/badgerbend/feed_subscription/subscription.py
@@ -1,4 +1,4 @@
-"""A broker's subscription: it follows relays, checks configurations and activates them in the broker."""
+"""A broker's subscription: it follows relays, validates configurations and activates them in the broker."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class FeedSubscription:
-    """The owner of a broker's follower, see `feed_service.follower.FollowerOwner`. Used on the broker's loop alone.
+    """The owner of a broker's follower, see `feed_service.follower.FollowerOwner`. Used on the broker's loop only.
 
-    folder: what the path of the public key's file is relative to. endpoint_list: receives the rows of servers, where
-    the feed brings the endpoint list. Raises OSError or PublicKeyError if the public key cannot be read.
+    folder: the directory that the path of the public key is relative to. endpoint_list: receives the entries of servers
+    if the endpoint list comes from the feed. Raises OSError or PublicKeyError if the public key cannot be read.
     """
 
     def __init__(
@@ -61,16 +61,16 @@
             settings.seed * 104_729 + settings.identity.index,
         )
         self.client = FollowerClient(follower, self)
-        self._waiting_for_capacity = False  # a usable configuration waits until a generation has drained
+        self._waiting_for_capacity = False  # a usable configuration waits for a generation to drain
         self._activation: asyncio.Handle | None = None
         generations.on_drained = self._schedule_activation
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the feed."""
         self.client.start()
 
     def close(self) -> None:
-        """Stop following; the configuration in force stays."""
+        """Stop following the feed; the active configuration is kept."""
         self.client.stop()
         self._waiting_for_capacity = False
         if self._activation is not None:
@@ -78,13 +78,13 @@
 
     @property
     def age_s(self) -> float:
-        """How old the replica may be, in seconds; infinite before a relay has sent anything."""
+        """Upper bound of the age of the replica in seconds; infinite before the first heartbeat of a relay."""
         return self.client.follower.age_s(self.client.clock())
 
-    # The follower's owner.
+    # Implementation of FollowerOwner.
 
     def install(self, revision: int, changes: tuple[Change, ...]) -> str:
-        """Apply changes. Returns why the newest configuration is not in force, or an empty string."""
+        """Apply changes. Returns why the newest configuration is not active, or an empty string."""
         if self.endpoint_list is not None:
             self.endpoint_list.change(_endpoint_rows(changes))
         for change in changes:
@@ -95,13 +95,13 @@
         return WAITING_FOR_CAPACITY if self._waiting_for_capacity else ""
 
     def rejected(self, relay: str, error: FeedError) -> None:
-        """Count a message of a relay that could not be used."""
+        """Report the rejection of data from a relay as a fault."""
         self.metrics.report_fault("feed not used", describe_rejection(relay, error))
 
     # Activation.
 
     def _receive_configuration(self, revision: int, value: bytes | None) -> None:
-        """Check a configuration and activate it; a removed one (None) leaves the one in force as it is."""
+        """Validate and activate a configuration; its removal (None) leaves the active one unchanged."""
         if value is None:
             self.active_configuration.rejected = None
             return
@@ -112,7 +112,7 @@
         self._activate()
 
     def _activate(self) -> None:
-        """Put the newest usable configuration in force, or wait for capacity."""
+        """Activate the newest usable configuration, or wait until another generation may begin."""
         self._waiting_for_capacity = not self.generations.has_capacity
         if self._waiting_for_capacity or not self.active_configuration.activate():
             return
@@ -126,7 +126,7 @@
         )
 
     def _schedule_activation(self) -> None:
-        """Activate a waiting configuration after this turn of the loop, within which a generation has drained."""
+        """Activate a waiting configuration after the current turn of the loop, in which a generation has drained."""
         if self._waiting_for_capacity and self._activation is None:
             self._activation = self.client.loop.call_soon(self._activate_waiting)
 
@@ -138,7 +138,7 @@
 
 
 def _endpoint_rows(changes: tuple[Change, ...]) -> dict[str, bytes | None]:
-    """Return the rows of the endpoint list among changes, by the server's name."""
+    """Return the changed entries of the endpoint list by server name."""
     rows = (change for change in changes if change.key.startswith(NODE_PREFIX))
     return {change.key.removeprefix(NODE_PREFIX): change.value for change in rows}
 
--- a/badgerbend/publication_validation/__init__.py
+++ b/badgerbend/publication_validation/__init__.py
@@ -1,1 +1,1 @@
-"""Validation by the publisher: a change that is not valid is rejected before any broker receives it."""
+"""Validation by the publisher: an invalid change is rejected before any broker receives it."""
--- a/badgerbend/publication_validation/changes.py
+++ b/badgerbend/publication_validation/changes.py
@@ -1,4 +1,4 @@
-"""Validation of every kind of published change: configurations by line and field, endpoints by field."""
+"""Validation of all kinds of published changes: configurations with line and field, endpoints with the field."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def validate_change(change: Change) -> str:
-    """Return what is wrong with a change, or an empty string. Suits `feed.publisher.Publisher`."""
+    """Return the reason to reject a change, or an empty string. This is a `feed.publisher.ChangeCheck`."""
     return validate_endpoint(change) or validate_configuration(change)
 
 
 def validate_endpoint(change: Change) -> str:
-    """Return what is wrong with a server's entry, or an empty string.
+    """Return what is wrong with the endpoint list's entry of a server, or an empty string.
 
-    Whether its cell belongs to the layout is for brokers to decide.
+    Brokers decide whether the server's cell belongs to the layout.
     """
     if not change.key.startswith(NODE_PREFIX) or change.value is None:
         return ""
--- a/badgerbend/publication_validation/configurations.py
+++ b/badgerbend/publication_validation/configurations.py
@@ -1,4 +1,4 @@
-"""Validation of published configurations by line and field."""
+"""Validation of published configurations; errors name the line and the field."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 def validate_configuration(change: Change) -> str:
     """Return what is wrong with a published configuration, with line and field, or an empty string.
 
-    Only keys under CONFIGURATION_PREFIX are validated; each value is a settings text `(broker ...)`. Whether a running
-    broker can use a valid configuration is for that broker to decide. Suits `feed.publisher.Publisher`.
+    Only keys under CONFIGURATION_PREFIX are validated. Each value is a settings text `(broker ...)`. A running broker
+    decides itself whether it can use a valid configuration. This is a `feed.publisher.ChangeCheck`.
     """
     if not change.key.startswith(CONFIGURATION_PREFIX) or change.value is None:
         return ""
