--- a/badgerbend/feed/machine.py
+++ b/badgerbend/feed/machine.py
@@ -31,7 +31,7 @@
     publication_id: bytes = b""
 
 
-class _Dump(msgspec.Struct, array_like=True):
+class _StoredState(msgspec.Struct, array_like=True):
     """The stored state, encoded as a positional array: the order of the fields is the format, not their names."""
 
     table: bytes
@@ -60,14 +60,14 @@
         if part is None:
             self.table.apply(index, data)
         elif self.is_current_epoch(part.epoch):
-            self._add(part)
+            self._collect_part(part)
 
     def needs_part(self, command: bytes) -> bool:
         """Whether a command has to be proposed; false for a part that has already been applied."""
         part = decode_part(command)
         if part is None:
             return True
-        return _key_of(part) != self._pending_key or part.part_index not in self._pending_parts
+        return _publication_key(part) != self._pending_key or part.part_index not in self._pending_parts
 
     def is_current_epoch(self, epoch: int) -> bool:
         """Whether this is the epoch of the publishing lease and the lease has a holder."""
@@ -76,7 +76,7 @@
 
     def dump(self) -> bytes:
         """Encode the state for a snapshot of the replicated log."""
-        state = _Dump(
+        state = _StoredState(
             self.table.dump(),
             self.log.checkpoint,
             sorted(self.log.content.items()),
@@ -89,7 +89,7 @@
 
     def load(self, state: bytes) -> None:
         """Replace the state. Raises msgspec.MsgspecError or DigestMismatchError for invalid data."""
-        dump = msgspec.msgpack.decode(state, type=_Dump)
+        dump = msgspec.msgpack.decode(state, type=_StoredState)
         content = Content()
         content.apply(Change(key, value) for key, value in dump.entries)
         self.table.load(dump.table)
@@ -98,9 +98,9 @@
         self._pending_parts = dict(dump.pending_parts)
         self.on_log_change()
 
-    def _add(self, part: PublishPart) -> None:
+    def _collect_part(self, part: PublishPart) -> None:
         """Collect parts in any order. A part of another publication discards the parts collected so far."""
-        key = _key_of(part)
+        key = _publication_key(part)
         if key != self._pending_key:
             self._pending_key = key
             self._pending_parts = {}
@@ -127,5 +127,5 @@
             raise PartMismatchError(part.epoch, part.revision)
 
 
-def _key_of(part: PublishPart) -> PublicationKey:
+def _publication_key(part: PublishPart) -> PublicationKey:
     return PublicationKey(part.epoch, part.revision, part.publication_id)
--- a/badgerbend/feed/relay.py
+++ b/badgerbend/feed/relay.py
@@ -200,7 +200,7 @@
         """Send heartbeats to all followers, and disconnect those that send no messages or accept no data."""
         newest = encode_frame(self._heartbeat(now))
         for number, session in list(self.sessions.items()):
-            reason = session.failure(now, self.tuning)
+            reason = session.close_reason(now, self.tuning)
             if reason:
                 self.evicted += 1
                 self._close(now, number, reason)
--- a/badgerbend/feed/session.py
+++ b/badgerbend/feed/session.py
@@ -85,7 +85,7 @@
         self.epoch = image.checkpoint.epoch
         self.phase = SessionPhase.STREAMING
 
-    def failure(self, now: float, tuning: RelayTuning) -> str:
+    def close_reason(self, now: float, tuning: RelayTuning) -> str:
         """Return the reason to close the connection, or an empty string while it is healthy."""
         silence = now - self.last_received_at
         if self.phase is SessionPhase.AWAITING_HELLO:
--- a/badgerbend/feed/snapshot.py
+++ b/badgerbend/feed/snapshot.py
@@ -75,20 +75,20 @@
         self.checkpoint = begin.checkpoint
         self.content = Content()
         self._piece_count = begin.piece_count
-        self._next = 0
+        self._next_index = 0
 
     @property
     def complete(self) -> bool:
         """Whether all pieces have been received."""
-        return self._next == self._piece_count
+        return self._next_index == self._piece_count
 
     def add(self, piece: SnapshotPiece) -> None:
         """Add the next piece. Raises OutOfSequenceError or MalformedMessageError."""
-        if piece.index != self._next or self.complete:
-            text = f"received piece {piece.index} of a snapshot instead of piece {self._next}"
-            raise OutOfSequenceError(text, received=piece.index, expected=self._next)
+        if piece.index != self._next_index or self.complete:
+            text = f"received piece {piece.index} of a snapshot instead of piece {self._next_index}"
+            raise OutOfSequenceError(text, received=piece.index, expected=self._next_index)
         self.content.apply(decode_changes(_decompress(piece.compressed)))
-        self._next += 1
+        self._next_index += 1
 
 
 def _decompress(compressed: bytes) -> bytes:
--- a/badgerbend/feed/snapshot_transfers.py
+++ b/badgerbend/feed/snapshot_transfers.py
@@ -44,8 +44,8 @@
 
     def refill(self, now: float, tuning: RelayTuning) -> None:
         """Add tokens for the time since the last refill, up to the size of a burst."""
-        passed = max(now - self._refilled_at, 0.0)
-        refilled = self.tokens + passed * tuning.snapshot_bytes_per_second
+        elapsed = max(now - self._refilled_at, 0.0)
+        refilled = self.tokens + elapsed * tuning.snapshot_bytes_per_second
         self.tokens = min(refilled, float(tuning.snapshot_burst_bytes))
         self._refilled_at = now
 
--- a/badgerbend/feed/upstream.py
+++ b/badgerbend/feed/upstream.py
@@ -87,7 +87,7 @@
             self.deadline_passed(now)
         if now >= self._failback_at:
             self._failback_at = math.inf
-            self._drop()
+            self._disconnect()
             self.back_off_until(now)
 
     def deadline_passed(self, now: float) -> None:
@@ -99,7 +99,7 @@
 
     def abandon(self, now: float) -> None:
         """Close the connection and retry after a backoff."""
-        self._drop()
+        self._disconnect()
         self.retry(now)
 
     def retry(self, now: float) -> None:
@@ -124,7 +124,7 @@
 
     def stop(self) -> None:
         """Close the connection and open no further one."""
-        self._drop()
+        self._disconnect()
         self.phase = FollowerPhase.STOPPED
         self._deadline = math.inf
         self._failback_at = math.inf
@@ -136,6 +136,6 @@
         self._deadline = now + self.tuning.connect_timeout
         self._emit(Connect(self.attempt, self.relay))
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self.phase in ACTIVE_PHASES:
             self._emit(Disconnect(self.attempt))
--- a/badgerbend/feed_service/follower.py
+++ b/badgerbend/feed_service/follower.py
@@ -96,7 +96,7 @@
 
     def stream_closed(self, stream: MessageStream) -> None:
         """Notify the follower that its connection has ended."""
-        self._forget(stream)
+        self._remove_stream(stream)
         self.follower.closed(self.clock(), stream.number)
         self._process_actions()
 
@@ -154,7 +154,7 @@
         try:
             await self.loop.create_connection(lambda: stream, action.relay.host, action.relay.port)
         except OSError:
-            self._forget(stream)
+            self._remove_stream(stream)
             self.follower.closed(self.clock(), action.attempt)
             self._process_actions()
 
@@ -163,9 +163,9 @@
             self._connecting.cancel()
         if self._stream is not None:
             self._stream.abort()
-            self._forget(self._stream)
+            self._remove_stream(self._stream)
 
-    def _forget(self, stream: MessageStream) -> None:
+    def _remove_stream(self, stream: MessageStream) -> None:
         self._closed_traffic = self._closed_traffic.plus(stream)
         if self._stream is stream:
             self._stream = None
--- a/badgerbend/feed_service/relay.py
+++ b/badgerbend/feed_service/relay.py
@@ -114,7 +114,7 @@
 
     def stream_closed(self, stream: MessageStream) -> None:
         """End the session."""
-        self._forget(stream.number)
+        self._remove_stream(stream.number)
         self.relay.closed(self.clock(), stream.number)
         self.process_actions()
 
@@ -136,7 +136,7 @@
                 stream.write(action.frame)
                 self._written.add(action.session)
             case Close():
-                self._forget(action.session)
+                self._remove_stream(action.session)
                 stream.abort()
             case _:
                 assert_never(action)
@@ -149,7 +149,7 @@
             if not self._streams[number].full:
                 self.relay.drained(self.clock(), number)
 
-    def _forget(self, number: int) -> None:
+    def _remove_stream(self, number: int) -> None:
         self._streams.pop(number, None)
         self._written.discard(number)
 
--- a/tests/feed_mutants.py
+++ b/tests/feed_mutants.py
@@ -80,7 +80,7 @@
     def discard_assembly(self):
         half = self.assembly
         super().discard_assembly()
-        if half is not None and half._next:
+        if half is not None and half._next_index:
             self.log.content.apply([Change(key, value) for key, value in half.content.items()])
 
 
@@ -89,7 +89,7 @@
 
     def _add_snapshot_piece(self, message):
         assembly = self.replica.assembly
-        if assembly is not None and message.index == assembly._next:
+        if assembly is not None and message.index == assembly._next_index:
             changes = decode_changes(_decompress(message.compressed))
             self._actions.append(Install(assembly.checkpoint.revision, changes))
         super()._add_snapshot_piece(message)
@@ -98,7 +98,7 @@
 class _UnorderedAssembly(SnapshotAssembly):
     def add(self, piece):
         self.content.apply(decode_changes(_decompress(piece.compressed)))
-        self._next += 1
+        self._next_index += 1
 
 
 class ChecksNoOrderOfPieces(ChecksNoDigestOfASnapshot):
