--- a/tests/feed_harness.py
+++ b/tests/feed_harness.py
@@ -1,4 +1,4 @@
-"""A relay and followers connected without a network: actions are carried out at once, on a clock of the test's own."""
+"""A relay and followers connected in memory: actions are carried out immediately, and each test sets the clock."""
 
 from badgerbend.feed.errors import FeedError
 from badgerbend.feed.follower import Follower
@@ -27,21 +27,21 @@
 NO_BATCHING = PublisherTuning(batch_window=0.0)
 RELAY = RelayTuning()
 ADDRESS = RelayAddress("relay-1", "north", "127.0.0.1", 1)
-FULL_NODE_COUNT = 3000  # nodes of a full harness
+FULL_NODE_COUNT = 3000  # number of nodes in the feed of `full_harness`
 
 
 def change(key, value):
-    """A change with text as its value; None removes the key."""
+    """Return a change whose value is text; None removes the key."""
     return Change(key, None if value is None else value.encode())
 
 
 def entries(log):
-    """Keys and values of a log's content."""
+    """Return the keys and values of the content of a log."""
     return dict(log.content.items())
 
 
-def signed(log, epoch, *changes, revision=None):
-    """A publication as the publisher would make it on top of a log."""
+def signed_publication(log, epoch, *changes, revision=None):
+    """Return a publication as the publisher would create it for a log."""
     revision = log.revision + 1 if revision is None else revision
     content_digest = log.content.digest_after(changes)
     digest = changes_digest(changes)
@@ -50,7 +50,7 @@
 
 
 class Control:
-    """One control machine without consensus: commands are applied as they come."""
+    """One control machine without consensus: commands are applied immediately."""
 
     def __init__(self, retention=RETENTION, tuning=NO_BATCHING, check=lambda change: ""):
         self.machine = FeedStateMachine(retention)
@@ -58,14 +58,14 @@
         self.publisher = Publisher(self.machine.log, check, SIGNER, tuning)
 
     def command(self, data):
-        """Apply a command; whether it published something."""
+        """Apply a command. Returns whether it completed a publication."""
         self.index += 1
         before = self.machine.log.revision
         self.machine.apply(self.index, data)
         return self.machine.log.revision > before
 
     def grant(self, now=0.0, holder="control-1"):
-        """Grant the lease on publishing, releasing it first where somebody has it; return its epoch."""
+        """Grant the publishing lease, after releasing it if it is held. Returns its epoch."""
         lease = self.machine.table.lease(PUBLISH_LEASE)
         if lease.holder:
             self.command(encode(ReleaseLease(PUBLISH_LEASE, lease.epoch)))
@@ -75,13 +75,13 @@
         return epoch
 
     def publish(self, now, *changes):
-        """Submit and commit one batch; return the changes that were rejected."""
+        """Submit and commit one batch. Returns the rejected changes."""
         rejected = self.publisher.submit(now, changes)
         self.pump(now)
         return rejected
 
     def pump(self, now):
-        """Commit all that the publisher proposes."""
+        """Commit everything that the publisher proposes."""
         while True:
             self.publisher.tick(now)
             commands = self.publisher.take_commands()
@@ -93,7 +93,10 @@
 
 
 class FeedHarness:
-    """One relay and its followers. `stalled`: followers whose connection takes nothing for now."""
+    """One relay and its followers.
+
+    stalled: names of followers whose connections currently accept no data. damage: replaces frames of a lying relay.
+    """
 
     def __init__(self, control, relay_tuning=RELAY):
         self.now = 0.0
@@ -101,19 +104,19 @@
         self.relay = Relay(ADDRESS.name, control.machine.log, relay_tuning)
         self.relay.mark_current(self.now)
         self.followers = {}  # by name
-        self.installed = {}  # name: Install actions
-        self.rejected = {}  # name: errors of messages that were not used
+        self.installed = {}  # Install actions by name
+        self.rejected = {}  # errors of rejected messages by name
         self.closed = []  # (name, reason)
-        self.sessions = {}  # number: name
-        self.readers = {}  # number: FrameReader
-        self.numbers = 0
+        self.sessions = {}  # follower names by connection number
+        self.readers = {}  # FrameReader by connection number
+        self.last_number = 0
         self.stalled = set()  # names
-        self.buffered = {}  # name: (session, frame) that wait
+        self.buffered = {}  # (session, frame) pairs held back, by name
         self.sent_bytes = {}  # by name
-        self.damage = None  # what a lying relay makes of a frame
+        self.damage = None  # called with each frame to alter it
 
     def follower(self, name, start=True, **tuning):
-        """Add a follower, with these fields of its tuning."""
+        """Add a follower with the given fields of its tuning."""
         follower_tuning = FollowerTuning(start_jitter=0.0, **tuning)
         follower = Follower(name, "north", [ADDRESS], VERIFIER, follower_tuning, len(self.followers))
         self.followers[name] = follower
@@ -139,7 +142,7 @@
                 self._relay_action(action)
 
     def pass_time(self, seconds, step=0.25):
-        """Let time pass, with the relay's log confirmed as current."""
+        """Advance the clock in steps while the relay's log is confirmed as current."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(self.now + step, end)
@@ -148,7 +151,7 @@
             self.process_actions()
 
     def publish(self, *changes):
-        """Publish one batch; return the changes that were rejected."""
+        """Publish one batch. Returns the rejected changes."""
         rejected = self.control.publish(self.now, *changes)
         self.relay.log_advanced(self.now)
         self.process_actions()
@@ -162,7 +165,7 @@
         self.followers[name].closed(self.now, self.followers[name].attempt)
 
     def resume(self, name):
-        """The follower's connection takes what was buffered, and what comes."""
+        """Let a follower's connection accept the buffered frames and all further ones."""
         self.stalled.discard(name)
         for number, data in self.buffered.pop(name, []):
             if number in self.sessions:
@@ -172,10 +175,10 @@
     def _follower_action(self, name, follower, action):
         match action:
             case Connect():
-                self.numbers += 1
-                self.sessions[self.numbers] = name
-                self.readers[self.numbers] = FrameReader()
-                self.relay.opened(self.now, self.numbers)
+                self.last_number += 1
+                self.sessions[self.last_number] = name
+                self.readers[self.last_number] = FrameReader()
+                self.relay.opened(self.now, self.last_number)
                 follower.connected(self.now, action.attempt)
             case Send():
                 number = next((n for n, who in self.sessions.items() if who == name), None)
@@ -222,14 +225,14 @@
 
 
 def new_harness(**tuning):
-    """A relay whose publisher has the lease; `tuning` of the relay."""
+    """Return a harness whose publisher holds the lease, with the given fields of the relay's tuning."""
     control = Control()
     control.grant()
     return FeedHarness(control, RelayTuning(**tuning))
 
 
 def full_harness(retention=RETENTION, **tuning):
-    """A harness whose feed holds a list of many nodes."""
+    """Return a harness whose feed contains FULL_NODE_COUNT nodes."""
     control = Control(retention)
     control.grant()
     rows = [change(f"node/{i}", f"ready at 10.0.{i // 256}.{i % 256}:80 " + "x" * 40) for i in range(FULL_NODE_COUNT)]
--- a/tests/feed_mutants.py
+++ b/tests/feed_mutants.py
@@ -1,4 +1,4 @@
-"""Defects planted in the feed that the judge must find, by name: they show what `tests/simfeed.py` can detect."""
+"""Defects planted in the feed that the simulation must find, by name: they show what `tests/simfeed.py` detects."""
 
 from dataclasses import dataclass
 
@@ -19,11 +19,11 @@
 
 
 def follower_with(replica):
-    """A follower whose replica has a defect."""
+    """Return a follower class whose replica has a defect."""
     return type("DefectiveFollower", (Follower,), {"replica_type": replica})
 
 
-class AppliesBeforeTheDigests(Follower):
+class InstallsBeforeDigestCheck(Follower):
     """Installs a signed publication's changes before it checks their digests."""
 
     def _apply_publication(self, publication):
@@ -34,12 +34,16 @@
         super()._apply_publication(publication)
 
 
-class ChecksNoSignature(Replica):
+class SkipsSignatureCheck(Replica):
+    """Accepts publications and snapshots without a valid signature."""
+
     def _verify(self, checkpoint):
         pass
 
 
-class ChecksNoDigestOfASnapshot(Replica):
+class SkipsSnapshotDigestCheck(Replica):
+    """Installs a snapshot whose content differs from the signed digest."""
+
     def add_snapshot_piece(self, message):
         assembly = self.assembly
         if assembly is None:
@@ -49,22 +53,24 @@
             return None
         checkpoint = assembly.checkpoint
         digest = assembly.content.digest()
-        false = Checkpoint(
+        forged_checkpoint = Checkpoint(
             checkpoint.epoch, checkpoint.revision, digest, checkpoint.changes_digest, checkpoint.signature
         )
         changes = self.log.content.changes_to(assembly.content)
-        self.log.install_snapshot(assembly.content, false)
+        self.log.install_snapshot(assembly.content, forged_checkpoint)
         self.assembly = None
         return changes
 
 
-class TakesAnOlderSnapshot(Replica):
+class AcceptsOlderSnapshot(Replica):
+    """Replaces its content by a snapshot of an older revision."""
+
     def _can_be_replaced_by(self, checkpoint):
         return True
 
 
-class TakesAnOlderPublication(Replica):
-    """Applies a replayed publication's changes once more."""
+class AppliesOlderPublication(Replica):
+    """Applies the changes of a replayed publication again."""
 
     def apply_publication(self, publication):
         if self.assembly is None and publication.checkpoint.revision <= self.log.revision:
@@ -74,17 +80,17 @@
         return super().apply_publication(publication)
 
 
-class KeepsHalfASnapshot(Replica):
-    """Applies the pieces of an incomplete snapshot when the connection ends."""
+class AppliesIncompleteSnapshot(Replica):
+    """Applies the received pieces of an incomplete snapshot when the connection ends."""
 
     def discard_assembly(self):
-        half = self.assembly
+        incomplete = self.assembly
         super().discard_assembly()
-        if half is not None and half._next_index:
-            self.log.content.apply([Change(key, value) for key, value in half.content.items()])
+        if incomplete is not None and incomplete._next_index:
+            self.log.content.apply([Change(key, value) for key, value in incomplete.content.items()])
 
 
-class LoadsInPlace(Follower):
+class InstallsPiecesSeparately(Follower):
     """Installs each piece of a snapshot as it arrives."""
 
     def _add_snapshot_piece(self, message):
@@ -96,13 +102,15 @@
 
 
 class _UnorderedAssembly(SnapshotAssembly):
+    """Accepts pieces with any index."""
+
     def add(self, piece):
         self.content.apply(decode_changes(_decompress(piece.compressed)))
         self._next_index += 1
 
 
-class ChecksNoOrderOfPieces(ChecksNoDigestOfASnapshot):
-    """Counts pieces only, and trusts that they are the signed ones."""
+class SkipsPieceOrderCheck(SkipsSnapshotDigestCheck):
+    """Only counts pieces and checks neither their order nor the digest of the snapshot."""
 
     def begin_snapshot(self, message):
         changes = super().begin_snapshot(message)
@@ -110,35 +118,41 @@
         return changes
 
 
-class InstallsNoRemovals(Follower):
+class IgnoresRemovals(Follower):
+    """Does not install the removal of keys."""
+
     def _install(self, changes):
         super()._install(tuple(change for change in changes if change.value is not None))
 
 
-class TakesAgeOfAnyRelay(StalenessTracker):
-    """Counts the age of a relay that announces a newer revision, or holds an older one."""
+class AcceptsAgeOfAnyRelay(StalenessTracker):
+    """Applies the age in a heartbeat even if the relay's revision is newer or older than the replica's."""
 
     def record_relay_age(self, now, message):
         self._as_of = max(self._as_of, now - message.age_ms / 1000.0)
         return super().record_relay_age(now, message)
 
 
-class TakesAgeOfARelayBehind(Follower):
-    staleness_type = TakesAgeOfAnyRelay
+class AcceptsAgeOfLaggingRelay(Follower):
+    """Reports a low age although its replica is not at the relay's revision."""
+
+    staleness_type = AcceptsAgeOfAnyRelay
 
 
-class ReportsDigestOfCheckpoint(Follower):
-    """Reports the digest of its checkpoint, whatever its content is."""
+class ReportsCheckpointDigest(Follower):
+    """Reports the digest of its checkpoint instead of that of its content, which hides damage."""
 
     def connected(self, now, attempt):
         replica = self.replica
         damaged, replica.is_damaged = replica.is_damaged, False
-        content, self.log.content = self.log.content, _ClaimsIntegrity(self.log)
+        content, self.log.content = self.log.content, _CheckpointDigestContent(self.log)
         super().connected(now, attempt)
         self.log.content, replica.is_damaged = content, damaged
 
 
-class _ClaimsIntegrity:
+class _CheckpointDigestContent:
+    """Stands in for content and returns the digest of the checkpoint."""
+
     def __init__(self, log):
         self.checkpoint = log.checkpoint
 
@@ -146,8 +160,8 @@
         return self.checkpoint.content_digest
 
 
-class ForgetsTheFirstOfTwo(Follower):
-    """Installs a batch without what came after its first change of a key."""
+class KeepsFirstChangeOfKey(Follower):
+    """Installs only the first change of each key in a batch, where the last one must win."""
 
     def _install(self, changes):
         first = {}
@@ -159,8 +173,8 @@
 # -- relays
 
 
-class SkipsOnCatchUp(Relay):
-    """Skips the first publication for a follower that is more than one behind."""
+class SkipsPublicationOnCatchUp(Relay):
+    """Skips the first publication for a follower that is more than one revision behind."""
 
     def catch_up(self, now, session):
         if self.log.oldest_revision <= session.position < self.log.revision - 1:
@@ -168,8 +182,8 @@
         super().catch_up(now, session)
 
 
-class GoesOnAfterCompaction(Relay):
-    """Sends the oldest retained publication to a follower behind it, in place of a snapshot."""
+class IgnoresCompaction(Relay):
+    """Sends the oldest retained publication instead of a snapshot to a follower that is behind it."""
 
     def catch_up(self, now, session):
         if session.position < self.log.oldest_revision:
@@ -177,46 +191,56 @@
         super().catch_up(now, session)
 
 
-class ComparesNoDigests(Relay):
+class SkipsDigestComparison(Relay):
+    """Resumes from any revision, although the follower's content may differ."""
+
     def _has_same_history(self, session):
         session.digest = None
         return True
 
 
-class AgeOfItsOwn(Relay):
-    """Claims to be up to date whatever was confirmed."""
+class AlwaysReportsZeroAge(Relay):
+    """Reports that its log is current although no leader has confirmed that."""
 
     def age_s(self, now):
         return 0.0
 
 
-class SendsPastTheWindow(Relay):
+class IgnoresSendWindow(Relay):
+    """Counts no bytes as in flight, so that it never waits for a slow follower."""
+
     def send_frame(self, now, session, data):
         super().send_frame(now, session, data)
         session.in_flight = 0
 
 
 class UnlimitedTransfers(SnapshotTransfers):
+    """Starts all queued transfers at once."""
+
     def run(self, now):
         while self._queue:
             self._begin(self._queue.popleft())
         super().run(now)
 
 
-class BeginsEverySnapshot(Relay):
+class IgnoresTransferLimit(Relay):
+    """Exceeds the maximum number of concurrent snapshot transfers."""
+
     transfers_type = UnlimitedTransfers
 
 
 # -- voters
 
 
-class ChecksNoEpoch(FeedStateMachine):
+class SkipsEpochCheck(FeedStateMachine):
+    """Accepts publications of a publisher that has lost its lease."""
+
     def is_current_epoch(self, epoch):
         return True
 
 
-class TakesARevisionAgain(FeedStateMachine):
-    """Publishes a repeated revision once more, as the next."""
+class PublishesRevisionTwice(FeedStateMachine):
+    """Publishes a repeated revision again as the next one."""
 
     def _publish(self, part, data):
         before = self.log.revision
@@ -236,23 +260,23 @@
                 self.on_log_change()
 
 
-class ConfirmsWithoutTheLog(Voter):
-    """Counts any word of its leader, also while it lacks what the leader had committed."""
+class ConfirmsWithoutCommittedEntries(Voter):
+    """Counts any message of a leader as a confirmation, although it lacks committed entries."""
 
     def _confirm_by_leader(self, now, message):
         self.confirmed_at = max(self.confirmed_at, now)
 
 
-class ConfirmsByANewLeader(Voter):
-    """Counts the word of a leader that has committed nothing of its own term."""
+class ConfirmsByLeaderWithoutCommit(Voter):
+    """Counts a message of a leader that has not committed an entry of its own term yet."""
 
     def _confirm_by_leader(self, now, message):
         if self.raft.leader == message.source and self.raft.last_applied >= message.commit_index:
             self.confirmed_at = max(self.confirmed_at, now)
 
 
-class ConfirmsAlways(Voter):
-    """Takes itself for confirmed as long as it runs."""
+class AlwaysConfirmed(Voter):
+    """Counts its log as confirmed as long as it runs, even when it is partitioned."""
 
     def tick(self, now):
         super().tick(now)
@@ -262,26 +286,26 @@
 # -- publishers
 
 
-class SignsOnAnotherBase(Publisher):
-    """Signs what a batch leads to from an empty content."""
+class SignsFromEmptyContent(Publisher):
+    """Signs the content that a batch would lead to from empty content."""
 
     def _propose_next(self, now):
         before = self._in_flight
         super()._propose_next(now)
-        flying = self._in_flight
-        if flying is not None and flying is not before and self.log.revision % 5 == 4:
-            old = flying.checkpoint
-            content = type(self.log.content)().digest_after(flying.changes)
+        in_flight = self._in_flight
+        if in_flight is not None and in_flight is not before and self.log.revision % 5 == 4:
+            old = in_flight.checkpoint
+            content = type(self.log.content)().digest_after(in_flight.changes)
             signature = self.signer.sign(signed_bytes(old.epoch, old.revision, content, old.changes_digest))
             self._in_flight = Publication(
-                Checkpoint(old.epoch, old.revision, content, old.changes_digest, signature), flying.changes
+                Checkpoint(old.epoch, old.revision, content, old.changes_digest, signature), in_flight.changes
             )
             self._commands.clear()
             self._propose(now, self._in_flight)
 
 
-class TakesAnyGrowthForItsOwn(Publisher):
-    """Drops a batch when the log has reached its revision, whosever publication that is."""
+class AssumesGrowthIsOwnPublication(Publisher):
+    """Drops a batch when the log has reached its revision, even if the publication there is another publisher's."""
 
     def log_advanced(self, now):
         if self._in_flight is not None and self.log.revision >= self._in_flight.checkpoint.revision:
@@ -291,26 +315,26 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """A defect: classes in the place of the product's, the chaos in which it shows, and a seed that shows it."""
+    """A defect: the defective classes, the faults under which it has an effect, and a seed that reveals it."""
 
     kinds: Kinds
     seed: int = 0
     chaos: Chaos = Chaos()
 
 
-LIES = Chaos(
+LYING_RELAYS = Chaos(
     faults=("lying relay", "lying relay", "lying relay", "broken connections", "broken connections", "zone restart"),
     fault_interval_s=0.7,
 )
-CUTS = Chaos(
+PARTITIONS = Chaos(
     faults=("partitioned region", "partitioned control", "burst of changes"), fault_interval_s=2.0, partition_s=(20.0,)
 )
-ZONES = Chaos(faults=("zone restart", "broken connections"), fault_interval_s=1.0)
-DAMAGE = Chaos(
+ZONE_RESTARTS = Chaos(faults=("zone restart", "broken connections"), fault_interval_s=1.0)
+DAMAGED_REPLICAS = Chaos(
     faults=("damaged replica", "damaged replica", "broken connections", "burst of changes"), fault_interval_s=0.8
 )
-STOPS = Chaos(faults=("suspended followers", "burst of changes", "broken connections"), fault_interval_s=0.4)
-LEASES = Chaos(
+SUSPENSIONS = Chaos(faults=("suspended followers", "burst of changes", "broken connections"), fault_interval_s=0.4)
+LEASE_CHANGES = Chaos(
     faults=("lease release", "leadership transfer", "crash leader", "suspended relay", "burst of changes"),
     late=0.2,
     late_s=3.0,
@@ -326,30 +350,32 @@
 )
 
 MUTANTS = {
-    "changes in force before their digest is checked": Mutant(Kinds(follower=AppliesBeforeTheDigests), 1, LIES),
-    "a signature not checked": Mutant(Kinds(follower=follower_with(ChecksNoSignature)), 0, LIES),
-    "a snapshot's digest not checked": Mutant(Kinds(follower=follower_with(ChecksNoDigestOfASnapshot)), 1, LIES),
-    "an older snapshot taken": Mutant(Kinds(follower=follower_with(TakesAnOlderSnapshot)), 2, LIES),
-    "an older publication taken": Mutant(Kinds(follower=follower_with(TakesAnOlderPublication)), 0, LIES),
-    "half a snapshot kept": Mutant(Kinds(follower=follower_with(KeepsHalfASnapshot)), 0, ZONES),
-    "a snapshot put in force piece by piece": Mutant(Kinds(follower=LoadsInPlace), 0, ZONES),
-    "the order of pieces not checked": Mutant(Kinds(follower=follower_with(ChecksNoOrderOfPieces)), 3, LIES),
-    "removals not installed": Mutant(Kinds(follower=InstallsNoRemovals)),
-    "the age of a relay behind": Mutant(Kinds(follower=TakesAgeOfARelayBehind), 0, CUTS),
-    "the first of two changes of a key": Mutant(Kinds(follower=ForgetsTheFirstOfTwo)),
-    "a publication skipped on catch-up": Mutant(Kinds(relay=SkipsOnCatchUp)),
-    "the wrong place after compaction": Mutant(Kinds(relay=GoesOnAfterCompaction), 1, STOPS),
+    "changes installed before the digest check": Mutant(Kinds(follower=InstallsBeforeDigestCheck), 1, LYING_RELAYS),
+    "signature not checked": Mutant(Kinds(follower=follower_with(SkipsSignatureCheck)), 0, LYING_RELAYS),
+    "digest of a snapshot not checked": Mutant(
+        Kinds(follower=follower_with(SkipsSnapshotDigestCheck)), 1, LYING_RELAYS
+    ),
+    "older snapshot accepted": Mutant(Kinds(follower=follower_with(AcceptsOlderSnapshot)), 2, LYING_RELAYS),
+    "older publication applied": Mutant(Kinds(follower=follower_with(AppliesOlderPublication)), 0, LYING_RELAYS),
+    "incomplete snapshot applied": Mutant(Kinds(follower=follower_with(AppliesIncompleteSnapshot)), 0, ZONE_RESTARTS),
+    "pieces of a snapshot installed separately": Mutant(Kinds(follower=InstallsPiecesSeparately), 0, ZONE_RESTARTS),
+    "order of pieces not checked": Mutant(Kinds(follower=follower_with(SkipsPieceOrderCheck)), 3, LYING_RELAYS),
+    "removals not installed": Mutant(Kinds(follower=IgnoresRemovals)),
+    "age of a lagging relay accepted": Mutant(Kinds(follower=AcceptsAgeOfLaggingRelay), 0, PARTITIONS),
+    "first of two changes of a key kept": Mutant(Kinds(follower=KeepsFirstChangeOfKey)),
+    "publication skipped on catch-up": Mutant(Kinds(relay=SkipsPublicationOnCatchUp)),
+    "compaction ignored on catch-up": Mutant(Kinds(relay=IgnoresCompaction), 1, SUSPENSIONS),
     "digests not compared on resumption": Mutant(
-        Kinds(relay=ComparesNoDigests, follower=ReportsDigestOfCheckpoint), 0, DAMAGE
+        Kinds(relay=SkipsDigestComparison, follower=ReportsCheckpointDigest), 0, DAMAGED_REPLICAS
     ),
-    "an age whatever was confirmed": Mutant(Kinds(relay=AgeOfItsOwn), 0, CUTS),
-    "a window not kept": Mutant(Kinds(relay=SendsPastTheWindow), 0, STOPS),
-    "snapshots without number": Mutant(Kinds(relay=BeginsEverySnapshot), 0, ZONES),
-    "an epoch not checked": Mutant(Kinds(machine=ChecksNoEpoch), 7, LEASES),
-    "a repeated revision taken": Mutant(Kinds(machine=TakesARevisionAgain), 4, LEASES),
-    "confirmed without the log": Mutant(Kinds(voter=ConfirmsWithoutTheLog), 0, LEASES),
-    "confirmed by a leader that knows less": Mutant(Kinds(voter=ConfirmsByANewLeader), 1),
-    "confirmed though cut off": Mutant(Kinds(voter=ConfirmsAlways), 0, CUTS),
-    "signed on another base": Mutant(Kinds(publisher=SignsOnAnotherBase), 2),
-    "any growth taken for its own": Mutant(Kinds(publisher=TakesAnyGrowthForItsOwn), 296, STALLS),
+    "age zero without confirmation": Mutant(Kinds(relay=AlwaysReportsZeroAge), 0, PARTITIONS),
+    "send window ignored": Mutant(Kinds(relay=IgnoresSendWindow), 0, SUSPENSIONS),
+    "number of snapshot transfers not limited": Mutant(Kinds(relay=IgnoresTransferLimit), 0, ZONE_RESTARTS),
+    "epoch not checked": Mutant(Kinds(machine=SkipsEpochCheck), 7, LEASE_CHANGES),
+    "revision published twice": Mutant(Kinds(machine=PublishesRevisionTwice), 4, LEASE_CHANGES),
+    "confirmed without committed entries": Mutant(Kinds(voter=ConfirmsWithoutCommittedEntries), 0, LEASE_CHANGES),
+    "confirmed by a leader without a commit in its term": Mutant(Kinds(voter=ConfirmsByLeaderWithoutCommit), 1),
+    "confirmed although partitioned": Mutant(Kinds(voter=AlwaysConfirmed), 0, PARTITIONS),
+    "signed from empty content": Mutant(Kinds(publisher=SignsFromEmptyContent), 2),
+    "growth assumed to be its own publication": Mutant(Kinds(publisher=AssumesGrowthIsOwnPublication), 296, STALLS),
 }
--- a/tests/test_configuration_validation.py
+++ b/tests/test_configuration_validation.py
@@ -1,4 +1,4 @@
-"""The publisher rejects a bad configuration before any broker receives it, and says where it is wrong."""
+"""The publisher rejects an invalid configuration before any broker receives it, and names the line and field."""
 
 import pytest
 
@@ -33,7 +33,7 @@
         ("(rank-by monthly)))", "(rank-by monthly))", f"{KEY}:7:1: the file ends inside a list"),
     ],
 )
-def test_a_bad_configuration_is_rejected_by_line_and_field_before_any_broker_receives_it(old, new, reason):
+def test_an_invalid_configuration_is_rejected_by_line_and_field_before_any_broker_receives_it(old, new, reason):
     assert old in GOOD
     harness = new_validating_harness()
     harness.publish(change(KEY, GOOD))
@@ -44,10 +44,10 @@
     assert harness.control.machine.log.revision == 1
     assert len(harness.installed["f"]) == 1
     assert harness.followers["f"].log.content.get(KEY) == GOOD.encode()
-    assert harness.followers["f"].log.content.get("node/1") is None  # of the same batch: all of it or nothing
+    assert harness.followers["f"].log.content.get("node/1") is None  # a batch is published completely or not at all
 
 
-def test_bytes_that_are_no_text_are_rejected():
+def test_bytes_that_are_not_utf_8_are_rejected():
     assert validate_configuration(Change(KEY, b"(broker \xff)")) == f"{KEY}: not UTF-8 at byte 8"
 
 
--- a/tests/test_feed_backpressure.py
+++ b/tests/test_feed_backpressure.py
@@ -1,4 +1,4 @@
-"""Send windows, eviction of slow followers, and the pace of snapshots."""
+"""Send windows, eviction of slow followers, and rate limiting of snapshots."""
 
 from badgerbend.feed.log import Retention
 from badgerbend.feed.relay_types import RelayTuning
@@ -12,8 +12,8 @@
     harness.stalled.add("slow")
     for value in range(100):
         harness.publish(change("a", str(value) * 500))
-    held = sum(len(data) for _, data in harness.buffered["slow"])
-    assert held < 10_000 + 3_000
+    buffered_bytes = sum(len(data) for _, data in harness.buffered["slow"])
+    assert buffered_bytes < 10_000 + 3_000
     assert fast.log.checkpoint == harness.relay.log.checkpoint
     harness.pass_time(5.0)
     assert ("slow", "send window full for too long") in harness.closed
@@ -22,14 +22,14 @@
     assert harness.followers["slow"].log.checkpoint == harness.relay.log.checkpoint
 
 
-def test_a_follower_behind_the_compaction_with_a_full_window_is_sent_nothing_more():
+def test_a_follower_behind_compaction_is_sent_nothing_while_its_window_is_full():
     harness = new_harness()
     harness.control.machine.log.retention = Retention(publications=4)
     harness.follower("a")
     before = harness.sent_bytes["a"]
     harness.publish(change("node/1", "x" * 1000))
     size = harness.sent_bytes["a"] - before
-    harness.relay.tuning = RelayTuning(send_window=2 * size + 1)  # the third frame of this size is the last that fits
+    harness.relay.tuning = RelayTuning(send_window=2 * size + 1)  # the third frame of this size fills the window
     harness.sent_bytes.clear()
     harness.stalled.add("a")
     for value in range(10):
@@ -41,12 +41,12 @@
     assert harness.relay.snapshots_started == 1
 
 
-def test_snapshots_that_end_together_behind_the_compaction_begin_anew():
+def test_snapshots_that_complete_together_behind_compaction_are_started_again():
     harness = full_harness(retention=Retention(publications=1), snapshot_burst_bytes=100, snapshot_bytes_per_second=100)
     followers = [harness.follower(name) for name in ("a", "b")]
     for value in range(3):
         harness.publish(change("node/1", str(value)))
-    harness.relay.tuning = RelayTuning()  # now all of both may go out in one turn
+    harness.relay.tuning = RelayTuning()  # both snapshots can now be sent completely in one turn
     harness.pass_time(1.0)
     assert all(f.log.checkpoint == harness.relay.log.checkpoint for f in followers)
 
@@ -77,7 +77,7 @@
     assert all(f.log.checkpoint == harness.relay.log.checkpoint for f in harness.followers.values())
 
 
-def test_snapshots_are_paced_in_bytes():
+def test_snapshots_are_limited_in_bytes_per_second():
     harness = full_harness(
         retention=Retention(publications=1), snapshot_bytes_per_second=20_000, snapshot_burst_bytes=10_000
     )
@@ -87,15 +87,19 @@
     harness.pass_time(1.0)
     second = sum(harness.sent_bytes.values())
     image = harness.relay.transfers.cache.image_for(harness.relay.log, harness.relay.tuning.max_image_lag)
-    whole = sum(len(image.piece_frame(index)) for index in range(image.piece_count))
-    assert first <= 10_000 + whole + 2_000
-    assert second - first <= 20_000 + whole + 2_000
-    harness.pass_time(8 * whole / 20_000 + 2.0)
+    image_bytes = sum(len(image.piece_frame(index)) for index in range(image.piece_count))
+    assert first <= 10_000 + image_bytes + 2_000
+    assert second - first <= 20_000 + image_bytes + 2_000
+    harness.pass_time(8 * image_bytes / 20_000 + 2.0)
     assert all(f.log.checkpoint == harness.relay.log.checkpoint for f in harness.followers.values())
 
 
 def test_a_snapshot_completed_by_the_completion_of_another_is_not_continued():
-    """Compaction passes the first snapshot's revision: at its end its follower queues again, and the second ends."""
+    """Completing one transfer may complete another one, which must not be continued afterwards.
+
+    Compaction has dropped the publications after the first snapshot. When that snapshot is complete, its follower is
+    queued for another one, and this run of the queue also completes the second snapshot.
+    """
     harness = full_harness(
         Retention(publications=2), max_concurrent_snapshots=2, snapshot_burst_bytes=1, snapshot_bytes_per_second=1
     )
@@ -120,7 +124,7 @@
     assert ("nobody", "no hello received") in harness.closed
 
 
-def test_a_follower_behind_by_more_than_the_content_gets_a_paced_snapshot():
+def test_a_follower_that_lacks_more_bytes_than_the_content_has_receives_a_snapshot():
     harness = new_harness(send_window=1_000)
     harness.follower("a")
     harness.publish(change("a", "x" * 900))
--- a/tests/test_feed_content.py
+++ b/tests/test_feed_content.py
@@ -1,4 +1,4 @@
-"""Content and its digest."""
+"""The content of the feed and its digest."""
 
 from badgerbend.feed.content import Content
 from tests.feed_harness import change
--- a/tests/test_feed_control_node.py
+++ b/tests/test_feed_control_node.py
@@ -1,4 +1,4 @@
-"""A control machine: bursts of proposals, and confirmations by voters with the state machine of the feed."""
+"""A control machine: bursts of proposals, and confirmations of the feed's log by voters."""
 
 import math
 
@@ -43,45 +43,45 @@
         node.synchronize(now)
         return [action.command for action in node.take_actions() if isinstance(action, Propose)]
 
-    whole = []
-    for place in range(20):
-        burst = proposed(place * 0.01)
+    commands = []
+    for step in range(20):
+        burst = proposed(step * 0.01)
         assert len(burst) <= 3
-        whole += burst
-    assert len(whole) > 6
+        commands += burst
+    assert len(commands) > 6
     assert node.next_at > 0.2
-    for command in whole[:4] + whole[5:]:  # one is lost
+    for command in commands[:4] + commands[5:]:  # one is lost
         machine.apply(2, command)
-    again = [command for place in range(20) for command in proposed(1.1 + place * 0.01)]
-    assert again == [whole[4]]
-    machine.apply(3, again[0])
+    retried = [command for step in range(20) for command in proposed(1.1 + step * 0.01)]
+    assert retried == [commands[4]]
+    machine.apply(3, retried[0])
     assert machine.log.revision == 1
 
 
 def voter_of(*names):
-    kept = PersistentState(log=Log(voting.Snapshot(0, 0, names, b"")))
-    return Voter("a", kept, RaftConfig(), LeaseTiming(), 1, 0.0, FeedStateMachine(DEFAULT_RETENTION))
+    state = PersistentState(log=Log(voting.Snapshot(0, 0, names, b"")))
+    return Voter("a", state, RaftConfig(), LeaseTiming(), 1, 0.0, FeedStateMachine(DEFAULT_RETENTION))
 
 
-def heard(term, leader, previous, commit, *entries):
-    """A leader's message; previous: index and term of the entry before these."""
+def append_entries(term, leader, previous, commit, *entries):
+    """Return a leader's message. previous: index and term of the entry before these entries."""
     return voting.AppendEntries(term, leader, *previous, entries, commit, 1)
 
 
-def test_a_following_voter_is_confirmed_by_a_leader_that_knows_all_commits():
+def test_a_following_voter_is_confirmed_by_a_leader_that_has_committed_in_its_term():
     voter = voter_of("a", "b", "c")
-    voter.receive_from_voter(1.0, heard(1, "b", (0, 0), 0, voting.Entry(1, 1, voting.EntryKind.NOOP)))
-    assert voter.confirmed_at == -math.inf  # nothing of its term is committed
-    voter.receive_from_voter(2.0, heard(1, "b", (1, 1), 1))
+    voter.receive_from_voter(1.0, append_entries(1, "b", (0, 0), 0, voting.Entry(1, 1, voting.EntryKind.NOOP)))
+    assert voter.confirmed_at == -math.inf  # the leader has committed no entry of its term
+    voter.receive_from_voter(2.0, append_entries(1, "b", (1, 1), 1))
     assert voter.confirmed_at == 2.0
-    voter.receive_from_voter(3.0, heard(2, "c", (1, 1), 1, voting.Entry(2, 2, voting.EntryKind.NOOP)))
-    assert voter.confirmed_at == 2.0  # a new leader, that may not know yet what the last one committed
-    voter.receive_from_voter(4.0, heard(2, "c", (2, 2), 3))
-    assert voter.confirmed_at == 2.0  # the leader has committed what this voter lacks
-    voter.receive_from_voter(5.0, heard(2, "c", (2, 2), 2))
+    voter.receive_from_voter(3.0, append_entries(2, "c", (1, 1), 1, voting.Entry(2, 2, voting.EntryKind.NOOP)))
+    assert voter.confirmed_at == 2.0  # a new leader may not know yet what its predecessor has committed
+    voter.receive_from_voter(4.0, append_entries(2, "c", (2, 2), 3))
+    assert voter.confirmed_at == 2.0  # the leader has committed an entry that this voter lacks
+    voter.receive_from_voter(5.0, append_entries(2, "c", (2, 2), 2))
     assert voter.confirmed_at == 5.0
-    voter.receive_from_voter(6.0, heard(1, "b", (1, 1), 1))
-    assert voter.confirmed_at == 5.0  # a leader of the past
+    voter.receive_from_voter(6.0, append_entries(1, "b", (1, 1), 1))
+    assert voter.confirmed_at == 5.0  # a leader of an earlier term
 
 
 def test_a_leading_voter_is_confirmed_as_of_its_request():
--- a/tests/test_feed_faulty_relays.py
+++ b/tests/test_feed_faulty_relays.py
@@ -1,4 +1,4 @@
-"""Relays that lie, send half, fall silent or are stale, as a follower sees them."""
+"""A follower's reaction to relays that send false or truncated data, send nothing, or are stale."""
 
 import zlib
 
@@ -23,7 +23,7 @@
     SnapshotPiece,
     encode_changes,
 )
-from tests.feed_harness import ADDRESS, VERIFIER, change, entries, new_harness, signed
+from tests.feed_harness import ADDRESS, VERIFIER, change, entries, new_harness, signed_publication
 
 
 @pytest.mark.parametrize("lie", ["changes", "checkpoint", "frame"])
@@ -41,7 +41,7 @@
         if lie == "changes":
             return encode_frame(Publication(message.checkpoint, (change("node/1", "gone"),)))
         if lie == "checkpoint":
-            forged = signed(PublicationLog(), 1, change("node/1", "gone")).checkpoint
+            forged = signed_publication(PublicationLog(), 1, change("node/1", "gone")).checkpoint
             c = message.checkpoint
             return encode_frame(
                 Publication(
@@ -59,10 +59,10 @@
     assert follower.log.revision == 1
     harness.damage = None
     harness.pass_time(1.0)
-    assert entries(follower.log) == {"node/1": b"draining"}  # it was the only relay there is
+    assert entries(follower.log) == {"node/1": b"draining"}  # the relay is used again, since there is no other
 
 
-def test_half_a_frame_and_silence_lead_to_a_retry():
+def test_a_truncated_frame_without_further_data_leads_to_a_retry():
     harness = new_harness()
     follower = harness.follower("a", progress_timeout=2.0)
     harness.damage = lambda data: data[: len(data) // 2]
@@ -104,7 +104,7 @@
     assert [type(error) for error in harness.rejected["a"]] == [OutOfSequenceError]
 
 
-def test_a_suspended_follower_ignores_the_heartbeats_that_waited():
+def test_a_suspended_follower_ignores_buffered_heartbeats():
     harness = new_harness()
     follower = harness.follower("a")
     harness.publish(change("a", "1"))
@@ -138,7 +138,7 @@
     follower = harness.follower("a")
     harness.pass_time(2.0)
     assert follower.age_s(harness.now) <= 1.0
-    for _ in range(20):  # the relay beats on but hears of no leader
+    for _ in range(20):  # the relay sends heartbeats, but its log is not confirmed
         harness.now += 0.5
         harness.relay.tick(harness.now)
         harness.process_actions()
--- a/tests/test_feed_framing.py
+++ b/tests/test_feed_framing.py
@@ -1,4 +1,4 @@
-"""Frames on a stream, and pieces of snapshots, that are cut or damaged."""
+"""Frames in a stream and pieces of snapshots that are split, truncated or damaged."""
 
 import zlib
 
--- a/tests/test_feed_log.py
+++ b/tests/test_feed_log.py
@@ -1,4 +1,4 @@
-"""The log of publications: what it accepts, and its compaction."""
+"""The log of publications: which publications it accepts, and its compaction."""
 
 import pytest
 
@@ -12,17 +12,17 @@
 from badgerbend.feed.messages import (
     Publication,
 )
-from tests.feed_harness import change, entries, signed
+from tests.feed_harness import change, entries, signed_publication
 
 
-def test_the_log_accepts_only_what_follows():
+def test_the_log_accepts_only_the_next_publication():
     log = PublicationLog(Retention())
-    log.append(signed(log, 5, change("a", "1")))
+    log.append(signed_publication(log, 5, change("a", "1")))
     with pytest.raises(RevisionGapError):
-        log.append(signed(log, 5, change("a", "2"), revision=3))
+        log.append(signed_publication(log, 5, change("a", "2"), revision=3))
     with pytest.raises(StaleEpochError):
-        log.append(signed(log, 4, change("a", "2")))
-    good = signed(log, 5, change("a", "2"))
+        log.append(signed_publication(log, 4, change("a", "2")))
+    good = signed_publication(log, 5, change("a", "2"))
     with pytest.raises(TamperedChangesError):
         log.append(Publication(good.checkpoint, (change("a", "other"),)))
     log.content.apply([change("b", "not published")])
@@ -35,7 +35,7 @@
 def test_compaction_retains_as_many_publications_as_allowed():
     log = PublicationLog(Retention(publications=3))
     for value in range(10):
-        log.append(signed(log, 1, change("a", str(value))))
+        log.append(signed_publication(log, 1, change("a", str(value))))
     assert log.oldest_revision == 7
     assert [log.next_after(revision).checkpoint.revision for revision in (7, 8, 9)] == [8, 9, 10]
     assert log.next_after(10) is None
@@ -47,14 +47,14 @@
 def test_compaction_by_bytes():
     log = PublicationLog(Retention(bytes=2000))
     for value in range(10):
-        log.append(signed(log, 1, change("a", str(value) * 500)))
+        log.append(signed_publication(log, 1, change("a", str(value) * 500)))
     assert 0 < log.revision - log.oldest_revision <= 3
 
 
 def test_bytes_after_a_revision_are_those_of_its_frames():
     log = PublicationLog(Retention(publications=5))
     for value in range(9):
-        log.append(signed(log, 1, change("a", str(value) * value)))
+        log.append(signed_publication(log, 1, change("a", str(value) * value)))
     frames = {revision: len(log.next_after(revision).frame) for revision in range(4, 9)}
     assert [log.bytes_after(r) for r in range(4, 10)] == [
         sum(n for at, n in frames.items() if at >= r) for r in range(4, 10)
--- a/tests/test_feed_publisher.py
+++ b/tests/test_feed_publisher.py
@@ -1,21 +1,23 @@
-"""The publisher: validation, batches, retries and the end of its lease."""
+"""The publisher: validation, batches, retries and the loss of its lease."""
 
 from badgerbend.feed.commands import split_publication
 from badgerbend.feed.messages import (
     Change,
 )
 from badgerbend.feed.publisher import PublisherTuning
-from tests.feed_harness import FULL_NODE_COUNT, Control, change, entries, full_harness, signed
+from tests.feed_harness import FULL_NODE_COUNT, Control, change, entries, full_harness, signed_publication
 
 
-def test_changes_whose_revision_another_publication_has_are_published_again():
+def test_changes_are_published_again_if_another_publication_has_their_revision():
     control = Control()
     epoch = control.grant()
-    earlier = signed(control.machine.log, epoch, change("a", "proposed before the lease was lost and found again"))
+    earlier = signed_publication(
+        control.machine.log, epoch, change("a", "proposed before the lease was lost and found again")
+    )
     assert control.publisher.submit(0.0, [change("b", "accepted after")]) == ()
     control.publisher.tick(0.0)
     control.publisher.take_commands()
-    for command in split_publication(earlier):  # the earlier proposal was late, and is the first to arrive
+    for command in split_publication(earlier):  # the earlier proposal was delayed and is applied first
         control.command(command)
     control.publisher.log_advanced(0.0)
     control.pump(0.0)
@@ -54,7 +56,7 @@
     control.grant()
     control.publisher.submit(0.0, [change("a", "1")])
     control.publisher.tick(0.0)
-    assert control.publisher.take_commands()  # and lost
+    assert control.publisher.take_commands()  # these commands are lost
     control.pump(0.5)
     assert control.machine.log.revision == 0
     control.pump(1.1)
@@ -66,14 +68,14 @@
     control.grant()
     control.publisher.submit(0.0, [change("a", "1")])
     control.publisher.tick(0.0)
-    repeated_at = []
+    retried_at = []
     for _ in range(6):
-        repeated_at.append(control.publisher.next_at)
+        retried_at.append(control.publisher.next_at)
         control.publisher.tick(control.publisher.next_at)
-    assert repeated_at == [1.0, 3.0, 7.0, 15.0, 23.0, 31.0]
+    assert retried_at == [1.0, 3.0, 7.0, 15.0, 23.0, 31.0]
 
 
-def test_a_deposed_publisher_returns_what_it_did_not_publish():
+def test_a_deposed_publisher_returns_the_unpublished_changes():
     control = Control()
     control.grant()
     control.publisher.submit(0.0, [change("a", "1")])
--- a/tests/test_feed_rejections.py
+++ b/tests/test_feed_rejections.py
@@ -1,4 +1,4 @@
-"""The log names what relays sent and was not used as it always has."""
+"""Reasons to reject data from relays keep their names in the log, which operators may search for."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 @pytest.mark.parametrize(
     ("error", "logged"),
     [
-        (errors.MalformedMessageError("cut short"), "Malformed: cut short"),
+        (errors.MalformedMessageError("truncated"), "Malformed: truncated"),
         (errors.SignatureError(7), "BadSignature: revision 7 is not signed by the publisher"),
         (errors.TamperedChangesError(7), "TamperedChanges: the changes of revision 7 differ from the signed ones"),
         (errors.DigestMismatchError(7), "DigestMismatch: the content of revision 7 differs from the signed one"),
--- a/tests/test_feed_relay_selection.py
+++ b/tests/test_feed_relay_selection.py
@@ -1,4 +1,4 @@
-"""Choice of relays: regions, failback, backoff and stale relays."""
+"""Selection of relays: regions, failback, backoff and stale relays."""
 
 from badgerbend.feed.follower import Follower
 from badgerbend.feed.follower_types import Connect, Disconnect, FollowerTuning, RelayAddress
@@ -34,7 +34,7 @@
 
 
 def test_failed_attempts_back_off_with_jitter():
-    pauses = []
+    delays = []
     for seed in range(40):
         follower = Follower("a", "north", [ADDRESS], VERIFIER, FollowerTuning(start_jitter=0.0), seed)
         follower.start(0.0)
@@ -44,15 +44,15 @@
             follower.tick(now)
             (connect,) = [a for a in follower.take_actions() if isinstance(a, Connect)]
             follower.closed(now, connect.attempt)
-            pauses.append(follower.next_at - now)
-    last = pauses[11::12]
+            delays.append(follower.next_at - now)
+    last = delays[11::12]
     assert max(last) <= 10.0
     assert max(last) > 8.0
     assert min(last) < 2.0
-    assert max(pauses[0::12]) <= 0.1
+    assert max(delays[0::12]) <= 0.1
 
 
-def test_a_stale_relay_is_left_for_another_and_kept_where_there_is_none():
+def test_a_stale_relay_is_left_for_another_one_or_kept_if_there_is_none():
     relays = [RelayAddress(f"r{n}", "north", "127.0.0.1", n) for n in (1, 2)]
     tuning = FollowerTuning(start_jitter=0.0, staleness_limit=5.0, stale_retry_interval=30.0)
     follower = Follower("a", "north", relays, VERIFIER, tuning, 1)
@@ -71,10 +71,10 @@
 
     follower.start(0.0)
     first = connect(0.0)
-    assert heartbeats(first.attempt, 1, 6) == []  # it may just have been started
+    assert heartbeats(first.attempt, 1, 6) == []  # the relay may have just started
     assert heartbeats(first.attempt, 6, 9, snapshot_pending=True) == []
     assert heartbeats(first.attempt, 9, 10) == [Disconnect(first.attempt)]
     second = connect(10.0)
     assert second.relay != first.relay
-    assert heartbeats(second.attempt, 11, 24) == []  # both are cut off: it stays with one
-    assert heartbeats(second.attempt, 24, 41) == [Disconnect(second.attempt)]  # the first may be back by now
+    assert heartbeats(second.attempt, 11, 24) == []  # both relays are stale, so the follower stays with one
+    assert heartbeats(second.attempt, 24, 41) == [Disconnect(second.attempt)]  # the first relay may be tried again
--- a/tests/test_feed_replication.py
+++ b/tests/test_feed_replication.py
@@ -1,4 +1,4 @@
-"""Follower and relay: snapshots, resumption, and damaged replicas."""
+"""Replication from a relay to followers: snapshots, resumption and damaged replicas."""
 
 from badgerbend.feed.errors import (
     DigestMismatchError,
@@ -22,33 +22,33 @@
 def test_a_follower_resumes_from_its_revision_without_a_snapshot():
     harness = full_harness()
     follower = harness.follower("a")
-    begun, sent = harness.relay.snapshots_started, harness.sent_bytes["a"]
+    started, sent = harness.relay.snapshots_started, harness.sent_bytes["a"]
     harness.disconnect("a")
     for value in range(300):
         harness.publish(change("configuration/a", str(value)))
     harness.pass_time(2.0)
     assert follower.log.checkpoint == harness.relay.log.checkpoint
-    assert harness.relay.snapshots_started == begun
+    assert harness.relay.snapshots_started == started
     assert [i.revision for i in harness.installed["a"]][-300:] == list(
         range(harness.relay.log.revision - 299, harness.relay.log.revision + 1)
     )
     assert harness.sent_bytes["a"] - sent < 300 * 400
 
 
-def test_a_follower_behind_the_compaction_gets_a_snapshot():
+def test_a_follower_behind_compaction_gets_a_snapshot():
     harness = full_harness(retention=Retention(publications=10))
     follower = harness.follower("a")
     harness.disconnect("a")
-    begun = harness.relay.snapshots_started
+    started = harness.relay.snapshots_started
     for value in range(50):
         harness.publish(change("configuration/a", str(value)))
     harness.pass_time(2.0)
     assert follower.log.checkpoint == harness.relay.log.checkpoint
-    assert harness.relay.snapshots_started == begun + 1
+    assert harness.relay.snapshots_started == started + 1
     assert harness.installed["a"][-1].changes == (change("configuration/a", "49"),)
 
 
-def test_a_snapshot_of_empty_content_is_complete_at_once():
+def test_a_snapshot_of_empty_content_is_complete_without_pieces():
     harness = new_harness()
     harness.publish(change("a", "1"))
     harness.publish(change("a", None))
@@ -110,7 +110,7 @@
     harness = full_harness(retention=Retention(publications=3))
     harness.publish(change("node/1", "one"))
     harness.publish(change("node/1", "two"))
-    follower = harness.follower("a")  # with an image of this revision
+    follower = harness.follower("a")  # its snapshot caches an image of this revision
     harness.publish(change("node/1", "three"))
     harness.disconnect("a")
     follower.log.content.apply([change("node/2", "flipped")])
@@ -151,11 +151,11 @@
     harness.pass_time(2.0)
     assert follower.log.revision == 5
     assert entries(follower.log) == {"a": b"4"}
-    assert follower.age_s(harness.now) >= 2.0  # what this relay holds says nothing of the replica
+    assert follower.age_s(harness.now) >= 2.0  # the age of a relay at another revision does not apply to the replica
     for value in range(5):
         harness.publish(change("a", f"anew {value}"))
     harness.pass_time(2.0)
     assert follower.log.checkpoint == restored.machine.log.checkpoint
-    # the new publisher's revision 5 replaces that of the old one, which nobody publishes any more
+    # The new publisher's revision 5 replaces that of the old publisher, which is no longer served.
     assert [i.revision for i in harness.installed["a"]] == [1, 2, 3, 4, 5, 5, 6]
     assert follower.age_s(harness.now) <= 1.0
--- a/tests/test_stored_bytes_feed.py
+++ b/tests/test_stored_bytes_feed.py
@@ -1,4 +1,7 @@
-"""The feed's snapshot, its log and its machine's state, written by an earlier version, are read and written alike."""
+"""The feed's log, snapshots and state machine read and write the same bytes as an earlier version.
+
+A change of an encoding would make stored state unreadable, or break replication between different versions.
+"""
 
 import zlib
 
@@ -15,8 +18,8 @@
 from tests.wire_bytes import DATA
 
 SIGNER = Ed25519Signer(bytes(range(32)))
-EPOCH = 1  # the log's index of the grant
-LARGE_VALUE = bytes(range(256)) * 200  # two of them do not fit one piece of a snapshot
+EPOCH = 1  # index of the log entry that grants the lease
+LARGE_VALUE = bytes(range(256)) * 200  # two of them do not fit into one piece of a snapshot
 CHANGES = (
     (Change(key="server/s1", value=b"\x00first\xff"), Change(key="large/1", value=LARGE_VALUE)),
     (Change(key="server/s1", value=None), Change(key="server/s2", value=b"second")),
@@ -31,7 +34,7 @@
 
 
 def publications():
-    """The publications of all changes, signed."""
+    """Return signed publications of all changes."""
     content = Content()
     signed = []
     for revision, changes in enumerate(CHANGES, 1):
@@ -53,7 +56,7 @@
 
 
 def filled_machine():
-    """A lease, a fact, two publications, and all parts but the first of a third."""
+    """Return a machine with a lease, a fact, two publications, and all parts but the first of a third one."""
     machine = FeedStateMachine(RETENTION)
     commands = [
         encode(GrantLease(duty="publish", holder="c1", previous_epoch=0)),
@@ -105,8 +108,8 @@
     assert log.revision == 3
 
 
-def test_snapshot_is_written_alike():
-    """Packed bytes may differ between versions of zlib; what is in them may not."""
+def test_snapshot_is_written_with_the_same_content():
+    """The compressed bytes may differ between versions of zlib, but the decompressed content may not."""
     log = filled_log()
     image = SnapshotImage(log.content, log.checkpoint)
     written = list(FrameReader().feed(image.begin_frame + image.piece_frame(0) + image.piece_frame(1)))
@@ -116,9 +119,9 @@
     assert written[0] == expected[0]
     assert [piece.index for piece in written[1:]] == [piece.index for piece in expected[1:]] == [0, 1]
     for piece, expected_piece in zip(written[1:], expected[1:], strict=True):
-        unpacked = zlib.decompress(expected_piece.compressed)
-        assert zlib.decompress(piece.compressed) == unpacked
-        assert all(isinstance(change, Change) for change in decode_changes(unpacked))
+        decompressed = zlib.decompress(expected_piece.compressed)
+        assert zlib.decompress(piece.compressed) == decompressed
+        assert all(isinstance(change, Change) for change in decode_changes(decompressed))
 
 
 def test_machine_state_is_written_with_the_same_bytes():
--- a/tests/test_wire_bytes_feed.py
+++ b/tests/test_wire_bytes_feed.py
@@ -1,4 +1,7 @@
-"""Messages, frames and commands of the feed, and the datagrams between control machines, keep their bytes."""
+"""Messages, frames and commands of the feed, and datagrams between control machines, keep their encoding.
+
+Machines of different versions could not communicate if an encoding changed.
+"""
 
 import typing
 
@@ -68,13 +71,13 @@
     assert_same_bytes("feed/changes", CHANGES, encode_changes, decode_changes)
 
 
-def test_short_forms_are_decoded_with_their_defaults():
+def test_messages_without_optional_fields_are_decoded_with_defaults():
     assert decode(bytes.fromhex("9402010203")) == Heartbeat(epoch=1, revision=2, age_ms=3, snapshot_pending=False)
     hello = Hello(name="f", epoch=1, revision=2, digest=bytes(16), wants_snapshot=False)
     assert decode(bytes.fromhex("9505a1660102c410" + "00" * 16)) == hello
 
 
-def test_bytes_that_are_signed():
+def test_signed_payload_keeps_its_bytes():
     expected = b"badgerbend feed 1\0" + (51).to_bytes(8, "big") + (61).to_bytes(8, "big") + bytes(range(32))
     assert CHECKPOINT.signed_bytes() == expected
 
@@ -119,7 +122,7 @@
     assert fixture_keys("feed/message/") == set(MESSAGES)
 
 
-# -- datagrams between control machines: a letter before the message
+# -- Datagrams between control machines: a letter precedes the message.
 
 
 def test_datagram_with_a_proposal():
