--- a/badgerbend/feed/errors.py
+++ b/badgerbend/feed/errors.py
@@ -23,7 +23,7 @@
     """The changes of a publication differ from those that the publisher signed."""
 
     def __init__(self, revision: int) -> None:
-        super().__init__(f"the changes of revision {revision} differ from the signed ones")
+        super().__init__(f"revision {revision}: the changes differ from the signed ones")
         self.revision = revision
 
 
@@ -31,8 +31,8 @@
     """The content after a publication or snapshot differs from what the publisher signed."""
 
     def __init__(self, revision: int, *, of_snapshot: bool = False) -> None:
-        subject = "the snapshot of revision" if of_snapshot else "revision"
-        super().__init__(f"the content of {subject} {revision} differs from the signed one")
+        subject = "snapshot of revision" if of_snapshot else "revision"
+        super().__init__(f"{subject} {revision}: the content differs from the signed one")
         self.revision = revision
         self.of_snapshot = of_snapshot
 
@@ -42,7 +42,7 @@
 
     def __init__(self, received_epoch: int, current_epoch: int, *, of_snapshot: bool = False) -> None:
         subject = "a snapshot of epoch" if of_snapshot else "epoch"
-        super().__init__(f"received {subject} {received_epoch} after epoch {current_epoch}")
+        super().__init__(f"{subject} {received_epoch} received after epoch {current_epoch}")
         self.received_epoch = received_epoch
         self.current_epoch = current_epoch
         self.of_snapshot = of_snapshot
@@ -52,7 +52,7 @@
     """A publication whose revision is not the one after the current revision."""
 
     def __init__(self, received_revision: int, current_revision: int) -> None:
-        super().__init__(f"received revision {received_revision} after revision {current_revision}")
+        super().__init__(f"revision {received_revision} received after revision {current_revision}")
         self.received_revision = received_revision
         self.current_revision = current_revision
 
@@ -73,9 +73,7 @@
     """A relay has announced a revision without sending the publications or the snapshot that lead to it."""
 
     def __init__(self, announced_revision: int, current_revision: int) -> None:
-        super().__init__(
-            f"the relay announced revision {announced_revision} but has sent only revision {current_revision}"
-        )
+        super().__init__(f"revision {announced_revision} was announced, but only revision {current_revision} was sent")
         self.announced_revision = announced_revision
         self.current_revision = current_revision
 
--- a/badgerbend/feed/messages.py
+++ b/badgerbend/feed/messages.py
@@ -108,7 +108,7 @@
 class Hello(msgspec.Struct, array_like=True, frozen=True, tag=5):
     """The first message of a follower: the position and digest of its replica.
 
-    wants_snapshot: the replica is damaged, so that the follower needs a snapshot whatever its position is.
+    wants_snapshot: the replica is damaged, so that the follower needs a snapshot at any position.
     """
 
     name: Name
--- a/badgerbend/feed/snapshot.py
+++ b/badgerbend/feed/snapshot.py
@@ -85,7 +85,7 @@
     def add(self, piece: SnapshotPiece) -> None:
         """Add the next piece. Raises OutOfSequenceError or MalformedMessageError."""
         if piece.index != self._next_index or self.complete:
-            text = f"received piece {piece.index} of a snapshot instead of piece {self._next_index}"
+            text = f"received piece {piece.index} of a snapshot where piece {self._next_index} was expected"
             raise OutOfSequenceError(text, received=piece.index, expected=self._next_index)
         self.content.apply(decode_changes(_decompress(piece.compressed)))
         self._next_index += 1
--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -47,7 +47,7 @@
     """
 
     def __init__(self, holder: str) -> None:
-        super().__init__(f"this machine does not hold the publishing lease; its holder is {holder or 'unknown'}")
+        super().__init__(f"{holder or 'nobody'} holds the publishing lease")
         self.holder = holder
 
 
--- a/badgerbend/feed_service/control_wire.py
+++ b/badgerbend/feed_service/control_wire.py
@@ -53,5 +53,5 @@
     except MalformedFeedMessageError as error:
         raise MalformedMessageError(str(error)) from error
     if not isinstance(message, Summary):
-        raise MalformedMessageError(f"expected Summary, received {type(message).__name__}")
+        raise MalformedMessageError(f"{type(message).__name__} received where a summary was expected")
     return message
--- a/badgerbend/feed_service/relay.py
+++ b/badgerbend/feed_service/relay.py
@@ -142,7 +142,7 @@
                 assert_never(action)
 
     def _report_drained(self) -> None:
-        """Notify the relay of connections with buffer space; full connections are reported when they are writable."""
+        """Notify the relay of connections that are not full; a full one is reported once it is writable again."""
         written = self._written
         self._written = set()
         for number in written:
--- a/tests/test_feed_content.py
+++ b/tests/test_feed_content.py
@@ -4,7 +4,7 @@
 from tests.feed_harness import change
 
 
-def test_equal_content_has_equal_digests_whatever_the_order_of_changes():
+def test_equal_content_has_equal_digests_for_any_order_of_changes():
     one, other = Content(), Content()
     one.apply([change("a", "1"), change("b", "2"), change("a", "3")])
     other.apply([change("c", "9"), change("b", "2"), change("a", "3"), change("c", None)])
--- a/tests/test_feed_framing.py
+++ b/tests/test_feed_framing.py
@@ -21,8 +21,8 @@
     messages = [Heartbeat(1, n, 3) for n in range(5)]
     data = b"".join(encode_frame(message) for message in messages)
     reader = FrameReader()
-    found = [message for at in range(len(data)) for message in reader.feed(data[at : at + 1])]
-    assert found == messages
+    decoded = [message for index in range(len(data)) for message in reader.feed(data[index : index + 1])]
+    assert decoded == messages
 
 
 @pytest.mark.parametrize("damage", ["checksum", "length", "type"])
--- a/tests/test_feed_publisher.py
+++ b/tests/test_feed_publisher.py
@@ -12,7 +12,7 @@
     control = Control()
     epoch = control.grant()
     earlier = signed_publication(
-        control.machine.log, epoch, change("a", "proposed before the lease was lost and found again")
+        control.machine.log, epoch, change("a", "proposed before the lease was lost and regained")
     )
     assert control.publisher.submit(0.0, [change("b", "accepted after")]) == ()
     control.publisher.tick(0.0)
