--- a/badgerbend/feed/log.py
+++ b/badgerbend/feed/log.py
@@ -63,7 +63,7 @@
         self._retained: deque[RetainedPublication] = deque()
         self._bytes = 0  # total size of the retained frames
         self._end_offset = 0  # total size of all frames so far
-        self._before = EMPTY_CHECKPOINT  # the checkpoint before the oldest retained publication
+        self._base_checkpoint = EMPTY_CHECKPOINT  # the checkpoint before the oldest retained publication
 
     @property
     def revision(self) -> int:
@@ -78,7 +78,7 @@
     @property
     def oldest_revision(self) -> int:
         """The revision before the oldest retained publication."""
-        return self._before.revision
+        return self._base_checkpoint.revision
 
     def append(self, publication: Publication) -> None:
         """Append the next publication.
@@ -105,7 +105,7 @@
             raise DigestMismatchError(checkpoint.revision, of_snapshot=True)
         self.content = content
         self.checkpoint = checkpoint
-        self._before = checkpoint
+        self._base_checkpoint = checkpoint
         self._retained.clear()
         self._bytes = 0
 
@@ -125,7 +125,7 @@
     def checkpoint_at(self, revision: int) -> Checkpoint | None:
         """Return the checkpoint of a retained revision, or None for any other revision."""
         if revision == self.oldest_revision:
-            return self._before
+            return self._base_checkpoint
         index = revision - self.oldest_revision - 1
         return self._retained[index].checkpoint if 0 <= index < len(self._retained) else None
 
@@ -136,7 +136,7 @@
 
     def _retain(self, publication: Publication) -> None:
         if not self.retention.publications:
-            self._before = publication.checkpoint
+            self._base_checkpoint = publication.checkpoint
             return
         data = encode_frame(publication)
         self._bytes += len(data)
@@ -145,4 +145,4 @@
         while len(self._retained) > self.retention.publications or self._bytes > self.retention.bytes:
             dropped = self._retained.popleft()
             self._bytes -= len(dropped.frame)
-            self._before = dropped.checkpoint
+            self._base_checkpoint = dropped.checkpoint
--- a/badgerbend/feed/publisher.py
+++ b/badgerbend/feed/publisher.py
@@ -21,7 +21,7 @@
 
 PUBLICATION_OVERHEAD_BYTES = 400  # upper bound of the size of an encoded publication without its changes
 CHANGE_OVERHEAD_BYTES = 16  # upper bound of what encoding adds to the key and value of a change
-MAX_CHANGES_BYTES = MAX_PUBLICATION_BYTES - PUBLICATION_OVERHEAD_BYTES  # size of all changes in one publication
+MAX_CHANGES_BYTES = MAX_PUBLICATION_BYTES - PUBLICATION_OVERHEAD_BYTES  # total size of the changes in one publication
 MAX_BACKOFF_DOUBLINGS = 20  # prevents overflow; `max_retry_interval` is reached with fewer doublings
 
 
@@ -32,9 +32,8 @@
     batch_window: float = 0.05  # changes submitted within this time are published together
     retry_interval: float = 1.0  # before the first retry of a proposal; doubles with each retry
     summary_ttl: float = 5.0  # older summaries of a relay are ignored
-    max_retry_interval: float = (
-        16.0  # more frequent retries of a large publication would fill the log before one is complete
-    )
+    # More frequent retries of a large publication would fill the log before one of them is complete.
+    max_retry_interval: float = 16.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,9 +117,9 @@
         if publication is None or self.log.revision < publication.checkpoint.revision:
             return
         if self.log.checkpoint_at(publication.checkpoint.revision) != publication.checkpoint:
-            # Another publication has this revision, or the checkpoint of this revision is no longer retained. It may
-            # have been proposed before this lease was lost and regained, or by a later publisher. The changes are
-            # published again on top of it.
+            # Another publication has this revision, or the checkpoint of this revision is no longer retained. That
+            # publication was proposed before this lease was lost and regained, or by a later publisher. The changes
+            # are published again on top of it.
             self._queue.extendleft(reversed(publication.changes))
             self._queued_since = min(self._queued_since, now)
         self._in_flight = None
--- a/badgerbend/feed/relay.py
+++ b/badgerbend/feed/relay.py
@@ -115,7 +115,7 @@
         self._close(now, number, str(error))
 
     def drained(self, now: float, number: int) -> None:
-        """Handle the acceptance of all data in flight by the connection."""
+        """Handle the report that a connection has accepted all data in flight."""
         session = self.sessions.get(number)
         if session is None:
             return
@@ -216,7 +216,7 @@
 def _pending_heartbeat(session: Session) -> bytes:
     """Encode the heartbeat for a follower that is waiting for its snapshot.
 
-    It gives no age. Its revision is the follower's own, because other transfers may delay any newer one.
+    Its age is unknown. Its revision is the follower's own, because other transfers may delay any newer one.
     """
     unknown_age_ms = round(UNKNOWN_AGE_S * 1000.0)
     return encode_frame(Heartbeat(session.epoch, session.position, unknown_age_ms, snapshot_pending=True))
--- a/badgerbend/feed/relay_selection.py
+++ b/badgerbend/feed/relay_selection.py
@@ -9,7 +9,7 @@
 from badgerbend.feed.follower_types import FollowerTuning, RelayAddress
 
 MAX_BACKOFF_DOUBLINGS = 20  # prevents overflow; `backoff_max` is reached with fewer doublings
-STALE_RETRY_MIN_FACTOR = 0.5  # lower bound, as a factor; randomness keeps followers from returning together
+STALE_RETRY_MIN_FACTOR = 0.5  # of the interval; the jitter keeps followers from returning to a stale relay together
 
 
 class RelaySelector:
--- a/badgerbend/feed/snapshot_transfers.py
+++ b/badgerbend/feed/snapshot_transfers.py
@@ -16,7 +16,7 @@
 from badgerbend.feed.snapshot import SnapshotImage
 
 BEGIN_FRAME = -1  # index of the frame that starts a snapshot, before its pieces
-NO_REVISION = -1  # for an image whose age relative to a follower does not matter
+NO_REVISION = -1  # for an image that need not be newer than any follower's replica
 
 
 class TransferOwner(Protocol):
--- a/badgerbend/feed/upstream.py
+++ b/badgerbend/feed/upstream.py
@@ -27,8 +27,7 @@
 class UpstreamConnection:
     """Phase and deadlines of the connection.
 
-    emit: receives the actions. on_lost: called at the start of each backoff, when there is no
-    connection.
+    emit: receives the actions. on_lost: called at the start of each backoff, without a connection.
     """
 
     def __init__(
--- a/tests/test_feed_relay_selection.py
+++ b/tests/test_feed_relay_selection.py
@@ -34,7 +34,7 @@
 
 
 def test_failed_attempts_back_off_with_jitter():
-    delays = []
+    pauses = []
     for seed in range(40):
         follower = Follower("a", "north", [ADDRESS], VERIFIER, FollowerTuning(start_jitter=0.0), seed)
         follower.start(0.0)
@@ -44,12 +44,12 @@
             follower.tick(now)
             (connect,) = [a for a in follower.take_actions() if isinstance(a, Connect)]
             follower.closed(now, connect.attempt)
-            delays.append(follower.next_at - now)
-    last = delays[11::12]
+            pauses.append(follower.next_at - now)
+    last = pauses[11::12]
     assert max(last) <= 10.0
     assert max(last) > 8.0
     assert min(last) < 2.0
-    assert max(delays[0::12]) <= 0.1
+    assert max(pauses[0::12]) <= 0.1
 
 
 def test_a_stale_relay_is_left_for_another_one_or_kept_if_there_is_none():
