--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -24,7 +24,7 @@
 from badgerbend.feed_subscription.subscription import WAITING_FOR_CAPACITY
 from badgerbend.generations import manager
 from badgerbend.publication_validation.changes import validate_change
-from tests.feed_stage import SIGNER, Control, change
+from tests.feed_harness import SIGNER, Control, change
 from tests.replacing import replaced
 from tests.sockets import EXAMPLE, BrokerFixture, run, until
 
@@ -106,7 +106,7 @@
     async def put_in_force(self, text):
         """Publishes a configuration and waits until the broker has it in force."""
         revision = self.publish(text)
-        await until(lambda: self.broker.feed_subscription.in_force.current.revision == revision)
+        await until(lambda: self.broker.feed_subscription.active_configuration.current.revision == revision)
 
     def slow_down(self, part_ms):
         for server in self.world.servers.values():
