--- a/benchmarks/feed_seeds.py
+++ b/benchmarks/feed_seeds.py
@@ -17,7 +17,7 @@
 sys.path[:0] = [str(Path(__file__).parent.parent)]
 
 from tests.feed_mutants import MUTANTS  # noqa: E402
-from tests.simfeed import FAULTS_S, World, play  # noqa: E402
+from tests.simfeed import FAULTS_S, World, run_until_settled  # noqa: E402
 from tests.simvoters import InvariantViolation  # noqa: E402
 
 MOST_PROCESSES = 4
@@ -41,7 +41,7 @@
 def one_seed(seed: int) -> Outcome:
     world = World(seed)
     try:
-        wrong = play(world)
+        wrong = run_until_settled(world)
     except Exception as err:  # what the judge says, or a defect that ends a process
         wrong = f"{type(err).__name__}: {err}"
     judge = world.judge
@@ -86,7 +86,7 @@
     mutant, found, first_found, said = MUTANTS[name], 0, -1, ""
     for seed in range(first, first + count):
         try:
-            wrong = play(World(seed, mutant.chaos, mutant.kinds))
+            wrong = run_until_settled(World(seed, mutant.chaos, mutant.kinds))
         except InvariantViolation as err:
             wrong = str(err)
         if wrong:
--- a/tests/feed_mutants.py
+++ b/tests/feed_mutants.py
@@ -13,7 +13,7 @@
 from badgerbend.feed.snapshot_transfers import SnapshotTransfers
 from badgerbend.feed.staleness import StalenessTracker
 from badgerbend.leases.voter import Voter
-from tests.simfeed_settings import Chaos, Kinds
+from tests.simfeed_settings import Chaos, Implementations
 
 # -- followers
 
@@ -293,7 +293,7 @@
 class Mutant:
     """A defect: classes in the place of the product's, the chaos in which it shows, and a seed that shows it."""
 
-    kinds: Kinds
+    kinds: Implementations
     seed: int = 0
     chaos: Chaos = Chaos()
 
@@ -326,30 +326,34 @@
 )
 
 MUTANTS = {
-    "changes in force before their digest is checked": Mutant(Kinds(follower=AppliesBeforeTheDigests), 1, LIES),
-    "a signature not checked": Mutant(Kinds(follower=follower_with(ChecksNoSignature)), 0, LIES),
-    "a snapshot's digest not checked": Mutant(Kinds(follower=follower_with(ChecksNoDigestOfASnapshot)), 1, LIES),
-    "an older snapshot taken": Mutant(Kinds(follower=follower_with(TakesAnOlderSnapshot)), 2, LIES),
-    "an older publication taken": Mutant(Kinds(follower=follower_with(TakesAnOlderPublication)), 0, LIES),
-    "half a snapshot kept": Mutant(Kinds(follower=follower_with(KeepsHalfASnapshot)), 0, ZONES),
-    "a snapshot put in force piece by piece": Mutant(Kinds(follower=LoadsInPlace), 0, ZONES),
-    "the order of pieces not checked": Mutant(Kinds(follower=follower_with(ChecksNoOrderOfPieces)), 3, LIES),
-    "removals not installed": Mutant(Kinds(follower=InstallsNoRemovals)),
-    "the age of a relay behind": Mutant(Kinds(follower=TakesAgeOfARelayBehind), 0, CUTS),
-    "the first of two changes of a key": Mutant(Kinds(follower=ForgetsTheFirstOfTwo)),
-    "a publication skipped on catch-up": Mutant(Kinds(relay=SkipsOnCatchUp)),
-    "the wrong place after compaction": Mutant(Kinds(relay=GoesOnAfterCompaction), 1, STOPS),
+    "changes in force before their digest is checked": Mutant(
+        Implementations(follower=AppliesBeforeTheDigests), 1, LIES
+    ),
+    "a signature not checked": Mutant(Implementations(follower=follower_with(ChecksNoSignature)), 0, LIES),
+    "a snapshot's digest not checked": Mutant(
+        Implementations(follower=follower_with(ChecksNoDigestOfASnapshot)), 1, LIES
+    ),
+    "an older snapshot taken": Mutant(Implementations(follower=follower_with(TakesAnOlderSnapshot)), 2, LIES),
+    "an older publication taken": Mutant(Implementations(follower=follower_with(TakesAnOlderPublication)), 0, LIES),
+    "half a snapshot kept": Mutant(Implementations(follower=follower_with(KeepsHalfASnapshot)), 0, ZONES),
+    "a snapshot put in force piece by piece": Mutant(Implementations(follower=LoadsInPlace), 0, ZONES),
+    "the order of pieces not checked": Mutant(Implementations(follower=follower_with(ChecksNoOrderOfPieces)), 3, LIES),
+    "removals not installed": Mutant(Implementations(follower=InstallsNoRemovals)),
+    "the age of a relay behind": Mutant(Implementations(follower=TakesAgeOfARelayBehind), 0, CUTS),
+    "the first of two changes of a key": Mutant(Implementations(follower=ForgetsTheFirstOfTwo)),
+    "a publication skipped on catch-up": Mutant(Implementations(relay=SkipsOnCatchUp)),
+    "the wrong place after compaction": Mutant(Implementations(relay=GoesOnAfterCompaction), 1, STOPS),
     "digests not compared on resumption": Mutant(
-        Kinds(relay=ComparesNoDigests, follower=ReportsDigestOfCheckpoint), 0, DAMAGE
+        Implementations(relay=ComparesNoDigests, follower=ReportsDigestOfCheckpoint), 0, DAMAGE
     ),
-    "an age whatever was confirmed": Mutant(Kinds(relay=AgeOfItsOwn), 0, CUTS),
-    "a window not kept": Mutant(Kinds(relay=SendsPastTheWindow), 0, STOPS),
-    "snapshots without number": Mutant(Kinds(relay=BeginsEverySnapshot), 0, ZONES),
-    "an epoch not checked": Mutant(Kinds(machine=ChecksNoEpoch), 7, LEASES),
-    "a repeated revision taken": Mutant(Kinds(machine=TakesARevisionAgain), 4, LEASES),
-    "confirmed without the log": Mutant(Kinds(voter=ConfirmsWithoutTheLog), 0, LEASES),
-    "confirmed by a leader that knows less": Mutant(Kinds(voter=ConfirmsByANewLeader), 1),
-    "confirmed though cut off": Mutant(Kinds(voter=ConfirmsAlways), 0, CUTS),
-    "signed on another base": Mutant(Kinds(publisher=SignsOnAnotherBase), 2),
-    "any growth taken for its own": Mutant(Kinds(publisher=TakesAnyGrowthForItsOwn), 296, STALLS),
+    "an age whatever was confirmed": Mutant(Implementations(relay=AgeOfItsOwn), 0, CUTS),
+    "a window not kept": Mutant(Implementations(relay=SendsPastTheWindow), 0, STOPS),
+    "snapshots without number": Mutant(Implementations(relay=BeginsEverySnapshot), 0, ZONES),
+    "an epoch not checked": Mutant(Implementations(machine=ChecksNoEpoch), 7, LEASES),
+    "a repeated revision taken": Mutant(Implementations(machine=TakesARevisionAgain), 4, LEASES),
+    "confirmed without the log": Mutant(Implementations(voter=ConfirmsWithoutTheLog), 0, LEASES),
+    "confirmed by a leader that knows less": Mutant(Implementations(voter=ConfirmsByANewLeader), 1),
+    "confirmed though cut off": Mutant(Implementations(voter=ConfirmsAlways), 0, CUTS),
+    "signed on another base": Mutant(Implementations(publisher=SignsOnAnotherBase), 2),
+    "any growth taken for its own": Mutant(Implementations(publisher=TakesAnyGrowthForItsOwn), 296, STALLS),
 }
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -31,7 +31,7 @@
     FOLLOWER,
     LEASE_TIMING,
     PIECE_BYTES,
-    PRODUCT,
+    PRODUCTION,
     PUBLISHER,
     RAFT_CONFIG,
     REGIONS,
@@ -77,11 +77,11 @@
 
 
 class World:
-    """All hosts and their time: call `run`, then `heal` and `settles`."""
+    """All hosts and their time: call `run`, then `heal` and `settle`."""
 
-    def __init__(self, seed, chaos=None, kinds=PRODUCT):
+    def __init__(self, seed, chaos=None, implementations=PRODUCTION):
         self.chaos = chaos or Chaos()
-        self.kinds = kinds
+        self.implementations = implementations
         self.rng = random.Random(seed)
         self.network = Network(self)
         self.connections = Connections(self)
@@ -152,7 +152,7 @@
         else:
             self._boot_follower(host)
         if name in self.voters or name.startswith("e"):
-            host.relay = self.kinds.relay(name, host.log, RELAY)
+            host.relay = self.implementations.relay(name, host.log, RELAY)
         if host.voter is not None:
             parts = (host.voter, host.holder, host.machine, host.publisher, host.relay)
             host.control = ControlNode(*parts, host.local(), CONTROL)
@@ -163,16 +163,16 @@
     def _boot_control(self, host):
         local = host.local()
         seed = self.rng.getrandbits(32)
-        host.machine = self.kinds.machine(RETENTION)
+        host.machine = self.implementations.machine(RETENTION)
         host.machine.apply = self._seen_by_judge(host.machine.apply)
         tuning = replace(RAFT_CONFIG, compact_after_entries=self.chaos.compact_after_entries)
         state = self.disks[host.name].persistent_state()
-        host.voter = self.kinds.voter(host.name, state, tuning, LEASE_TIMING, seed, local, host.machine)
+        host.voter = self.implementations.voter(host.name, state, tuning, LEASE_TIMING, seed, local, host.machine)
         host.holder = LeaseHolder(
             host.name, host.name, {PUBLISH_LEASE: True}, self.voters, LEASE_TIMING, seed + 1, local
         )
         host.log = host.machine.log
-        host.publisher = self.kinds.publisher(host.log, lambda change: "", self.signature, PUBLISHER)
+        host.publisher = self.implementations.publisher(host.log, lambda change: "", self.signature, PUBLISHER)
 
     def _seen_by_judge(self, apply):
         def seen(index, data):
@@ -186,7 +186,9 @@
         retention = EDGE_RETENTION if edge else Retention(0, 0)
         relays = [address for address in self.relays if not edge or address.name in self.voters]
         seed = self.rng.getrandbits(32)
-        host.follower = self.kinds.follower(host.name, host.region, relays, self.signature, FOLLOWER, seed, retention)
+        host.follower = self.implementations.follower(
+            host.name, host.region, relays, self.signature, FOLLOWER, seed, retention
+        )
         host.log = host.follower.log
         self.judge.began(host.name)
         host.follower.start(host.local())
@@ -279,7 +281,7 @@
         for host in self.hosts.values():
             host.liar = None
 
-    def settles(self, seconds):
+    def settle(self, seconds):
         """Run until all is settled; return what is not after so many seconds, or nothing."""
         end = self.now + seconds
         while wrong := self.watcher.unsettled():
@@ -294,11 +296,11 @@
 QUIET_S = 60.0
 
 
-def play(world):
+def run_until_settled(world):
     """Run a world with faults and then without; return what has not settled, or nothing.
 
     Raises `InvariantViolation`.
     """
     world.run(FAULTS_S)
     world.heal()
-    return world.settles(QUIET_S)
+    return world.settle(QUIET_S)
--- a/tests/simfeed_settings.py
+++ b/tests/simfeed_settings.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Kinds:
+class Implementations:
     """Classes in place of the product's, for planted defects."""
 
     machine: type = FeedStateMachine
@@ -48,7 +48,7 @@
     voter: type = Voter
 
 
-PRODUCT = Kinds()
+PRODUCTION = Implementations()
 FAULTS = (
     "crash",
     "crash",
--- a/tests/test_feed_simulated.py
+++ b/tests/test_feed_simulated.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.feed_mutants import MUTANTS
-from tests.simfeed import World, play
+from tests.simfeed import World, run_until_settled
 from tests.simfeed_settings import RAFT_CONFIG, SLACK_S, Chaos
 from tests.simvoters import InvariantViolation
 
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_invariants_hold_under_random_faults_and_all_settles(seed):
     world = World(seed)
-    assert play(world) == ""
+    assert run_until_settled(world) == ""
     assert world.judge.installs > 200
     assert world.judge.agreed.newest > 10
 
@@ -31,7 +31,7 @@
 def test_a_partitioned_leader_understates_ages_no_longer_than_check_quorum_allows(seed):
     world = World(seed, ONLY_PARTITIONS)
     assert world.voter_bound_s() == 2 * RAFT_CONFIG.election_timeout_s + SLACK_S
-    assert play(world) == ""
+    assert run_until_settled(world) == ""
     assert world.judge.oldest_seen > 2.0
     assert world.judge.lowest_margin < 1.0
 
@@ -40,7 +40,7 @@
 def test_each_planted_defect_is_found(name):
     mutant = MUTANTS[name]
     try:
-        found = play(World(mutant.seed, mutant.chaos, mutant.kinds))
+        found = run_until_settled(World(mutant.seed, mutant.chaos, mutant.kinds))
     except InvariantViolation as broken:
         found = str(broken)
     assert found
@@ -48,4 +48,4 @@
 
 @pytest.mark.parametrize(("seed", "chaos"), sorted({(m.seed, m.chaos) for m in MUTANTS.values()}, key=str))
 def test_the_product_passes_the_runs_that_find_the_defects(seed, chaos):
-    assert play(World(seed, chaos)) == ""
+    assert run_until_settled(World(seed, chaos)) == ""
