--- a/benchmarks/feed_seeds.py
+++ b/benchmarks/feed_seeds.py
@@ -42,17 +42,17 @@
     world = World(seed)
     try:
         wrong = run_until_settled(world)
-    except Exception as err:  # what the judge says, or a defect that ends a process
+    except Exception as err:  # what the checker says, or a defect that ends a process
         wrong = f"{type(err).__name__}: {err}"
-    judge = world.judge
+    checker = world.checker
     return Outcome(
         seed,
         wrong,
-        judge.agreed.newest,
-        judge.installs,
+        checker.agreed.newest,
+        checker.installs,
         world.now,
-        judge.lowest_margin,
-        judge.most_understated,
+        checker.lowest_margin,
+        checker.most_understated,
         Counter(world.counts),
     )
 
--- a/tests/feed_judge.py
+++ b/tests/feed_invariants.py
@@ -1,6 +1,6 @@
 """Invariants of the feed, checked from outside: from the entries of the agreed log and from what followers install.
 
-The judge shares no decision with the product: it decodes the log's entries as bare MessagePack, follows the lease,
+The checker shares no decision with the product: it decodes the log's entries as bare MessagePack, follows the lease,
 joins the parts of publications and keeps a copy of every published state of its own. It raises `InvariantViolation`.
 """
 
@@ -131,14 +131,14 @@
 
 @dataclass
 class Watched:
-    """What the judge knows of one follower's process."""
+    """What the checker knows of one follower's process."""
 
     installed: dict = field(default_factory=dict)
     revision: int = 0
     damaged: bool = False  # its replica was altered in memory, until the next install
 
 
-class Judge:
+class InvariantChecker:
     """clock_rate: by how much clocks may differ, as a fraction of elapsed time."""
 
     def __init__(self, clock_rate):
--- a/tests/feed_mutants.py
+++ b/tests/feed_mutants.py
@@ -1,4 +1,4 @@
-"""Defects planted in the feed that the judge must find, by name: they show what `tests/simfeed.py` can detect."""
+"""Defects planted in the feed that the checker must find, by name: they show what `tests/simfeed.py` can detect."""
 
 from dataclasses import dataclass
 
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -1,8 +1,8 @@
-"""The complete feed in simulated time: control machines, relays, publishers and followers under the faults of a seed.
+"""The complete feed in simulated time: control machines, relays, publishers and followers under random faults.
 
-The product's own `Voter`, `FeedStateMachine`, `LeaseHolder`, `Publisher`, `Relay` and `Follower` run here; sockets,
-disks, clocks and the arithmetic of signatures are simulated. All randomness comes from the seed. `tests.feed_judge`
-says what must hold.
+The production classes `Voter`, `FeedStateMachine`, `LeaseHolder`, `Publisher`, `Relay` and `Follower` run here; sockets,
+disks, clocks and the cryptography of signatures are simulated. All randomness comes from the seed.
+`tests.feed_invariants` defines what must hold.
 """
 
 import heapq
@@ -19,7 +19,7 @@
 from badgerbend.feed.log import Retention
 from badgerbend.feed.machine import PUBLISH_LEASE
 from badgerbend.leases.holder import LeaseHolder
-from tests.feed_judge import Judge
+from tests.feed_invariants import InvariantChecker
 from tests.simfeed_changes import ChangeSource
 from tests.simfeed_connections import Connections
 from tests.simfeed_faults import FaultInjector
@@ -93,7 +93,7 @@
         self.order = count()
         self.due = []  # a heap of (time, order, function, arguments)
         self.signature = KeyedHash()
-        self.judge = Judge(3 * self.chaos.rate)
+        self.checker = InvariantChecker(3 * self.chaos.rate)
         self.voters = tuple(f"v{i}" for i in range(5))
         self.disks = {name: Disk(self.voters) for name in self.voters}
         self.hosts = {}  # by name
@@ -164,7 +164,7 @@
         local = host.local()
         seed = self.rng.getrandbits(32)
         host.machine = self.implementations.machine(RETENTION)
-        host.machine.apply = self._seen_by_judge(host.machine.apply)
+        host.machine.apply = self._observed_by_checker(host.machine.apply)
         tuning = replace(RAFT_CONFIG, compact_after_entries=self.chaos.compact_after_entries)
         state = self.disks[host.name].persistent_state()
         host.voter = self.implementations.voter(host.name, state, tuning, LEASE_TIMING, seed, local, host.machine)
@@ -174,9 +174,9 @@
         host.log = host.machine.log
         host.publisher = self.implementations.publisher(host.log, lambda change: "", self.signature, PUBLISHER)
 
-    def _seen_by_judge(self, apply):
+    def _observed_by_checker(self, apply):
         def seen(index, data):
-            self.judge.agreed.applied(self.now, index, data)
+            self.checker.agreed.applied(self.now, index, data)
             apply(index, data)
 
         return seen
@@ -190,7 +190,7 @@
             host.name, host.region, relays, self.signature, FOLLOWER, seed, retention
         )
         host.log = host.follower.log
-        self.judge.began(host.name)
+        self.checker.began(host.name)
         host.follower.start(host.local())
 
     def crash(self, name, back_s):
@@ -201,7 +201,7 @@
         host.running = False
         if name in self.voters:
             self.disks[name].crash(self.rng)
-            self.judge.accepted.pop(name, None)
+            self.checker.accepted.pop(name, None)
         for stream in [s for s in self.streams.values() if host in (s.follower, s.relay)]:
             resets = self.rng.random() < 0.7
             stream.breaks(resets, resets)
@@ -288,7 +288,7 @@
             if self.now >= end:
                 return wrong
             self.run(0.5)
-        self.judge.settled()
+        self.checker.settled()
         return ""
 
 
--- a/tests/simfeed_faults.py
+++ b/tests/simfeed_faults.py
@@ -98,7 +98,7 @@
             return
         key, _ = self.world.rng.choice(sorted(host.log.content.items()))
         host.log.content.apply([Change(key, b"damaged")])
-        self.world.judge.followers[host.name].damaged = True
+        self.world.checker.followers[host.name].damaged = True
         stream.breaks(True, True)
 
     def _burst(self, left):
--- a/tests/simfeed_watcher.py
+++ b/tests/simfeed_watcher.py
@@ -1,4 +1,4 @@
-"""What the judge sees of the simulated feed, beside installs: ages, memory, and whether all has settled."""
+"""What the checker sees of the simulated feed, beside installs: ages, memory, and whether all has settled."""
 
 from tests.simfeed_settings import RELAY
 
@@ -27,16 +27,16 @@
         """Look at the bytes in flight of a connection."""
         if not stream.was_lied_to:
             allowed = RELAY.send_window + stream.largest_frame
-            self.world.judge.in_flight(host.name, stream.number, len(stream.down.waiting), allowed)
+            self.world.checker.in_flight(host.name, stream.number, len(stream.down.waiting), allowed)
 
     def _watch_age(self, host, part):
-        self.world.judge.age(self.world.now, host.name, host.log.revision, part.age_s(host.local()), host.age_bound_s)
+        self.world.checker.age(self.world.now, host.name, host.log.revision, part.age_s(host.local()), host.age_bound_s)
 
     def _watch_relay(self, host):
         images = [s.image for s in host.relay.sessions.values() if s.image is not None]
         loading = len(images)
         retained = {id(image) for image in (*images, host.relay.transfers.cache.image) if image is not None}
-        self.world.judge.relay(
+        self.world.checker.relay(
             host.name,
             len(retained),
             loading,
@@ -45,7 +45,7 @@
 
     def unsettled(self):
         """Why not all hosts hold the newest revision with the publisher knowing it; empty if they do."""
-        newest = self.world.judge.agreed.newest
+        newest = self.world.checker.agreed.newest
         if any(not host.running for host in self.world.hosts.values()):
             return "a host is down"
         publishers = [host for host in self.world.running_controls() if host.publisher.epoch]
--- a/tests/test_feed_simulated.py
+++ b/tests/test_feed_simulated.py
@@ -23,8 +23,8 @@
 def test_invariants_hold_under_random_faults_and_all_settles(seed):
     world = World(seed)
     assert run_until_settled(world) == ""
-    assert world.judge.installs > 200
-    assert world.judge.agreed.newest > 10
+    assert world.checker.installs > 200
+    assert world.checker.agreed.newest > 10
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -32,8 +32,8 @@
     world = World(seed, ONLY_PARTITIONS)
     assert world.voter_bound_s() == 2 * RAFT_CONFIG.election_timeout_s + SLACK_S
     assert run_until_settled(world) == ""
-    assert world.judge.oldest_seen > 2.0
-    assert world.judge.lowest_margin < 1.0
+    assert world.checker.oldest_seen > 2.0
+    assert world.checker.lowest_margin < 1.0
 
 
 @pytest.mark.parametrize("name", MUTANTS)
