--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -1,7 +1,7 @@
 """The complete feed in simulated time: control machines, relays, publishers and followers under random faults.
 
-The production classes `Voter`, `FeedStateMachine`, `LeaseHolder`, `Publisher`, `Relay` and `Follower` run here; sockets,
-disks, clocks and the cryptography of signatures are simulated. All randomness comes from the seed.
+The production classes `Voter`, `FeedStateMachine`, `LeaseHolder`, `Publisher`, `Relay` and `Follower` run here;
+sockets, disks, clocks and the cryptography of signatures are simulated. All randomness comes from the seed.
 `tests.feed_invariants` defines what must hold.
 """
 
@@ -176,7 +176,7 @@
 
     def _observed_by_checker(self, apply):
         def seen(index, data):
-            self.checker.agreed.applied(self.now, index, data)
+            self.checker.agreed.record_applied(self.now, index, data)
             apply(index, data)
 
         return seen
@@ -190,7 +190,7 @@
             host.name, host.region, relays, self.signature, FOLLOWER, seed, retention
         )
         host.log = host.follower.log
-        self.checker.began(host.name)
+        self.checker.record_start(host.name)
         host.follower.start(host.local())
 
     def crash(self, name, back_s):
@@ -288,7 +288,7 @@
             if self.now >= end:
                 return wrong
             self.run(0.5)
-        self.checker.settled()
+        self.checker.check_settled()
         return ""
 
 
--- a/tests/simfeed_changes.py
+++ b/tests/simfeed_changes.py
@@ -28,7 +28,7 @@
         if self.world.rng.random() < 0.2:
             changes.append(Change(changes[0].key, self._random_value()))
         if not host.publisher.submit(host.local(), changes):
-            self.world.checker.submitted(host.name, changes)
+            self.world.checker.record_submitted(host.name, changes)
         self.world.runner.collect(host)
 
     def _random_change(self):
--- a/tests/simfeed_runner.py
+++ b/tests/simfeed_runner.py
@@ -43,7 +43,7 @@
             return
         epoch_before = host.publisher.epoch
         if host.control.synchronize(host.local()):
-            self.world.checker.voter(host.name, host.incarnation, host.machine.log)
+            self.world.checker.check_voter(host.name, host.incarnation, host.machine.log)
         if host.publisher.epoch not in (0, epoch_before):
             self.world.count("lease")
         for action in host.control.take_actions():
@@ -79,7 +79,7 @@
             case ReportSummary(publisher, summary):
                 network.send(host, publisher, network.deliver_summary, summary)
             case ChangesAbandoned(changes):
-                self.world.checker.lease_lost(host.name, changes)
+                self.world.checker.check_lease_lost(host.name, changes)
 
     def _synced(self, host, incarnation, number, length):
         """A record has reached the disk."""
@@ -97,7 +97,7 @@
         for action in host.follower.take_actions():
             self._carry_out_follower_action(host, action, local)
         if world.rng.random() < UNCHANGED_CHECK_SHARE:
-            world.checker.unchanged(host.name, host.log)
+            world.checker.check_unchanged(host.name, host.log)
         if host.relay is not None:
             host.relay.mark_current(local, local - host.follower.age_s(local))
 
@@ -116,14 +116,14 @@
                     cut = world.network.is_cut(host, stream.relay)
                     stream.end(host, None if cut else world.network.latency(host, stream.relay))
             case Install(revision):
-                world.checker.installed(host.name, action, host.log)
+                world.checker.check_install(host.name, action, host.log)
                 host.follower.applied(local, revision)
                 if host.relay is not None:
                     host.relay.log_advanced(local)
             case MessageRejected(_, error):
                 world.count(type(error).__name__)
                 stream = world.connections.stream_of(host, host.follower.attempt)
-                world.checker.rejected(host.name, error, stream is None or stream.was_lied_to)
+                world.checker.check_rejection(host.name, error, stream is None or stream.was_lied_to)
 
     def _collect_relay(self, host):
         world = self.world
--- a/tests/simfeed_watcher.py
+++ b/tests/simfeed_watcher.py
@@ -27,16 +27,18 @@
         """Look at the bytes in flight of a connection."""
         if not stream.was_lied_to:
             allowed = RELAY.send_window + stream.largest_frame
-            self.world.checker.in_flight(host.name, stream.number, len(stream.down.waiting), allowed)
+            self.world.checker.check_in_flight(host.name, stream.number, len(stream.down.waiting), allowed)
 
     def _watch_age(self, host, part):
-        self.world.checker.age(self.world.now, host.name, host.log.revision, part.age_s(host.local()), host.age_bound_s)
+        self.world.checker.check_age(
+            self.world.now, host.name, host.log.revision, part.age_s(host.local()), host.age_bound_s
+        )
 
     def _watch_relay(self, host):
         images = [s.image for s in host.relay.sessions.values() if s.image is not None]
         loading = len(images)
         retained = {id(image) for image in (*images, host.relay.transfers.cache.image) if image is not None}
-        self.world.checker.relay(
+        self.world.checker.check_relay_memory(
             host.name,
             len(retained),
             loading,
