--- a/tests/feed_invariants.py
+++ b/tests/feed_invariants.py
@@ -231,9 +231,9 @@
         if log.revision != observed.revision or dict(log.content.items()) != observed.installed:
             raise InvariantViolation(f"{name}: the replica at revision {log.revision} changed without an install")
 
-    def check_rejection(self, name, error, was_tampered):
+    def check_rejection(self, name, error, was_tampered_with):
         """Check a rejection of a message. An honest relay sends nothing invalid; it may only be slow."""
-        if not was_tampered and not isinstance(error, NoProgressError):
+        if not was_tampered_with and not isinstance(error, NoProgressError):
             raise InvariantViolation(f"{name} rejected a message of an honest relay: {type(error).__name__}: {error}")
 
     def check_age(self, now, name, revision, age_s, bound_s):
--- a/tests/feed_liar.py
+++ b/tests/feed_tampering.py
@@ -1,6 +1,6 @@
-"""A relay that lies: it alters, forges, cuts, withholds or replays the frames that it should send.
+"""A faulty relay: it alters, forges, truncates, withholds or replays the frames that it should send.
 
-Heartbeats are left alone: they are not signed, so that a relay that claims a false age is believed.
+Heartbeats are not altered: they carry no signature, so a follower cannot detect a false age.
 """
 
 import zlib
@@ -16,36 +16,46 @@
     encode_changes,
 )
 
-MAX_REPLAYED = 40  # frames that it can replay
-LIES = ("alter", "forge", "cut", "replay", "replay snapshot", "withhold", "repeat piece", "forge content", "go back")
+MAX_REPLAYED = 40  # frames retained for a replay
+METHODS = (
+    "alter",
+    "forge",
+    "truncate",
+    "replay",
+    "replay snapshot",
+    "withhold",
+    "repeat piece",
+    "forge content",
+    "go back",
+)
 
 
-class Liar:
-    """Tells one kind of lie to all followers of a relay."""
+class FrameTamperer:
+    """Tampers in one way with the frames to all followers of a relay."""
 
     def __init__(self, rng):
         self.rng = rng
-        self.lie = rng.choice(LIES)
-        self.sent = []  # frames of publications
-        self.snapshots = {}  # session: pieces and frames of the snapshot on its way
+        self.method = rng.choice(METHODS)
+        self.sent = []  # latest frames of publications
+        self.snapshots = {}  # session: the number of pieces and the frames so far of the snapshot that is being sent
         self.complete = []  # the frames of complete snapshots
 
-    def frames_in_place_of(self, data, session):
-        """The frames that are sent in place of a frame."""
+    def replacement_frames(self, data, session):
+        """Return the frames to send in place of a frame."""
         (message,) = FrameReader().feed(data)
         if isinstance(message, Heartbeat):
-            return self._instead_of_heartbeat(data)
+            return self._frames_with_heartbeat(data)
         self._record(data, message, session)
-        match self.lie, message:
+        match self.method, message:
             case "alter", Publication() if message.changes:
                 return [encode_frame(Publication(message.checkpoint, self._altered(message.changes)))]
             case "alter", SnapshotPiece():
-                return [encode_frame(SnapshotPiece(message.index, self._other_piece()))]
+                return [encode_frame(SnapshotPiece(message.index, self._altered_piece()))]
             case "forge", Publication() | SnapshotBegin():
                 return [encode_frame(self._forged(message))]
             case "forge content", Publication():
                 return [encode_frame(Publication(message.checkpoint, (*message.changes, Change("node/0", b"false"))))]
-            case "cut", _ if self.rng.random() < 0.3:
+            case "truncate", _ if self.rng.random() < 0.3:
                 return [data[: self.rng.randrange(len(data))]]
             case "withhold", Publication() if self.rng.random() < 0.5:
                 return []
@@ -57,10 +67,10 @@
                 return [self.rng.choice(self.sent), data]
         return [data]
 
-    def _instead_of_heartbeat(self, data):
-        if self.lie in ("replay snapshot", "go back") and self.complete and self.rng.random() < 0.5:
+    def _frames_with_heartbeat(self, data):
+        if self.method in ("replay snapshot", "go back") and self.complete and self.rng.random() < 0.5:
             return [*self.rng.choice(self.complete), data]
-        if self.lie == "replay" and self.sent and self.rng.random() < 0.5:
+        if self.method == "replay" and self.sent and self.rng.random() < 0.5:
             return [self.rng.choice(self.sent), data]
         return [data]
 
@@ -76,15 +86,15 @@
                 self.complete = [*self.complete[-3:], frames]
 
     def _altered(self, changes):
-        place = self.rng.randrange(len(changes))
-        altered = Change(changes[place].key, b"altered")
-        return (*changes[:place], altered, *changes[place + 1 :])
+        index = self.rng.randrange(len(changes))
+        altered = Change(changes[index].key, b"altered")
+        return (*changes[:index], altered, *changes[index + 1 :])
 
-    def _other_piece(self):
+    def _altered_piece(self):
         return zlib.compress(encode_changes((Change("node/0", b"altered"),)))
 
     def _forged(self, message):
-        """A checkpoint of the liar's own, whose signature cannot be valid."""
+        """Return the message with another checkpoint, for which its signature is not valid."""
         old = message.checkpoint
         digests = (old.content_digest, old.changes_digest)
         if isinstance(message, SnapshotBegin):
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -48,7 +48,7 @@
 
 @dataclass
 class Host:
-    """A machine and the process on it, if that runs."""
+    """A simulated machine and the process on it, if one runs."""
 
     world: object
     name: str
@@ -65,19 +65,19 @@
     control: object = None
     relay: object = None
     follower: object = None
-    log: object = None  # what the relay serves
+    log: object = None  # the log that the relay serves
     summary_at: float = 0.0
-    liar: object = None
-    age_bound_s: float = 0.0  # by how much its age may be too low at present
+    tamperer: object = None
+    age_bound_s: float = 0.0  # by how much the age that it reports may be too low at present
     parts: list = field(default_factory=list)
 
     def local(self):
-        """The time of the host's own clock."""
+        """Return the time of the host's own clock."""
         return self.clock.local(self.world.now)
 
 
 class World:
-    """All hosts and their time: call `run`, then `heal` and `settle`."""
+    """All hosts and the simulated time: call `run`, then `heal` and `settle`."""
 
     def __init__(self, seed, chaos=None, implementations=PRODUCTION):
         self.chaos = chaos or Chaos()
@@ -90,48 +90,49 @@
         self.changes = ChangeSource(self)
         self.watcher = Watcher(self)
         self.now = 0.0
-        self.order = count()
-        self.due = []  # a heap of (time, order, function, arguments)
+        self.order = count()  # of scheduled calls: breaks ties between calls of the same time
+        self.scheduled = []  # a heap of (time, order, function, arguments)
         self.signature = KeyedHash()
         self.checker = InvariantChecker(3 * self.chaos.rate)
         self.voters = tuple(f"v{i}" for i in range(5))
         self.disks = {name: Disk(self.voters) for name in self.voters}
         self.hosts = {}  # by name
         self.streams = {}  # by number
-        self.numbers = count(1)
-        self.values = count()
+        self.numbers = count(1)  # for the next streams
+        self.values = count()  # for the next values of changes, which makes them distinct
         self.healed = False
-        self.counts = {}
+        self.counts = {}  # event: how often
         self._add_relays(edges=2 if self.chaos.edges else 0)
-        for place in range(self.rng.randint(*self.chaos.followers)):
-            self._add_host(f"f{place}", REGIONS[place % 3])
+        for index in range(self.rng.randint(*self.chaos.followers)):
+            self._add_host(f"f{index}", REGIONS[index % 3])
         for name in self.hosts:
             self.boot(name)
-        self.repeat_forever(WATCH_INTERVAL_S, self.watcher.watch)
-        self.repeat_forever(self.chaos.submit_interval_s, self.changes.submit)
-        self.repeat_forever(self.chaos.fault_interval_s, self.faults.inject)
+        self.repeat(WATCH_INTERVAL_S, self.watcher.check_hosts)
+        self.repeat(self.chaos.submit_interval_s, self.changes.submit)
+        self.repeat(self.chaos.fault_interval_s, self.faults.inject)
 
     def voter_bound_s(self):
-        """By how much a following voter may understate the age of its content, beside the delay of a message.
+        """Return by how much a voter that follows may understate the age of its content, beside a message's delay.
 
         A leader that is partitioned from the majority sends heartbeats for 2 * election_timeout_s, counted from replies
-        of the majority that were late (late_s) or that waited in a suspended leader (max_suspension_s). The slack is
-        for other delays and for clocks.
+        of the majority that were late (late_s) or that waited in a suspended leader (max_suspension_s). The slack
+        covers other delays and the drift of clocks.
         """
         return 2 * RAFT_CONFIG.election_timeout_s + self.chaos.late_s + self.chaos.max_suspension_s + SLACK_S
 
     def stream_bound_s(self):
-        """By how much a heartbeat may be late and still count.
+        """Return by how much a heartbeat may be late and still count.
 
-        A follower leaves a relay that is silent for `heartbeat_timeout`; one more may have waited in the stream.
+        A follower disconnects from a relay that is silent for `heartbeat_timeout`; one more heartbeat interval may
+        have passed while the message waited in the stream.
         """
         return FOLLOWER.heartbeat_timeout + RELAY.heartbeat_interval + SLACK_S
 
     def _add_relays(self, edges):
-        for place, name in enumerate(self.voters):
-            self._add_host(name, REGIONS[place % 3])
-        for place in range(edges):
-            self._add_host(f"e{place}", REGIONS[place])
+        for index, name in enumerate(self.voters):
+            self._add_host(name, REGIONS[index % 3])
+        for index in range(edges):
+            self._add_host(f"e{index}", REGIONS[index])
         self.relays = [RelayAddress(h.name, h.region, h.name, 1) for h in self.hosts.values()]
 
     def _add_host(self, name, region):
@@ -139,7 +140,7 @@
         self.hosts[name] = Host(self, name, region, clock)
 
     def boot(self, name):
-        """Start a process on a host, with what its disk holds."""
+        """Start a process on a host with the state on its disk."""
         host = self.hosts[name]
         host.incarnation += 1
         host.running = True
@@ -164,7 +165,7 @@
         local = host.local()
         seed = self.rng.getrandbits(32)
         host.machine = self.implementations.machine(RETENTION)
-        host.machine.apply = self._observed_by_checker(host.machine.apply)
+        host.machine.apply = self._checked(host.machine.apply)
         tuning = replace(RAFT_CONFIG, compact_after_entries=self.chaos.compact_after_entries)
         state = self.disks[host.name].persistent_state()
         host.voter = self.implementations.voter(host.name, state, tuning, LEASE_TIMING, seed, local, host.machine)
@@ -174,12 +175,14 @@
         host.log = host.machine.log
         host.publisher = self.implementations.publisher(host.log, lambda change: "", self.signature, PUBLISHER)
 
-    def _observed_by_checker(self, apply):
-        def seen(index, data):
+    def _checked(self, apply):
+        """Have the checker record each command before a voter's state machine applies it."""
+
+        def record_and_apply(index, data):
             self.checker.agreed.record_applied(self.now, index, data)
             apply(index, data)
 
-        return seen
+        return record_and_apply
 
     def _boot_follower(self, host):
         edge = host.name.startswith("e")
@@ -193,8 +196,8 @@
         self.checker.record_start(host.name)
         host.follower.start(host.local())
 
-    def crash(self, name, back_s):
-        """End a host's process; it starts again after so many seconds."""
+    def crash(self, name, restart_s):
+        """End a host's process; it starts call_and_repeat after restart_s seconds."""
         host = self.hosts[name]
         if not host.running:
             return
@@ -204,41 +207,44 @@
             self.checker.accepted.pop(name, None)
         for stream in [s for s in self.streams.values() if host in (s.follower, s.relay)]:
             resets = self.rng.random() < 0.7
-            stream.breaks(resets, resets)
-        self.at(back_s, self.boot, name)
+            stream.disconnect(resets, resets)
+        self.call_after(restart_s, self.boot, name)
 
     def when_running(self, host, action, *args):
-        """Whether the host runs now. A suspended one is called later, in order; one that is down never."""
+        """Return whether the host runs now.
+
+        On a suspended host the action is called when it resumes, in order; on one that is down it never is.
+        """
         if not host.running:
             return False
         if self.now < host.suspended_until:
-            self.at_time(host.suspended_until, action, *args)
+            self.call_at(host.suspended_until, action, *args)
             return False
         return True
 
-    def at(self, after, action, *args):
-        """Call a function after so many seconds."""
-        self.at_time(self.now + max(after, 0.0), action, *args)
+    def call_after(self, delay_s, action, *args):
+        """Call a function after a delay in seconds."""
+        self.call_at(self.now + max(delay_s, 0.0), action, *args)
 
-    def at_time(self, at, action, *args):
-        """Call a function at a time; calls of the same time keep the order in which they were scheduled."""
-        heapq.heappush(self.due, (at, next(self.order), action, args))
+    def call_at(self, at, action, *args):
+        """Call a function at a simulated time; calls of the same time keep the order in which they were scheduled."""
+        heapq.heappush(self.scheduled, (at, next(self.order), action, args))
 
-    def repeat_forever(self, mean_s, action):
-        """Call a function at random intervals with this mean."""
+    def repeat(self, mean_s, action):
+        """Call a function at random intervals with the given mean."""
 
-        def again():
-            self.at(self.rng.uniform(0.3, 1.7) * mean_s, again)
+        def call_and_repeat():
+            self.call_after(self.rng.uniform(0.3, 1.7) * mean_s, call_and_repeat)
             action()
 
-        self.at(self.rng.random() * mean_s, again)
+        self.call_after(self.rng.random() * mean_s, call_and_repeat)
 
     def run(self, seconds):
-        """Let simulated time pass."""
+        """Advance the simulated time."""
         end = self.now + seconds
         with patch.object(snapshot, "PIECE_TARGET_BYTES", PIECE_BYTES):
-            while self.due and self.due[0][0] <= end:
-                self.now, _, action, args = heapq.heappop(self.due)
+            while self.scheduled and self.scheduled[0][0] <= end:
+                self.now, _, action, args = heapq.heappop(self.scheduled)
                 action(*args)
         self.now = end
 
@@ -248,7 +254,7 @@
         at = max(host.clock.true(earliest), self.now + 0.001, host.suspended_until)
         if host.tick_at <= self.now or at < host.tick_at:
             host.tick_at = at
-            self.at(at - self.now, self._tick, host, host.incarnation, at)
+            self.call_after(at - self.now, self._tick, host, host.incarnation, at)
 
     def _tick(self, host, incarnation, at):
         if host.incarnation != incarnation or host.tick_at != at or not host.running:
@@ -262,27 +268,27 @@
         self.runner.collect(host)
 
     def running_controls(self):
-        """Control machines that run and are not suspended."""
+        """Return the control machines that run and are not suspended."""
         return [h for h in map(self.hosts.get, self.voters) if h.running and self.now >= h.suspended_until]
 
     def brokers(self):
-        """Hosts with a follower and no relay."""
+        """Return the hosts with a follower and no relay."""
         return [h for h in self.hosts.values() if h.name.startswith("f")]
 
     def count(self, event):
-        """Count an event for the report of many seeds."""
+        """Count an event for the report over many seeds."""
         self.counts[event] = self.counts.get(event, 0) + 1
 
     def heal(self):
-        """Inject no more faults; the network is healthy from here on."""
+        """End all faults: none is injected any more, and the network is healthy."""
         self.healed = True
         self.chaos = replace(self.chaos, loss=0.0, late=0.0)
         self.network.cuts = {}
         for host in self.hosts.values():
-            host.liar = None
+            host.tamperer = None
 
     def settle(self, seconds):
-        """Run until all is settled; return what is not after so many seconds, or nothing."""
+        """Run until all hosts have settled; return what has not after the given time, or an empty string."""
         end = self.now + seconds
         while wrong := self.watcher.unsettled():
             if self.now >= end:
@@ -297,7 +303,7 @@
 
 
 def run_until_settled(world):
-    """Run a world with faults and then without; return what has not settled, or nothing.
+    """Run a world with faults and then without; return what has not settled, or an empty string.
 
     Raises `InvariantViolation`.
     """
--- a/tests/simfeed_changes.py
+++ b/tests/simfeed_changes.py
@@ -5,13 +5,13 @@
 
 
 class ChangeSource:
-    """Submits random changes to each host that publishes."""
+    """Submits random changes to the hosts that publish."""
 
     def __init__(self, world):
         self.world = world
 
     def submit(self):
-        """Submit a few changes to each publisher that runs."""
+        """Submit a few changes to each publisher that is running."""
         for name in self.world.voters:
             host = self.world.hosts[name]
             if (
@@ -23,7 +23,7 @@
                 self.submit_to(host, self.world.rng.randint(1, 4))
 
     def submit_to(self, host, number):
-        """Submit so many changes; sometimes two of one key, of which the later must win."""
+        """Submit a number of changes. Some batches change one key twice: the later change must win."""
         changes = [self._random_change() for _ in range(number)]
         if self.world.rng.random() < 0.2:
             changes.append(Change(changes[0].key, self._random_value()))
--- a/tests/simfeed_faults.py
+++ b/tests/simfeed_faults.py
@@ -1,18 +1,18 @@
 """Faults that are injected into the simulated feed, all chosen by the random source of the world."""
 
 from badgerbend.feed.messages import Change
-from tests.feed_liar import Liar
+from tests.feed_tampering import FrameTamperer
 from tests.simfeed_settings import REGIONS
 
 
 class FaultInjector:
-    """Injects one fault at a time."""
+    """Injects random faults, one in each call of `inject`."""
 
     def __init__(self, world):
         self.world = world
 
     def inject(self):
-        """Choose a fault and inject it, as long as the world is not healed."""
+        """Choose a fault and inject it, unless the world is healed."""
         world = self.world
         if world.healed:
             return
@@ -32,7 +32,7 @@
             case "burst of changes":
                 self._burst(world.rng.randint(5, 40))
             case "lying relay":
-                self._lie(world.hosts[self._choice(world.relays).name])
+                self._tamper(world.hosts[self._choice(world.relays).name])
             case "zone restart":
                 self._restart_zone()
             case "lease release" if control.running:
@@ -61,7 +61,7 @@
             case "broken connections":
                 for stream in list(world.streams.values()):
                     if world.rng.random() < 0.1:
-                        stream.breaks(world.rng.random() < 0.8, world.rng.random() < 0.8)
+                        stream.disconnect(world.rng.random() < 0.8, world.rng.random() < 0.8)
 
     def _choice(self, options):
         return self.world.rng.choice(options)
@@ -71,52 +71,52 @@
             self.world.crash(leader, self.world.rng.random() * 4.0)
 
     def _crash_mid_snapshot(self):
-        """Crash a relay that sends snapshots."""
+        """Crash a relay that is sending snapshots."""
         running = [host for host in self.world.hosts.values() if host.running and host.relay is not None]
         sending = [host for host in running if host.relay.transfers.active]
         for host in sending[:1]:
             self.world.crash(host.name, self.world.rng.random() * 2.0)
 
     def _restart_zone(self):
-        """All brokers of a region crash and return together; changes follow while their snapshots are on their way."""
+        """Crash all brokers of a region and restart them together; changes follow while they receive snapshots."""
         region = self._choice(REGIONS)
-        back_s = self.world.rng.random() * 3.0
+        restart_s = self.world.rng.random() * 3.0
         for host in self.world.brokers():
             if host.region == region:
-                self.world.crash(host.name, back_s)
-        self.world.at(back_s + 0.3, self._burst, 10)
+                self.world.crash(host.name, restart_s)
+        self.world.call_after(restart_s + 0.3, self._burst, 10)
 
-    def _lie(self, host):
-        """A relay lies for a while."""
-        host.liar = Liar(self.world.rng)
-        self.world.at(1.0 + self.world.rng.random() * 4.0, self._stop_lying, host)
+    def _tamper(self, host):
+        """Have a relay tamper with its frames for a while."""
+        host.tamperer = FrameTamperer(self.world.rng)
+        self.world.call_after(1.0 + self.world.rng.random() * 4.0, self._stop_tampering, host)
 
     def _damage(self, host):
-        """Alter a replica in memory and break its connection: the next relay must notice."""
+        """Alter a replica in memory and break its connection: the next relay must detect it by the digest."""
         stream = self.world.connections.stream_of(host, host.follower.attempt) if host.running else None
         if stream is None or not len(host.log.content):
             return
         key, _ = self.world.rng.choice(sorted(host.log.content.items()))
         host.log.content.apply([Change(key, b"damaged")])
         self.world.checker.followers[host.name].damaged = True
-        stream.breaks(True, True)
+        stream.disconnect(True, True)
 
-    def _burst(self, left):
+    def _burst(self, remaining):
         """Publish faster than slow followers receive."""
         for host in self.world.running_controls():
             if host.publisher.epoch:
                 self.world.changes.submit_to(host, 2)
-        if left and not self.world.healed:
-            self.world.at(0.07, self._burst, left - 1)
+        if remaining and not self.world.healed:
+            self.world.call_after(0.07, self._burst, remaining - 1)
 
     def _suspend(self, host, max_s):
-        """The process does not run for a while."""
+        """Suspend a process for a random time of up to max_s."""
         if host.running:
             host.suspended_until = max(host.suspended_until, self.world.now + max_s * self.world.rng.random())
             self.world.wake(host)
 
     def _partition(self, hosts, one_way=False):
-        """Lose everything between these hosts and all others."""
+        """Cut the network between these hosts and all others; one_way: only from these hosts to the others."""
         until = self.world.now + self.world.rng.choice(self.world.chaos.partition_s) * self.world.rng.uniform(0.5, 1.0)
         inside = {host.name for host in hosts}
         for name in inside:
@@ -125,5 +125,5 @@
                 if not one_way:
                     self.world.network.cuts[other, name] = until
 
-    def _stop_lying(self, host):
-        host.liar = None
+    def _stop_tampering(self, host):
+        host.tamperer = None
--- a/tests/simfeed_network.py
+++ b/tests/simfeed_network.py
@@ -6,39 +6,42 @@
 
 
 class Network:
-    """Delivers datagrams, and knows which hosts are partitioned."""
+    """Delivers datagrams and holds the partitions of the network."""
 
     def __init__(self, world):
         self.world = world
-        self.cuts = {}  # (name, other name): until when nothing gets through
+        self.cuts = {}  # (source name, destination name): until when nothing is delivered
 
     def is_cut(self, host, other):
-        """Whether nothing gets from one host to the other."""
+        """Return whether nothing is delivered from one host to the other."""
         return self.cuts.get((host.name, other.name), 0.0) > self.world.now
 
     def latency(self, host, other):
-        """A random one-way delay."""
-        far = 0.0 if host.region == other.region else 0.01
-        return far + self.world.rng.uniform(*self.world.chaos.delay)
+        """Return a random one-way delay."""
+        region_delay = 0.0 if host.region == other.region else 0.01
+        return region_delay + self.world.rng.uniform(*self.world.chaos.delay)
 
     def send(self, source, to, deliver, data):
-        """Send a datagram; `deliver` is called with the host and the data where it arrives."""
+        """Send a datagram; when it arrives, `deliver` is called with the receiving host and the data."""
         if to not in self.world.hosts or self.world.rng.random() < self.world.chaos.loss:
             return
         delay = self.latency(source, self.world.hosts[to])
         if self.world.rng.random() < self.world.chaos.late:
             delay += self.world.rng.random() * self.world.chaos.late_s
-        self.world.at(delay, self._arrive, source, self.world.hosts[to], deliver, data)
+        self.world.call_after(delay, self._arrive, source, self.world.hosts[to], deliver, data)
 
     def send_proposal(self, source, to, command):
-        """Send a proposal. Some are delivered once more, much later: an old publisher's part after a new epoch."""
+        """Send a proposal.
+
+        Some are delivered again, much later: a part from an old publisher may arrive after a new epoch has begun.
+        """
         if to not in self.world.hosts:
             return
         self.send(source, to, self.deliver_proposal, command)
         if self.world.rng.random() < self.world.chaos.late:
             other = self.world.hosts[self.world.rng.choice(self.world.voters)]
             delay = self.world.rng.random() * 6.0
-            self.world.at(delay, self._arrive, source, other, self.deliver_proposal, command)
+            self.world.call_after(delay, self._arrive, source, other, self.deliver_proposal, command)
 
     def _arrive(self, source, host, deliver, data):
         if self.is_cut(source, host):
@@ -48,7 +51,7 @@
             self.world.runner.collect(host)
 
     def deliver_voter_message(self, host, datagram):
-        """A voter receives a message of another one, with the time at which it was sent."""
+        """Deliver a voter's message, with the time at which it was sent, to another voter."""
         sent_at, data = datagram
         before = host.voter.confirmed_at
         host.voter.receive_from_voter(host.local(), voting.decode(data))
@@ -57,17 +60,17 @@
             host.age_bound_s = SLACK_S if host.voter.is_leader else follower_bound_s
 
     def deliver_holder_message(self, host, data):
-        """A voter receives a request for a lease."""
+        """Deliver a request for a lease to a voter."""
         host.voter.receive_from_broker(host.local(), lease_messages.decode(data))
 
     def deliver_lease_reply(self, host, data):
-        """A lease holder receives a reply."""
+        """Deliver a voter's reply to a lease holder."""
         host.holder.receive_reply(host.local(), lease_messages.decode(data))
 
     def deliver_proposal(self, host, data):
-        """A voter receives a proposed command."""
+        """Deliver a proposed command to a voter."""
         host.voter.propose(host.local(), data)
 
     def deliver_summary(self, host, summary):
-        """A publisher receives a relay's summary."""
+        """Deliver a relay's summary to a publisher."""
         host.publisher.record_summary(host.local(), summary)
--- a/tests/simfeed_runner.py
+++ b/tests/simfeed_runner.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of the product's state machines in simulated time."""
+"""Carries out the actions of the feed's state machines in simulated time."""
 
 from badgerbend.consensus import messages as voting
 from badgerbend.feed.control import ChangesAbandoned, Propose, ReportSummary
@@ -11,17 +11,17 @@
 )
 from badgerbend.feed.relay_types import Close, SendTo
 from badgerbend.leases import messages as lease_messages
-from tests.simfeed_settings import SUMMARY_INTERVAL_S, UNCHANGED_CHECK_SHARE
+from tests.simfeed_settings import SUMMARY_INTERVAL_S, UNCHANGED_CHECK_PROBABILITY
 
 
 class ActionRunner:
-    """Collects the actions of a host's parts after each call."""
+    """Collects and carries out the actions of a host's parts after each call."""
 
     def __init__(self, world):
         self.world = world
 
     def collect(self, host):
-        """Carry out the actions of a host's parts, as long as it runs."""
+        """Carry out the actions of a host's parts, unless it is down or suspended."""
         if not host.running or self.world.now < host.suspended_until:
             return
         if host.voter is not None:
@@ -57,7 +57,7 @@
         for number, record in output.records:
             disk.records.append(voting.encode(record))
             delay = world.rng.uniform(*world.chaos.sync)
-            world.at(delay, self._synced, host, host.incarnation, number, len(disk.records))
+            world.call_after(delay, self._synced, host, host.incarnation, number, len(disk.records))
         for name, message in output.to_voters:
             network.send(host, name, network.deliver_voter_message, (world.now, voting.encode(message)))
         for name, reply in output.to_brokers:
@@ -66,7 +66,7 @@
             network.send(host, name, network.deliver_holder_message, lease_messages.encode(message))
 
     def _crashes_before_fan_out(self, host):
-        """Whether a leader crashes between the commit of a publication and its fan-out."""
+        """Return whether the host, as a leader, is to crash between the commit of a publication and its fan-out."""
         if not host.control.log_changed or not host.voter.is_leader or self.world.healed:
             return False
         return self.world.rng.random() < self.world.chaos.crash_before_fan_out
@@ -82,7 +82,7 @@
                 self.world.checker.check_lease_lost(host.name, changes)
 
     def _synced(self, host, incarnation, number, length):
-        """A record has reached the disk."""
+        """Record that the disk has synced all records up to length."""
         if host.incarnation != incarnation or not host.running:
             return
         disk = self.world.disks[host.name]
@@ -96,7 +96,7 @@
         local = host.local()
         for action in host.follower.take_actions():
             self._carry_out_follower_action(host, action, local)
-        if world.rng.random() < UNCHANGED_CHECK_SHARE:
+        if world.rng.random() < UNCHANGED_CHECK_PROBABILITY:
             world.checker.check_unchanged(host.name, host.log)
         if host.relay is not None:
             host.relay.mark_current(local, local - host.follower.age_s(local))
@@ -113,8 +113,8 @@
             case Disconnect(attempt):
                 stream = world.connections.stream_of(host, attempt)
                 if stream is not None:
-                    cut = world.network.is_cut(host, stream.relay)
-                    stream.end(host, None if cut else world.network.latency(host, stream.relay))
+                    is_cut_off = world.network.is_cut(host, stream.relay)
+                    stream.end(host, None if is_cut_off else world.network.latency(host, stream.relay))
             case Install(revision):
                 world.checker.check_install(host.name, action, host.log)
                 host.follower.applied(local, revision)
@@ -123,7 +123,7 @@
             case MessageRejected(_, error):
                 world.count(type(error).__name__)
                 stream = world.connections.stream_of(host, host.follower.attempt)
-                world.checker.check_rejection(host.name, error, stream is None or stream.was_lied_to)
+                world.checker.check_rejection(host.name, error, stream is None or stream.was_tampered_with)
 
     def _collect_relay(self, host):
         world = self.world
@@ -140,11 +140,11 @@
     def _carry_out_relay_action(self, host, action, stream):
         match action:
             case SendTo(_, data):
-                frames = [data] if host.liar is None else host.liar.frames_in_place_of(data, action.session)
-                stream.was_lied_to = stream.was_lied_to or frames != [data]
+                frames = [data] if host.tamperer is None else host.tamperer.replacement_frames(data, action.session)
+                stream.was_tampered_with = stream.was_tampered_with or frames != [data]
                 for frame in frames:
                     stream.send_down(frame)
-                self.world.watcher.watch_stream(host, stream)
+                self.world.watcher.check_stream(host, stream)
             case Close():
                 self.world.count("closed by relay")
                 stream.end(host, self.world.network.latency(host, stream.follower))
--- a/tests/simfeed_settings.py
+++ b/tests/simfeed_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the simulated feed: chances, tunings, and the classes that planted defects replace."""
+"""Settings of the simulated feed: probabilities, tunings, and the classes that planted defects replace."""
 
 import hmac
 from dataclasses import dataclass
@@ -18,17 +18,20 @@
 from badgerbend.leases.voter import Voter
 
 REGIONS = ("north", "south", "west")
-PIECE_BYTES = 1500  # of a snapshot: several pieces, though the content is small
+PIECE_BYTES = 1500  # of a snapshot; small, so that the little content here still makes several pieces
 KEY = b"the publisher's"
-SLACK_S = 0.2  # for delays of the network and clocks that run off
-WATCH_INTERVAL_S = 0.5  # between looks at ages and memory
+SLACK_S = 0.2  # for delays of the network and the drift of clocks
+WATCH_INTERVAL_S = 0.5  # mean time between checks of ages and memory
 SUMMARY_INTERVAL_S = 0.7
-UNCHANGED_CHECK_SHARE = 0.05  # of the turns in which a replica is compared with what was installed
-KEYS = 60
+UNCHANGED_CHECK_PROBABILITY = 0.05  # that a replica is compared with what was installed, for each collection
+KEYS = 60  # number of distinct keys that are changed
 
 
 class KeyedHash:
-    """A `Signer` and `Verifier` by a keyed hash: as hard to forge here as Ed25519, and fast enough for many seeds."""
+    """A `Signer` and `Verifier` that use a keyed hash.
+
+    In the simulation it is as hard to forge as Ed25519, and it is fast enough for many seeds.
+    """
 
     def sign(self, payload):
         return hmac.digest(KEY, payload, "sha512")
@@ -39,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Implementations:
-    """Classes in place of the product's, for planted defects."""
+    """The classes under test; a planted defect replaces one of them by a defective subclass."""
 
     machine: type = FeedStateMachine
     publisher: type = Publisher
@@ -76,17 +79,20 @@
 
 @dataclass(frozen=True)
 class Chaos:
-    """Probabilities and sizes; times are in seconds. late: of datagrams, which are delayed by up to late_s."""
+    """Probabilities and sizes of faults; times are in seconds.
+
+    late: the probability that a datagram is delayed by up to late_s.
+    """
 
     followers: tuple = (20, 32)
-    edges: bool = True  # two relays that follow relays
+    edges: bool = True  # add two relays that follow other relays
     loss: float = 0.03
     late: float = 0.03
     late_s: float = 1.0
     delay: tuple = (0.001, 0.02)
     sync: tuple = (0.0005, 0.01)
     rate: float = 0.01
-    fault_interval_s: float = 0.8  # between faults, on average
+    fault_interval_s: float = 0.8  # mean time between faults
     submit_interval_s: float = 0.25
     max_suspension_s: float = 3.0
     max_follower_suspension_s: float = 8.0
@@ -94,7 +100,7 @@
     bytes_per_second: tuple = (4_000, 30_000, 1_000_000)
     faults: tuple = FAULTS
     compact_after_entries: int = 60
-    crash_before_fan_out: float = 0.03  # chance that a leader crashes between a publication and its fan-out
+    crash_before_fan_out: float = 0.03  # probability that a leader crashes between a publication and its fan-out
 
 
 RAFT_CONFIG = RaftConfig(election_timeout_s=0.4, heartbeat_interval_s=0.1)
--- a/tests/simstreams.py
+++ b/tests/simstreams.py
@@ -1,7 +1,8 @@
-"""Stream connections in simulated time: ordered bytes in chunks, limited bandwidth, breaks, ends that hear nothing.
+"""Stream connections in simulated time: ordered chunks of bytes, limited bandwidth, and half-open connections.
 
-A `Pipe` is one direction. What is written waits in it (the sender's buffers) until the network has taken it; chunks are
-cut anywhere, so that frames arrive in halves. While a region is cut off the bytes wait, as they do for TCP's repeats.
+A `Pipe` is one direction of a connection. Written bytes wait in it, as in the sender's buffers, until the network takes
+them. Chunks are split at any byte, so that frames arrive in pieces. While a region is partitioned the bytes wait, as
+they would for retransmissions of TCP.
 """
 
 from collections import deque
@@ -10,73 +11,79 @@
 from badgerbend.feed.framing import FrameReader
 
 CHUNK_BYTES = (40, 4000)
-RECEIVE_BUFFER = 8 * 1024  # bytes that are taken for a process that stands still
-SLACK_S = 0.1  # for clocks that run off
-RETRY_S = 0.2  # while nothing gets through
+RECEIVE_BUFFER = 8 * 1024  # unread bytes that are accepted for a suspended process
+SLACK_S = 0.1  # for the drift of clocks
+RETRY_S = 0.2  # interval between attempts to move bytes while the network is cut or the receive buffer is full
 
 
 class Pipe:
-    """One direction of a connection. deliver: takes bytes; taken: called when nothing waits any more."""
+    """One direction of a connection.
 
-    def __init__(self, world, sender, receiver, bytes_per_second, deliver, taken=lambda: None):
+    deliver: called with each chunk that the receiver reads. on_drained: called when no written bytes wait any more.
+    """
+
+    def __init__(self, world, sender, receiver, bytes_per_second, deliver, on_drained=lambda: None):
         self.world, self.sender, self.receiver = world, sender, receiver
-        self.bytes_per_second, self.deliver, self.taken = bytes_per_second, deliver, taken
+        self.bytes_per_second, self.deliver, self.on_drained = bytes_per_second, deliver, on_drained
         self.open = True
         self.waiting = bytearray()
-        self._unread = 0  # bytes taken by the network that the receiver has not read
+        self._unread = 0  # bytes that the network has taken and the receiver has not read
         self._busy = False
         self._arrives_at = 0.0
         self._arrived = deque()  # chunks that the receiver has not read
-        self._written = deque()  # of frames not read yet: when they were written, and the sender's bound on ages then
+        self._written = deque()  # for each unread frame: the time of its write, and the sender's age bound at that time
 
     def write(self, data):
         if self.open:
             self.waiting += data
             self._written.append((self.world.now, self.sender.age_bound_s))
-            self._go_on()
+            self._schedule_move()
 
-    def _go_on(self):
+    def _schedule_move(self):
         if not self._busy and self.waiting and self.open:
             self._busy = True
-            self.world.at(0.0, self._move)
+            self.world.call_after(0.0, self._move)
 
     def _move(self):
-        """The network takes the next chunk."""
+        """Move the next chunk into the network."""
         self._busy = False
         if not self.open or not self.waiting:
             return
         if self.world.network.is_cut(self.sender, self.receiver) or self._unread >= RECEIVE_BUFFER:
             self._busy = True
-            self.world.at(RETRY_S, self._move)
+            self.world.call_after(RETRY_S, self._move)
             return
         size = self.world.rng.randint(*CHUNK_BYTES)
         chunk = bytes(self.waiting[:size])
         del self.waiting[:size]
         self._unread += len(chunk)
-        took = len(chunk) / self.bytes_per_second
+        transfer_s = len(chunk) / self.bytes_per_second
         self._arrives_at = max(
-            self._arrives_at, self.world.now + took + self.world.network.latency(self.sender, self.receiver)
+            self._arrives_at, self.world.now + transfer_s + self.world.network.latency(self.sender, self.receiver)
         )
-        self.world.at_time(self._arrives_at, self._arrive, chunk)
+        self.world.call_at(self._arrives_at, self._arrive, chunk)
         self._busy = True
-        self.world.at(took, self._moved)
+        self.world.call_after(transfer_s, self._moved)
 
     def frame_read(self):
-        """When the next frame was written, and its sender's bound on ages then. Called for each that is read."""
+        """Return when the next frame was written, and the sender's age bound at that time.
+
+        Called once for each frame that is read.
+        """
         return self._written.popleft()
 
     def _moved(self):
         self._busy = False
         if not self.waiting and self.open:
-            self.taken()
-        self._go_on()
+            self.on_drained()
+        self._schedule_move()
 
     def _arrive(self, chunk):
         self._arrived.append(chunk)
         self._read()
 
     def _read(self):
-        """The receiver reads what has arrived, once it runs."""
+        """Read the chunks that have arrived, once the receiver runs."""
         if not self.open or not self._arrived or not self.world.when_running(self.receiver, self._read):
             return
         while self.open and self._arrived and self.world.now >= self.receiver.suspended_until:
@@ -86,45 +93,45 @@
 
 
 class Stream:
-    """A follower's connection to a relay, both directions."""
+    """A follower's connection to a relay, in both directions."""
 
     def __init__(self, world, number, follower, attempt, relay):
         self.world, self.number, self.attempt = world, number, attempt
         self.follower, self.relay = follower, relay  # hosts
         self.incarnations = follower.incarnation, relay.incarnation
         speed = world.rng.choice(world.chaos.bytes_per_second)
-        self.down = Pipe(world, relay, follower, speed, self._to_follower, self._taken)
+        self.down = Pipe(world, relay, follower, speed, self._to_follower, self._relay_drained)
         self.up = Pipe(world, follower, relay, speed, self._to_relay)
         self._down_frames, self._up_frames = FrameReader(), FrameReader()
         self.largest_frame = 0
-        self.was_lied_to = False  # it was sent other frames than its relay's core sent
+        self.was_tampered_with = False  # other frames were sent than the relay's state machine sent
 
     def send_down(self, data):
         self.largest_frame = max(self.largest_frame, len(data))
         self.down.write(data)
 
     def alive(self, host):
-        """Whether the host's process is still the one that has this connection."""
+        """Return whether the host still runs the process that has this connection."""
         return host.running and host.incarnation == self.incarnations[host is self.relay]
 
-    def end(self, host, heard_after):
-        """One end closes; the other hears of it later, or never (None)."""
+    def end(self, host, notify_after_s):
+        """Close the connection at one end; the other end learns of it after a delay, or never (None)."""
         self.down.open = self.up.open = False
         other = self.relay if host is self.follower else self.follower
         self.world.streams.pop(self.number, None)
-        if heard_after is not None:
-            self.world.at(heard_after, self._tell_closed, other)
+        if notify_after_s is not None:
+            self.world.call_after(notify_after_s, self._notify_closed, other)
 
-    def breaks(self, follower_hears, relay_hears):
-        """The network loses the connection."""
+    def disconnect(self, notify_follower, notify_relay):
+        """Break the connection in the network; the flags say which ends learn of it."""
         self.down.open = self.up.open = False
         self.world.streams.pop(self.number, None)
-        for host, hears in ((self.follower, follower_hears), (self.relay, relay_hears)):
-            if hears:
-                self.world.at(self.world.rng.random() * 0.2, self._tell_closed, host)
+        for host, notify in ((self.follower, notify_follower), (self.relay, notify_relay)):
+            if notify:
+                self.world.call_after(self.world.rng.random() * 0.2, self._notify_closed, host)
 
-    def _tell_closed(self, host):
-        if not self.alive(host) or not self.world.when_running(host, self._tell_closed, host):
+    def _notify_closed(self, host):
+        if not self.alive(host) or not self.world.when_running(host, self._notify_closed, host):
             return
         if host is self.follower:
             host.follower.closed(host.local(), self.attempt)
@@ -132,10 +139,10 @@
             host.relay.closed(host.local(), self.number)
         self.world.runner.collect(host)
 
-    def _taken(self):
-        if self.down.waiting or not self.alive(self.relay):  # written to again before a stopped relay heard of it
+    def _relay_drained(self):
+        if self.down.waiting or not self.alive(self.relay):  # new bytes were written before a suspended relay resumed
             return
-        if self.world.when_running(self.relay, self._taken):
+        if self.world.when_running(self.relay, self._relay_drained):
             self.relay.relay.drained(self.relay.local(), self.number)
             self.world.runner.collect(self.relay)
 
@@ -145,18 +152,18 @@
             return
         try:
             for message in self._down_frames.feed(chunk):
-                self._received(host, message)
+                self._deliver_to_follower(host, message)
         except FeedError as error:
             host.follower.protocol_error(host.local(), self.attempt, error)
         self.world.runner.collect(host)
 
-    def _received(self, host, message):
+    def _deliver_to_follower(self, host, message):
         written_at, bound_s = self.down.frame_read()
         before = host.follower.age_s(host.local())
         host.follower.received(host.local(), self.attempt, message)
         if host.follower.age_s(host.local()) < before:
-            late_s = min(self.world.now - written_at, self.world.stream_bound_s())
-            host.age_bound_s = bound_s + late_s + SLACK_S
+            delay_s = min(self.world.now - written_at, self.world.stream_bound_s())
+            host.age_bound_s = bound_s + delay_s + SLACK_S
         self.world.runner.collect(host)
 
     def _to_relay(self, chunk):
--- a/tests/tcp_proxy.py
+++ b/tests/tcp_proxy.py
@@ -1,4 +1,7 @@
-"""A TCP proxy between two processes of a test whose link can be cut, silently or with its connections reset."""
+"""A TCP proxy between two processes of a test.
+
+Its link can be cut, either silently or with all connections reset.
+"""
 
 import asyncio
 from enum import Enum, auto
@@ -10,18 +13,18 @@
     """The state of a link."""
 
     UP = auto()
-    BLACK_HOLE = auto()  # connections stay open and are accepted; their bytes are lost, now and after `heal`
-    REFUSED = auto()  # all connections are reset, new ones too
+    BLACK_HOLE = auto()  # connections stay open and new ones are accepted; their bytes are lost, also after `heal`
+    REFUSED = auto()  # open and new connections are reset
 
 
 class TcpProxy:
-    """Listens on loopback and forwards to one address."""
+    """Listens on loopback and forwards connections to one address."""
 
     def __init__(self, host, port):
         self.host = host
         self.port = port
         self.link = Link.UP
-        self._cuts = 0
+        self._link_changes = 0
         self._server = None
         self._writers = set()
         self._tasks = set()
@@ -33,7 +36,7 @@
     async def __aexit__(self, *_):
         self._server.close()
         self._reset()
-        await asyncio.gather(*self._tasks, return_exceptions=True)  # they end with their connections
+        await asyncio.gather(*self._tasks, return_exceptions=True)  # the tasks end with their connections
 
     @property
     def listening_port(self):
@@ -42,14 +45,14 @@
     def cut(self, link):
         """Cut the link; bytes in flight are lost."""
         self.link = link
-        self._cuts += 1
+        self._link_changes += 1
         if link is Link.REFUSED:
             self._reset()
 
     def heal(self):
-        """Restore the link, for new connections only: the old ones, which have lost bytes, stay silent."""
+        """Restore the link for new connections. The old ones have lost bytes and forward nothing any more."""
         self.link = Link.UP
-        self._cuts += 1
+        self._link_changes += 1
 
     def _reset(self):
         for writer in list(self._writers):
@@ -63,9 +66,9 @@
             if self.link is Link.REFUSED:
                 writer.transport.abort()
                 return
-            far_reader, far_writer = await asyncio.open_connection(self.host, self.port)
-            self._writers.add(far_writer)
-            await asyncio.gather(self._forward(reader, far_writer), self._forward(far_reader, writer))
+            upstream_reader, upstream_writer = await asyncio.open_connection(self.host, self.port)
+            self._writers.add(upstream_writer)
+            await asyncio.gather(self._forward(reader, upstream_writer), self._forward(upstream_reader, writer))
         except OSError:
             writer.transport.abort()
         finally:
@@ -74,9 +77,9 @@
 
     async def _forward(self, reader, writer):
         """Forward until one side ends; bytes that arrive after the link was cut are lost."""
-        cuts = self._cuts if self.link is Link.UP else None
+        link_changes = self._link_changes if self.link is Link.UP else None
         while data := await reader.read(CHUNK_BYTES):
-            if cuts == self._cuts:
+            if link_changes == self._link_changes:
                 writer.write(data)
                 await writer.drain()
         writer.transport.abort()
