--- a/tests/feed_lines.py
+++ b/tests/feed_lines.py
@@ -1,4 +1,4 @@
-"""Messages between a test and the processes that `tests.feed_processes` starts: typed JSON lines."""
+"""Messages between a test and the processes that `tests.feed_processes` starts: JSON lines with a type tag."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 
 
 class RelaySetup(msgspec.Struct, frozen=True, tag=True):
-    """A relay. Without an upstream it publishes what the test sends; with one it relays what that one publishes."""
+    """A relay: without an upstream it publishes what the test sends, otherwise what its upstream publishes."""
 
     name: str = "core"
     region: str = "north"
@@ -30,7 +30,7 @@
 
 
 class ControlSetup(msgspec.Struct, frozen=True, tag=True):
-    """A control machine with a vote. voters: host and port by name; store: the folder of its records."""
+    """A control machine that votes. voters: host and port by name; store: the folder of its records."""
 
     name: str
     region: str
@@ -46,13 +46,13 @@
 
 
 class Publish(msgspec.Struct, frozen=True, tag=True):
-    """Publish these changes in one batch. None takes a key away."""
+    """Publish these changes in one batch. A value of None removes the key."""
 
     changes: tuple[tuple[str, str | None], ...]
 
 
 class Fill(msgspec.Struct, frozen=True, tag=True):
-    """Publish so many batches, each of so many rows of hardly compressible text, always of the same keys."""
+    """Publish batches of rows with text that hardly compresses. All batches have the same keys."""
 
     batches: int
     rows: int
@@ -71,33 +71,35 @@
 
 
 class Listening(msgspec.Struct, frozen=True, tag=True):
+    """The process accepts connections."""
+
     port: int
 
 
 class Published(msgspec.Struct, frozen=True, tag=True):
-    """A revision came about; the hexadecimal digest of the content there."""
+    """A revision was published. digest: of its content, in hexadecimal."""
 
     revision: int
     digest: str
 
 
 class Installed(msgspec.Struct, frozen=True, tag=True):
-    """A follower put a revision in force; the digest is made from all that it has put in force, not from its log."""
+    """A follower put a revision in force. digest: of all content that it has put in force, not of its log."""
 
     follower: str
     revision: int
     digest: str
 
 
-class PieceCame(msgspec.Struct, frozen=True, tag=True):
-    """A piece of a snapshot reached a follower."""
+class PieceReceived(msgspec.Struct, frozen=True, tag=True):
+    """A follower received a piece of a snapshot."""
 
     follower: str
     relay: str
 
 
-class Refused(msgspec.Struct, frozen=True, tag=True):
-    """A follower did not use what a relay sent."""
+class Rejected(msgspec.Struct, frozen=True, tag=True):
+    """A follower rejected a message of a relay."""
 
     follower: str
     relay: str
@@ -105,35 +107,38 @@
 
 
 class RelayReport(msgspec.Struct, frozen=True, tag=True):
-    """A relay's counters. *_most: the highest so far. over_pace_most: bytes of snapshots above what the pace alone
-    allowed, as a bucket that leaks at the pace. blocked: followers to which a whole window is on its way."""
+    """A relay's counters. max_*: the highest value so far.
+
+    max_over_rate: the level of a leaky bucket that is filled with the bytes of snapshots and leaks at their rate limit.
+    blocked: followers with a full send window in flight.
+    """
 
     revision: int
     digest: str
     followers: int
     blocked: tuple[str, ...]
     snapshots_started: int
-    cut: int
-    loading_most: int
-    in_flight_most: int
-    waiting_most: int
-    over_pace_most: float
+    evicted: int
+    max_loading: int
+    max_in_flight: int
+    max_unsent: int
+    max_over_rate: float
     largest_frame: int
     largest_piece: int
     snapshot_bytes: int
 
 
 class Submitted(msgspec.Struct, frozen=True, tag=True):
-    """Whether a control machine took changes for publication: it does so while it holds the lease."""
+    """Whether a control machine accepted changes for publication: it does so while it holds the lease."""
 
-    taken: bool
+    accepted: bool
 
 
 class ControlReport(msgspec.Struct, frozen=True, tag=True):
-    """How a control machine stands. in_force: followers with its revision, as far as relays have reported to it."""
+    """The state of a control machine. in_force: followers with its revision, as far as relays have reported to it."""
 
-    leads: bool
-    publishes: bool
+    is_leader: bool
+    is_publisher: bool
     epoch: int
     revision: int
     digest: str
@@ -143,7 +148,10 @@
 
 
 class FollowerState(msgspec.Struct, frozen=True):
-    """publications: that came, used or not. age_s: `UNKNOWN_AGE_S` before the first word."""
+    """The state of a follower.
+
+    publications: number received, used or not. age_s: `UNKNOWN_AGE_S` before the first message with an age.
+    """
 
     name: str
     relay: str | None
@@ -154,11 +162,21 @@
 
 
 class FollowersReport(msgspec.Struct, frozen=True, tag=True):
+    """The states of all followers of a process."""
+
     followers: tuple[FollowerState, ...]
 
 
 Event = (
-    Listening | Published | Installed | PieceCame | Refused | RelayReport | FollowersReport | Submitted | ControlReport
+    Listening
+    | Published
+    | Installed
+    | PieceReceived
+    | Rejected
+    | RelayReport
+    | FollowersReport
+    | Submitted
+    | ControlReport
 )
 
 
--- a/tests/feed_process.py
+++ b/tests/feed_process.py
@@ -1,6 +1,6 @@
 """One process of the feed for tests: `python -m tests.feed_process SETUP`, commands on stdin, events on stdout.
 
-The setup is a JSON object of `tests.feed_lines`. The process ends with its stdin.
+The setup is a JSON object from `tests.feed_lines`. The process ends when its stdin is closed.
 """
 
 import asyncio
@@ -30,10 +30,10 @@
     FollowerState,
     Installed,
     Listening,
-    PieceCame,
+    PieceReceived,
     Publish,
     Published,
-    Refused,
+    Rejected,
     RelayReport,
     RelaySetup,
     Report,
@@ -44,19 +44,19 @@
 )
 from tests.feed_stage import SIGNER, VERIFIER, Control, change
 
-CONFIRM_EVERY_S = 0.05
-LINE_BYTES = 4 * 1024 * 1024  # of one command
+CONFIRM_INTERVAL_S = 0.05
+MAX_COMMAND_BYTES = 4 * 1024 * 1024
 KEYS = (b"a key of control machines for tests",)
 
 
 def emit(event):
-    """Send an event to the test, at once."""
+    """Send an event to the test immediately."""
     sys.stdout.buffer.write(encode_line(event))
     sys.stdout.buffer.flush()
 
 
 class RememberingClock:
-    """The monotonic clock, and its last reading: the time that a state machine was last called with."""
+    """The monotonic clock. It keeps its last reading: the time with which a state machine was last called."""
 
     def __init__(self):
         self.last = 0.0
@@ -67,19 +67,19 @@
 
 
 class MeasuredRelay(Relay):
-    """A relay that measures what it has sent."""
+    """A relay that measures the frames that it sends."""
 
     def __init__(self, name, log, tuning, clock):
         super().__init__(name, log, tuning)
         self.clock = clock
-        self.loading_most = 0
-        self.in_flight_most = 0
+        self.max_loading = 0
+        self.max_in_flight = 0
         self.largest_frame = 0
         self.largest_piece = 0
         self.snapshot_bytes = 0
-        self.over_pace = 0.0
-        self.over_pace_most = 0.0
-        self._leaked_at = 0.0
+        self.over_rate = 0.0
+        self.max_over_rate = 0.0
+        self._measured_at = 0.0
 
     def take_actions(self):
         actions = super().take_actions()
@@ -87,10 +87,10 @@
             if isinstance(action, SendTo):
                 self._measure(action.frame)
         sessions = self.sessions.values()
-        self.loading_most = max(
-            self.loading_most, sum(session.phase is SessionPhase.SENDING_SNAPSHOT for session in sessions)
+        self.max_loading = max(
+            self.max_loading, sum(session.phase is SessionPhase.SENDING_SNAPSHOT for session in sessions)
         )
-        self.in_flight_most = max(self.in_flight_most, max((session.in_flight for session in sessions), default=0))
+        self.max_in_flight = max(self.max_in_flight, max((session.in_flight for session in sessions), default=0))
         return actions
 
     def _measure(self, frame):
@@ -99,16 +99,16 @@
         (message,) = FrameReader().feed(frame)
         if not isinstance(message, SnapshotPiece):
             return
-        passed = self.clock.last - self._leaked_at
-        self._leaked_at = self.clock.last
-        self.over_pace = max(self.over_pace - passed * self.tuning.snapshot_bytes_per_second, 0.0) + size
-        self.over_pace_most = max(self.over_pace_most, self.over_pace)
+        elapsed_s = self.clock.last - self._measured_at
+        self._measured_at = self.clock.last
+        self.over_rate = max(self.over_rate - elapsed_s * self.tuning.snapshot_bytes_per_second, 0.0) + size
+        self.max_over_rate = max(self.max_over_rate, self.over_rate)
         self.largest_piece = max(self.largest_piece, size)
         self.snapshot_bytes += size
 
 
 class ReportingOwner:
-    """Holds the content in force and reports each install with its digest."""
+    """Holds the content in force and reports each install with the content's digest."""
 
     def __init__(self, name, installed=lambda: None):
         self.name = name
@@ -124,11 +124,11 @@
         return ""
 
     def rejected(self, relay, error):
-        emit(Refused(self.name, relay, type(error).__name__))
+        emit(Rejected(self.name, relay, type(error).__name__))
 
 
 class ReportingClient(FollowerClient):
-    """Reports each piece of a snapshot too, and counts publications."""
+    """Reports each piece of a snapshot that it receives, and counts publications."""
 
     publications = 0
 
@@ -136,12 +136,12 @@
         if isinstance(message, Publication):
             self.publications += 1
         if isinstance(message, SnapshotPiece):
-            emit(PieceCame(self.follower.name, self.follower.relay.name))
+            emit(PieceReceived(self.follower.name, self.follower.relay.name))
         super().stream_message(stream, message)
 
 
 class RelayProcess:
-    """A relay that publishes, or one that re-publishes its upstream's."""
+    """A relay that publishes, or one that relays the publications of its upstream."""
 
     def __init__(self, setup):
         self.setup = setup
@@ -149,7 +149,7 @@
         self.random = random.Random(1)
         self.control = None
         self.client = None
-        self.waiting_most = 0
+        self.max_unsent = 0
         log = self._log()
         self.relay = MeasuredRelay(setup.name, log, setup.tuning, self.clock)
         self.server = RelayServer(self.relay, self.clock)
@@ -197,15 +197,15 @@
 
     def _republish(self):
         self.server.log_advanced()
-        self.waiting_most = max(self.waiting_most, self.server.max_unsent_bytes())
+        self.max_unsent = max(self.max_unsent, self.server.max_unsent_bytes())
 
     async def _confirm(self):
-        """Notify the relay, again and again, up to when its log is known to be the newest."""
+        """Tell the relay at intervals the time at which its log was last known to be the newest."""
         while True:
             now = self.clock()
             age = 0.0 if self.client is None else self.client.follower.age_s(now)
             self.server.mark_current(now - age)
-            await asyncio.sleep(CONFIRM_EVERY_S)
+            await asyncio.sleep(CONFIRM_INTERVAL_S)
 
     def _report(self):
         relay = self.relay
@@ -217,11 +217,11 @@
                 session.name for session in relay.sessions.values() if session.in_flight >= relay.tuning.send_window
             ),
             snapshots_started=relay.snapshots_started,
-            cut=relay.evicted,
-            loading_most=relay.loading_most,
-            in_flight_most=relay.in_flight_most,
-            waiting_most=self.waiting_most,
-            over_pace_most=relay.over_pace_most,
+            evicted=relay.evicted,
+            max_loading=relay.max_loading,
+            max_in_flight=relay.max_in_flight,
+            max_unsent=self.max_unsent,
+            max_over_rate=relay.max_over_rate,
             largest_frame=relay.largest_frame,
             largest_piece=relay.largest_piece,
             snapshot_bytes=relay.snapshot_bytes,
@@ -273,8 +273,8 @@
         log = server.relay.log
         progress = server.progress(log.revision)
         return ControlReport(
-            leads=server.local_voter.voter.is_leader,
-            publishes=server.is_publisher,
+            is_leader=server.local_voter.voter.is_leader,
+            is_publisher=server.is_publisher,
             epoch=log.epoch,
             revision=log.revision,
             digest=log.content.digest().hex(),
@@ -285,7 +285,7 @@
 
 
 class FollowersProcess:
-    """Many followers that only follow."""
+    """Followers without a relay."""
 
     def __init__(self, setup):
         self.owners = [ReportingOwner(f"{setup.region}-{i}") for i in range(setup.count)]
@@ -318,7 +318,7 @@
     setup = decode_setup(text)
     process = ROLES[type(setup)](setup)
     await process.start()
-    lines = asyncio.StreamReader(limit=LINE_BYTES)
+    lines = asyncio.StreamReader(limit=MAX_COMMAND_BYTES)
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
     while line := await lines.readline():
         await process.carry_out(decode_command(line))
--- a/tests/feed_processes.py
+++ b/tests/feed_processes.py
@@ -20,9 +20,9 @@
     encode_line,
 )
 
-TIMEOUT_S = 60.0  # a wait that takes so long has failed; nothing waits for a time to pass
+TIMEOUT_S = 60.0  # a wait fails after this time; waits are for conditions, never for time to pass
 POLL_INTERVAL_S = 0.05
-MAX_EVENT_TEXT = 1000  # of an event in a message
+MAX_EVENT_CHARS = 1000  # of an event in an error message
 
 
 class FeedProcess:
@@ -37,7 +37,7 @@
 
     @classmethod
     async def start(cls, setup):
-        """Start one; it may not be ready yet."""
+        """Start a process, without waiting until it is ready."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -49,15 +49,15 @@
         return cls(process)
 
     def send(self, command):
-        """Send a command; its effect is waited for with `until`."""
+        """Send a command without waiting; use `until` to wait for its effect."""
         self.process.stdin.write(encode_line(command))
 
     def seen(self, kind):
-        """Return all events of a type so far."""
+        """Return all events of a type that were reported so far."""
         return [event for event in self.events if isinstance(event, kind)]
 
     async def until(self, condition):
-        """Wait until the events so far fulfil a condition; returns its result."""
+        """Wait until the reported events fulfil a condition; return the condition's result."""
         try:
             async with asyncio.timeout(TIMEOUT_S), self._changed:
                 while not (found := condition(self)):
@@ -65,49 +65,51 @@
                     await self._changed.wait()
                 return found
         except TimeoutError:
-            raise AssertionError(f"{TIMEOUT_S:g} s; {len(self.events)} events, last {self._last()}") from None
+            raise AssertionError(
+                f"timeout after {TIMEOUT_S:g} s; {len(self.events)} events, the last is {self._last()}"
+            ) from None
 
     async def next(self, kind, after):
-        """Wait for the first event of a type after so many of it."""
+        """Wait for the next event of a type, given the number of earlier ones."""
         return await self.until(lambda process: process.seen(kind)[after : after + 1]) and self.seen(kind)[after]
 
     async def report(self):
-        """Ask for its state."""
+        """Request a report of the process's state and return it."""
         kind = (RelayReport, FollowersReport, ControlReport)
         before = len(self.seen(kind))
         self.send(Report())
         return await self.next(kind, before)
 
     async def report_where(self, condition):
-        """Ask until the report fulfils a condition; its state is measured in time, so that no event tells of it."""
+        """Poll the report until it fulfils a condition, for state such as ages that no event reports."""
         try:
             async with asyncio.timeout(TIMEOUT_S):
                 while not condition(report := await self.report()):
                     await asyncio.sleep(POLL_INTERVAL_S)
                 return report
         except TimeoutError:
-            raise AssertionError(f"{TIMEOUT_S:g} s; last report {self._last()}") from None
+            raise AssertionError(f"timeout after {TIMEOUT_S:g} s; the last event is {self._last()}") from None
 
     def pause(self):
-        """Stop it with a signal until `resume`."""
+        """Suspend the process with a signal until `resume`."""
         self.process.send_signal(signal.SIGSTOP)
 
     def resume(self):
         self.process.send_signal(signal.SIGCONT)
 
     def kill(self):
-        """End it by its own id, also while it is paused."""
+        """Kill the process, also while it is paused."""
         if self.process.returncode is None:
             self.process.kill()
 
     async def wait(self):
-        """Until it has ended."""
+        """Wait until the process has ended."""
         await self.process.wait()
         await self._reading
 
     def _last(self):
-        """The last event, for a message."""
-        return repr(self.events[-1:])[:MAX_EVENT_TEXT]
+        """Return the last event as text for an error message."""
+        return repr(self.events[-1:])[:MAX_EVENT_CHARS]
 
     async def _read(self):
         while line := await self.process.stdout.readline():
@@ -120,7 +122,7 @@
 
 
 class FeedProcesses:
-    """The processes of one test; all are ended when it ends, also when it fails."""
+    """The processes of one test. All are killed when the test ends, also when it fails."""
 
     def __init__(self):
         self.processes = []
@@ -135,13 +137,13 @@
             await process.wait()
 
     async def relay(self, setup):
-        """Start a relay; returns its process and its address once it listens."""
+        """Start a relay; return its process and its address once it listens."""
         process = await self._start(setup)
         listening = await process.next(Listening, 0)
         return process, RelayAddress(setup.name, setup.region, "127.0.0.1", listening.port)
 
     async def relays(self, *setups):
-        """Start relays at the same time."""
+        """Start several relays concurrently."""
         return await asyncio.gather(*map(self.relay, setups))
 
     async def followers(self, setup):
@@ -153,20 +155,20 @@
         return process
 
 
-def truth_of(core):
+def published_digests(publisher):
     """Return the digest of each revision that a publishing process has reported."""
-    return {event.revision: event.digest for event in core.seen(Published)}
+    return {event.revision: event.digest for event in publisher.seen(Published)}
 
 
-async def published(core, command, batches=1):
-    """Have a process publish; returns the event of the last publication."""
-    before = len(core.seen(Published))
-    core.send(command)
-    return await core.next(Published, before + batches - 1)
+async def published(publisher, command, batches=1):
+    """Have a process publish; return the event of the last publication."""
+    before = len(publisher.seen(Published))
+    publisher.send(command)
+    return await publisher.next(Published, before + batches - 1)
 
 
 def installs_of(process):
-    """Return the revisions that each follower of a process has installed, in their order."""
+    """Return the revisions that each follower of a process has installed, in order."""
     found = defaultdict(list)
     for event in process.seen(Installed):
         found[event.follower].append(event.revision)
@@ -174,7 +176,7 @@
 
 
 async def all_reach(process, followers, newest):
-    """Wait until so many followers have a published revision in force."""
+    """Wait until a number of followers have a published revision in force."""
 
     def reached(process):
         last = {event.follower: event for event in process.seen(Installed)}
@@ -186,10 +188,10 @@
             assert event.digest == newest.digest
 
 
-def assert_consistent(process, core):
-    """Assert that only published content was in force, and that no revision went back or was repeated."""
-    truth = truth_of(core)
+def assert_consistent(process, publisher):
+    """Assert that only published content was in force, and that the revisions of each follower only increased."""
+    digests = published_digests(publisher)
     for event in process.seen(Installed):
-        assert event.digest == truth[event.revision], event
+        assert event.digest == digests[event.revision], event
     for follower, revisions in installs_of(process).items():
         assert revisions == sorted(set(revisions)), follower
--- a/tests/test_feed_control.py
+++ b/tests/test_feed_control.py
@@ -1,4 +1,4 @@
-"""Control machines as processes over loopback: votes, the lease on publishing, fan-out, and machines that fail."""
+"""Control machines as processes over loopback: elections, the publish lease, fan-out, and failures of machines."""
 
 import asyncio
 import socket
@@ -19,11 +19,11 @@
     status_max_interval=0.5,
 )
 RELAY = RelayTuning(heartbeat_interval=0.2)
-COUNT = 4  # followers of a region
+FOLLOWERS_PER_REGION = 4
 
 
 class Controls:
-    """Control machines of one test, one a region, and the followers of all regions."""
+    """The control machines of one test, one in each region, and the followers of all regions."""
 
     def __init__(self, processes, folder):
         self.processes = processes
@@ -46,11 +46,11 @@
             self.running[name] = process
             self.relays.append(address)
         for region in REGIONS:
-            setup = FollowersSetup(COUNT, region, tuple(self.relays), FOLLOWER)
+            setup = FollowersSetup(FOLLOWERS_PER_REGION, region, tuple(self.relays), FOLLOWER)
             self.followers.append(await self.processes.followers(setup))
 
     async def restart(self, name):
-        """Start a machine again with what its disk holds, its relay at a new port that followers do not know."""
+        """Start a machine again from its disk. Its relay has a new port, which the followers do not know."""
         process = await FeedProcess.start(self.setups[name])
         self.processes.processes.append(process)
         await process.next(Listening, 0)
@@ -60,25 +60,25 @@
         self.running.pop(name).kill()
 
     async def publisher(self):
-        """Wait until a machine publishes; returns its name and its report."""
+        """Wait until a machine holds the publish lease; return its name and its report."""
         async with asyncio.timeout(60):
             while True:
                 for name, process in list(self.running.items()):
                     report = await process.report()
-                    if report.publishes:
+                    if report.is_publisher:
                         return name, report
                 await asyncio.sleep(0.05)
 
     async def submit(self, name):
-        """Submit a change of a row, with a value that no other change has; returns whether it was accepted."""
+        """Submit a change of a row with a unique value; return whether it was accepted."""
         process = self.running[name]
         before = len(process.seen(Submitted))
         self.values += 1
         process.send(Publish(((f"node/{self.values % 5}", f"ready {self.values}"),)))
-        return (await process.next(Submitted, before)).taken
+        return (await process.next(Submitted, before)).accepted
 
     async def publish(self, count):
-        """Publish so many changes one after the other; returns the revision of the last."""
+        """Publish a number of changes one after the other; return the revision of the last."""
         for _ in range(count):
             async with asyncio.timeout(60):
                 while not (revision := await self._publish_one()):
@@ -86,7 +86,7 @@
         return revision
 
     async def _publish_one(self):
-        """Publish a change; returns its revision, or 0 if the lease ended first and the change was abandoned."""
+        """Publish a change; return its revision, or 0 if the lease ended first and the change was abandoned."""
         name, before = await self.publisher()
         if not await self.submit(name):
             return 0
@@ -94,19 +94,19 @@
             report = await self.running[name].report()
             if report.revision > before.revision:
                 return report.revision
-            if not report.publishes:
+            if not report.is_publisher:
                 return 0
             await asyncio.sleep(0.01)
 
     async def all_reach(self, revision):
-        """Wait until all running machines and all followers hold a revision."""
+        """Wait until all running machines and all followers have reached a revision."""
         await asyncio.gather(
-            *(process.until(lambda process: newest_of(process) >= revision) for process in self.running.values()),
-            *(process.until(lambda process: followers_at(process, revision)) for process in self.followers),
+            *(process.until(lambda process: newest_revision(process) >= revision) for process in self.running.values()),
+            *(process.until(lambda process: all_followers_at(process, revision)) for process in self.followers),
         )
 
     def assert_agreed(self):
-        """Assert that content never differed at one revision, and that no follower's revision went back."""
+        """Assert that each revision has one content everywhere, and that the revisions of a follower only increase."""
         digests = {}
         for process in self.processes.processes:
             for event in [*process.seen(Published), *process.seen(Installed)]:
@@ -118,46 +118,47 @@
                 last[event.follower] = event.revision
 
 
-def newest_of(process):
+def newest_revision(process):
     return max((event.revision for event in process.seen(Published)), default=0)
 
 
-def followers_at(process, revision):
+def all_followers_at(process, revision):
     newest = {event.follower: event.revision for event in process.seen(Installed)}
-    return len(newest) == COUNT and min(newest.values()) >= revision
+    return len(newest) == FOLLOWERS_PER_REGION and min(newest.values()) >= revision
 
 
-def scene(folder, what):
+def run_scenario(folder, scenario):
     async def run():
         async with FeedProcesses() as processes:
             controls = Controls(processes, folder)
             await controls.start()
-            await what(controls)
+            await scenario(controls)
             controls.assert_agreed()
 
     asyncio.run(run())
 
 
 def test_a_publication_is_in_force_in_all_regions_and_the_publisher_knows(tmp_path):
-    async def what(controls):
+    async def scenario(controls):
         newest = await controls.publish(20)
         await controls.all_reach(newest)
         name, report = await controls.publisher()
         assert report.epoch > 0
         assert report.revision == newest
-        everyone = COUNT * len(REGIONS)
-        await controls.running[name].report_where(lambda report: report.followers == report.in_force == everyone)
+        all_followers = FOLLOWERS_PER_REGION * len(REGIONS)
+        await controls.running[name].report_where(lambda report: report.followers == report.in_force == all_followers)
         others = [other for other in controls.running if other != name]
         assert [await controls.submit(other) for other in others] == [False, False]
 
-    scene(tmp_path, what)
+    run_scenario(tmp_path, scenario)
 
 
-def test_another_publishes_after_the_publisher_is_killed_and_it_catches_up_when_it_is_back(tmp_path):
-    async def what(controls):
+def test_another_machine_publishes_after_the_publisher_is_killed_and_the_killed_one_catches_up(tmp_path):
+    async def scenario(controls):
         await controls.all_reach(await controls.publish(5))
         first, before = await controls.publisher()
-        assert await controls.submit(first)  # on its way as the process dies: agreed on or not, but by all alike
+        # In flight when the process is killed: it may be agreed on or not, but equally on all machines.
+        assert await controls.submit(first)
         controls.kill(first)
         newest = await controls.publish(5)
         second, after = await controls.publisher()
@@ -170,20 +171,20 @@
         report = await controls.running[first].report()
         assert report.digest == (await controls.running[second].report()).digest
 
-    scene(tmp_path, what)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_publisher_that_was_stopped_publishes_nothing_under_its_old_epoch(tmp_path):
-    async def what(controls):
+def test_a_publisher_that_was_paused_publishes_nothing_under_its_old_epoch(tmp_path):
+    async def scenario(controls):
         await controls.all_reach(await controls.publish(3))
         first, before = await controls.publisher()
-        stopped = controls.running.pop(first)
-        stopped.pause()
-        stopped.send(Publish((("node/0", "of the old publisher"),)))  # it reads this when it goes on
+        paused = controls.running.pop(first)
+        paused.pause()
+        paused.send(Publish((("node/0", "of the old publisher"),)))  # read when it resumes
         newest = await controls.publish(5)
-        stopped.resume()
-        await stopped.next(Submitted, len(stopped.seen(Submitted)))
-        controls.running[first] = stopped
+        paused.resume()
+        await paused.next(Submitted, len(paused.seen(Submitted)))
+        controls.running[first] = paused
         await controls.all_reach(await controls.publish(5))
         name, report = await controls.publisher()
         assert report.epoch > before.epoch
@@ -191,48 +192,48 @@
         digests = {(await process.report()).digest for process in controls.running.values()}
         assert len(digests) == 1
 
-    scene(tmp_path, what)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_minority_publishes_nothing_and_serves_on_reporting_its_age(tmp_path):
-    async def what(controls):
+def test_a_minority_publishes_nothing_but_still_serves_and_reports_its_age(tmp_path):
+    async def scenario(controls):
         newest = await controls.publish(3)
         await controls.all_reach(newest)
-        lost = list(controls.setups)[1:]
-        for name in lost:
+        killed = list(controls.setups)[1:]
+        for name in killed:
             controls.kill(name)
-        (alone,) = controls.running
-        process = controls.running[alone]
-        await process.report_where(lambda report: not report.publishes and report.age_s > 3.0)
-        assert not await controls.submit(alone)
+        (survivor,) = controls.running
+        process = controls.running[survivor]
+        await process.report_where(lambda report: not report.is_publisher and report.age_s > 3.0)
+        assert not await controls.submit(survivor)
         report = await process.report()
         assert report.revision == newest
-        home = controls.followers[0]
+        local_followers = controls.followers[0]
         states = (
-            await home.report_where(lambda report: all(state.age_s > 2.5 for state in report.followers))
+            await local_followers.report_where(lambda report: all(state.age_s > 2.5 for state in report.followers))
         ).followers
         assert {state.revision for state in states} == {newest}
-        for name in lost:
+        for name in killed:
             await controls.restart(name)
         newest = await controls.publish(3)
-        await controls.running[alone].until(lambda process: newest_of(process) >= newest)
-        await controls.followers[0].until(lambda process: followers_at(process, newest))
-        await home.report_where(lambda report: all(state.age_s < 2.0 for state in report.followers))
+        await controls.running[survivor].until(lambda process: newest_revision(process) >= newest)
+        await controls.followers[0].until(lambda process: all_followers_at(process, newest))
+        await local_followers.report_where(lambda report: all(state.age_s < 2.0 for state in report.followers))
 
-    scene(tmp_path, what)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_publication_larger_than_a_socket_holds_reaches_the_leader(tmp_path):
-    """Some 300 datagrams: sent at once, the same ones of them were lost at each repeat."""
+def test_a_publication_larger_than_a_socket_buffer_reaches_the_leader(tmp_path):
+    """The publication takes some 300 datagrams. When all were sent at once, each retry lost the same ones."""
 
-    async def what(controls):
+    async def scenario(controls):
         newest = await controls.publish(1)
         name, _ = await controls.publisher()
         process = controls.running[name]
         batch = Publish(tuple((f"row/{i}", f"{i} " + "x" * 150) for i in range(1500)))
         before = len(process.seen(Submitted))
         process.send(batch)
-        assert (await process.next(Submitted, before)).taken
+        assert (await process.next(Submitted, before)).accepted
         await controls.all_reach(newest + 1)
 
-    scene(tmp_path, what)
+    run_scenario(tmp_path, scenario)
--- a/tests/test_feed_faults.py
+++ b/tests/test_feed_faults.py
@@ -1,4 +1,8 @@
-"""The feed's hard cases over loopback: relays killed, stopped, lying or cut off; returns of many; drains amid loads."""
+"""Faults of the feed over loopback.
+
+Relays are killed, cut off, or tamper with their frames; followers are paused or start in large numbers; a drain is
+published while snapshots are in transfer.
+"""
 
 import asyncio
 from collections import Counter
@@ -20,7 +24,7 @@
 from badgerbend.feed_service.follower import FollowerClient
 from badgerbend.feed_service.relay import RelayServer
 from badgerbend.feed_service.stream import WRITE_HIGH
-from tests.feed_lines import Fill, FollowersSetup, Installed, PieceCame, Publish, Refused, RelaySetup
+from tests.feed_lines import Fill, FollowersSetup, Installed, PieceReceived, Publish, Rejected, RelaySetup
 from tests.feed_processes import (
     FeedProcesses,
     all_reach,
@@ -42,12 +46,13 @@
     status_max_interval=0.2,
 )
 RELAY = RelayTuning(heartbeat_interval=0.2)
-SLOW_LOAD = replace(RELAY, snapshot_bytes_per_second=100_000, snapshot_burst_bytes=40_000)  # some 0.4 s a piece
+SLOW_SNAPSHOTS = replace(RELAY, snapshot_bytes_per_second=100_000, snapshot_burst_bytes=40_000)  # some 0.4 s a piece
 SHORT_RETENTION = Retention(publications=8)
-CONTENT = Fill(batches=10, rows=250, value_bytes=1000)  # of the same 250 rows each time: an empty replica has to load
+# All batches have the same 250 rows, so that an empty replica has to load a snapshot: it is smaller than the batches.
+CONTENT = Fill(batches=10, rows=250, value_bytes=1000)
 TIMEOUT_S = 60.0
-FRESH_S = 1.5  # the age of a replica that is connected to the publisher is less
-OLD_S = 2.5  # the age of a replica that surely is not is more
+FRESH_S = 1.5  # upper bound of the age of a replica that is connected to the publisher
+STALE_S = 2.5  # an age above this shows that a replica is not connected to the publisher
 
 
 def batch_of_one(key, value):
@@ -56,130 +61,130 @@
 
 
 async def until(condition):
-    """Wait for a condition of this process."""
+    """Wait until a condition in this process holds."""
     async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
 
 
-# Relays and followers in processes of their own.
+# Relays and followers in separate processes.
 
 
 def loading_from(process, relay):
     """Return the followers that received a piece of a snapshot from a relay."""
-    return {event.follower for event in process.seen(PieceCame) if event.relay == relay}
+    return {event.follower for event in process.seen(PieceReceived) if event.relay == relay}
 
 
 def loading_partly(process):
-    """Whether a follower has some pieces of its first snapshot, and others have loaded theirs."""
-    pieces = Counter(event.follower for event in process.seen(PieceCame))
+    """Return whether a follower has some pieces of its first snapshot while others have loaded all of theirs."""
+    pieces = Counter(event.follower for event in process.seen(PieceReceived))
     loaded = installs_of(process)
     return loaded and any(count >= 2 for follower, count in pieces.items() if follower not in loaded)
 
 
-def test_followers_leave_a_relay_that_is_killed_amid_their_snapshots():
-    async def scene():
-        async with FeedProcesses() as all_of:
-            core, origin = await all_of.relay(RelaySetup(tuning=RELAY))
-            await published(core, CONTENT, CONTENT.batches)
-            (slow, slow_address), (_, other_address) = await all_of.relays(
-                RelaySetup("slow", "north", SLOW_LOAD, SHORT_RETENTION, upstream=(origin,), upstream_tuning=QUICK),
+def test_followers_leave_a_relay_that_is_killed_while_it_sends_their_snapshots():
+    async def scenario():
+        async with FeedProcesses() as processes:
+            publisher, origin = await processes.relay(RelaySetup(tuning=RELAY))
+            await published(publisher, CONTENT, CONTENT.batches)
+            (slow, slow_address), (_, other_address) = await processes.relays(
+                RelaySetup("slow", "north", SLOW_SNAPSHOTS, SHORT_RETENTION, upstream=(origin,), upstream_tuning=QUICK),
                 RelaySetup("other", "south", RELAY, SHORT_RETENTION, upstream=(origin,), upstream_tuning=QUICK),
             )
             await slow.next(Installed, 0)
-            followers = await all_of.followers(FollowersSetup(10, "north", (slow_address, other_address), QUICK))
+            followers = await processes.followers(FollowersSetup(10, "north", (slow_address, other_address), QUICK))
             await followers.until(loading_partly)
             slow.kill()
-            newest = await published(core, batch_of_one("node/1", "draining"))
+            newest = await published(publisher, batch_of_one("node/1", "draining"))
             await all_reach(followers, 10, newest)
             assert loading_from(followers, "slow") & loading_from(followers, "other")
             report = await followers.report()
             assert {state.relay for state in report.followers} == {"other"}
             assert {state.digest for state in report.followers} == {newest.digest}
-            assert_consistent(followers, core)
+            assert_consistent(followers, publisher)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_paused_follower_has_a_window_in_flight_at_most_is_disconnected_and_returns_by_a_snapshot():
-    async def scene():
-        async with FeedProcesses() as all_of:
+def test_a_paused_follower_has_at_most_a_window_in_flight_is_disconnected_and_recovers_by_a_snapshot():
+    async def scenario():
+        async with FeedProcesses() as processes:
             tuning = replace(RELAY, send_window=100_000, stall_timeout=1.0)
-            core, address = await all_of.relay(RelaySetup(tuning=tuning, retention=SHORT_RETENTION))
-            first = await published(core, batch_of_one("node/1", "ready"))
-            stopped = await all_of.followers(FollowersSetup(1, "north", (address,), QUICK))
-            awake = await all_of.followers(FollowersSetup(1, "south", (address,), QUICK))
-            await asyncio.gather(all_reach(stopped, 1, first), all_reach(awake, 1, first))
-            before = await core.report()
-            stopped.pause()
+            publisher, address = await processes.relay(RelaySetup(tuning=tuning, retention=SHORT_RETENTION))
+            first = await published(publisher, batch_of_one("node/1", "ready"))
+            paused = await processes.followers(FollowersSetup(1, "north", (address,), QUICK))
+            running = await processes.followers(FollowersSetup(1, "south", (address,), QUICK))
+            await asyncio.gather(all_reach(paused, 1, first), all_reach(running, 1, first))
+            before = await publisher.report()
+            paused.pause()
             large = Fill(batches=10, rows=100, value_bytes=2000)
             batches = 0
-            # Until the sockets' own buffers are full.
-            while "north-0" not in (await core.report()).blocked and batches < 500:
-                await published(core, large, large.batches)
+            # Until the buffers of the sockets are full.
+            while "north-0" not in (await publisher.report()).blocked and batches < 500:
+                await published(publisher, large, large.batches)
                 batches += large.batches
-            newest = await published(core, Fill(batches=20, rows=1, value_bytes=10), 20)
-            report = await core.report_where(lambda report: report.cut > before.cut)
-            await core.report_where(lambda report: report.followers == 1)
-            assert report.in_flight_most <= tuning.send_window + report.largest_frame
-            assert report.waiting_most <= tuning.send_window + report.largest_frame + WRITE_HIGH
-            stopped.resume()
-            await asyncio.gather(all_reach(stopped, 1, newest), all_reach(awake, 1, newest))
-            assert stopped.seen(PieceCame)
-            assert (await core.report()).snapshots_started > before.snapshots_started
-            assert_consistent(stopped, core)
-
-    asyncio.run(scene())
-
-
-def test_a_paused_follower_of_a_quiet_feed_is_disconnected_and_returns_by_a_snapshot():
-    async def scene():
-        async with FeedProcesses() as all_of:
+            newest = await published(publisher, Fill(batches=20, rows=1, value_bytes=10), 20)
+            report = await publisher.report_where(lambda report: report.evicted > before.evicted)
+            await publisher.report_where(lambda report: report.followers == 1)
+            assert report.max_in_flight <= tuning.send_window + report.largest_frame
+            assert report.max_unsent <= tuning.send_window + report.largest_frame + WRITE_HIGH
+            paused.resume()
+            await asyncio.gather(all_reach(paused, 1, newest), all_reach(running, 1, newest))
+            assert paused.seen(PieceReceived)
+            assert (await publisher.report()).snapshots_started > before.snapshots_started
+            assert_consistent(paused, publisher)
+
+    asyncio.run(scenario())
+
+
+def test_a_paused_follower_of_an_idle_feed_is_disconnected_and_recovers_by_a_snapshot():
+    async def scenario():
+        async with FeedProcesses() as processes:
             tuning = replace(RELAY, idle_timeout=2.0)
-            core, address = await all_of.relay(RelaySetup(tuning=tuning, retention=SHORT_RETENTION))
-            first = await published(core, batch_of_one("node/1", "ready"))
-            followers = await all_of.followers(FollowersSetup(3, "north", (address,), QUICK))
+            publisher, address = await processes.relay(RelaySetup(tuning=tuning, retention=SHORT_RETENTION))
+            first = await published(publisher, batch_of_one("node/1", "ready"))
+            followers = await processes.followers(FollowersSetup(3, "north", (address,), QUICK))
             await all_reach(followers, 3, first)
             followers.pause()
-            await core.report_where(lambda report: report.followers == 0)
-            newest = await published(core, Fill(batches=20, rows=1, value_bytes=10), 20)
+            await publisher.report_where(lambda report: report.followers == 0)
+            newest = await published(publisher, Fill(batches=20, rows=1, value_bytes=10), 20)
             followers.resume()
             await all_reach(followers, 3, newest)
-            report = await core.report()
-            assert report.cut >= 3
+            report = await publisher.report()
+            assert report.evicted >= 3
             assert report.snapshots_started >= 3
             assert {tuple(revisions) for revisions in installs_of(followers).values()} == {(1, 21)}
-            assert_consistent(followers, core)
+            assert_consistent(followers, publisher)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("link", [Link.BLACK_HOLE, Link.REFUSED])
 @pytest.mark.parametrize("publications_kept", [4096, 50])
-def test_a_region_that_was_cut_off_serves_on_and_catches_up(link, publications_kept):
+def test_a_region_that_is_cut_off_still_serves_and_then_catches_up(link, publications_kept):
     behind = 300
 
-    async def scene():
-        async with FeedProcesses() as all_of:
+    async def scenario():
+        async with FeedProcesses() as processes:
             retention = Retention(publications=publications_kept)
-            core, origin = await all_of.relay(RelaySetup(tuning=RELAY, retention=retention))
-            first = await published(core, batch_of_one("node/1", "ready"))
+            publisher, origin = await processes.relay(RelaySetup(tuning=RELAY, retention=retention))
+            first = await published(publisher, batch_of_one("node/1", "ready"))
             async with TcpProxy(origin.host, origin.port) as proxy:
-                through = replace(origin, port=proxy.listening_port)
-                (relay, address), (_, majority_address) = await all_of.relays(
-                    RelaySetup("minority", "south", RELAY, upstream=(through,), upstream_tuning=QUICK),
+                proxied = replace(origin, port=proxy.listening_port)
+                (relay, address), (_, majority_address) = await processes.relays(
+                    RelaySetup("minority", "south", RELAY, upstream=(proxied,), upstream_tuning=QUICK),
                     RelaySetup("majority", "north", RELAY, upstream=(origin,), upstream_tuning=QUICK),
                 )
-                minority = await all_of.followers(FollowersSetup(5, "south", (address,), QUICK))
-                majority = await all_of.followers(FollowersSetup(5, "north", (majority_address,), QUICK))
+                minority = await processes.followers(FollowersSetup(5, "south", (address,), QUICK))
+                majority = await processes.followers(FollowersSetup(5, "north", (majority_address,), QUICK))
                 await asyncio.gather(all_reach(minority, 5, first), all_reach(majority, 5, first))
                 await minority.report_where(lambda report: all(state.age_s < FRESH_S for state in report.followers))
-                before = await asyncio.gather(core.report(), relay.report())
+                before = await asyncio.gather(publisher.report(), relay.report())
 
                 proxy.cut(link)
-                newest = await published(core, Fill(batches=behind, rows=1, value_bytes=10), behind)
+                newest = await published(publisher, Fill(batches=behind, rows=1, value_bytes=10), behind)
                 await all_reach(majority, 5, newest)
-                await minority.report_where(lambda report: all(state.age_s > OLD_S for state in report.followers))
+                await minority.report_where(lambda report: all(state.age_s > STALE_S for state in report.followers))
                 report = await minority.report()
                 assert {(state.relay, state.revision) for state in report.followers} == {("minority", first.revision)}
                 assert {state.digest for state in report.followers} == {first.digest}
@@ -189,58 +194,59 @@
                 proxy.heal()
                 await all_reach(minority, 5, newest)
                 await minority.report_where(lambda report: all(state.age_s < FRESH_S for state in report.followers))
-                after = await asyncio.gather(core.report(), relay.report())
+                after = await asyncio.gather(publisher.report(), relay.report())
                 snapshots = [
                     now.snapshots_started - then.snapshots_started for now, then in zip(after, before, strict=True)
                 ]
-                taken = set(map(tuple, installs_of(minority).values()))
+                installed = set(map(tuple, installs_of(minority).values()))
                 if publications_kept > behind:
                     assert snapshots == [0, 0]
-                    assert taken == {tuple(range(first.revision, newest.revision + 1))}
+                    assert installed == {tuple(range(first.revision, newest.revision + 1))}
                 else:
                     assert snapshots == [1, 5]
-                    assert taken == {(first.revision, newest.revision)}
-                assert_consistent(minority, core)
-                assert_consistent(majority, core)
+                    assert installed == {(first.revision, newest.revision)}
+                assert_consistent(minority, publisher)
+                assert_consistent(majority, publisher)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_a_follower_moves_to_another_relay_with_its_revision():
-    async def scene():
-        async with FeedProcesses() as all_of:
-            core, origin = await all_of.relay(RelaySetup(tuning=RELAY))
-            first = await published(core, batch_of_one("node/1", "ready"))
-            (near, near_address), (far, far_address) = await all_of.relays(
+    async def scenario():
+        async with FeedProcesses() as processes:
+            publisher, origin = await processes.relay(RelaySetup(tuning=RELAY))
+            first = await published(publisher, batch_of_one("node/1", "ready"))
+            (near, near_address), (far, far_address) = await processes.relays(
                 RelaySetup("near", "north", RELAY, upstream=(origin,), upstream_tuning=QUICK),
                 RelaySetup("far", "south", RELAY, upstream=(origin,), upstream_tuning=QUICK),
             )
             await asyncio.gather(near.next(Installed, 0), far.next(Installed, 0))
-            followers = await all_of.followers(FollowersSetup(5, "north", (near_address, far_address), QUICK))
+            followers = await processes.followers(FollowersSetup(5, "north", (near_address, far_address), QUICK))
             await all_reach(followers, 5, first)
-            halfway = await published(core, Fill(batches=100, rows=1, value_bytes=10), 100)
+            halfway = await published(publisher, Fill(batches=100, rows=1, value_bytes=10), 100)
             await followers.until(lambda process: len(process.seen(Installed)) > 50)
             near.kill()
-            newest = await published(core, Fill(batches=100, rows=1, value_bytes=10), 100)
+            newest = await published(publisher, Fill(batches=100, rows=1, value_bytes=10), 100)
             await all_reach(followers, 5, newest)
             assert halfway.revision < newest.revision
             expected = list(range(first.revision, newest.revision + 1))
             assert list(installs_of(followers).values()) == [expected] * 5
             report = await followers.report()
-            assert {state.publications for state in report.followers} == {len(expected) - 1}  # the first was loaded
+            # The first revision came by snapshot.
+            assert {state.publications for state in report.followers} == {len(expected) - 1}
             assert {state.relay for state in report.followers} == {"far"}
             assert (await far.report()).snapshots_started == 0
-            assert_consistent(followers, core)
+            assert_consistent(followers, publisher)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("publications_kept", [4096, 8])
-def test_many_followers_that_return_at_once_load_within_the_pace(publications_kept):
-    many = 200
+def test_many_followers_that_start_at_once_load_within_the_rate_limit(publications_kept):
+    follower_count = 200
 
-    async def scene():
-        async with FeedProcesses() as all_of:
+    async def scenario():
+        async with FeedProcesses() as processes:
             tuning = replace(
                 RELAY,
                 max_concurrent_snapshots=4,
@@ -249,113 +255,117 @@
                 send_window=70_000,
             )
             retention = Retention(publications=publications_kept)
-            core, address = await all_of.relay(RelaySetup(tuning=tuning, retention=retention))
-            await published(core, Fill(batches=20, rows=150, value_bytes=1000), 20)
-            followers = await all_of.followers(
-                FollowersSetup(many, "north", (address,), replace(QUICK, heartbeat_timeout=10.0, connect_timeout=10.0))
+            publisher, address = await processes.relay(RelaySetup(tuning=tuning, retention=retention))
+            await published(publisher, Fill(batches=20, rows=150, value_bytes=1000), 20)
+            followers = await processes.followers(
+                FollowersSetup(
+                    follower_count, "north", (address,), replace(QUICK, heartbeat_timeout=10.0, connect_timeout=10.0)
+                )
             )
-            await followers.next(Installed, many // 10)
-            newest = await published(core, Fill(batches=20, rows=2, value_bytes=1000), 20)  # past the image's revision
-            await all_reach(followers, many, newest)
-            report = await core.report()
-            assert report.loading_most <= tuning.max_concurrent_snapshots
-            assert report.over_pace_most <= tuning.snapshot_burst_bytes + report.largest_piece
-            assert report.snapshot_bytes > many * tuning.snapshot_burst_bytes / 4  # so the pace had something to bound
-            assert report.snapshots_started >= many
+            await followers.next(Installed, follower_count // 10)
+            # Revisions later than the one of the snapshot image.
+            newest = await published(publisher, Fill(batches=20, rows=2, value_bytes=1000), 20)
+            await all_reach(followers, follower_count, newest)
+            report = await publisher.report()
+            assert report.max_loading <= tuning.max_concurrent_snapshots
+            assert report.max_over_rate <= tuning.snapshot_burst_bytes + report.largest_piece
+            # So many bytes that the rate limit took effect.
+            assert report.snapshot_bytes > follower_count * tuning.snapshot_burst_bytes / 4
+            assert report.snapshots_started >= follower_count
             states = (await followers.report()).followers
             assert {state.digest for state in states} == {newest.digest}
-            assert_consistent(followers, core)
+            assert_consistent(followers, publisher)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_followers_that_wait_for_their_turn_to_load_stay_with_their_relay():
-    many = 100
+def test_followers_that_are_queued_for_a_snapshot_stay_connected_to_their_relay():
+    follower_count = 100
 
-    async def scene():
-        async with FeedProcesses() as all_of:
+    async def scenario():
+        async with FeedProcesses() as processes:
             tuning = replace(
                 RELAY, max_concurrent_snapshots=4, snapshot_bytes_per_second=4_000_000, snapshot_burst_bytes=100_000
             )
-            core, address = await all_of.relay(RelaySetup(tuning=tuning))
-            newest = await published(core, Fill(batches=2, rows=150, value_bytes=1000), 2)
+            publisher, address = await processes.relay(RelaySetup(tuning=tuning))
+            newest = await published(publisher, Fill(batches=2, rows=150, value_bytes=1000), 2)
             impatient = replace(QUICK, heartbeat_timeout=10.0, connect_timeout=10.0, progress_timeout=0.5)
-            followers = await all_of.followers(FollowersSetup(many, "north", (address,), impatient))
-            await all_reach(followers, many, newest)
-            assert followers.seen(Refused) == []
-            assert (await core.report()).snapshots_started == many
-            assert_consistent(followers, core)
+            followers = await processes.followers(FollowersSetup(follower_count, "north", (address,), impatient))
+            await all_reach(followers, follower_count, newest)
+            assert followers.seen(Rejected) == []
+            assert (await publisher.report()).snapshots_started == follower_count
+            assert_consistent(followers, publisher)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_two_changes_of_one_key_in_one_batch():
-    async def scene():
-        async with FeedProcesses() as all_of:
-            core, address = await all_of.relay(RelaySetup(tuning=RELAY))
-            followers = await all_of.followers(FollowersSetup(2, "north", (address,), QUICK))
-            await published(core, Publish((("node/1", "ready"), ("node/1", "draining"))))
-            newest = await published(core, Publish((("node/2", "ready"), ("node/2", None))))
+    async def scenario():
+        async with FeedProcesses() as processes:
+            publisher, address = await processes.relay(RelaySetup(tuning=RELAY))
+            followers = await processes.followers(FollowersSetup(2, "north", (address,), QUICK))
+            await published(publisher, Publish((("node/1", "ready"), ("node/1", "draining"))))
+            newest = await published(publisher, Publish((("node/2", "ready"), ("node/2", None))))
             await all_reach(followers, 2, newest)
             expected = Content()
             expected.apply([change("node/1", "draining")])
             assert newest.digest == expected.digest().hex()
-            assert_consistent(followers, core)
+            assert_consistent(followers, publisher)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-# Relays within the test's process.
+# Relays in the process of the test.
 
 
-class LyingRelay(Relay):
-    """A relay of an honest log that sends what `lie` makes of each frame."""
+class TamperingRelay(Relay):
+    """A relay with a correct log that sends what `tamper` makes of each frame."""
 
     def __init__(self, name, log, tuning):
         super().__init__(name, log, tuning)
-        self.lie = lambda data: data
+        self.tamper = lambda data: data
 
     def take_actions(self):
         actions = []
         for action in super().take_actions():
-            actions.append(SendTo(action.session, self.lie(action.frame)) if isinstance(action, SendTo) else action)
+            actions.append(SendTo(action.session, self.tamper(action.frame)) if isinstance(action, SendTo) else action)
         return actions
 
 
 class CheckingOwner(Owner):
-    """Compares what is in force at each install with what the publisher agreed on."""
+    """Compares the content in force at each install with what was published."""
 
-    def __init__(self, truth):
+    def __init__(self, published_content):
         super().__init__()
-        self.truth = truth
-        self.false = []
+        self.published_content = published_content
+        self.mismatches = []
 
     def install(self, revision, changes):
         reason = super().install(revision, changes)
-        if self.content != self.truth[revision]:
-            self.false.append((revision, dict(self.content)))
+        if self.content != self.published_content[revision]:
+            self.mismatches.append((revision, dict(self.content)))
         return reason
 
 
-class LyingScene:
-    """A lying relay in the follower's own region and an honest one elsewhere, both of the same log."""
+class TamperingSetup:
+    """A tampering relay in the follower's own region and an honest one in another, both with the same log."""
 
     def __init__(self):
         self.control = Control()
         self.control.grant()
         log = self.control.machine.log
-        self.truth = {}
-        self.liar = LyingRelay("liar", log, RELAY)
+        self.published_content = {}
+        self.tampering = TamperingRelay("tampering", log, RELAY)
         self.honest = Relay("honest", log, RELAY)
 
     async def __aenter__(self):
-        self.servers = [RelayServer(self.liar), RelayServer(self.honest)]
+        self.servers = [RelayServer(self.tampering), RelayServer(self.honest)]
         ports = [await server.start("127.0.0.1", 0) for server in self.servers]
         addresses = [
             RelayAddress(relay.name, region, "127.0.0.1", port)
-            for relay, region, port in zip((self.liar, self.honest), ("north", "south"), ports, strict=True)
+            for relay, region, port in zip((self.tampering, self.honest), ("north", "south"), ports, strict=True)
         ]
-        self.owner = CheckingOwner(self.truth)
+        self.owner = CheckingOwner(self.published_content)
         tuning = replace(QUICK, heartbeat_timeout=0.6)
         self.client = FollowerClient(Follower("f", "north", addresses, VERIFIER, tuning, 0), self.owner)
         return self
@@ -364,12 +374,12 @@
         self.client.stop()
         for server in self.servers:
             await server.stop()
-        assert not self.owner.false  # whatever else the test has found
+        assert not self.owner.mismatches  # checked after each test
 
     def publish(self, *changes):
         assert not self.control.publish(self.servers[0].clock(), *changes)
         log = self.control.machine.log
-        self.truth[log.revision] = dict(log.content.items())
+        self.published_content[log.revision] = dict(log.content.items())
         for server in self.servers:
             server.log_advanced()
 
@@ -380,7 +390,7 @@
 
 
 def altered_changes(data):
-    """Other changes under the true checkpoint."""
+    """Replace the changes and keep the valid checkpoint."""
     message = decoded(data)
     if not isinstance(message, Publication):
         return data
@@ -388,7 +398,7 @@
 
 
 def forged_checkpoint(data):
-    """A consistent publication, signed by another than the publisher."""
+    """Make a consistent publication that is not signed by the publisher."""
     message = decoded(data)
     if not isinstance(message, Publication):
         return data
@@ -406,72 +416,72 @@
     return data[:-1] + bytes([data[-1] ^ 1])
 
 
-LIES = {
+TAMPERINGS = {
     "altered changes": (altered_changes, TamperedChangesError),
     "forged checkpoint": (forged_checkpoint, SignatureError),
     "flipped bit": (flipped_bit, MalformedMessageError),
 }
 
 
-@pytest.mark.parametrize("lie", LIES)
-def test_a_relay_that_lies_is_left_for_an_honest_one(lie):
-    falsify, error = LIES[lie]
+@pytest.mark.parametrize("tampering", TAMPERINGS)
+def test_a_follower_leaves_a_tampering_relay_for_an_honest_one(tampering):
+    tamper, error = TAMPERINGS[tampering]
 
-    async def scene():
-        async with LyingScene() as made:
-            made.publish(change("node/1", "ready"), change("node/2", "ready"))
-            made.client.start()
-            await made.owner.reaches(1)
-            made.liar.lie = falsify
-            made.publish(change("node/1", "draining"))
-            await made.owner.reaches(2)
-            assert made.owner.errors == [("liar", error)]
-            assert made.client.follower.relay.name == "honest"
-            assert made.owner.revisions == [1, 2]
-            assert made.honest.snapshots_started == 0
+    async def scenario():
+        async with TamperingSetup() as setup:
+            setup.publish(change("node/1", "ready"), change("node/2", "ready"))
+            setup.client.start()
+            await setup.owner.reaches(1)
+            setup.tampering.tamper = tamper
+            setup.publish(change("node/1", "draining"))
+            await setup.owner.reaches(2)
+            assert setup.owner.errors == [("tampering", error)]
+            assert setup.client.follower.relay.name == "honest"
+            assert setup.owner.revisions == [1, 2]
+            assert setup.honest.snapshots_started == 0
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_relay_that_replays_an_older_snapshot_is_left_for_an_honest_one():
-    async def scene():
-        async with LyingScene() as made:
-            made.publish(change("node/1", "ready"))
-            image = SnapshotImage(made.control.machine.log.content, made.control.machine.log.checkpoint)
+def test_a_follower_leaves_a_relay_that_replays_an_older_snapshot_for_an_honest_one():
+    async def scenario():
+        async with TamperingSetup() as setup:
+            setup.publish(change("node/1", "ready"))
+            image = SnapshotImage(setup.control.machine.log.content, setup.control.machine.log.checkpoint)
             replay = image.begin_frame + image.piece_frame(0)
-            made.publish(change("node/1", "draining"))
-            made.client.start()
-            await made.owner.reaches(2)
-            made.liar.lie = lambda data: replay if isinstance(decoded(data), Publication) else data
-            made.publish(change("node/3", "ready"))
-            await made.owner.reaches(3)
-            assert made.owner.errors == [("liar", OutOfSequenceError)]
-            assert made.client.follower.relay.name == "honest"
-            assert made.owner.content["node/1"] == b"draining"
-
-    asyncio.run(scene())
-
-
-def test_a_relay_that_sends_half_a_frame_and_falls_silent_is_left_for_an_honest_one():
-    async def scene():
-        async with LyingScene() as made:
-            made.publish(change("node/1", "ready"))
-            made.client.start()
-            await made.owner.reaches(1)
-            halves = iter([True])
-            made.liar.lie = lambda data: data[: len(data) // 2] if next(halves, False) else b""
-            made.publish(change("node/1", "draining"))
-            await made.owner.reaches(2)
-            assert made.client.follower.relay.name == "honest"
-            assert made.owner.revisions == [1, 2]
-            assert made.honest.snapshots_started == 0
-
-    asyncio.run(scene())
+            setup.publish(change("node/1", "draining"))
+            setup.client.start()
+            await setup.owner.reaches(2)
+            setup.tampering.tamper = lambda data: replay if isinstance(decoded(data), Publication) else data
+            setup.publish(change("node/3", "ready"))
+            await setup.owner.reaches(3)
+            assert setup.owner.errors == [("tampering", OutOfSequenceError)]
+            assert setup.client.follower.relay.name == "honest"
+            assert setup.owner.content["node/1"] == b"draining"
+
+    asyncio.run(scenario())
+
+
+def test_a_follower_leaves_a_relay_that_sends_half_a_frame_and_nothing_more_for_an_honest_one():
+    async def scenario():
+        async with TamperingSetup() as setup:
+            setup.publish(change("node/1", "ready"))
+            setup.client.start()
+            await setup.owner.reaches(1)
+            send_half = iter([True])
+            setup.tampering.tamper = lambda data: data[: len(data) // 2] if next(send_half, False) else b""
+            setup.publish(change("node/1", "draining"))
+            await setup.owner.reaches(2)
+            assert setup.client.follower.relay.name == "honest"
+            assert setup.owner.revisions == [1, 2]
+            assert setup.honest.snapshots_started == 0
+
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("publications_kept", [8, 2])
-def test_a_drain_wins_over_a_snapshot_of_earlier_content_that_is_on_its_way(publications_kept):
-    async def scene():
+def test_a_drain_takes_precedence_over_a_snapshot_of_earlier_content_in_transfer(publications_kept):
+    async def scenario():
         control = Control(Retention(publications=publications_kept))
         control.grant()
         relay = Relay(
@@ -481,23 +491,24 @@
         address = RelayAddress("relay-1", "north", "127.0.0.1", await server.start("127.0.0.1", 0))
         for part in range(3):
             control.publish(0.0, *[change(f"row/{part}/{i}", f"{i * 7919:08x}" * 10) for i in range(900)])
-        for i in range(9):  # an empty replica has to load
+        for i in range(9):  # more than 8 publications: an empty replica has to load a snapshot
             control.publish(0.0, change("node/5", "ready"), change("node/6", f"starting {i}"))
         owners = [Owner() for _ in range(3)]
         rows = [[], [], []]
         clients = []
-        for place, owner in enumerate(owners):
+        for index, owner in enumerate(owners):
             replace_attribute(
                 owner,
                 "unusable",
-                lambda changes, owner=owner, place=place: rows[place].append(owner.content.get("node/5")) or "",
+                lambda changes, owner=owner, index=index: rows[index].append(owner.content.get("node/5")) or "",
             )
-            follower = Follower(f"f{place}", "north", [address], VERIFIER, QUICK, place)
+            follower = Follower(f"f{index}", "north", [address], VERIFIER, QUICK, index)
             clients.append(FollowerClient(follower, owner))
         for client in clients:
             client.start()
         try:
-            await until(lambda: relay.snapshots_started == len(clients))  # each has its image, the pace holds it back
+            # Each session has its image; the rate limit delays the pieces.
+            await until(lambda: relay.snapshots_started == len(clients))
             await until(lambda: any(client.follower.phase is FollowerPhase.RECEIVING_SNAPSHOT for client in clients))
             control.publish(0.0, change("node/5", "draining"))
             for i in range(4):
@@ -505,7 +516,7 @@
             server.log_advanced()
             assert all(client.follower.log.revision == 0 for client in clients)
             relay.tuning = RELAY
-            server.log_advanced()  # it reads its pace again
+            server.log_advanced()  # has the relay apply the new rate limit
             for owner in owners:
                 await owner.reaches(control.machine.log.revision)
                 assert owner.content == dict(control.machine.log.content.items())
@@ -514,11 +525,11 @@
             for owner, seen in zip(owners, rows, strict=True):
                 await owner.reaches(control.machine.log.revision)
                 drained = seen.index(b"draining")
-                assert seen[0] == b"ready"  # the snapshot was of before
+                assert seen[0] == b"ready"  # the snapshot has the earlier content
                 assert set(seen[drained:]) == {b"draining"}
         finally:
             for client in clients:
                 client.stop()
             await server.stop()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/test_feed_simulated.py
+++ b/tests/test_feed_simulated.py
@@ -1,4 +1,4 @@
-"""The feed in simulated time: its invariants under random faults, and the planted defects that must be found."""
+"""The feed in simulated time: its invariants under random faults, and planted defects that must be found."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_invariants_hold_under_random_faults_and_all_settles(seed):
+def test_invariants_hold_under_random_faults_and_all_hosts_settle(seed):
     world = World(seed)
     assert run_until_settled(world) == ""
     assert world.checker.installs > 200
@@ -41,11 +41,11 @@
     mutant = MUTANTS[name]
     try:
         found = run_until_settled(World(mutant.seed, mutant.chaos, mutant.kinds))
-    except InvariantViolation as broken:
-        found = str(broken)
+    except InvariantViolation as violation:
+        found = str(violation)
     assert found
 
 
 @pytest.mark.parametrize(("seed", "chaos"), sorted({(m.seed, m.chaos) for m in MUTANTS.values()}, key=str))
-def test_the_product_passes_the_runs_that_find_the_defects(seed, chaos):
+def test_the_production_classes_pass_the_runs_that_find_the_defects(seed, chaos):
     assert run_until_settled(World(seed, chaos)) == ""
--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -1,4 +1,4 @@
-"""The feed over loopback sockets, in one process: a relay, followers, and what lies between them."""
+"""A relay and followers of the feed in one process, over loopback sockets."""
 
 import asyncio
 import socket
@@ -15,12 +15,12 @@
 from tests.feed_stage import VERIFIER, Control, change
 from tests.replacing import replace_attribute
 
-TIMEOUT_S = 20.0  # a wait that takes so long has failed
+TIMEOUT_S = 20.0  # a wait fails after this time
 QUICK = FollowerTuning(start_jitter=0.0, backoff_base=0.02, backoff_max=0.1)
 
 
 class Owner:
-    """Puts changes in force in a dict, and wakes those who wait for a revision."""
+    """Applies changes to a dict and wakes the tasks that wait for a revision."""
 
     def __init__(self):
         self.content = {}
@@ -53,8 +53,8 @@
         await self.until(lambda owner: owner.revisions and owner.revisions[-1] >= revision)
 
 
-class Fleet:
-    """A control machine without agreement, its relay's socket, and followers."""
+class RelayFixture:
+    """A control machine without consensus, its relay with a server socket, and followers."""
 
     def __init__(self, retention=Retention(), tuning=RelayTuning()):  # noqa: B008 - frozen
         self.control = Control(retention)
@@ -77,7 +77,7 @@
         await self.server.stop()
 
     def _wake_waiters_after(self, process_actions):
-        """Have the server wake those who wait for a state of the relay each time that it has carried out actions."""
+        """Wake the tasks that wait for a state of the relay each time that the server has carried out actions."""
 
         def process_and_wake():
             process_actions()
@@ -86,7 +86,7 @@
         replace_attribute(self.server, "process_actions", process_and_wake)
 
     async def until(self, condition):
-        """Wait until the relay fulfils a condition: each event of a connection may change its state."""
+        """Wait until the relay fulfils a condition, which is checked after each event of a connection."""
         async with asyncio.timeout(TIMEOUT_S):
             while not condition(self.relay):
                 self.changed.clear()
@@ -106,74 +106,74 @@
         return client, owner
 
 
-def test_followers_over_sockets_get_content_changes_and_report_what_is_in_force():
-    async def scene():
-        async with Fleet() as fleet:
-            fleet.publish(*[change(f"node/{i}", "ready" * 10) for i in range(2000)])
-            found = [fleet.follower(f"f{i}") for i in range(20)]
-            for _, owner in found:
+def test_followers_over_sockets_receive_content_and_changes_and_report_what_is_in_force():
+    async def scenario():
+        async with RelayFixture() as fixture:
+            fixture.publish(*[change(f"node/{i}", "ready" * 10) for i in range(2000)])
+            followers = [fixture.follower(f"f{i}") for i in range(20)]
+            for _, owner in followers:
                 await owner.reaches(1)
-            fleet.publish(change("node/7", None), change("node/8", "draining"))
-            for client, owner in found:
+            fixture.publish(change("node/7", None), change("node/8", "draining"))
+            for client, owner in followers:
                 await owner.reaches(2)
-                assert owner.content == dict(fleet.control.machine.log.content.items())
-                assert client.follower.log.checkpoint == fleet.control.machine.log.checkpoint
-            await fleet.until(lambda relay: relay.summary().applied == 20)
+                assert owner.content == dict(fixture.control.machine.log.content.items())
+                assert client.follower.log.checkpoint == fixture.control.machine.log.checkpoint
+            await fixture.until(lambda relay: relay.summary().applied == 20)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("turns", range(8))
-def test_a_connection_that_is_accepted_while_the_relay_stops_does_not_stay(turns):
-    async def scene():
-        async with Fleet() as fleet:
-            with socket.socket() as late:
-                late.setblocking(False)
-                late.connect_ex(("127.0.0.1", fleet.port))
-                for _ in range(turns):
+@pytest.mark.parametrize("loop_turns", range(8))
+def test_a_connection_that_is_accepted_while_the_relay_stops_is_closed(loop_turns):
+    async def scenario():
+        async with RelayFixture() as fixture:
+            with socket.socket() as client:
+                client.setblocking(False)
+                client.connect_ex(("127.0.0.1", fixture.port))
+                for _ in range(loop_turns):
                     await asyncio.sleep(0)
-                await fleet.server.stop()
+                await fixture.server.stop()
                 for _ in range(20):
                     await asyncio.sleep(0)
-                assert not fleet.server.connections
+                assert not fixture.server.connections
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_a_configuration_that_a_broker_cannot_use_is_reported_until_a_later_one_is_usable():
-    async def scene():
-        async with Fleet() as fleet:
-            _, owner = fleet.follower("f")
-            held = {"bad": False}
+    async def scenario():
+        async with RelayFixture() as fixture:
+            _, owner = fixture.follower("f")
+            state = {"bad": False}
 
             def unusable(changes):
                 for one in changes:
-                    held["bad"] = one.value == b"bad"
-                return "line 3: field `port`" if held["bad"] else ""
+                    state["bad"] = one.value == b"bad"
+                return "line 3: field `port`" if state["bad"] else ""
 
             replace_attribute(owner, "unusable", unusable)
-            fleet.publish(change("configuration/a", "bad"))
-            await fleet.until(lambda relay: relay.summary().rejected)
-            (laggard,) = fleet.relay.summary().laggards
+            fixture.publish(change("configuration/a", "bad"))
+            await fixture.until(lambda relay: relay.summary().rejected)
+            (laggard,) = fixture.relay.summary().laggards
             assert (laggard.rejected_revision, laggard.reason) == (1, "line 3: field `port`")
-            fleet.publish(change("configuration/a", "good"))
-            await fleet.until(lambda relay: not relay.summary().rejected)
+            fixture.publish(change("configuration/a", "good"))
+            await fixture.until(lambda relay: not relay.summary().rejected)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_an_owner_that_fails_ends_its_follower_and_the_failure_is_raised_in_the_loop():
-    async def scene():
+    async def scenario():
         raised = []
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: raised.append(context["exception"]))
-        async with Fleet() as fleet:
-            client, owner = fleet.follower("f")
+        async with RelayFixture() as fixture:
+            client, owner = fixture.follower("f")
             replace_attribute(owner, "unusable", lambda changes: 1 // 0)
-            fleet.publish(change("a", "1"))
+            fixture.publish(change("a", "1"))
             await owner.reaches(1)
-            await fleet.until(lambda relay: not relay.sessions)
+            await fixture.until(lambda relay: not relay.sessions)
             assert [type(error) for error in raised] == [ZeroDivisionError]
             assert client.follower.status.applied_revision == 0
             assert client.follower.phase is FollowerPhase.STOPPED
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/test_planted_defects.py
+++ b/tests/test_planted_defects.py
@@ -17,15 +17,15 @@
 ADDED = {
     "tests/feed_process.py": {
         "MeasuredRelay": {
-            "_leaked_at",
+            "_measured_at",
             "_measure",
             "clock",
-            "in_flight_most",
+            "max_in_flight",
             "largest_frame",
             "largest_piece",
-            "loading_most",
-            "over_pace",
-            "over_pace_most",
+            "max_loading",
+            "over_rate",
+            "max_over_rate",
             "snapshot_bytes",
         },
         "ReportingClient": {"publications"},
@@ -34,7 +34,7 @@
     "tests/known_red.py": {"report": {"longrepr"}},  # of pytest
     "tests/modelvoters.py": {"new": {"__dict__"}},
     "tests/mutants.py": {"CountsVotesTwice": {"counted"}},
-    "tests/test_feed_faults.py": {"LyingRelay": {"lie"}},
+    "tests/test_feed_faults.py": {"TamperingRelay": {"tamper"}},
     "tests/test_site_service.py": {"BrokerInFolder": {"folder"}},
 }
 
