--- a/tests/test_capacity_control.py
+++ b/tests/test_capacity_control.py
@@ -1,4 +1,4 @@
-"""The scale test of the control machines at one small size: counts are judged, never times."""
+"""The scale test of the control machines at one small size: counts are checked, times are not."""
 
 import sys
 from functools import cache
@@ -18,7 +18,7 @@
     return {(f.scenario, f.quantity): f.value for f in control.measure((FOLLOWERS,), SEED)}
 
 
-def test_all_followers_are_level_after_the_leader_was_killed():
+def test_all_followers_have_the_newest_revision_after_the_leader_was_killed():
     assert figures()["end", "followers at the newest revision"] == FOLLOWERS
     assert figures()["end", "followers with an equal digest"] == FOLLOWERS
 
--- a/tests/test_capacity_feed.py
+++ b/tests/test_capacity_feed.py
@@ -1,4 +1,4 @@
-"""The feed's scale test at its small sizes, by counts, bytes and slopes; times are not judged."""
+"""The scale test of the feed at its small sizes: counts, bytes and slopes are checked, times are not."""
 
 import sys
 from functools import cache
@@ -25,8 +25,8 @@
 
 SEED = 1
 SIZES = feed.PART.small
-SAME = 1.1  # heartbeats beside the same publications differ with the time that a busy machine takes
-SLOPE_MOST = 0.001  # of the mean, a follower more: bytes that do not grow
+MAX_RATIO = 1.1  # of equal amounts: the number of heartbeats varies with the time that a run takes on a busy machine
+MAX_SLOPE = 0.001  # increase per added follower, as a fraction of the smallest amount, that counts as no growth
 
 
 @cache
@@ -35,7 +35,7 @@
 
 
 def by_size(scenario, quantity):
-    """The figures of one quantity; there must be one a size."""
+    """Return the figures of one quantity; there must be exactly one for each size."""
     found = [f for f in figures() if (f.scenario, f.quantity) == (scenario, quantity)]
     assert [f.size for f in found] == list(SIZES)
     return found
@@ -45,7 +45,7 @@
     return [f.value for f in by_size(scenario, quantity)]
 
 
-# -- in processes, over TCP
+# -- with processes, over TCP
 def test_after_all_scenarios_every_follower_has_the_newest_revision_and_an_equal_digest():
     assert values("end", "followers at the newest revision") == list(SIZES)
     assert values("end", "followers with an equal digest") == list(SIZES)
@@ -61,17 +61,17 @@
 def test_bytes_a_follower_received_for_a_publication_do_not_grow_with_followers(scenario):
     found = by_size(scenario, "received a publication")
     received = [f.value for f in found]
-    assert max(received) < SAME * min(received)
-    assert abs(fitted(found).slope) < SLOPE_MOST * min(received)
+    assert max(received) < MAX_RATIO * min(received)
+    assert abs(fitted(found).slope) < MAX_SLOPE * min(received)
 
 
 def test_a_first_snapshot_is_as_large_for_many_followers_as_for_few():
     received = values("start", "bytes a follower received")
-    assert max(received) < SAME * min(received)
+    assert max(received) < MAX_RATIO * min(received)
 
 
 def test_a_zone_that_returns_costs_a_bounded_number_of_bytes_and_one_snapshot_a_follower():
-    """A snapshot, and the rows that changed at once where they come after it."""
+    """The bytes are a snapshot, and the rows that changed at the same time where they arrive after it."""
     changes = ContentChanges(SMALL.nodes, SEED)
     rows = sum(len(c.key) + len(c.value) + 16 for c in changes.zone_lost())
     for first, returned, snapshots in zip(
@@ -84,18 +84,18 @@
         assert returned < 1.5 * first + rows
 
 
-def test_followers_of_relays_cut_off_have_the_newest_only_when_the_region_is_back():
+def test_followers_of_relays_that_are_cut_off_have_the_newest_revision_only_when_the_region_is_back():
     cut_off = values("region cut", "followers of relays cut off")
     reached = values("region cut", "followers that had the newest before healing")
     assert all(cut_off)
     assert all(cut + had <= size for cut, had, size in zip(cut_off, reached, SIZES, strict=True))
 
 
-def test_the_feed_sends_a_broker_less_than_whole_lists_do():
+def test_the_feed_sends_a_broker_less_than_complete_lists_do():
     assert values("today, whole lists", "one read")[0] > 100 * values("ten times", "received a publication")[0]
 
 
-def test_times_are_loopbacks_bytes_are_measured_and_what_was_multiplied_is_called_extrapolated():
+def test_times_are_marked_as_loopback_bytes_as_measured_and_multiplied_figures_as_extrapolated():
     for f in figures():
         if f.scenario == "today, whole lists":
             assert (f.kind is Kind.EXTRAPOLATED) == (f.unit in ("bytes/s", "% of a core", "MB/s"))
@@ -105,9 +105,9 @@
             assert f.kind is Kind.LOOPBACK
 
 
-# -- pure
+# -- without processes
 def fan_out(followers, nodes):
-    """A stage with so many followers that have so many rows."""
+    """Return a stage with a number of followers whose replicas have a row for each node."""
     control = Control()
     control.grant()
     stage = Stage(control)
@@ -116,7 +116,7 @@
         stage.publish(*first[at : at + 1000])
     for number in range(followers):
         stage.follower(f"f{number}")
-    stage.pass_time(1.0)  # empty replicas are loaded at the relay's pace
+    stage.pass_time(1.0)  # empty replicas are loaded at the rate limit of the relay
     assert all(follower.log.checkpoint == control.machine.log.checkpoint for follower in stage.followers.values())
     return stage
 
@@ -142,7 +142,7 @@
     stage = fan_out(followers=1, nodes=500)
     log = stage.control.machine.log
     relay = Relay("relay-2", log, RelayTuning())
-    log.install_snapshot(log.content, log.checkpoint)  # no past: all need a snapshot
+    log.install_snapshot(log.content, log.checkpoint)  # the log retains no publications: all followers need a snapshot
     stage.relay = relay
     for number in range(16):
         stage.follower(f"late{number}", start=False).start(stage.now)
@@ -166,8 +166,8 @@
     assert max(sizes[0]) < 3 * len(node_row(7, "draining", 1))
 
 
-# -- the test's own parts
-def test_the_days_changes_are_those_of_the_fleet_to_come():
+# -- the parts of the scale test
+def test_the_rate_and_the_sizes_of_changes_are_those_of_the_expected_fleet():
     assert 0.27 < CHANGES_A_SECOND < 0.28
     assert 120 < len(node_row(12_999, "draining", 3)) < 180
     assert len(ContentChanges(10, SEED).configuration(0).value) == CONFIGURATION_BYTES
@@ -176,13 +176,13 @@
     assert kinds.count("configuration") in range(90, 110)
 
 
-def test_a_publication_that_a_follower_never_put_in_force_has_no_time():
+def test_a_publication_that_a_follower_never_put_in_force_counts_as_never():
     published = [Published(5, 10.0, b""), Published(6, 11.0, b"")]
     seen = [(10.5, 11.25), (10.5, None), (12.0, 12.0)]
     followers = [InForce(zone, False, "north", "north", times) for zone, times in enumerate(seen)]
-    times = in_force_times(published, followers, lambda one: one.zone != 2)
+    times = in_force_times(published, followers, lambda follower: follower.zone != 2)
     assert (times.median, times.share(0.75), times.most) == (0.5, 0.5, NEVER)
-    assert in_force_times(published, followers, lambda one: one.zone == 0).seconds == [0.25, 0.5]
+    assert in_force_times(published, followers, lambda follower: follower.zone == 0).seconds == [0.25, 0.5]
 
 
 def test_retention_of_the_publishers_log_is_the_products():
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -1,4 +1,4 @@
-"""A broker that follows the feed, over loopback: configurations in force between two turns of its loop."""
+"""A broker that follows the feed, over loopback. A configuration takes effect between two turns of its event loop."""
 
 import asyncio
 import gc
@@ -29,21 +29,21 @@
 from tests.sockets import EXAMPLE, BrokerFixture, run, until
 
 KEY = "configuration/broker"
-LEFT_OUT = ("(listen (port 8080))", '(discovery (port 8500) (service "rates"))')  # each broker has its own
+BROKER_FORMS = ("(listen (port 8080))", '(discovery (port 8500) (service "rates"))')  # each broker has its own
 PUBLISHED = EXAMPLE.read_text()
-for form in LEFT_OUT:
+for form in BROKER_FORMS:
     assert form in PUBLISHED
     PUBLISHED = replaced(PUBLISHED, form, "")
 FULL_QUOTE = "(class full-quote (aim-ms 1000) (deadline-ms 3000))"
 assert FULL_QUOTE in PUBLISHED
-ASK = "{ fullQuote(blocks: [1], amount: 5) { id } }"
-SLOW_MS = 600.0
-CHANGES = 20
+QUERY = "{ fullQuote(blocks: [1], amount: 5) { id } }"
+SLOW_PART_MS = 600.0
+CONFIGURATION_CHANGES = 20
 CLIENTS = 8
 
 
 def configuration(full_quote=FULL_QUOTE, *forms):
-    """A published configuration with another class for full quotes, and further forms."""
+    """Return a published configuration with another class for full quotes, and with additional forms."""
     text = replaced(PUBLISHED, FULL_QUOTE, full_quote)
     return text.rstrip().removesuffix(")") + "\n" + "\n".join(forms) + ")\n"
 
@@ -54,7 +54,7 @@
 
 
 class FeedStage(BrokerFixture):
-    """A world, and a broker that follows a relay's feed. listed: the feed brings the list of servers too."""
+    """A world, and a broker that follows the feed of a relay. listed: the feed also delivers the list of servers."""
 
     def __init__(self, tmp_path, listed=False, retention=Retention(), **changes):  # noqa: B008 - frozen
         super().__init__(broker=self._broker, **changes)
@@ -79,23 +79,23 @@
         await self.relay_server.stop()
 
     def _broker(self, settings, graph):
-        """Made once the world stands: its servers are published before the broker begins to follow."""
+        """Create the broker, after the world has started: its servers are published before the broker follows."""
         if self.listed:
             self.publish_changes(*[change(f"node/{name}", self.row(name)) for name in self.world.registry.entries])
         return Broker(settings, graph)
 
     def row(self, name, **fields):
-        """A server's row in the feed."""
+        """Return a server's row in the feed."""
         listed = self.world.registry.entries[name]
-        stands = {"address": f"127.0.0.1:{listed.port}", "cell": listed.cell, "zone": listed.zone}
-        return msgspec.json.encode({**stands, "started": listed.started, **fields}).decode()
+        location = {"address": f"127.0.0.1:{listed.port}", "cell": listed.cell, "zone": listed.zone}
+        return msgspec.json.encode({**location, "started": listed.started, **fields}).decode()
 
     @property
     def generations(self):
         return self.broker.generations
 
     def publish(self, text):
-        """Publishes a configuration; its revision."""
+        """Publish a configuration; return its revision."""
         return self.publish_changes(change(KEY, text))
 
     def publish_changes(self, *changes):
@@ -104,7 +104,7 @@
         return self.control.machine.log.revision
 
     async def put_in_force(self, text):
-        """Publishes a configuration and waits until the broker has it in force."""
+        """Publish a configuration and wait until the broker has it in force."""
         revision = self.publish(text)
         await until(lambda: self.broker.feed_subscription.in_force.current.revision == revision)
 
@@ -113,7 +113,7 @@
             server.machine.model.part_ms = part_ms
 
     def count_ends(self):
-        """Return the queries ended, by how, and the faults, by kind."""
+        """Return the number of ended queries by outcome, and of faults by kind."""
         samples = [sample for metric in self.broker.metrics.registry.collect() for sample in metric.samples]
         ended = Counter()
         faults = Counter()
@@ -125,12 +125,12 @@
         return +ended, +faults
 
 
-def test_a_query_in_flight_ends_under_its_configuration_and_the_next_under_the_new_one(tmp_path):
+def test_a_query_in_flight_ends_under_its_configuration_and_the_next_one_uses_the_new(tmp_path):
     async def main():
         async with FeedStage(tmp_path) as stage:
-            stage.slow_down(SLOW_MS)
+            stage.slow_down(SLOW_PART_MS)
             before = stage.generations.current
-            first = asyncio.ensure_future(stage.client.query(ASK))
+            first = asyncio.ensure_future(stage.client.query(QUERY))
             await until(lambda: before.driver.queries)
             forms = ("(tenant a (quota-per-s 7))", "(tenant b (quota-per-s 8))")
             await stage.put_in_force(replaced(with_deadline(300, *forms), "(need 0.75)", "(need 0.9)"))
@@ -140,12 +140,13 @@
             assert before.driver.queries
             assert [tenant.quota_per_s for tenant in newest.driver.module.settings.tenants] == [7.0, 8.0]
             assert [one.complete_weight for one in newest.driver.module.settings.classes][1] == 0.9
-            assert (await stage.client.query(ASK))[0] == 403  # tenants are told apart from now on
+            # The new configuration has tenants, and this query names none.
+            assert (await stage.client.query(QUERY))[0] == 403
             loop = asyncio.get_running_loop()
             began = loop.time()
-            _, answer, _ = await stage.client.query(ASK, badgerbend_tenant="b")
+            _, answer, _ = await stage.client.query(QUERY, badgerbend_tenant="b")
             assert answer["errors"]
-            assert loop.time() - began < SLOW_MS / 1000.0
+            assert loop.time() - began < SLOW_PART_MS / 1000.0
             status, answer, _ = await first
             assert status == 200
             assert len(answer["data"]["fullQuote"]) == 4
@@ -156,16 +157,16 @@
     run(main)
 
 
-def test_no_query_is_lost_or_answered_twice_over_many_changes_under_load(tmp_path):
+def test_no_query_is_lost_or_answered_twice_during_many_configuration_changes_under_load(tmp_path):
     async def main():
         async with FeedStage(tmp_path) as stage:
             answered = Counter()
-            over = asyncio.Event()
+            finished = asyncio.Event()
             rates = itertools.count()
             stage.slow_down(10.0)
 
             async def reads(block):
-                while not over.is_set():
+                while not finished.is_set():
                     status, answer, _ = await stage.client.query(
                         f"{{ fullQuote(blocks: [{block}], amount: 5) {{ id }} }}"
                     )
@@ -175,7 +176,7 @@
                     answered["read"] += 1
 
             async def writes(block):
-                while not over.is_set():
+                while not finished.is_set():
                     rate = next(rates)
                     one = f'"{block}:{rate}"'
                     other = f'"{block}:{rate}x"'
@@ -191,14 +192,14 @@
 
             load = [asyncio.ensure_future(reads(i)) for i in range(CLIENTS)]
             load += [asyncio.ensure_future(writes(i)) for i in range(CLIENTS, CLIENTS + 2)]
-            most_live = 0
-            for number in range(CHANGES):
+            max_live = 0
+            for number in range(CONFIGURATION_CHANGES):
                 goal = answered.total() + CLIENTS
                 await until(lambda goal=goal: answered.total() >= goal or any(one.done() for one in load))
                 await stage.put_in_force(with_deadline(3000 + number))
-                most_live = max(most_live, len(stage.generations.live))
+                max_live = max(max_live, len(stage.generations.live))
                 assert stage.generations.current.settings.class_[0].deadline_ms == 3000 + number
-            over.set()
+            finished.set()
             await asyncio.gather(*load)
             await until(lambda: not stage.generations.draining)
             ended, faults = stage.count_ends()
@@ -207,7 +208,7 @@
             signed = Counter(part["query"] for run in stage.seen("ran") if run["write"] for part in run["parts"])
             assert len(signed) == 2 * answered["write"]
             assert set(signed.values()) == {1}
-            assert most_live > 1
+            assert max_live > 1
 
     run(main)
 
@@ -215,27 +216,27 @@
 def test_an_earlier_generation_is_closed_after_its_last_query(tmp_path):
     async def main():
         async with FeedStage(tmp_path) as stage:
-            stage.slow_down(SLOW_MS)
+            stage.slow_down(SLOW_PART_MS)
             await stage.put_in_force(with_deadline(2900))
             earlier = weakref.ref(stage.generations.current)
-            call = stage.client.ask(ASK, None, {}, lambda reply: None)
+            call = stage.client.ask(QUERY, None, {}, lambda reply: None)
             await until(lambda: stage.generations.current.driver.queries)
             await stage.put_in_force(with_deadline(2800))
             assert stage.generations.draining == [earlier()]
-            call.abort()  # its client leaves
+            call.abort()  # the client disconnects
             await until(lambda: not stage.generations.draining)
             await until(lambda: gc.collect() is not None and earlier() is None)
 
     run(main)
 
 
-def test_attempts_that_outlive_their_query_are_waited_for(tmp_path):
+def test_a_generation_drains_until_attempts_that_outlive_their_query_have_ended(tmp_path):
     async def main():
         changes = {"attempts": {"cancel": False}}
         async with FeedStage(tmp_path, **changes) as stage:
-            stage.slow_down(SLOW_MS)
+            stage.slow_down(SLOW_PART_MS)
             before = stage.generations.current
-            call = stage.client.ask(ASK, None, {}, lambda reply: None)
+            call = stage.client.ask(QUERY, None, {}, lambda reply: None)
             await until(lambda: stage.seen("ran"))
             await stage.put_in_force(with_deadline(2900))
             call.abort()
@@ -247,7 +248,7 @@
     run(main)
 
 
-def test_a_new_generation_begins_with_the_list_and_earlier_observations_and_receives_updates_like_the_earlier(tmp_path):
+def test_a_new_generation_starts_with_the_list_and_observations_and_both_generations_receive_updates(tmp_path):
     async def main():
         async with FeedStage(tmp_path) as stage:
             for number in range(60):
@@ -255,9 +256,9 @@
             before = stage.generations.current
             await until(lambda: before.driver.module.latency.typical_ms > 0.0)
             known = {one.node: one.response_time_ms for one in before.driver.observations().nodes}
-            usual = before.driver.module.latency.typical_ms
+            typical_ms = before.driver.module.latency.typical_ms
             assert known
-            for deadline_ms in (2900, 2800, 2700):  # one right after the other: what was seen goes on
+            for deadline_ms in (2900, 2800, 2700):  # in quick succession: each passes the observations on
                 await stage.put_in_force(with_deadline(deadline_ms))
             newest = stage.generations.current
             await until(lambda: newest.driver.module.endpoints.servers)
@@ -265,13 +266,13 @@
             assert ready == set(stage.broker.directory.addresses)
             assert len(ready) == 12
             assert {one.node: one.response_time_ms for one in newest.driver.observations().nodes} == known
-            assert newest.driver.module.latency.typical_ms == pytest.approx(usual, rel=0.5)
-            stage.slow_down(SLOW_MS)
-            first = asyncio.ensure_future(stage.client.query(ASK))
+            assert newest.driver.module.latency.typical_ms == pytest.approx(typical_ms, rel=0.5)
+            stage.slow_down(SLOW_PART_MS)
+            first = asyncio.ensure_future(stage.client.query(QUERY))
             await until(lambda: newest.driver.queries)
             await stage.put_in_force(with_deadline(2600))
-            gone = next(iter(stage.world.servers))
-            stage.world.crash(gone)
+            crashed = next(iter(stage.world.servers))
+            stage.world.crash(crashed)
             modules = [one.driver.module for one in stage.generations.live]
             await until(
                 lambda: all(
@@ -305,22 +306,23 @@
     async def main():
         sites = Sites((Site("north", (0,), 1), Site("south", (1,), 0)), 1000.0)
         async with FeedStage(tmp_path, sites=sites) as stage:
-            stage.slow_down(SLOW_MS)
+            stage.slow_down(SLOW_PART_MS)
             preference = stage.broker.site_service.preference
-            first = asyncio.ensure_future(stage.client.query(ASK))
+            first = asyncio.ensure_future(stage.client.query(QUERY))
             await until(lambda: stage.generations.current.driver.queries)
             await stage.put_in_force(replaced(PUBLISHED, "(free 5)", "(free 6)"))
             earlier, newest = stage.generations.draining[0], stage.generations.current
             assert newest.driver.module.sites is earlier.driver.module.sites is preference
-            next_one = asyncio.ensure_future(stage.client.query(ASK))
+            next_one = asyncio.ensure_future(stage.client.query(QUERY))
             await until(lambda: newest.driver.queries)
-            assert not set(earlier.driver._owners) & set(newest.driver._owners)  # parts are told apart
+            # Ids of parts are unique across generations.
+            assert not set(earlier.driver._owners) & set(newest.driver._owners)
             for status, answer, _ in await asyncio.gather(first, next_one):
                 assert status == 200
                 assert len(answer["data"]["fullQuote"]) == 4
             await until(lambda: not stage.generations.draining and newest.idle)
             assert not any(site.health.in_flight for site in preference.sites)
-            stage.publish(with_deadline(2900))  # another class: preference among sites rests on it
+            stage.publish(with_deadline(2900))  # rejected: the preference among sites depends on the classes
             await until(lambda: stage.relay.summary().rejected)
             assert "broker > class: cannot change" in stage.relay.summary().laggards[0].reason
 
@@ -347,7 +349,9 @@
         ("(field signLease", "(field signLoan", f"{KEY}: schema: root field Mutation.signLease has no (field"),
     ],
 )
-def test_a_configuration_that_a_broker_cannot_use_changes_nothing_there_and_is_reported(tmp_path, old, new, reason):
+def test_a_configuration_that_a_broker_cannot_use_leaves_the_current_one_in_force_and_is_reported(
+    tmp_path, old, new, reason
+):
     async def main():
         async with FeedStage(tmp_path) as stage:
             assert old in PUBLISHED
@@ -358,7 +362,7 @@
             assert (laggard.name, laggard.rejected_revision) == ("broker-0", revision)
             assert laggard.reason.startswith(reason), laggard.reason
             assert stage.generations.live == (before,)
-            assert (await stage.client.query(ASK))[0] == 200
+            assert (await stage.client.query(QUERY))[0] == 200
             await stage.put_in_force(with_deadline(2900))
             assert stage.generations.current is not before
             await until(lambda: stage.relay.summary().rejected == 0 and stage.relay.summary().applied == 1)
@@ -366,13 +370,13 @@
     run(main)
 
 
-def test_a_configuration_waits_where_too_many_earlier_ones_still_have_queries(tmp_path, monkeypatch):
+def test_a_configuration_waits_while_too_many_earlier_generations_still_have_queries(tmp_path, monkeypatch):
     monkeypatch.setattr(manager, "MAX_GENERATIONS", 2)
 
     async def main():
         async with FeedStage(tmp_path) as stage:
-            stage.slow_down(2 * SLOW_MS)
-            first = asyncio.ensure_future(stage.client.query(ASK))
+            stage.slow_down(2 * SLOW_PART_MS)
+            first = asyncio.ensure_future(stage.client.query(QUERY))
             await until(lambda: stage.generations.current.driver.queries)
             await stage.put_in_force(with_deadline(2900))
             stage.publish(with_deadline(2800))
@@ -388,7 +392,7 @@
     run(main)
 
 
-def test_an_unchanged_or_removed_configuration_begins_no_generation(tmp_path):
+def test_an_unchanged_or_removed_configuration_starts_no_generation(tmp_path):
     async def main():
         async with FeedStage(tmp_path) as stage:
             before = stage.generations.current
@@ -401,15 +405,15 @@
     run(main)
 
 
-def states_of(broker):
-    """The state of each server on the broker's list, by name."""
+def states_by_name(broker):
+    """Return the state of each server on the broker's list, by name."""
     return {name: known.endpoint.state for name, known in broker.directory.servers.items()}
 
 
-def test_the_list_comes_from_the_feed_in_place_of_consul(tmp_path):
+def test_the_list_of_servers_comes_from_the_feed_instead_of_consul(tmp_path):
     async def main():
         async with FeedStage(tmp_path, listed=True) as stage:
-            assert len(states_of(stage.broker)) == 12
+            assert len(states_by_name(stage.broker)) == 12
             assert (await fetch_ready(stage)) == 200
             for block in range(24):
                 status, answer, _ = await stage.client.query(f"{{ fullQuote(blocks: [{block}], amount: 5) {{ id }} }}")
@@ -417,9 +421,9 @@
                 assert len(answer["data"]["fullQuote"]) == 4
             drained, removed = list(stage.world.servers)[:2]
             stage.publish_changes(change(f"node/{drained}", stage.row(drained, state="draining")))
-            await until(lambda: states_of(stage.broker)[drained] == api.EndpointState.DRAINING)
+            await until(lambda: states_by_name(stage.broker)[drained] == api.EndpointState.DRAINING)
             stage.publish_changes(change(f"node/{removed}", None))
-            await until(lambda: removed not in states_of(stage.broker))
+            await until(lambda: removed not in states_by_name(stage.broker))
             module = stage.generations.current.driver.module
             await until(lambda: sum(server.ready for server in module.endpoints.servers.values()) == 10)
             stage.records.clear()
@@ -427,9 +431,9 @@
             for block in range(24):
                 assert (await stage.client.query(f"{{ fullQuote(blocks: [{block}], amount: 5) {{ id }} }}"))[0] == 200
             assert not {record["server"] for record in stage.seen("arrive")} & {drained, removed}
-            assert not stage.seen("told")  # Consul's stand-in was never asked
+            assert not stage.seen("told")  # the stand-in for Consul was never polled
             stage.relay_server.mark_current(stage.relay_server.clock())
-            await until(lambda: stage.broker.feed_subscription.age_s < 60.0)  # with the relay's next heartbeat
+            await until(lambda: stage.broker.feed_subscription.age_s < 60.0)  # after the relay's next heartbeat
             stage.broker._update_gauges()
             assert stage.broker.metrics.list_age._value.get() < 60.0
 
@@ -444,7 +448,7 @@
     return int(head.split()[1])
 
 
-def test_a_drain_published_while_a_snapshot_of_earlier_content_is_on_its_way_wins(tmp_path):
+def test_a_drain_takes_precedence_over_a_snapshot_of_earlier_content_in_transfer(tmp_path):
     async def main():
         slow = RelayTuning(snapshot_bytes_per_second=32 * 1024, snapshot_burst_bytes=1)
         async with FeedStage(tmp_path, listed=True, retention=Retention(publications=1)) as stage:
@@ -470,10 +474,10 @@
                         == stage.control.machine.log.revision
                     )
                 )
-                await until(lambda: states_of(other)[drained] == api.EndpointState.DRAINING)
+                await until(lambda: states_by_name(other)[drained] == api.EndpointState.DRAINING)
                 number = other.directory.servers[drained].endpoint.node
                 servers = other.driver.module.endpoints.servers
-                await until(lambda: sum(server.ready for server in servers.values()) == len(states_of(other)) - 1)
+                await until(lambda: sum(server.ready for server in servers.values()) == len(states_by_name(other)) - 1)
                 assert number not in servers or not servers[number].ready
             finally:
                 await other.stop()
@@ -486,13 +490,17 @@
     file = tmp_path / "key"
     file.write_text(SIGNER.public_key().hex() + "\n")
     assert read_public_key(file) == SIGNER.public_key()
-    for text, says in (("zz", "is not hexadecimal"), ("00ff", "has 2 bytes and not 32"), ("\u00e9", "not hexadecimal")):
+    for text, message in (
+        ("zz", "is not hexadecimal"),
+        ("00ff", "has 2 bytes and not 32"),
+        ("\u00e9", "not hexadecimal"),
+    ):
         file.write_text(text)
-        with pytest.raises(PublicKeyError, match=says):
+        with pytest.raises(PublicKeyError, match=message):
             read_public_key(file)
 
 
-def test_without_the_form_nothing_of_the_feed_is_imported_or_started():
+def test_without_a_feed_form_no_module_of_the_feed_is_imported_or_started():
     code = """
 import asyncio, sys
 import badgerbend.cli, badgerbend.process
