--- a/tests/feed_invariants.py
+++ b/tests/feed_invariants.py
@@ -80,7 +80,7 @@
         that did. New commands therefore arrive here in the order of the log.
         """
         if self.commands.get(index, data) != data:
-            raise InvariantViolation(f"voters applied different commands at index {index}")
+            raise InvariantViolation(f"the command at index {index} differs from the one that was applied first")
         if index in self.commands:
             return
         if index < self._last:
@@ -165,7 +165,7 @@
         self.voters[name, incarnation] = revision
         if revision > self.agreed.newest:
             raise InvariantViolation(
-                f"{name} has revision {revision}; the newest agreed revision is {self.agreed.newest}"
+                f"{name} has revision {revision}; {self.agreed.newest} is the newest that was agreed on"
             )
         state = self.agreed.published[revision]
         if epoch != state.epoch:
@@ -173,7 +173,7 @@
                 f"{name} has revision {revision} of epoch {epoch}; agreed on was epoch {state.epoch}"
             )
         if dict(log.content.items()) != state.entries:
-            raise InvariantViolation(f"{name}: the content at revision {revision} is not what was agreed on")
+            raise InvariantViolation(f"{name} has content at revision {revision} that was not agreed on")
 
     # -- publishers
     def record_submitted(self, publisher, changes):
--- a/tests/feed_processes.py
+++ b/tests/feed_processes.py
@@ -66,7 +66,7 @@
                 return found
         except TimeoutError:
             raise AssertionError(
-                f"timeout after {TIMEOUT_S:g} s; {len(self.events)} events, the last is {self._last()}"
+                f"{TIMEOUT_S:g} s timeout; {len(self.events)} events, the last is {self._last()}"
             ) from None
 
     async def next(self, kind, after):
@@ -88,7 +88,7 @@
                     await asyncio.sleep(POLL_INTERVAL_S)
                 return report
         except TimeoutError:
-            raise AssertionError(f"timeout after {TIMEOUT_S:g} s; the last event is {self._last()}") from None
+            raise AssertionError(f"{TIMEOUT_S:g} s timeout; the last event is {self._last()}") from None
 
     def pause(self):
         """Suspend the process with a signal until `resume`."""
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -197,7 +197,7 @@
         host.follower.start(host.local())
 
     def crash(self, name, restart_s):
-        """End a host's process; it starts call_and_repeat after restart_s seconds."""
+        """End a host's process; it starts again after restart_s seconds."""
         host = self.hosts[name]
         if not host.running:
             return
--- a/tests/simfeed_connections.py
+++ b/tests/simfeed_connections.py
@@ -12,7 +12,7 @@
     def connect(self, host, attempt, relay):
         """Open a connection; it may be refused, or there may be no answer."""
         if self.world.network.is_cut(host, relay) or not relay.running:
-            if self.world.rng.random() < 0.5 and not relay.running:  # otherwise there is no answer
+            if self.world.rng.random() < 0.5 and not relay.running:  # refused; otherwise there is no answer
                 self.world.call_after(
                     self.world.network.latency(host, relay), self._refused, host, host.incarnation, attempt
                 )
