--- a/tests/feed_processes.py
+++ b/tests/feed_processes.py
@@ -136,17 +136,17 @@
         for process in self.processes:
             await process.wait()
 
-    async def relay(self, setup):
+    async def start_relay(self, setup):
         """Start a relay; return its process and its address once it listens."""
         process = await self._start(setup)
         listening = await process.next(Listening, 0)
         return process, RelayAddress(setup.name, setup.region, "127.0.0.1", listening.port)
 
-    async def relays(self, *setups):
+    async def start_relays(self, *setups):
         """Start several relays concurrently."""
-        return await asyncio.gather(*map(self.relay, setups))
+        return await asyncio.gather(*map(self.start_relay, setups))
 
-    async def followers(self, setup):
+    async def start_followers(self, setup):
         return await self._start(setup)
 
     async def _start(self, setup):
--- a/tests/simfeed.py
+++ b/tests/simfeed.py
@@ -93,7 +93,7 @@
         self.order = count()  # of scheduled calls: breaks ties between calls of the same time
         self.scheduled = []  # a heap of (time, order, function, arguments)
         self.signature = KeyedHash()
-        self.checker = InvariantChecker(3 * self.chaos.rate)
+        self.checker = InvariantChecker(3 * self.chaos.clock_drift)
         self.voters = tuple(f"v{i}" for i in range(5))
         self.disks = {name: Disk(self.voters) for name in self.voters}
         self.hosts = {}  # by name
@@ -111,7 +111,7 @@
         self.repeat(self.chaos.submit_interval_s, self.changes.submit)
         self.repeat(self.chaos.fault_interval_s, self.faults.inject)
 
-    def voter_bound_s(self):
+    def voter_age_bound_s(self):
         """Return by how much a voter that follows may understate the age of its content, beside a message's delay.
 
         A leader that is partitioned from the majority sends heartbeats for 2 * election_timeout_s, counted from replies
@@ -120,7 +120,7 @@
         """
         return 2 * RAFT_CONFIG.election_timeout_s + self.chaos.late_s + self.chaos.max_suspension_s + SLACK_S
 
-    def stream_bound_s(self):
+    def stream_delay_bound_s(self):
         """Return by how much a heartbeat may be late and still count.
 
         A follower disconnects from a relay that is silent for `heartbeat_timeout`; one more heartbeat interval may
@@ -136,7 +136,7 @@
         self.relays = [RelayAddress(h.name, h.region, h.name, 1) for h in self.hosts.values()]
 
     def _add_host(self, name, region):
-        clock = Clock(1.0 + self.rng.uniform(-1, 1) * self.chaos.rate, self.rng.random() * 100)
+        clock = Clock(1.0 + self.rng.uniform(-1, 1) * self.chaos.clock_drift, self.rng.random() * 100)
         self.hosts[name] = Host(self, name, region, clock)
 
     def boot(self, name):
--- a/tests/simfeed_network.py
+++ b/tests/simfeed_network.py
@@ -56,7 +56,7 @@
         before = host.voter.confirmed_at
         host.voter.receive_from_voter(host.local(), voting.decode(data))
         if host.voter.confirmed_at > before:
-            follower_bound_s = self.world.voter_bound_s() + self.world.now - sent_at
+            follower_bound_s = self.world.voter_age_bound_s() + self.world.now - sent_at
             host.age_bound_s = SLACK_S if host.voter.is_leader else follower_bound_s
 
     def deliver_holder_message(self, host, data):
--- a/tests/simfeed_settings.py
+++ b/tests/simfeed_settings.py
@@ -19,7 +19,7 @@
 
 REGIONS = ("north", "south", "west")
 PIECE_BYTES = 1500  # of a snapshot; small, so that the little content here still makes several pieces
-KEY = b"the publisher's"
+HASH_KEY = b"the publisher's"
 SLACK_S = 0.2  # for delays of the network and the drift of clocks
 WATCH_INTERVAL_S = 0.5  # mean time between checks of ages and memory
 SUMMARY_INTERVAL_S = 0.7
@@ -34,7 +34,7 @@
     """
 
     def sign(self, payload):
-        return hmac.digest(KEY, payload, "sha512")
+        return hmac.digest(HASH_KEY, payload, "sha512")
 
     def verify(self, payload, signature):
         return hmac.compare_digest(self.sign(payload), signature)
@@ -91,7 +91,7 @@
     late_s: float = 1.0
     delay: tuple = (0.001, 0.02)
     sync: tuple = (0.0005, 0.01)
-    rate: float = 0.01
+    clock_drift: float = 0.01  # at most, as a fraction of elapsed time
     fault_interval_s: float = 0.8  # mean time between faults
     submit_interval_s: float = 0.25
     max_suspension_s: float = 3.0
--- a/tests/simstreams.py
+++ b/tests/simstreams.py
@@ -162,7 +162,7 @@
         before = host.follower.age_s(host.local())
         host.follower.received(host.local(), self.attempt, message)
         if host.follower.age_s(host.local()) < before:
-            delay_s = min(self.world.now - written_at, self.world.stream_bound_s())
+            delay_s = min(self.world.now - written_at, self.world.stream_delay_bound_s())
             host.age_bound_s = bound_s + delay_s + SLACK_S
         self.world.runner.collect(host)
 
--- a/tests/test_feed_control.py
+++ b/tests/test_feed_control.py
@@ -22,7 +22,7 @@
 FOLLOWERS_PER_REGION = 4
 
 
-class Controls:
+class ControlMachines:
     """The control machines of one test, one in each region, and the followers of all regions."""
 
     def __init__(self, processes, folder):
@@ -41,13 +41,13 @@
         self.values = 0
 
     async def start(self):
-        started = await asyncio.gather(*(self.processes.relay(setup) for setup in self.setups.values()))
+        started = await asyncio.gather(*(self.processes.start_relay(setup) for setup in self.setups.values()))
         for (process, address), name in zip(started, self.setups, strict=True):
             self.running[name] = process
             self.relays.append(address)
         for region in REGIONS:
             setup = FollowersSetup(FOLLOWERS_PER_REGION, region, tuple(self.relays), FOLLOWER)
-            self.followers.append(await self.processes.followers(setup))
+            self.followers.append(await self.processes.start_followers(setup))
 
     async def restart(self, name):
         """Start a machine again from its disk. Its relay has a new port, which the followers do not know."""
@@ -130,94 +130,94 @@
 def run_scenario(folder, scenario):
     async def run():
         async with FeedProcesses() as processes:
-            controls = Controls(processes, folder)
-            await controls.start()
-            await scenario(controls)
-            controls.assert_agreed()
+            machines = ControlMachines(processes, folder)
+            await machines.start()
+            await scenario(machines)
+            machines.assert_agreed()
 
     asyncio.run(run())
 
 
 def test_a_publication_is_in_force_in_all_regions_and_the_publisher_knows(tmp_path):
-    async def scenario(controls):
-        newest = await controls.publish(20)
-        await controls.all_reach(newest)
-        name, report = await controls.publisher()
+    async def scenario(machines):
+        newest = await machines.publish(20)
+        await machines.all_reach(newest)
+        name, report = await machines.publisher()
         assert report.epoch > 0
         assert report.revision == newest
         all_followers = FOLLOWERS_PER_REGION * len(REGIONS)
-        await controls.running[name].report_where(lambda report: report.followers == report.in_force == all_followers)
-        others = [other for other in controls.running if other != name]
-        assert [await controls.submit(other) for other in others] == [False, False]
+        await machines.running[name].report_where(lambda report: report.followers == report.in_force == all_followers)
+        others = [other for other in machines.running if other != name]
+        assert [await machines.submit(other) for other in others] == [False, False]
 
     run_scenario(tmp_path, scenario)
 
 
 def test_another_machine_publishes_after_the_publisher_is_killed_and_the_killed_one_catches_up(tmp_path):
-    async def scenario(controls):
-        await controls.all_reach(await controls.publish(5))
-        first, before = await controls.publisher()
+    async def scenario(machines):
+        await machines.all_reach(await machines.publish(5))
+        first, before = await machines.publisher()
         # In flight when the process is killed: it may be agreed on or not, but equally on all machines.
-        assert await controls.submit(first)
-        controls.kill(first)
-        newest = await controls.publish(5)
-        second, after = await controls.publisher()
+        assert await machines.submit(first)
+        machines.kill(first)
+        newest = await machines.publish(5)
+        second, after = await machines.publisher()
         assert second != first
         assert after.epoch > before.epoch
-        await controls.all_reach(newest)
-        await controls.restart(first)
-        newest = await controls.publish(3)
-        await controls.all_reach(newest)
-        report = await controls.running[first].report()
-        assert report.digest == (await controls.running[second].report()).digest
+        await machines.all_reach(newest)
+        await machines.restart(first)
+        newest = await machines.publish(3)
+        await machines.all_reach(newest)
+        report = await machines.running[first].report()
+        assert report.digest == (await machines.running[second].report()).digest
 
     run_scenario(tmp_path, scenario)
 
 
 def test_a_publisher_that_was_paused_publishes_nothing_under_its_old_epoch(tmp_path):
-    async def scenario(controls):
-        await controls.all_reach(await controls.publish(3))
-        first, before = await controls.publisher()
-        paused = controls.running.pop(first)
+    async def scenario(machines):
+        await machines.all_reach(await machines.publish(3))
+        first, before = await machines.publisher()
+        paused = machines.running.pop(first)
         paused.pause()
         paused.send(Publish((("node/0", "of the old publisher"),)))  # read when it resumes
-        newest = await controls.publish(5)
+        newest = await machines.publish(5)
         paused.resume()
         await paused.next(Submitted, len(paused.seen(Submitted)))
-        controls.running[first] = paused
-        await controls.all_reach(await controls.publish(5))
-        name, report = await controls.publisher()
+        machines.running[first] = paused
+        await machines.all_reach(await machines.publish(5))
+        name, report = await machines.publisher()
         assert report.epoch > before.epoch
         assert newest < report.revision
-        digests = {(await process.report()).digest for process in controls.running.values()}
+        digests = {(await process.report()).digest for process in machines.running.values()}
         assert len(digests) == 1
 
     run_scenario(tmp_path, scenario)
 
 
 def test_a_minority_publishes_nothing_but_still_serves_and_reports_its_age(tmp_path):
-    async def scenario(controls):
-        newest = await controls.publish(3)
-        await controls.all_reach(newest)
-        killed = list(controls.setups)[1:]
+    async def scenario(machines):
+        newest = await machines.publish(3)
+        await machines.all_reach(newest)
+        killed = list(machines.setups)[1:]
         for name in killed:
-            controls.kill(name)
-        (survivor,) = controls.running
-        process = controls.running[survivor]
+            machines.kill(name)
+        (survivor,) = machines.running
+        process = machines.running[survivor]
         await process.report_where(lambda report: not report.is_publisher and report.age_s > 3.0)
-        assert not await controls.submit(survivor)
+        assert not await machines.submit(survivor)
         report = await process.report()
         assert report.revision == newest
-        local_followers = controls.followers[0]
+        local_followers = machines.followers[0]
         states = (
             await local_followers.report_where(lambda report: all(state.age_s > 2.5 for state in report.followers))
         ).followers
         assert {state.revision for state in states} == {newest}
         for name in killed:
-            await controls.restart(name)
-        newest = await controls.publish(3)
-        await controls.running[survivor].until(lambda process: newest_revision(process) >= newest)
-        await controls.followers[0].until(lambda process: all_followers_at(process, newest))
+            await machines.restart(name)
+        newest = await machines.publish(3)
+        await machines.running[survivor].until(lambda process: newest_revision(process) >= newest)
+        await machines.followers[0].until(lambda process: all_followers_at(process, newest))
         await local_followers.report_where(lambda report: all(state.age_s < 2.0 for state in report.followers))
 
     run_scenario(tmp_path, scenario)
@@ -226,14 +226,14 @@
 def test_a_publication_larger_than_a_socket_buffer_reaches_the_leader(tmp_path):
     """The publication takes some 300 datagrams. When all were sent at once, each retry lost the same ones."""
 
-    async def scenario(controls):
-        newest = await controls.publish(1)
-        name, _ = await controls.publisher()
-        process = controls.running[name]
+    async def scenario(machines):
+        newest = await machines.publish(1)
+        name, _ = await machines.publisher()
+        process = machines.running[name]
         batch = Publish(tuple((f"row/{i}", f"{i} " + "x" * 150) for i in range(1500)))
         before = len(process.seen(Submitted))
         process.send(batch)
         assert (await process.next(Submitted, before)).accepted
-        await controls.all_reach(newest + 1)
+        await machines.all_reach(newest + 1)
 
     run_scenario(tmp_path, scenario)
--- a/tests/test_feed_faults.py
+++ b/tests/test_feed_faults.py
@@ -85,14 +85,16 @@
 def test_followers_leave_a_relay_that_is_killed_while_it_sends_their_snapshots():
     async def scenario():
         async with FeedProcesses() as processes:
-            publisher, origin = await processes.relay(RelaySetup(tuning=RELAY))
+            publisher, origin = await processes.start_relay(RelaySetup(tuning=RELAY))
             await published(publisher, CONTENT, CONTENT.batches)
-            (slow, slow_address), (_, other_address) = await processes.relays(
+            (slow, slow_address), (_, other_address) = await processes.start_relays(
                 RelaySetup("slow", "north", SLOW_SNAPSHOTS, SHORT_RETENTION, upstream=(origin,), upstream_tuning=QUICK),
                 RelaySetup("other", "south", RELAY, SHORT_RETENTION, upstream=(origin,), upstream_tuning=QUICK),
             )
             await slow.next(Installed, 0)
-            followers = await processes.followers(FollowersSetup(10, "north", (slow_address, other_address), QUICK))
+            followers = await processes.start_followers(
+                FollowersSetup(10, "north", (slow_address, other_address), QUICK)
+            )
             await followers.until(loading_partly)
             slow.kill()
             newest = await published(publisher, batch_of_one("node/1", "draining"))
@@ -110,10 +112,10 @@
     async def scenario():
         async with FeedProcesses() as processes:
             tuning = replace(RELAY, send_window=100_000, stall_timeout=1.0)
-            publisher, address = await processes.relay(RelaySetup(tuning=tuning, retention=SHORT_RETENTION))
+            publisher, address = await processes.start_relay(RelaySetup(tuning=tuning, retention=SHORT_RETENTION))
             first = await published(publisher, batch_of_one("node/1", "ready"))
-            paused = await processes.followers(FollowersSetup(1, "north", (address,), QUICK))
-            running = await processes.followers(FollowersSetup(1, "south", (address,), QUICK))
+            paused = await processes.start_followers(FollowersSetup(1, "north", (address,), QUICK))
+            running = await processes.start_followers(FollowersSetup(1, "south", (address,), QUICK))
             await asyncio.gather(all_reach(paused, 1, first), all_reach(running, 1, first))
             before = await publisher.report()
             paused.pause()
@@ -141,9 +143,9 @@
     async def scenario():
         async with FeedProcesses() as processes:
             tuning = replace(RELAY, idle_timeout=2.0)
-            publisher, address = await processes.relay(RelaySetup(tuning=tuning, retention=SHORT_RETENTION))
+            publisher, address = await processes.start_relay(RelaySetup(tuning=tuning, retention=SHORT_RETENTION))
             first = await published(publisher, batch_of_one("node/1", "ready"))
-            followers = await processes.followers(FollowersSetup(3, "north", (address,), QUICK))
+            followers = await processes.start_followers(FollowersSetup(3, "north", (address,), QUICK))
             await all_reach(followers, 3, first)
             followers.pause()
             await publisher.report_where(lambda report: report.followers == 0)
@@ -167,16 +169,16 @@
     async def scenario():
         async with FeedProcesses() as processes:
             retention = Retention(publications=publications_kept)
-            publisher, origin = await processes.relay(RelaySetup(tuning=RELAY, retention=retention))
+            publisher, origin = await processes.start_relay(RelaySetup(tuning=RELAY, retention=retention))
             first = await published(publisher, batch_of_one("node/1", "ready"))
             async with TcpProxy(origin.host, origin.port) as proxy:
                 proxied = replace(origin, port=proxy.listening_port)
-                (relay, address), (_, majority_address) = await processes.relays(
+                (relay, address), (_, majority_address) = await processes.start_relays(
                     RelaySetup("minority", "south", RELAY, upstream=(proxied,), upstream_tuning=QUICK),
                     RelaySetup("majority", "north", RELAY, upstream=(origin,), upstream_tuning=QUICK),
                 )
-                minority = await processes.followers(FollowersSetup(5, "south", (address,), QUICK))
-                majority = await processes.followers(FollowersSetup(5, "north", (majority_address,), QUICK))
+                minority = await processes.start_followers(FollowersSetup(5, "south", (address,), QUICK))
+                majority = await processes.start_followers(FollowersSetup(5, "north", (majority_address,), QUICK))
                 await asyncio.gather(all_reach(minority, 5, first), all_reach(majority, 5, first))
                 await minority.report_where(lambda report: all(state.age_s < FRESH_S for state in report.followers))
                 before = await asyncio.gather(publisher.report(), relay.report())
@@ -214,14 +216,14 @@
 def test_a_follower_moves_to_another_relay_with_its_revision():
     async def scenario():
         async with FeedProcesses() as processes:
-            publisher, origin = await processes.relay(RelaySetup(tuning=RELAY))
+            publisher, origin = await processes.start_relay(RelaySetup(tuning=RELAY))
             first = await published(publisher, batch_of_one("node/1", "ready"))
-            (near, near_address), (far, far_address) = await processes.relays(
+            (near, near_address), (far, far_address) = await processes.start_relays(
                 RelaySetup("near", "north", RELAY, upstream=(origin,), upstream_tuning=QUICK),
                 RelaySetup("far", "south", RELAY, upstream=(origin,), upstream_tuning=QUICK),
             )
             await asyncio.gather(near.next(Installed, 0), far.next(Installed, 0))
-            followers = await processes.followers(FollowersSetup(5, "north", (near_address, far_address), QUICK))
+            followers = await processes.start_followers(FollowersSetup(5, "north", (near_address, far_address), QUICK))
             await all_reach(followers, 5, first)
             halfway = await published(publisher, Fill(batches=100, rows=1, value_bytes=10), 100)
             await followers.until(lambda process: len(process.seen(Installed)) > 50)
@@ -255,9 +257,9 @@
                 send_window=70_000,
             )
             retention = Retention(publications=publications_kept)
-            publisher, address = await processes.relay(RelaySetup(tuning=tuning, retention=retention))
+            publisher, address = await processes.start_relay(RelaySetup(tuning=tuning, retention=retention))
             await published(publisher, Fill(batches=20, rows=150, value_bytes=1000), 20)
-            followers = await processes.followers(
+            followers = await processes.start_followers(
                 FollowersSetup(
                     follower_count, "north", (address,), replace(QUICK, heartbeat_timeout=10.0, connect_timeout=10.0)
                 )
@@ -287,10 +289,10 @@
             tuning = replace(
                 RELAY, max_concurrent_snapshots=4, snapshot_bytes_per_second=4_000_000, snapshot_burst_bytes=100_000
             )
-            publisher, address = await processes.relay(RelaySetup(tuning=tuning))
+            publisher, address = await processes.start_relay(RelaySetup(tuning=tuning))
             newest = await published(publisher, Fill(batches=2, rows=150, value_bytes=1000), 2)
             impatient = replace(QUICK, heartbeat_timeout=10.0, connect_timeout=10.0, progress_timeout=0.5)
-            followers = await processes.followers(FollowersSetup(follower_count, "north", (address,), impatient))
+            followers = await processes.start_followers(FollowersSetup(follower_count, "north", (address,), impatient))
             await all_reach(followers, follower_count, newest)
             assert followers.seen(Rejected) == []
             assert (await publisher.report()).snapshots_started == follower_count
@@ -302,8 +304,8 @@
 def test_two_changes_of_one_key_in_one_batch():
     async def scenario():
         async with FeedProcesses() as processes:
-            publisher, address = await processes.relay(RelaySetup(tuning=RELAY))
-            followers = await processes.followers(FollowersSetup(2, "north", (address,), QUICK))
+            publisher, address = await processes.start_relay(RelaySetup(tuning=RELAY))
+            followers = await processes.start_followers(FollowersSetup(2, "north", (address,), QUICK))
             await published(publisher, Publish((("node/1", "ready"), ("node/1", "draining"))))
             newest = await published(publisher, Publish((("node/2", "ready"), ("node/2", None))))
             await all_reach(followers, 2, newest)
@@ -431,10 +433,10 @@
         async with TamperingSetup() as setup:
             setup.publish(change("node/1", "ready"), change("node/2", "ready"))
             setup.client.start()
-            await setup.owner.reaches(1)
+            await setup.owner.until_revision(1)
             setup.tampering.tamper = tamper
             setup.publish(change("node/1", "draining"))
-            await setup.owner.reaches(2)
+            await setup.owner.until_revision(2)
             assert setup.owner.errors == [("tampering", error)]
             assert setup.client.follower.relay.name == "honest"
             assert setup.owner.revisions == [1, 2]
@@ -451,10 +453,10 @@
             replay = image.begin_frame + image.piece_frame(0)
             setup.publish(change("node/1", "draining"))
             setup.client.start()
-            await setup.owner.reaches(2)
+            await setup.owner.until_revision(2)
             setup.tampering.tamper = lambda data: replay if isinstance(decoded(data), Publication) else data
             setup.publish(change("node/3", "ready"))
-            await setup.owner.reaches(3)
+            await setup.owner.until_revision(3)
             assert setup.owner.errors == [("tampering", OutOfSequenceError)]
             assert setup.client.follower.relay.name == "honest"
             assert setup.owner.content["node/1"] == b"draining"
@@ -467,11 +469,11 @@
         async with TamperingSetup() as setup:
             setup.publish(change("node/1", "ready"))
             setup.client.start()
-            await setup.owner.reaches(1)
+            await setup.owner.until_revision(1)
             send_half = iter([True])
             setup.tampering.tamper = lambda data: data[: len(data) // 2] if next(send_half, False) else b""
             setup.publish(change("node/1", "draining"))
-            await setup.owner.reaches(2)
+            await setup.owner.until_revision(2)
             assert setup.client.follower.relay.name == "honest"
             assert setup.owner.revisions == [1, 2]
             assert setup.honest.snapshots_started == 0
@@ -518,12 +520,12 @@
             relay.tuning = RELAY
             server.log_advanced()  # has the relay apply the new rate limit
             for owner in owners:
-                await owner.reaches(control.machine.log.revision)
+                await owner.until_revision(control.machine.log.revision)
                 assert owner.content == dict(control.machine.log.content.items())
             control.publish(0.0, change("node/6", "draining"))
             server.log_advanced()
             for owner, seen in zip(owners, rows, strict=True):
-                await owner.reaches(control.machine.log.revision)
+                await owner.until_revision(control.machine.log.revision)
                 drained = seen.index(b"draining")
                 assert seen[0] == b"ready"  # the snapshot has the earlier content
                 assert set(seen[drained:]) == {b"draining"}
--- a/tests/test_feed_simulated.py
+++ b/tests/test_feed_simulated.py
@@ -30,7 +30,7 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_a_partitioned_leader_understates_ages_no_longer_than_check_quorum_allows(seed):
     world = World(seed, ONLY_PARTITIONS)
-    assert world.voter_bound_s() == 2 * RAFT_CONFIG.election_timeout_s + SLACK_S
+    assert world.voter_age_bound_s() == 2 * RAFT_CONFIG.election_timeout_s + SLACK_S
     assert run_until_settled(world) == ""
     assert world.checker.oldest_seen > 2.0
     assert world.checker.lowest_margin < 1.0
--- a/tests/test_feed_sockets.py
+++ b/tests/test_feed_sockets.py
@@ -49,7 +49,7 @@
                 self.changed.clear()
                 await self.changed.wait()
 
-    async def reaches(self, revision):
+    async def until_revision(self, revision):
         await self.until(lambda owner: owner.revisions and owner.revisions[-1] >= revision)
 
 
@@ -112,10 +112,10 @@
             fixture.publish(*[change(f"node/{i}", "ready" * 10) for i in range(2000)])
             followers = [fixture.follower(f"f{i}") for i in range(20)]
             for _, owner in followers:
-                await owner.reaches(1)
+                await owner.until_revision(1)
             fixture.publish(change("node/7", None), change("node/8", "draining"))
             for client, owner in followers:
-                await owner.reaches(2)
+                await owner.until_revision(2)
                 assert owner.content == dict(fixture.control.machine.log.content.items())
                 assert client.follower.log.checkpoint == fixture.control.machine.log.checkpoint
             await fixture.until(lambda relay: relay.summary().applied == 20)
@@ -170,7 +170,7 @@
             client, owner = fixture.follower("f")
             replace_attribute(owner, "unusable", lambda changes: 1 // 0)
             fixture.publish(change("a", "1"))
-            await owner.reaches(1)
+            await owner.until_revision(1)
             await fixture.until(lambda relay: not relay.sessions)
             assert [type(error) for error in raised] == [ZeroDivisionError]
             assert client.follower.status.applied_revision == 0
