--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -316,7 +316,7 @@
             next_one = asyncio.ensure_future(stage.client.query(QUERY))
             await until(lambda: newest.driver.queries)
             # Ids of parts are unique across generations.
-            assert not set(earlier.driver._owners) & set(newest.driver._owners)
+            assert not set(earlier.driver._query_of_part) & set(newest.driver._query_of_part)
             for status, answer, _ in await asyncio.gather(first, next_one):
                 assert status == 200
                 assert len(answer["data"]["fullQuote"]) == 4
