--- a/tests/feed_mutants.py
+++ b/tests/feed_mutants.py
@@ -13,7 +13,7 @@
 from badgerbend.feed.snapshot_transfers import SnapshotTransfers
 from badgerbend.feed.staleness import StalenessTracker
 from badgerbend.leases.voter import Voter
-from tests.simfeed_settings import Chaos, Kinds
+from tests.simfeed_settings import Chaos, Implementations
 
 # -- followers
 
@@ -317,7 +317,7 @@
 class Mutant:
     """A defect: the defective classes, the faults under which it has an effect, and a seed that reveals it."""
 
-    kinds: Kinds
+    kinds: Implementations
     seed: int = 0
     chaos: Chaos = Chaos()
 
@@ -350,32 +350,48 @@
 )
 
 MUTANTS = {
-    "changes installed before the digest check": Mutant(Kinds(follower=InstallsBeforeDigestCheck), 1, LYING_RELAYS),
-    "signature not checked": Mutant(Kinds(follower=follower_with(SkipsSignatureCheck)), 0, LYING_RELAYS),
+    "changes installed before the digest check": Mutant(
+        Implementations(follower=InstallsBeforeDigestCheck), 1, LYING_RELAYS
+    ),
+    "signature not checked": Mutant(Implementations(follower=follower_with(SkipsSignatureCheck)), 0, LYING_RELAYS),
     "digest of a snapshot not checked": Mutant(
-        Kinds(follower=follower_with(SkipsSnapshotDigestCheck)), 1, LYING_RELAYS
+        Implementations(follower=follower_with(SkipsSnapshotDigestCheck)), 1, LYING_RELAYS
+    ),
+    "older snapshot accepted": Mutant(Implementations(follower=follower_with(AcceptsOlderSnapshot)), 2, LYING_RELAYS),
+    "older publication applied": Mutant(
+        Implementations(follower=follower_with(AppliesOlderPublication)), 0, LYING_RELAYS
+    ),
+    "incomplete snapshot applied": Mutant(
+        Implementations(follower=follower_with(AppliesIncompleteSnapshot)), 0, ZONE_RESTARTS
+    ),
+    "pieces of a snapshot installed separately": Mutant(
+        Implementations(follower=InstallsPiecesSeparately), 0, ZONE_RESTARTS
     ),
-    "older snapshot accepted": Mutant(Kinds(follower=follower_with(AcceptsOlderSnapshot)), 2, LYING_RELAYS),
-    "older publication applied": Mutant(Kinds(follower=follower_with(AppliesOlderPublication)), 0, LYING_RELAYS),
-    "incomplete snapshot applied": Mutant(Kinds(follower=follower_with(AppliesIncompleteSnapshot)), 0, ZONE_RESTARTS),
-    "pieces of a snapshot installed separately": Mutant(Kinds(follower=InstallsPiecesSeparately), 0, ZONE_RESTARTS),
-    "order of pieces not checked": Mutant(Kinds(follower=follower_with(SkipsPieceOrderCheck)), 3, LYING_RELAYS),
-    "removals not installed": Mutant(Kinds(follower=IgnoresRemovals)),
-    "age of a lagging relay accepted": Mutant(Kinds(follower=AcceptsAgeOfLaggingRelay), 0, PARTITIONS),
-    "first of two changes of a key kept": Mutant(Kinds(follower=KeepsFirstChangeOfKey)),
-    "publication skipped on catch-up": Mutant(Kinds(relay=SkipsPublicationOnCatchUp)),
-    "compaction ignored on catch-up": Mutant(Kinds(relay=IgnoresCompaction), 1, SUSPENSIONS),
+    "order of pieces not checked": Mutant(
+        Implementations(follower=follower_with(SkipsPieceOrderCheck)), 3, LYING_RELAYS
+    ),
+    "removals not installed": Mutant(Implementations(follower=IgnoresRemovals)),
+    "age of a lagging relay accepted": Mutant(Implementations(follower=AcceptsAgeOfLaggingRelay), 0, PARTITIONS),
+    "first of two changes of a key kept": Mutant(Implementations(follower=KeepsFirstChangeOfKey)),
+    "publication skipped on catch-up": Mutant(Implementations(relay=SkipsPublicationOnCatchUp)),
+    "compaction ignored on catch-up": Mutant(Implementations(relay=IgnoresCompaction), 1, SUSPENSIONS),
     "digests not compared on resumption": Mutant(
-        Kinds(relay=SkipsDigestComparison, follower=ReportsCheckpointDigest), 0, DAMAGED_REPLICAS
+        Implementations(relay=SkipsDigestComparison, follower=ReportsCheckpointDigest), 0, DAMAGED_REPLICAS
+    ),
+    "age zero without confirmation": Mutant(Implementations(relay=AlwaysReportsZeroAge), 0, PARTITIONS),
+    "send window ignored": Mutant(Implementations(relay=IgnoresSendWindow), 0, SUSPENSIONS),
+    "number of snapshot transfers not limited": Mutant(Implementations(relay=IgnoresTransferLimit), 0, ZONE_RESTARTS),
+    "epoch not checked": Mutant(Implementations(machine=SkipsEpochCheck), 7, LEASE_CHANGES),
+    "revision published twice": Mutant(Implementations(machine=PublishesRevisionTwice), 4, LEASE_CHANGES),
+    "confirmed without committed entries": Mutant(
+        Implementations(voter=ConfirmsWithoutCommittedEntries), 0, LEASE_CHANGES
+    ),
+    "confirmed by a leader without a commit in its term": Mutant(
+        Implementations(voter=ConfirmsByLeaderWithoutCommit), 1
+    ),
+    "confirmed although partitioned": Mutant(Implementations(voter=AlwaysConfirmed), 0, PARTITIONS),
+    "signed from empty content": Mutant(Implementations(publisher=SignsFromEmptyContent), 2),
+    "growth assumed to be its own publication": Mutant(
+        Implementations(publisher=AssumesGrowthIsOwnPublication), 296, STALLS
     ),
-    "age zero without confirmation": Mutant(Kinds(relay=AlwaysReportsZeroAge), 0, PARTITIONS),
-    "send window ignored": Mutant(Kinds(relay=IgnoresSendWindow), 0, SUSPENSIONS),
-    "number of snapshot transfers not limited": Mutant(Kinds(relay=IgnoresTransferLimit), 0, ZONE_RESTARTS),
-    "epoch not checked": Mutant(Kinds(machine=SkipsEpochCheck), 7, LEASE_CHANGES),
-    "revision published twice": Mutant(Kinds(machine=PublishesRevisionTwice), 4, LEASE_CHANGES),
-    "confirmed without committed entries": Mutant(Kinds(voter=ConfirmsWithoutCommittedEntries), 0, LEASE_CHANGES),
-    "confirmed by a leader without a commit in its term": Mutant(Kinds(voter=ConfirmsByLeaderWithoutCommit), 1),
-    "confirmed although partitioned": Mutant(Kinds(voter=AlwaysConfirmed), 0, PARTITIONS),
-    "signed from empty content": Mutant(Kinds(publisher=SignsFromEmptyContent), 2),
-    "growth assumed to be its own publication": Mutant(Kinds(publisher=AssumesGrowthIsOwnPublication), 296, STALLS),
 }
--- a/tests/test_feed_simulated.py
+++ b/tests/test_feed_simulated.py
@@ -1,9 +1,9 @@
-"""The feed in simulated time: its invariants under random faults, and the planted defects that must be found."""
+"""The feed in simulated time: its invariants under random faults, and planted defects that must be found."""
 
 import pytest
 
 from tests.feed_mutants import MUTANTS
-from tests.simfeed import World, play
+from tests.simfeed import World, run_until_settled
 from tests.simfeed_settings import RAFT_CONFIG, SLACK_S, Chaos
 from tests.simvoters import InvariantViolation
 
@@ -20,32 +20,32 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_invariants_hold_under_random_faults_and_all_settles(seed):
+def test_invariants_hold_under_random_faults_and_all_hosts_settle(seed):
     world = World(seed)
-    assert play(world) == ""
-    assert world.judge.installs > 200
-    assert world.judge.agreed.newest > 10
+    assert run_until_settled(world) == ""
+    assert world.checker.installs > 200
+    assert world.checker.agreed.newest > 10
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_a_partitioned_leader_understates_ages_no_longer_than_check_quorum_allows(seed):
     world = World(seed, ONLY_PARTITIONS)
-    assert world.voter_bound_s() == 2 * RAFT_CONFIG.election_timeout_s + SLACK_S
-    assert play(world) == ""
-    assert world.judge.oldest_seen > 2.0
-    assert world.judge.lowest_margin < 1.0
+    assert world.voter_age_bound_s() == 2 * RAFT_CONFIG.election_timeout_s + SLACK_S
+    assert run_until_settled(world) == ""
+    assert world.checker.oldest_seen > 2.0
+    assert world.checker.lowest_margin < 1.0
 
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_each_planted_defect_is_found(name):
     mutant = MUTANTS[name]
     try:
-        found = play(World(mutant.seed, mutant.chaos, mutant.kinds))
-    except InvariantViolation as broken:
-        found = str(broken)
+        found = run_until_settled(World(mutant.seed, mutant.chaos, mutant.kinds))
+    except InvariantViolation as violation:
+        found = str(violation)
     assert found
 
 
 @pytest.mark.parametrize(("seed", "chaos"), sorted({(m.seed, m.chaos) for m in MUTANTS.values()}, key=str))
-def test_the_product_passes_the_runs_that_find_the_defects(seed, chaos):
-    assert play(World(seed, chaos)) == ""
+def test_the_production_classes_pass_the_runs_that_find_the_defects(seed, chaos):
+    assert run_until_settled(World(seed, chaos)) == ""
