--- a/badgerbend/config/feed.py
+++ b/badgerbend/config/feed.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from badgerbend.config.kinds import Name, check_host_port
+from badgerbend.config.value_types import Name, check_host_port
 
 CONFIGURATION_PREFIX = "configuration/"  # keys of the feed that begin so hold a configuration
 NODE_PREFIX = "node/"  # and those that begin so a server of the list
--- a/badgerbend/config/fleet.py
+++ b/badgerbend/config/fleet.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-from badgerbend.config.kinds import (
+from badgerbend.config.value_types import (
     Count,
-    CountOrNone,
+    CountOrZero,
+    Fraction,
+    FractionOrZero,
     Name,
     Port,
     Positive,
-    Share,
-    ShareOrNone,
     check_host_port,
 )
 
@@ -49,8 +49,8 @@
     """
 
     name: Name
-    zones: tuple[CountOrNone, ...]
-    brokers: CountOrNone
+    zones: tuple[CountOrZero, ...]
+    brokers: CountOrZero
     near: tuple[Name, ...] = ()
 
 
@@ -71,16 +71,16 @@
 
     site: tuple[Site, ...]
     server_parts_per_s: Positive
-    spill: Share = 0.8
-    fill: Share = 0.85
-    watch: ShareOrNone = 0.03
+    spill: Fraction = 0.8
+    fill: Fraction = 0.85
+    watch: FractionOrZero = 0.03
     util: Name = "util"
-    out_below: Share = 0.5
+    out_below: Fraction = 0.5
     hold_ms: Positive = 1500.0
     hold_most_ms: Positive = 60_000.0
     fade_ms: Positive = 30_000.0
     trials: Count = 8
-    first: Share = 0.05
+    first: Fraction = 0.05
     step_ms: Positive = 500.0
     connections_per_s: Positive = 20.0
     key: Name | None = None
--- a/badgerbend/config/settings.py
+++ b/badgerbend/config/settings.py
@@ -12,7 +12,16 @@
 
 from badgerbend.config.feed import Feed
 from badgerbend.config.fleet import Duties, Peers, Sites
-from badgerbend.config.kinds import Count, CountOrNone, Name, NotNegative, Port, Positive, Share, ShareOrNone
+from badgerbend.config.value_types import (
+    Count,
+    CountOrZero,
+    Fraction,
+    FractionOrZero,
+    Name,
+    NonNegative,
+    Port,
+    Positive,
+)
 
 
 class Listen(msgspec.Struct, frozen=True):
@@ -24,13 +33,13 @@
     read_timeout_ms: Positive = 10_000.0
     idle_timeout_ms: Positive = 75_000.0
     stop_timeout_ms: Positive = 10_000.0
-    answer_allowance_ms: NotNegative = 120.0  # kept back of a client's time, to merge and write the answer
+    answer_allowance_ms: NonNegative = 120.0  # kept back of a client's time, to merge and write the answer
 
 
 class Identity(msgspec.Struct, frozen=True):
-    index: CountOrNone = 0
+    index: CountOrZero = 0
     count: Count = 1
-    zone: CountOrNone = 0
+    zone: CountOrZero = 0
 
     def __post_init__(self) -> None:
         if self.index >= self.count:
@@ -67,7 +76,7 @@
     idle_ms: Positive = 15_000.0
     max_answer_bytes: Annotated[int, msgspec.Meta(ge=1, le=1 << 30)] = 4_194_304
     report: tuple[Name, ...] = ("util", "latency_ms")
-    cold_from: Share = 0.2
+    cold_from: Fraction = 0.2
     cold_ms: Positive = 15_000.0
     overload_factor: Positive = 3.0
     fall_ms: Positive = 1000.0
@@ -77,8 +86,8 @@
     most: Count = 4
     second_copies: bool = True
     cancel: bool = True
-    free: NotNegative | None = None
-    share: NotNegative | None = None
+    free: NonNegative | None = None
+    share: NonNegative | None = None
     window_ms: Positive | None = None
 
     def __post_init__(self) -> None:
@@ -93,13 +102,13 @@
     aim_ms: Positive
     deadline_ms: Positive
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
-    repeat_window_ms: NotNegative = 0.0
-    late_worth: ShareOrNone = 0.3
-    worth: NotNegative = 1.0
-    need: Share = 1.0
-    floor: Share | None = None
-    partial: ShareOrNone = 0.9
-    second_step: CountOrNone = 0
+    repeat_window_ms: NonNegative = 0.0
+    late_worth: FractionOrZero = 0.3
+    worth: NonNegative = 1.0
+    need: Fraction = 1.0
+    floor: Fraction | None = None
+    partial: FractionOrZero = 0.9
+    second_step: CountOrZero = 0
 
     def __post_init__(self) -> None:
         if self.deadline_ms < self.aim_ms:
@@ -112,7 +121,7 @@
 
 class Tenant(msgspec.Struct, frozen=True):
     name: Name
-    quota_per_s: NotNegative
+    quota_per_s: NonNegative
 
 
 class FieldMap(msgspec.Struct, frozen=True):
@@ -156,7 +165,7 @@
 
 class Advice(msgspec.Struct, frozen=True):
     retry_after: bool = True
-    max_retry_after_ms: NotNegative = 1000.0
+    max_retry_after_ms: NonNegative = 1000.0
 
 
 class Snapshot(msgspec.Struct, frozen=True):
@@ -192,8 +201,8 @@
     duties: Duties | None = None
     feed: Feed | None = None
     max_open: Count = 20_000
-    over_share_worth: NotNegative = 0.1
-    seed: CountOrNone = 1
+    over_share_worth: NonNegative = 0.1
+    seed: CountOrZero = 1
 
     def __post_init__(self) -> None:
         for what, names in (
--- a/badgerbend/config/kinds.py
+++ b/badgerbend/config/value_types.py
@@ -7,11 +7,11 @@
 import msgspec
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
-NotNegative = Annotated[float, msgspec.Meta(ge=0)]
-Share = Annotated[float, msgspec.Meta(gt=0, le=1)]
-ShareOrNone = Annotated[float, msgspec.Meta(ge=0, le=1)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
+Fraction = Annotated[float, msgspec.Meta(gt=0, le=1)]
+FractionOrZero = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=1_000_000)]
-CountOrNone = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
+CountOrZero = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
 Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 
--- a/badgerbend/standin/day.py
+++ b/badgerbend/standin/day.py
@@ -19,9 +19,9 @@
 from hdrh.histogram import HdrHistogram
 
 from badgerbend.config import decode
-from badgerbend.config.kinds import Count, Name, Positive
 from badgerbend.config.reading import load, only_form, read_text
 from badgerbend.config.settings import Settings
+from badgerbend.config.value_types import Count, Name, Positive
 from badgerbend.net.fetch import fetch
 from badgerbend.standin.audit import Facts, Finding, Line, audit
 from badgerbend.standin.bysite import Second, seconds
--- a/badgerbend/standin/scene.py
+++ b/badgerbend/standin/scene.py
@@ -21,9 +21,9 @@
 
 from badgerbend.config import decode
 from badgerbend.config.fleet import Duties, VoterAt
-from badgerbend.config.kinds import Count, CountOrNone, NotNegative, Positive
 from badgerbend.config.reading import load, only_form, read_text
 from badgerbend.config.settings import Log, Settings
+from badgerbend.config.value_types import Count, CountOrZero, NonNegative, Positive
 from badgerbend.discovery.members import parse_address
 from badgerbend.lease_service import wire
 from badgerbend.leases.messages import LeaseReply, SuspicionReport
@@ -50,7 +50,7 @@
     share."""
 
     do: Do
-    at: NotNegative
+    at: NonNegative
     who: Who = "holder"
     for_: Positive = 3.0
     size: Positive = 100.0
@@ -63,8 +63,8 @@
     event: tuple[Event, ...] = ()
     brokers: Count = 5
     voters: Count = 3
-    drift: NotNegative = 0.0
-    seed: CountOrNone = 1
+    drift: NonNegative = 0.0
+    seed: CountOrZero = 1
 
     def __post_init__(self) -> None:
         if self.voters > self.brokers:
--- a/badgerbend/standin/traffic.py
+++ b/badgerbend/standin/traffic.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from badgerbend.config.kinds import Count, Name, Positive, ShareOrNone
+from badgerbend.config.value_types import Count, FractionOrZero, Name, Positive
 from badgerbend.net.client import Call, CallResult, Reply
 from badgerbend.standin.client import Client
 from badgerbend.standin.server import Record
@@ -25,7 +25,7 @@
     per_s: Positive
     blocks: Count = 6
     deadline_ms: Positive = 3000.0
-    leave: ShareOrNone = 0.0  # share of clients that leave midway
+    leave: FractionOrZero = 0.0  # share of clients that leave midway
     retries: Literal[0, 1] = 1
     tenant: Name | None = None
 
--- a/badgerbend/standin/troubles.py
+++ b/badgerbend/standin/troubles.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from badgerbend.config.kinds import CountOrNone, Name, NotNegative, Positive, Share
+from badgerbend.config.value_types import CountOrZero, Fraction, Name, NonNegative, Positive
 from badgerbend.standin.registry import Registry
 from badgerbend.standin.traffic import Asker
 
@@ -23,11 +23,11 @@
     """Times in seconds. part: share of the servers; zone: of a site's; size and how as the kind has them."""
 
     kind: Name
-    at: NotNegative
+    at: NonNegative
     for_: Positive = 5.0
-    part: Share = 0.1
+    part: Fraction = 0.1
     size: Positive = 1.0
-    zone: CountOrNone = 0
+    zone: CountOrZero = 0
     how: Literal["", "silence", "reset", "loss", "refuse", "slow", "crash", "hang"] = ""
 
 
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -142,7 +142,7 @@
     "publication_validation/configurations.py",
     "config/sexpr.py",
     "config/decode.py",
-    "config/kinds.py",
+    "config/value_types.py",
     "config/feed.py",
     "config/fleet.py",
     "config/settings.py",
