--- a/badgerbend/config/feed.py
+++ b/badgerbend/config/feed.py
@@ -16,7 +16,7 @@
 Key = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
 
 
-class RelayAt(msgspec.Struct, frozen=True):
+class RelayEndpoint(msgspec.Struct, frozen=True):
     """A relay of the feed, the region it stands in, and the TCP address where it listens."""
 
     name: ShortName
@@ -37,7 +37,7 @@
 
     public_key: Name
     region: ShortName
-    relay: tuple[RelayAt, ...]
+    relay: tuple[RelayEndpoint, ...]
     configuration: Key = f"{CONFIGURATION_PREFIX}broker"
     list: bool = False
 
--- a/badgerbend/config/fleet.py
+++ b/badgerbend/config/fleet.py
@@ -105,12 +105,12 @@
         if self.hold_most_ms < self.hold_ms:
             raise ValueError("hold-most-ms must not be less than hold-ms")
 
-    def home(self, zone: int) -> Site | None:
+    def site_of_zone(self, zone: int) -> Site | None:
         """The site of a zone."""
         return next((s for s in self.site if zone in s.zones), None)
 
 
-class VoterAt(msgspec.Struct, frozen=True):
+class VoterEndpoint(msgspec.Struct, frozen=True):
     """A broker that votes, and the UDP address where others reach it."""
 
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
@@ -138,7 +138,7 @@
     """
 
     key: tuple[Name, ...]
-    voter: tuple[VoterAt, ...]
+    voter: tuple[VoterEndpoint, ...]
     host: Name = "127.0.0.1"
     port: Port = 7960
     advertise: Name | None = None
--- a/badgerbend/config/settings.py
+++ b/badgerbend/config/settings.py
@@ -224,7 +224,7 @@
                 raise ValueError(f"field {field.name} has a detail, but class {field.class_} no second-step")
 
         if self.sites is not None:
-            home = self.sites.home(self.identity.zone)
+            home = self.sites.site_of_zone(self.identity.zone)
             stand = sum(s.brokers for s in self.sites.site)
             if home is None or not home.brokers:
                 raise ValueError(f"identity's zone {self.identity.zone} is in no site that has brokers")
--- a/badgerbend/feed_subscription/subscription.py
+++ b/badgerbend/feed_subscription/subscription.py
@@ -5,7 +5,7 @@
 import asyncio
 from pathlib import Path
 
-from badgerbend.config.feed import NODE_PREFIX, Feed, RelayAt
+from badgerbend.config.feed import NODE_PREFIX, Feed, RelayEndpoint
 from badgerbend.config.settings import Settings
 from badgerbend.discovery.keyed import KeyedList
 from badgerbend.feed.configuration import ActiveConfiguration
@@ -141,6 +141,6 @@
     return {change.key.removeprefix(NODE_PREFIX): change.value for change in rows}
 
 
-def _relay_address(relay: RelayAt) -> RelayAddress:
+def _relay_address(relay: RelayEndpoint) -> RelayAddress:
     host, _, port = relay.address.rpartition(":")
     return RelayAddress(relay.name, relay.region, host, int(port))
--- a/badgerbend/lease_service/setup.py
+++ b/badgerbend/lease_service/setup.py
@@ -33,7 +33,7 @@
     """The health-check duty of this broker's site; of the whole fleet where it has no site."""
     if settings.sites is None:
         return HEALTH_CHECK_DUTY
-    home = settings.sites.home(settings.identity.zone)
+    home = settings.sites.site_of_zone(settings.identity.zone)
     return f"{HEALTH_CHECK_DUTY}:{home.name}" if home is not None else HEALTH_CHECK_DUTY
 
 
--- a/badgerbend/sites/from_settings.py
+++ b/badgerbend/sites/from_settings.py
@@ -41,7 +41,7 @@
 
 
 def _site_specs(settings: Settings, sites: Sites) -> tuple[SiteSpec, ...]:
-    own = sites.home(settings.identity.zone)
+    own = sites.site_of_zone(settings.identity.zone)
     assert own is not None
     near = set(own.near)
     near |= {site.name for site in sites.site if own.name in site.near}
--- a/badgerbend/standin/baseline.py
+++ b/badgerbend/standin/baseline.py
@@ -135,7 +135,7 @@
 class PriorityBroker(Broker):
     def preference(self) -> api.SitePreference | None:
         assert self.settings.sites is not None
-        home = self.settings.sites.home(self.settings.identity.zone)
+        home = self.settings.sites.site_of_zone(self.settings.identity.zone)
         return Priority(home.zones if home else (), self.settings.seed + self.settings.identity.index)
 
 
--- a/badgerbend/standin/scene.py
+++ b/badgerbend/standin/scene.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from badgerbend.config import decode
-from badgerbend.config.fleet import Duties, VoterAt
+from badgerbend.config.fleet import Duties, VoterEndpoint
 from badgerbend.config.reading import load, only_form, read_text
 from badgerbend.config.settings import Log, Settings
 from badgerbend.config.value_types import Count, CountOrZero, NonNegative, Positive
@@ -158,7 +158,7 @@
         ports = {name: free_port(socket.SOCK_DGRAM) for name in self.names}
         for name in self.names:
             self.fronts[name] = await self.rig.add(name, ports[name])
-        voters = tuple(VoterAt(name, self.fronts[name]) for name in self.voters)
+        voters = tuple(VoterEndpoint(name, self.fronts[name]) for name in self.voters)
         for index, name in enumerate(self.names):
             if name in self.voters:
                 create_store(self.folder / name, name, self.voters)
--- a/tests/test_feed_broker.py
+++ b/tests/test_feed_broker.py
@@ -13,7 +13,7 @@
 
 from badgerbend import api
 from badgerbend.broker import Broker
-from badgerbend.config.feed import Feed, RelayAt
+from badgerbend.config.feed import Feed, RelayEndpoint
 from badgerbend.config.fleet import Site, Sites
 from badgerbend.config.settings import Snapshot
 from badgerbend.feed.log import Retention
@@ -68,7 +68,7 @@
     async def __aenter__(self):
         self.relay_server = RelayServer(self.relay)
         port = await self.relay_server.start("127.0.0.1", 0)
-        address = RelayAt("relay-1", "north", f"127.0.0.1:{port}")
+        address = RelayEndpoint("relay-1", "north", f"127.0.0.1:{port}")
         self.changes["feed"] = Feed(str(self.key_file), "north", (address,), list=self.listed)
         await super().__aenter__()
         await until(lambda: self.relay.summary().followers)
@@ -454,7 +454,9 @@
             relay = Relay("relay-2", stage.control.machine.log, slow)
             server = RelayServer(relay)
             port = await server.start("127.0.0.1", 0)
-            feed = Feed(str(stage.key_file), "north", (RelayAt("relay-2", "north", f"127.0.0.1:{port}"),), list=True)
+            feed = Feed(
+                str(stage.key_file), "north", (RelayEndpoint("relay-2", "north", f"127.0.0.1:{port}"),), list=True
+            )
             graph = stage.broker.front.subgraph
             other = Broker(msgspec.structs.replace(stage.settings, feed=feed), graph)
             try:
@@ -527,7 +529,7 @@
 def test_a_feed_whose_key_cannot_be_read_stops_the_start(tmp_path):
     async def main():
         async with BrokerFixture() as stage:
-            feed = Feed("none.pub", "north", (RelayAt("relay-1", "north", "127.0.0.1:1"),))
+            feed = Feed("none.pub", "north", (RelayEndpoint("relay-1", "north", "127.0.0.1:1"),))
             with pytest.raises(FileNotFoundError):
                 Broker(msgspec.structs.replace(stage.settings, feed=feed), stage.broker.front.subgraph, tmp_path)
 
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -8,7 +8,7 @@
 import pytest
 
 from badgerbend import api
-from badgerbend.config.fleet import Duties, VoterAt
+from badgerbend.config.fleet import Duties, VoterEndpoint
 from badgerbend.config.reading import parse
 from badgerbend.config.sexpr import SettingsError
 from badgerbend.consensus.messages import MalformedMessageError
@@ -55,11 +55,11 @@
 
 # -- settings and commands
 
-THREE = tuple(VoterAt(f"broker-{i}", f"127.0.0.1:{7000 + i}") for i in range(3))
+THREE = tuple(VoterEndpoint(f"broker-{i}", f"127.0.0.1:{7000 + i}") for i in range(3))
 WRONG = {
     "2 voters; 1, 3, 5 or 7": {"voter": THREE[:2]},
-    "two voters have the name broker-0": {"voter": (THREE[0], VoterAt("broker-0", "127.0.0.1:9"), THREE[1])},
-    "two voters have the address": {"voter": (THREE[0], THREE[1], VoterAt("x", THREE[0].address))},
+    "two voters have the name broker-0": {"voter": (THREE[0], VoterEndpoint("broker-0", "127.0.0.1:9"), THREE[1])},
+    "two voters have the address": {"voter": (THREE[0], THREE[1], VoterEndpoint("x", THREE[0].address))},
     "at least twice stall-ms": {"lease_ms": 900.0},
     "three times beat-ms": {"election_ms": 200.0},
     "advertise here is not HOST:PORT": {"advertise": "here"},
--- a/tests/test_public_status.py
+++ b/tests/test_public_status.py
@@ -7,7 +7,7 @@
 
 # Whoever renames a class or an attribute that is reached here edits these lines and `State` below.
 from badgerbend.broker import Broker, read_subgraph
-from badgerbend.config.fleet import Duties, Peers, Site, Sites, VoterAt
+from badgerbend.config.fleet import Duties, Peers, Site, Sites, VoterEndpoint
 from badgerbend.config.settings import Identity, Tenant
 from badgerbend.lease_service.status import LeaseServiceStatus, service_status
 from badgerbend.net.client import CallResult
@@ -110,7 +110,7 @@
         (folder / "key").write_text(KEY)
         key, port = str(folder / "key"), free_port()
         create_voter_store(folder / "voter", "broker-0", ["broker-0"])
-        duties = Duties((key,), (VoterAt("broker-0", f"127.0.0.1:{port}"),), port=port, store="voter")
+        duties = Duties((key,), (VoterEndpoint("broker-0", f"127.0.0.1:{port}"),), port=port, store="voter")
         super().__init__(
             broker=self._broker,
             sites=SITES,
--- a/tests/test_published.py
+++ b/tests/test_published.py
@@ -4,7 +4,7 @@
 import pytest
 
 from badgerbend.config import reading, sexpr
-from badgerbend.config.fleet import Duties, Site, Sites, VoterAt
+from badgerbend.config.fleet import Duties, Site, Sites, VoterEndpoint
 from badgerbend.config.published import settings_in_force
 from badgerbend.config.settings import Attempts, Identity, Listen, Servers, Tenant
 from tests.replacing import replaced
@@ -83,7 +83,7 @@
 
 
 def test_what_the_slow_start_budget_depends_on_cannot_change():
-    local = msgspec.structs.replace(LOCAL, duties=Duties(("k",), (VoterAt("v", "h:1"),)))
+    local = msgspec.structs.replace(LOCAL, duties=Duties(("k",), (VoterEndpoint("v", "h:1"),)))
     assert settings_in_force(local, GOOD, "c").servers == local.servers
     with pytest.raises(sexpr.SettingsError, match="c:7:3: broker > servers: cannot change"):
         settings_in_force(local, with_forms("(servers (idle-ms 77) (cold-ms 56))"), "c")
