--- a/badgerbend/__main__.py
+++ b/badgerbend/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m badgerbend` is the command line."""
+"""Entry point of `python -m badgerbend`: runs the command line."""
 
 from badgerbend.cli import main
 
--- a/badgerbend/cli.py
+++ b/badgerbend/cli.py
@@ -1,4 +1,4 @@
-"""The command line. Each command is a few lines here; the work is in the packages."""
+"""The command line. Commands parse options and print results; the other packages do the work."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from badgerbend.snapshot.store import SnapshotError, read_snapshot
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, help="An aggregator that spreads queries over shards.")
-GAP_S = 6.0  # after each event of a scene, acts are looked for so long
+GAP_S = 6.0  # seconds after each event of a scene in which the longest gap between acts is measured
 Config = Annotated[Path, typer.Argument(help="The settings file.")]
 
 
@@ -35,7 +35,8 @@
     app()
 
 
-def _read(config: Path) -> tuple[Settings, Subgraph]:
+def _load_or_exit(config: Path) -> tuple[Settings, Subgraph]:
+    """The settings and the schema they name. Ends the process with an error message where one is invalid."""
     try:
         settings = load(config)
         return settings, read_subgraph(settings, config)
@@ -45,21 +46,22 @@
         exit_with_error(f"{config}: schema: {err}", BAD_SETTINGS)
 
 
-def _run(main: Coroutine[Any, Any, int]) -> None:
-    raise typer.Exit(uvloop.run(main))
+def _run(command: Coroutine[Any, Any, int]) -> None:
+    """Runs a command and ends the process with the status that it returns."""
+    raise typer.Exit(uvloop.run(command))
 
 
 @app.command()
 def run(config: Config) -> None:
     """Runs a broker until it is interrupted or told to end."""
-    settings, graph = _read(config)
+    settings, graph = _load_or_exit(config)
     _run(serve(Broker, settings, graph, config.parent))
 
 
 @app.command()
 def check(config: Config, show: Annotated[bool, typer.Option(help="Print every value in force.")] = False) -> None:
     """Checks settings and schema without starting anything."""
-    settings, graph = _read(config)
+    settings, graph = _load_or_exit(config)
     if show:
         print(f"(broker\n{decode.show(settings, 1)}\n)")
     else:
@@ -69,7 +71,7 @@
 @app.command()
 def sdl(config: Config) -> None:
     """Prints the subgraph's document, as routers compose it."""
-    print(_read(config)[1].sdl, end="")
+    print(_load_or_exit(config)[1].sdl, end="")
 
 
 @app.command()
@@ -86,15 +88,15 @@
 
     try:
         document = Path(text[1:]).read_text(encoding="utf-8") if text.startswith("@") else text
-        given = json.loads(variables)
+        variable_values = json.loads(variables)
     except (OSError, ValueError) as err:
         exit_with_error(str(err), BAD_SETTINGS)
 
-    async def ask() -> int:
+    async def send_query() -> int:
         headers = {"badgerbend-time-left-ms": str(time_left_ms)} | ({"badgerbend-tenant": tenant} if tenant else {})
         client = Client(port, host)
         try:
-            _, answer, _ = await client.query(document, given, **headers)
+            _, answer, _ = await client.query(document, variable_values, **headers)
         except ConnectionError as err:
             print(f"badgerbend: no answer from {host}:{port}: {err}", file=sys.stderr)
             return CANNOT_START
@@ -103,7 +105,7 @@
         print(json.dumps(answer, indent=2))
         return 1 if answer.get("errors") else 0
 
-    _run(ask())
+    _run(send_query())
 
 
 @app.command()
@@ -133,7 +135,7 @@
     """Prints a snapshot: servers slowest first, with the age of each item."""
     from badgerbend.knowledge import report
 
-    Console().print(report.record_table(_snapshot(file)))
+    Console().print(report.record_table(_load_snapshot_or_exit(file)))
 
 
 @knowledge.command("diff")
@@ -141,12 +143,12 @@
     """Prints the servers that two snapshots see differently; status 1 if there are any."""
     from badgerbend.knowledge import report
 
-    comparison = report.compare_records(_snapshot(first), _snapshot(second))
+    comparison = report.compare_records(_load_snapshot_or_exit(first), _load_snapshot_or_exit(second))
     Console().print(comparison.table)
     raise typer.Exit(1 if comparison.differences else 0)
 
 
-def _snapshot(file: Path) -> KnowledgeRecord:
+def _load_snapshot_or_exit(file: Path) -> KnowledgeRecord:
     try:
         return read_snapshot(file, time.time())
     except (SnapshotError, OSError) as err:
@@ -164,40 +166,41 @@
 @sites.command("status")
 def site_status(port: Ports = [8080], host: str = "127.0.0.1") -> None:  # noqa: B006
     """Shows each site as brokers see it."""
-    _sites([(p, "GET", "/sites", None) for p in port], host)
+    _request_sites([(p, "GET", "/sites", None) for p in port], host)
 
 
 @sites.command("drain")
 def site_drain(name: str, key: Key, port: Ports = [8080], host: str = "127.0.0.1") -> None:  # noqa: B006
     """Moves a site's work to the others, step by step and as far as it fits; nothing is refused for it."""
-    _sites([(p, "POST", f"/sites/{name}/drain", key) for p in port], host)
+    _request_sites([(p, "POST", f"/sites/{name}/drain", key) for p in port], host)
 
 
 @sites.command("return")
 def site_return(name: str, key: Key, port: Ports = [8080], host: str = "127.0.0.1") -> None:  # noqa: B006
     """Ends a drain: the work comes back by steps."""
-    _sites([(p, "POST", f"/sites/{name}/return", key) for p in port], host)
+    _request_sites([(p, "POST", f"/sites/{name}/return", key) for p in port], host)
 
 
-def _sites(asks: list[tuple[int, str, str, Path | None]], host: str) -> None:
+def _request_sites(requests: list[tuple[int, str, str, Path | None]], host: str) -> None:
+    """Sends each request (port, method, path, key file) to its broker and prints the sites in its answer."""
     failed = 0
-    for port, method, path, key in asks:
+    for port, method, path, key in requests:
         try:
             token = key.read_text(encoding="utf-8").strip() if key is not None else None
-            _show_sites(port, uvloop.run(fetch(port, path, host, method, token)))
+            _print_sites(port, uvloop.run(fetch(port, path, host, method, token)))
         except (ConnectionError, OSError, UnicodeDecodeError) as err:
             print(f"badgerbend: {host}:{port}: {err}", file=sys.stderr)
             failed += 1
     raise typer.Exit(CANNOT_START if failed else 0)
 
 
-def _show_sites(port: int, found: dict[str, Any]) -> None:
-    keeps = found["keeps"]
+def _print_sites(port: int, status: dict[str, Any]) -> None:
+    keeps = status["keeps"]
     table = Table(
-        title=f"broker at {port}, own site {found['own']}: demand {found['demand_per_s']} parts/s, "
+        title=f"broker at {port}, own site {status['own']}: demand {status['demand_per_s']} parts/s, "
         f"keeps {keeps['by_load']:.0%} by load, {keeps['by_time']:.0%} by time"
     )
-    shown = (
+    columns = (
         "name",
         "tier",
         "state",
@@ -211,17 +214,17 @@
         "allowed_per_s",
         "failing",
     )
-    for heading in shown:
+    for heading in columns:
         table.add_column(heading.replace("_per_s", "/s"))
-    for site in found["sites"]:
+    for site in status["sites"]:
         state = f"{site['state']}, drained" if site["drained"] else site["state"]
         row = site | {"state": state}
-        table.add_row(*("-" if row[h] is None else str(row[h]) for h in shown))
+        table.add_row(*("-" if row[h] is None else str(row[h]) for h in columns))
     console = Console()
     if not console.is_terminal:
-        console = Console(width=140)  # a file or a pipe has no edge to fold at
+        console = Console(width=140)  # wide enough that rows written to a file or a pipe are not wrapped
     console.print(table)
-    for row in found["refusals"]:
+    for row in status["refusals"]:
         console.print(f"refused: {row['count']} of class {row['class']}, tenant {row['tenant']}: {row['reason']}")
 
 
@@ -266,7 +269,7 @@
 
     try:
         if form_name(file) == "scene":
-            _scene(file, report, keep)
+            _play_scene(file, report, keep)
         plan = load_day(file)
     except SettingsError as err:
         exit_with_error(str(err), BAD_SETTINGS)
@@ -287,7 +290,8 @@
     raise typer.Exit(1 if broken else 0)
 
 
-def _scene(file: Path, report: Path | None, keep: Path | None) -> None:
+def _play_scene(file: Path, report: Path | None, keep: Path | None) -> None:
+    """Plays a scene of duties, prints its findings, and ends the process with status 1 if a rule was broken."""
     from badgerbend.standin.acts import table
     from badgerbend.standin.scene import load_scene, play
 
@@ -297,12 +301,12 @@
         exit_with_error(str(err), BAD_SETTINGS)
     played = uvloop.run(play(scene, keep))
     console = Console(width=110)
-    shown = Table(title=f"{file}: {scene.seconds:g} s, {scene.brokers} brokers, {scene.voters} voters (loopback)")
+    holdings = Table(title=f"{file}: {scene.seconds:g} s, {scene.brokers} brokers, {scene.voters} voters (loopback)")
     for heading in ("duty", "epoch", "holder", "first act, s", "last", "acts", "stale"):
-        shown.add_column(heading)
+        holdings.add_column(heading)
     for row in table(played.judged.holdings, played.began):
-        shown.add_row(*row)
-    console.print(shown)
+        holdings.add_row(*row)
+    console.print(holdings)
     for number, (at, what) in enumerate(played.marks):
         gap = played.after(number, GAP_S)
         console.print(f"{(at - played.began) / 1000:6.2f} s {what}: no act for {gap:.0f} ms within {GAP_S:g} s")
--- a/badgerbend/config/__init__.py
+++ b/badgerbend/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings as S-expressions: read with positions, decoded into typed values, shown with their defaults."""
+"""Settings written as S-expressions: parsed with positions, decoded into typed values, printed with their defaults."""
--- a/badgerbend/config/decode.py
+++ b/badgerbend/config/decode.py
@@ -1,8 +1,8 @@
-"""Forms to typed values: a msgspec Struct says which keys there are, of which type and within which bounds.
+"""Decodes forms into typed values; a msgspec Struct defines the keys, their types and their bounds.
 
-`(key value)` sets one field; a field whose type is a Struct takes `(key (inner ...) ...)`; one that is a tuple of
-scalars takes `(key a b c)`; one that is a tuple of Structs takes `(key NAME (inner ...))` once for each, where
-NAME fills the Struct's first field. Names are written with dashes. Unknown, doubled and missing keys are errors.
+`(key value)` sets one field. A field whose type is a Struct is written `(key (inner ...) ...)`, a tuple of scalars
+`(key a b c)`. A tuple of Structs is written as one form `(key NAME (inner ...))` for each Struct, where NAME is the
+value of its first field. Names are written with dashes. Unknown, repeated and missing keys are errors.
 """
 
 from __future__ import annotations
@@ -16,33 +16,34 @@
 
 from badgerbend.config.sexpr import Atom, Form, Item, SettingsError, Symbol
 
-T = TypeVar("T", bound=msgspec.Struct)
+StructType = TypeVar("StructType", bound=msgspec.Struct)
 
 
-def decode(kind: type[T], form: Form, file: str, path: str) -> T:
-    """The Struct that a form's items after its head describe. Raises SettingsError."""
-    return _struct(kind, form.items[1:], form, file, path)
+def decode(type_: type[StructType], form: Form, file: str, path: str) -> StructType:
+    """Decodes the items after a form's head into a Struct. `path` names the form in errors. Raises SettingsError."""
+    return _decode_struct(type_, form.items[1:], form, file, path)
 
 
 def dashed(name: str) -> str:
+    """The key of a field in a settings file: `class_` is `class`, `aim_ms` is `aim-ms`."""
     return name.rstrip("_").replace("_", "-")
 
 
-def _struct(kind: type[T], items: tuple[Item, ...], at: Form, file: str, path: str) -> T:
-    fields = {dashed(f.name): f for f in msgspec.structs.fields(kind)}
+def _decode_struct(type_: type[StructType], items: tuple[Item, ...], form: Form, file: str, path: str) -> StructType:
+    fields = {dashed(f.name): f for f in msgspec.structs.fields(type_)}
     values: dict[str, Any] = {}
     seen: dict[str, Form] = {}
     for item in items:
-        key = _head(item, file, path)
+        key = _key_of(item, file, path)
         assert isinstance(item, Form)
         if key not in fields:
-            near = get_close_matches(key, fields, 1)
-            hint = f"; did you mean {near[0]}?" if near else f"; known are {', '.join(fields)}"
+            close_matches = get_close_matches(key, fields, 1)
+            hint = f"; did you mean {close_matches[0]}?" if close_matches else f"; known are {', '.join(fields)}"
             raise SettingsError(file, item.line, item.column, f"{path} > {key}", f"unknown key{hint}")
         field = fields[key]
-        many = _many_structs(field.type)
-        if many is not None:
-            values.setdefault(field.name, []).append(_named(many, item, file, f"{path} > {key}"))
+        struct_type = _repeated_struct(field.type)
+        if struct_type is not None:
+            values.setdefault(field.name, []).append(_decode_named_struct(struct_type, item, file, f"{path} > {key}"))
             continue
         if key in seen:
             first = seen[key]
@@ -50,19 +51,19 @@
                 file, item.line, item.column, f"{path} > {key}", f"given twice, first in line {first.line}"
             )
         seen[key] = item
-        values[field.name] = _value(field.type, item, file, f"{path} > {key}")
+        values[field.name] = _decode_value(field.type, item, file, f"{path} > {key}")
     for name, field in fields.items():
         if field.required and field.name not in values:
-            raise SettingsError(file, at.line, at.column, path, f"{name} is missing")
+            raise SettingsError(file, form.line, form.column, path, f"{name} is missing")
         if isinstance(values.get(field.name), list):
             values[field.name] = tuple(values[field.name])
     try:
-        return kind(**values)
-    except ValueError as err:  # a Struct's own check of how its fields fit together
-        raise SettingsError(file, at.line, at.column, path, str(err)) from err
+        return type_(**values)
+    except ValueError as err:  # raised by the Struct's __post_init__ where fields contradict each other
+        raise SettingsError(file, form.line, form.column, path, str(err)) from err
 
 
-def _head(item: Item, file: str, path: str) -> str:
+def _key_of(item: Item, file: str, path: str) -> str:
     if not isinstance(item, Form) or not item.items:
         raise SettingsError(file, item.line, item.column, path, "expected (key value ...)")
     head = item.items[0]
@@ -71,79 +72,81 @@
     return head.value.name
 
 
-def _plain(kind: Any) -> Any:
-    """A type without Annotated and without `| None`."""
-    while hasattr(kind, "__metadata__"):
-        kind = kind.__origin__
-    if get_origin(kind) in (Union, UnionType):
-        rest = [a for a in get_args(kind) if a is not NoneType]
-        return _plain(rest[0]) if len(rest) == 1 else kind
-    return kind
+def _bare_type(type_: Any) -> Any:
+    """The type without Annotated and without `| None`."""
+    while hasattr(type_, "__metadata__"):
+        type_ = type_.__origin__
+    if get_origin(type_) in (Union, UnionType):
+        rest = [a for a in get_args(type_) if a is not NoneType]
+        return _bare_type(rest[0]) if len(rest) == 1 else type_
+    return type_
 
 
-def _is_struct(kind: Any) -> bool:
-    return isinstance(kind, type) and issubclass(kind, msgspec.Struct)
+def _is_struct(type_: Any) -> bool:
+    return isinstance(type_, type) and issubclass(type_, msgspec.Struct)
 
 
-def _many_structs(kind: Any) -> Any:
-    kind = _plain(kind)
-    if get_origin(kind) is tuple and _is_struct(_plain(get_args(kind)[0])):
-        return _plain(get_args(kind)[0])
+def _repeated_struct(type_: Any) -> Any:
+    """The Struct type of a field that is a tuple of Structs; None for other fields."""
+    type_ = _bare_type(type_)
+    if get_origin(type_) is tuple and _is_struct(_bare_type(get_args(type_)[0])):
+        return _bare_type(get_args(type_)[0])
     return None
 
 
-def _named(kind: Any, form: Form, file: str, path: str) -> Any:
-    first = msgspec.structs.fields(kind)[0]
+def _decode_named_struct(type_: Any, form: Form, file: str, path: str) -> Any:
+    """Decodes `(key NAME (inner ...))`."""
+    first = msgspec.structs.fields(type_)[0]
     if len(form.items) < 2 or not isinstance(form.items[1], Atom):
         raise SettingsError(file, form.line, form.column, path, f"expected its {dashed(first.name)} first")
     name = form.items[1]
     head = Form((Atom(Symbol(dashed(first.name)), name.line, name.column), name), name.line, name.column)
     label = name.value.name if isinstance(name.value, Symbol) else name.value
-    return _struct(kind, (head, *form.items[2:]), form, file, f"{path} {label}")
+    return _decode_struct(type_, (head, *form.items[2:]), form, file, f"{path} {label}")
 
 
-def _value(kind: Any, form: Form, file: str, path: str) -> Any:
-    plain = _plain(kind)
+def _decode_value(type_: Any, form: Form, file: str, path: str) -> Any:
+    plain = _bare_type(type_)
     if _is_struct(plain):
-        return _struct(plain, form.items[1:], form, file, path)
+        return _decode_struct(plain, form.items[1:], form, file, path)
     if get_origin(plain) is tuple:
         inner = get_args(plain)[0]
-        return tuple(_scalar(inner, item, file, path) for item in form.items[1:])
+        return tuple(_decode_scalar(inner, item, file, path) for item in form.items[1:])
     if len(form.items) != 2:
         raise SettingsError(file, form.line, form.column, path, f"expected one value, found {len(form.items) - 1}")
-    return _scalar(kind, form.items[1], file, path)
+    return _decode_scalar(type_, form.items[1], file, path)
 
 
-def _scalar(kind: Any, item: Item, file: str, path: str) -> Any:
-    def wrong(problem: str) -> SettingsError:
+def _decode_scalar(type_: Any, item: Item, file: str, path: str) -> Any:
+    def error(problem: str) -> SettingsError:
         return SettingsError(file, item.line, item.column, path, problem)
 
     if isinstance(item, Form):
-        raise wrong(f"expected {_expected(kind)}, found a list")
-    raw: Any = item.value
-    plain = _plain(kind)
-    if isinstance(raw, Symbol):
-        if plain is bool and raw.name in ("true", "false"):
-            raw = raw.name == "true"
+        raise error(f"expected {_expected(type_)}, found a list")
+    parsed: Any = item.value
+    plain = _bare_type(type_)
+    if isinstance(parsed, Symbol):
+        if plain is bool and parsed.name in ("true", "false"):
+            parsed = parsed.name == "true"
         elif plain is not str and get_origin(plain) is not Literal:
-            raise wrong(f"expected {_expected(kind)}, found {raw.name}")
+            raise error(f"expected {_expected(type_)}, found {parsed.name}")
         else:
-            raw = raw.name
-    if isinstance(raw, float) and not math.isfinite(raw):
-        raise wrong(f"expected {_expected(kind)}, found a number too large")
+            parsed = parsed.name
+    if isinstance(parsed, float) and not math.isfinite(parsed):
+        raise error(f"expected {_expected(type_)}, found a number too large")
     try:
-        return msgspec.convert(raw, kind, strict=True)
+        return msgspec.convert(parsed, type_, strict=True)
     except msgspec.ValidationError as err:
-        shown = f'"{raw}"' if isinstance(raw, str) else raw
-        raise wrong(f"expected {_expected(kind)}, found {shown} ({str(err).lower()})") from err
+        shown = f'"{parsed}"' if isinstance(parsed, str) else parsed
+        raise error(f"expected {_expected(type_)}, found {shown} ({str(err).lower()})") from err
 
 
-def _expected(kind: Any) -> str:
-    plain = _plain(kind)
+def _expected(type_: Any) -> str:
+    plain = _bare_type(type_)
     if get_origin(plain) is Literal:
         return "one of " + ", ".join(map(str, get_args(plain)))
     bounds = []
-    for meta in getattr(kind, "__metadata__", ()):
+    for meta in getattr(type_, "__metadata__", ()):
         for sign, name in ((">", "gt"), (">=", "ge"), ("<", "lt"), ("<=", "le")):
             if (bound := getattr(meta, name, None)) is not None:
                 bounds.append(f"{sign} {bound:g}")
@@ -152,24 +155,29 @@
 
 
 def show(value: msgspec.Struct, indent: int = 0, skip: int = 0) -> str:
-    """Every value in force as settings text; one that equals its default says so in a comment."""
+    """Every value as settings text; a value that equals its default is marked by a comment.
+
+    The first `skip` fields are left out.
+    """
     pad, lines = "  " * indent, []
     for field in msgspec.structs.fields(value)[skip:]:
-        got, name = getattr(value, field.name), dashed(field.name)
-        note = "" if field.required or got != _default(field) else "  ; default"
-        if isinstance(got, msgspec.Struct):
-            lines.append(f"{pad}({name}\n{show(got, indent + 1)}\n{pad})")
-        elif isinstance(got, tuple) and got and isinstance(got[0], msgspec.Struct):
-            lines += [f"{pad}({name} {_text(_first(one))}\n{show(one, indent + 1, skip=1)}\n{pad})" for one in got]
-        elif got is None or (got == () and _many_structs(field.type) is not None):
+        current, name = getattr(value, field.name), dashed(field.name)
+        note = "" if field.required or current != _default(field) else "  ; default"
+        if isinstance(current, msgspec.Struct):
+            lines.append(f"{pad}({name}\n{show(current, indent + 1)}\n{pad})")
+        elif isinstance(current, tuple) and current and isinstance(current[0], msgspec.Struct):
+            lines += [
+                f"{pad}({name} {_text(_first_value(one))}\n{show(one, indent + 1, skip=1)}\n{pad})" for one in current
+            ]
+        elif current is None or (current == () and _repeated_struct(field.type) is not None):
             lines.append(f"{pad}; ({name} none){note}")
         else:
-            texts = " ".join(_text(v) for v in (got if isinstance(got, tuple) else (got,)))
-            lines.append(f"{pad}({name}{' ' if texts else ''}{texts}){note}")
+            words = " ".join(_text(v) for v in (current if isinstance(current, tuple) else (current,)))
+            lines.append(f"{pad}({name}{' ' if words else ''}{words}){note}")
     return "\n".join(lines)
 
 
-def _first(value: msgspec.Struct) -> Any:
+def _first_value(value: msgspec.Struct) -> Any:
     return getattr(value, msgspec.structs.fields(value)[0].name)
 
 
--- a/badgerbend/config/feed.py
+++ b/badgerbend/config/feed.py
@@ -1,4 +1,4 @@
-"""Settings of the feed that a broker follows: who publishes, which relays serve it, and what of it is this broker's."""
+"""Settings of the feed that a broker follows: its publisher, the relays that serve it, and the keys that are used."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from badgerbend.config.value_types import Name, check_host_port
 
-CONFIGURATION_PREFIX = "configuration/"  # keys of the feed that begin so hold a configuration
-NODE_PREFIX = "node/"  # and those that begin so a server of the list
-MOST_NAME = 64  # characters of a relay's or a region's name
+CONFIGURATION_PREFIX = "configuration/"  # prefix of the feed's keys whose value is a configuration
+NODE_PREFIX = "node/"  # prefix of the feed's keys whose value is a server of the list
+MAX_NAME_LENGTH = 64  # characters in the name of a relay or region
 
-ShortName = Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_NAME)]
+ShortName = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 Key = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
 
 
 class RelayEndpoint(msgspec.Struct, frozen=True):
-    """A relay of the feed, the region it stands in, and the TCP address where it listens."""
+    """A relay of the feed, its region, and the TCP address on which it listens."""
 
     name: ShortName
     region: ShortName
@@ -28,11 +28,12 @@
 
 
 class Feed(msgspec.Struct, frozen=True):
-    """The feed that this broker follows. Without this none is followed.
+    """The feed that this broker follows. Without this form the broker follows none.
 
-    public_key: the file with the publisher's public key, 64 hexadecimal digits. region: this broker's; relays of the
-    same region are tried first. configuration: the key under which its configuration is published. list: whether the
-    list of servers comes from the feed too, in place of Consul's.
+    public_key: the file with the publisher's public key as 64 hexadecimal digits.
+    region: the broker's own region; relays of the same region are tried first.
+    configuration: the key under which the broker's configuration is published.
+    list: whether the list of servers is taken from the feed instead of Consul.
     """
 
     public_key: Name
--- a/badgerbend/config/fleet.py
+++ b/badgerbend/config/fleet.py
@@ -1,4 +1,4 @@
-"""Settings of a fleet: other brokers to learn from, sites that fail together, and duties that one broker holds."""
+"""Settings of a fleet: peers that share their knowledge, sites, and duties that one broker at a time performs."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 
 
 class Peers(msgspec.Struct, frozen=True):
-    """Other brokers to learn from. Without this nothing is opened. key: files, the first seals, a second is accepted.
+    """Other brokers from which this one pulls knowledge. Without this form no port is opened.
 
-    port: UDP, for membership; knowledge_port: TCP, where records are read. Learning goes on until `until_ms` after
-    the start, every `every_ms`, from `ask` peers each time.
+    key: key files. The first key seals messages; messages sealed with a second one are accepted too.
+    port: the UDP port for membership. knowledge_port: the TCP port on which peers read this broker's record.
+    every_ms, ask, until_ms: until `until_ms` after the start, the broker pulls from `ask` peers every `every_ms`.
     """
 
     key: tuple[Name, ...]
@@ -43,9 +44,10 @@
 
 
 class Site(msgspec.Struct, frozen=True):
-    """Machines that fail together. zones: of its servers, as the list states them; brokers: how many stand there.
+    """A group of machines that fail together.
 
-    near: sites that come before the others when this one's work goes elsewhere, both ways.
+    zones: the zones of its servers, as stated in the list of servers. brokers: the number of brokers at the site.
+    near: sites that are preferred over the others when this site's work spills. The relation holds both ways.
     """
 
     name: Name
@@ -55,18 +57,21 @@
 
 
 class Sites(msgspec.Struct, frozen=True):
-    """Preference among sites. Without this all servers stand alike.
-
-    spill: at most this share of a site's spare room is taken by work of other sites. server_parts_per_s: what a warm
-    server of size 1 can serve. fill: a site's servers are filled to this before its work goes elsewhere. watch: the
-    share of parts that goes to other sites even so, by which a broker knows their state. util: the name, among those
-    reported by servers, of the share of a server's capacity in use.
-
-    out_below: a site that brings fewer of its parts to a good end is out. hold_ms: it stays so at least this long,
-    twice as long with each turn, up to hold_most_ms; what is held against it halves in fade_ms. trials: so many good
-    answers one after another let it return. first: the share of its work it then gets; step_ms: how often that
-    grows. connections_per_s: the pace at which connections to a returning site are opened ahead. key: a file; who
-    sends its content may drain and return sites.
+    """Preference of a broker's own site over others. Without this form all servers are preferred equally.
+
+    spill: the highest share of a site's spare capacity that work of other sites may use.
+    server_parts_per_s: the capacity of a warm server of size 1.
+    fill: the utilization up to which a site's servers are used before its work spills to other sites.
+    watch: the share of parts that is sent to other sites anyway, so that the broker observes their state.
+    util: the name of the reported value that states the share of a server's capacity in use.
+
+    out_below: a site is ejected when the share of its parts that succeed falls below this.
+    hold_ms: the shortest time of an ejection. It doubles with each ejection, up to hold_most_ms.
+    fade_ms: the half-life of the record of past ejections.
+    trials: the number of consecutive good answers after which an ejected site returns.
+    first: the share of its work that a returning site gets at first; step_ms: the interval at which the share grows.
+    connections_per_s: the rate at which connections to a returning site are opened in advance.
+    key: a key file; whoever presents its content may drain and return sites.
     """
 
     site: tuple[Site, ...]
@@ -106,12 +111,12 @@
             raise ValueError("hold-most-ms must not be less than hold-ms")
 
     def site_of_zone(self, zone: int) -> Site | None:
-        """The site of a zone."""
+        """The site to which a zone belongs; None if it belongs to none."""
         return next((s for s in self.site if zone in s.zones), None)
 
 
 class VoterEndpoint(msgspec.Struct, frozen=True):
-    """A broker that votes, and the UDP address where others reach it."""
+    """A broker that is a voter, and the UDP address at which other brokers reach it."""
 
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
     address: Name
@@ -121,20 +126,27 @@
 
 
 class Duties(msgspec.Struct, frozen=True):
-    """What one broker at a time does for all. Without this nothing is opened. The same for the whole fleet, but for
-    `store`, `host`, `port` and `advertise`.
-
-    voter: the few brokers that agree on who holds what. key: files, the first seals, a second is accepted. store: the
-    folder in which this broker votes, made by `badgerbend voters create`; none: it does not vote. advertise: where
-    others reach it, if not at host and port.
-
-    lease_ms: a duty whose holder is silent falls free after this. clock_rate: no machine's clock runs faster or slower
-    than true time by more than this share. ask_ms: a candidate shows itself so often. stall_ms: a broker whose loop
-    stood still for so long acts again only once confirmed. election_ms: without a leader for one to two of these,
-    voters choose another; beat_ms: a leader is heard so often.
-
-    probing: whether doubted servers are asked by the duty's holder, each every `probe_every_ms`, `probes` at once.
-    dealing: whether what brokers may send to cold servers is dealt by demand; a slice of it lasts `slice_ms`.
+    """Duties that one broker at a time performs for the whole fleet. Without this form no port is opened.
+
+    All brokers of a fleet have the same values, except for `store`, `host`, `port` and `advertise`.
+
+    voter: the brokers that form the quorum which grants leases on duties.
+    key: key files. The first key seals messages; messages sealed with a second one are accepted too.
+    store: the folder with this broker's voter store, made by `badgerbend voters create`; without it the broker is
+    no voter.
+    advertise: the address at which other brokers reach this one, if it is not host and port.
+
+    lease_ms: a duty becomes free when its holder has not renewed the lease for this long.
+    clock_rate: the largest relative error of any machine's clock rate, on which the leases' safety rests.
+    ask_ms: the interval at which a candidate sends its lease requests.
+    stall_ms: a broker whose event loop stalled for this long acts again only after its lease is confirmed.
+    election_ms: without a leader for one to two times this long, voters elect another.
+    beat_ms: the interval of a leader's heartbeats.
+
+    probing: whether the holder of the duty sends health checks to suspected servers: to each one every
+    `probe_every_ms`, and to at most `probes` at once.
+    dealing: whether the requests that brokers may send to servers that are warming up are divided among the brokers
+    by demand. A grant lasts `slice_ms`.
     """
 
     key: tuple[Name, ...]
@@ -160,10 +172,10 @@
             raise ValueError("key takes one file, or two while one key replaces the other")
         if len(self.voter) not in (1, 3, 5, 7):
             raise ValueError(f"{len(self.voter)} voters; 1, 3, 5 or 7 leave no tie")
-        for what, texts in (("name", [v.name for v in self.voter]), ("address", [v.address for v in self.voter])):
-            for text in texts:
-                if texts.count(text) > 1:
-                    raise ValueError(f"two voters have the {what} {text}")
+        for label, values in (("name", [v.name for v in self.voter]), ("address", [v.address for v in self.voter])):
+            for value in values:
+                if values.count(value) > 1:
+                    raise ValueError(f"two voters have the {label} {value}")
         if self.advertise is not None:
             check_host_port(self.advertise, "advertise")
         if self.lease_ms < 2 * self.stall_ms:
--- a/badgerbend/config/module.py
+++ b/badgerbend/config/module.py
@@ -1,4 +1,4 @@
-"""The decision module's share of the settings."""
+"""The settings that the decision module needs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def module_settings(settings: Settings) -> api.Settings:
-    """What the decision module is told of the settings."""
+    """Derives the decision module's settings from the broker's."""
     return api.Settings(
         classes=tuple(
             api.QueryClass(
--- a/badgerbend/config/published.py
+++ b/badgerbend/config/published.py
@@ -1,7 +1,7 @@
-"""A configuration published to many brokers, as one that runs takes it: what may change there, and what stays. Pure.
+"""Applies a configuration published to many brokers to the settings of a running broker. Performs no I/O.
 
-Forms that cannot change while a broker runs may be left out, since brokers differ in them; one that is stated must be
-the broker's own.
+Forms that cannot change while a broker runs may be left out, since brokers differ in them. Where such a form is stated,
+it must equal the broker's local setting.
 """
 
 from __future__ import annotations
@@ -29,58 +29,63 @@
         "over_share_worth",
     }
 )
-POOL_FIELDS = frozenset({"connect_timeout_ms", "idle_ms", "max_answer_bytes"})  # of servers: connections stay open
-SITES_FIELDS = frozenset({"class_", "tenant", "servers", "over_share_worth"})  # what preference among sites rests on
-DUTIES_FIELDS = frozenset({"servers"})  # what cold allowance rests on
-FIXED = "cannot change while the broker runs; it is read at the next start"
+# Fields of `servers` that apply to the connection pools, whose connections stay open when the configuration changes.
+POOL_SERVER_FIELDS = frozenset({"connect_timeout_ms", "idle_ms", "max_answer_bytes"})
+# Fields on which the preference among sites depends.
+SITES_DEPENDENCIES = frozenset({"class_", "tenant", "servers", "over_share_worth"})
+# Fields on which the budget for servers in slow start depends.
+DUTIES_DEPENDENCIES = frozenset({"servers"})
+CANNOT_CHANGE = "cannot change while the broker runs; it is read at the next start"
 
 StructType = TypeVar("StructType", bound=msgspec.Struct)
 
 
-def settings_in_force(own: Settings, text: str, file: str) -> Settings:
-    """The settings of a broker that runs with `own`, under a published configuration.
+def settings_in_force(local: Settings, text: str, file: str) -> Settings:
+    """The effective settings of a broker whose local settings are `local`, under a published configuration.
 
-    Raises SettingsError for a text that is no settings, and for one that changes what cannot change.
+    Raises SettingsError if the text is not valid settings, or if it changes a form that cannot change.
     """
     form = only_form(text, file, "broker")
     published = decode(Settings, form, file, "broker")
-    kept = _keep(own, published, form, _fixed_fields(own), file, "broker")
-    servers = _keep(own.servers, kept.servers, _forms(form).get("servers"), POOL_FIELDS, file, "broker > servers")
-    return msgspec.structs.replace(kept, servers=servers)
+    merged = _with_fixed_fields(local, published, form, _fixed_fields(local), file, "broker")
+    servers = _with_fixed_fields(
+        local.servers, merged.servers, _forms_by_key(form).get("servers"), POOL_SERVER_FIELDS, file, "broker > servers"
+    )
+    return msgspec.structs.replace(merged, servers=servers)
 
 
-def _fixed_fields(own: Settings) -> frozenset[str]:
-    """Fields of the settings that cannot change: all those that are not known to be changeable."""
+def _fixed_fields(local: Settings) -> frozenset[str]:
+    """The fields of the settings that cannot change: all except those listed as changeable."""
     fixed = frozenset(Settings.__struct_fields__) - CHANGEABLE
-    if own.sites is not None:
-        fixed |= SITES_FIELDS
-    if own.duties is not None:
-        fixed |= DUTIES_FIELDS
+    if local.sites is not None:
+        fixed |= SITES_DEPENDENCIES
+    if local.duties is not None:
+        fixed |= DUTIES_DEPENDENCIES
     return fixed
 
 
-def _keep(
-    own: StructType, published: StructType, form: Form | None, fixed: frozenset[str], file: str, path: str
+def _with_fixed_fields(
+    local: StructType, published: StructType, form: Form | None, fixed: frozenset[str], file: str, path: str
 ) -> StructType:
-    """`published` with its fixed fields as they are in `own`. Raises SettingsError where one is stated otherwise."""
-    stated = _forms(form) if form is not None else {}
+    """`published` with the fixed fields of `local`. Raises SettingsError if a fixed field is stated differently."""
+    stated = _forms_by_key(form) if form is not None else {}
     for name in sorted(fixed):
         key = dashed(name)
-        if key in stated and getattr(published, name) != getattr(own, name):
-            place = stated[key]
-            raise SettingsError(file, place.line, place.column, f"{path} > {key}", FIXED)
-    values = {name: getattr(own, name) for name in fixed}
+        if key in stated and getattr(published, name) != getattr(local, name):
+            position = stated[key]
+            raise SettingsError(file, position.line, position.column, f"{path} > {key}", CANNOT_CHANGE)
+    values = {name: getattr(local, name) for name in fixed}
     try:
         return msgspec.structs.replace(published, **values)
-    except ValueError as error:  # the Struct's own check of how its fields fit together
+    except ValueError as error:  # raised by the Struct's __post_init__ where fields contradict each other
         line, column = (form.line, form.column) if form is not None else (1, 1)
         raise SettingsError(file, line, column, path, str(error)) from error
 
 
-def _forms(form: Form) -> dict[str, Form]:
-    """The first form of each key."""
-    found: dict[str, Form] = {}
+def _forms_by_key(form: Form) -> dict[str, Form]:
+    """The first form with each key."""
+    forms: dict[str, Form] = {}
     for item in form.items[1:]:
         if isinstance(item, Form) and isinstance(item.items[0], Atom) and isinstance(item.items[0].value, Symbol):
-            found.setdefault(item.items[0].value.name, item)
-    return found
+            forms.setdefault(item.items[0].value.name, item)
+    return forms
--- a/badgerbend/config/reading.py
+++ b/badgerbend/config/reading.py
@@ -1,4 +1,4 @@
-"""Settings files: their text, their one top form, and the typed settings they hold."""
+"""Reads settings files: their text, their single top-level form, and the typed settings in it."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 
 
 def load(path: str | Path) -> Settings:
-    """The settings in a file, one form `(broker ...)`. Raises SettingsError, also for a file not to be read."""
+    """The settings in a file that consists of one form `(broker ...)`.
+
+    Raises SettingsError if the settings are invalid or the file cannot be read.
+    """
     return parse(read_text(path), str(path))
 
 
 def read_text(path: str | Path) -> str:
-    """A settings file's text. Raises SettingsError where it cannot be read."""
+    """The text of a settings file. Raises SettingsError if the file cannot be read."""
     try:
         return Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as err:
@@ -23,12 +26,12 @@
 
 
 def parse(text: str, file: str) -> Settings:
-    """As `load`, from a text; `file` is named in errors."""
+    """Like `load`, but from a text; `file` is the name that errors state."""
     return decode(Settings, only_form(text, file, "broker"), file, "broker")
 
 
 def only_form(text: str, file: str, name: str) -> Form:
-    """The one top form of a file, which must begin with `name`."""
+    """The single top-level form of a file, which must begin with `name`. Raises SettingsError."""
     items = read(text, file)
     if not items:
         raise SettingsError(file, 1, 1, "", f"expected ({name} ...), found nothing")
@@ -42,7 +45,7 @@
 
 
 def form_name(path: str | Path) -> str:
-    """The name of a file's first form, as `day`; empty where there is none. Raises SettingsError."""
+    """The name of a file's first form, such as `day`; empty if there is none. Raises SettingsError."""
     items = read(read_text(path), str(path))
     form = items[0] if items else None
     head = form.items[0] if isinstance(form, Form) and form.items else None
--- a/badgerbend/config/settings.py
+++ b/badgerbend/config/settings.py
@@ -1,7 +1,7 @@
-"""The broker's settings: what can be set, its bounds, its default, and how the parts must fit together.
+"""The broker's settings: the keys, their bounds and defaults, and the constraints between them.
 
-Times are milliseconds unless a name says seconds. `config.reading` reads them from a file; `config.module` gives the
-decision module its share.
+Times are in milliseconds unless the name of a key states seconds. `config.reading` reads the settings from a file;
+`config.module` derives the settings of the decision module.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
     read_timeout_ms: Positive = 10_000.0
     idle_timeout_ms: Positive = 75_000.0
     stop_timeout_ms: Positive = 10_000.0
-    answer_allowance_ms: NonNegative = 120.0  # kept back of a client's time, to merge and write the answer
+    answer_allowance_ms: NonNegative = 120.0  # part of the client's time reserved for merging and writing the answer
 
 
 class Identity(msgspec.Struct, frozen=True):
@@ -47,7 +47,7 @@
 
 
 class Layout(msgspec.Struct, frozen=True):
-    """Shard s is held by the servers of cells s mod cells .. s mod cells + reach - 1."""
+    """Shard s is held by the servers of cells s mod cells to s mod cells + reach - 1."""
 
     shards: Count
     cells: Count
@@ -59,7 +59,10 @@
 
 
 class Discovery(msgspec.Struct, frozen=True):
-    """Consul's health endpoint; push keeps a watch up by itself, ask waits for the decision to follow."""
+    """Consul's health endpoint, which provides the list of servers.
+
+    mode: with `push` the broker keeps a blocking watch open; with `ask` it polls when the decision module requests it.
+    """
 
     host: Name = "127.0.0.1"
     port: Port = 8500
@@ -67,7 +70,7 @@
     mode: Literal["push", "ask"] = "push"
     wait_ms: Positive = 30_000.0
     must_ask_ms: Positive = 10_000.0
-    max_bytes: Annotated[int, msgspec.Meta(ge=1, le=1 << 30)] = 16_777_216  # thousands of servers
+    max_bytes: Annotated[int, msgspec.Meta(ge=1, le=1 << 30)] = 16_777_216  # enough for thousands of servers
 
 
 class Servers(msgspec.Struct, frozen=True):
@@ -96,7 +99,11 @@
 
 
 class Class(msgspec.Struct, frozen=True):
-    """A class of query. need, floor: shares of the parts' weight for a whole and for any answer."""
+    """A class of query.
+
+    need: the share of the parts' weight that makes an answer complete.
+    floor: the least share that a partial answer needs; without it, the same as need.
+    """
 
     name: Name
     aim_ms: Positive
@@ -127,9 +134,10 @@
 class FieldMap(msgspec.Struct, frozen=True):
     """How a root field of the schema is served.
 
-    blocks: its argument that names the blocks. A query field fetches `fetch` of each block's `entity`; a
-    mutation is sent to the server as it is. Rows are ranked by `rank_by` (ascending, ties by block) where it is
-    given and cut to the argument `first_by`. `detail` is fetched in the class's second step for the best rows.
+    blocks: the argument that lists the blocks. A query field fetches the field `fetch` of each block's `entity`; a
+    mutation is sent to the server unchanged. If `rank_by` is set, rows are sorted by it (ascending, ties by block)
+    and limited to the number in the argument `first_by`. `detail` is fetched in the class's second step for the rows
+    that remain.
     """
 
     name: Name
@@ -143,7 +151,7 @@
 
 
 class EntityMap(msgspec.Struct, frozen=True):
-    """An entity that routers may refer to. Its key begins with its block's number, ended by a colon or its end."""
+    """An entity that routers may refer to. Its key is its block's number, optionally followed by a colon and more."""
 
     name: Name
     class_: Name
@@ -151,7 +159,7 @@
 
 
 class Documents(msgspec.Struct, frozen=True):
-    """Limits on what a client may send, before anything is fetched."""
+    """Limits on a client's document, checked before anything is fetched."""
 
     cached: Count = 1000
     max_tokens: Count = 2000
@@ -169,7 +177,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """What the broker has seen, on disk, for its own next start."""
+    """The file in which the broker stores its observations for its own next start."""
 
     file: Name
     every_ms: Positive = 2000.0
@@ -205,7 +213,7 @@
     seed: CountOrZero = 1
 
     def __post_init__(self) -> None:
-        for what, names in (
+        for label, names in (
             ("class", [c.name for c in self.class_]),
             ("tenant", [t.name for t in self.tenant]),
             ("field", [f.name for f in self.field]),
@@ -213,23 +221,23 @@
         ):
             for name in names:
                 if names.count(name) > 1:
-                    raise ValueError(f"two settings for {what} {name}")
+                    raise ValueError(f"two settings for {label} {name}")
         known = {c.name: c for c in self.class_}
-        users: tuple[FieldMap | EntityMap, ...] = (*self.field, *self.entity)
-        for user in users:
-            if user.class_ not in known:
-                raise ValueError(f"{user.name} has class {user.class_}, which is none of {', '.join(known)}")
+        mappings: tuple[FieldMap | EntityMap, ...] = (*self.field, *self.entity)
+        for mapping in mappings:
+            if mapping.class_ not in known:
+                raise ValueError(f"{mapping.name} has class {mapping.class_}, which is none of {', '.join(known)}")
         for field in self.field:
             if field.detail and not known[field.class_].second_step:
                 raise ValueError(f"field {field.name} has a detail, but class {field.class_} no second-step")
 
         if self.sites is not None:
             home = self.sites.site_of_zone(self.identity.zone)
-            stand = sum(s.brokers for s in self.sites.site)
+            brokers = sum(s.brokers for s in self.sites.site)
             if home is None or not home.brokers:
                 raise ValueError(f"identity's zone {self.identity.zone} is in no site that has brokers")
-            if stand != self.identity.count:
-                raise ValueError(f"the sites have {stand} brokers together, identity counts {self.identity.count}")
+            if brokers != self.identity.count:
+                raise ValueError(f"the sites have {brokers} brokers together, identity counts {self.identity.count}")
 
     def class_index(self, name: str) -> int:
         return next(i for i, c in enumerate(self.class_) if c.name == name)
--- a/badgerbend/config/sexpr.py
+++ b/badgerbend/config/sexpr.py
@@ -1,4 +1,4 @@
-"""S-expressions with the place of every item, so that an error can name it. The grammar is lark's work."""
+"""Parses S-expressions and keeps the position of every item, so that errors can state it. Lark does the parsing."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 %ignore COMMENT
 %ignore /\s+/
 """
-MOST_BYTES = 4 << 20
-MOST_DEPTH = 64
-MOST_DIGITS = 400  # characters of a number; Python refuses to convert whole numbers of some thousands
+MAX_CHARACTERS = 4 << 20
+MAX_DEPTH = 64
+MAX_NUMBER_CHARACTERS = 400  # Python refuses to convert integers of several thousand digits
 
 
 class SettingsError(Exception):
-    """A settings file is wrong; the text names file, line, column, path and what was expected."""
+    """A settings file is invalid; the message states file, line, column, path and what was expected."""
 
     def __init__(self, file: str, line: int, column: int, path: str, problem: str) -> None:
         where = f"{file}:{line}:{column}"
@@ -35,6 +35,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Symbol:
+    """A word without quotes."""
+
     name: str
 
 
@@ -43,6 +45,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Atom:
+    """A string, number or symbol with its position."""
+
     value: Value
     line: int
     column: int
@@ -50,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Form:
-    """A parenthesised list."""
+    """A parenthesised list with the position of its opening bracket."""
 
     items: tuple[Item, ...]
     line: int
@@ -64,9 +68,9 @@
 
 
 def read(text: str, file: str) -> tuple[Item, ...]:
-    """All items of a text. Raises SettingsError with the place of the first thing that cannot be read."""
-    if len(text) > MOST_BYTES:
-        raise SettingsError(file, 1, 1, "", f"longer than {MOST_BYTES} characters")
+    """All top-level items of a text. Raises SettingsError with the position of the first item that is invalid."""
+    if len(text) > MAX_CHARACTERS:
+        raise SettingsError(file, 1, 1, "", f"longer than {MAX_CHARACTERS} characters")
     _check_depth(text, file)
     try:
         tree = _PARSER.parse(text)
@@ -77,9 +81,9 @@
             raise SettingsError(file, *_end(text), "", "the file ends inside a list") from err
         raise SettingsError(file, err.line, err.column, "", f"{str(err.token)!r} is not expected here") from err
     except UnexpectedCharacters as err:
-        what = "a string without its end" if text[err.pos_in_stream or 0] == '"' else "not readable"
-        raise SettingsError(file, err.line, err.column, "", what) from err
-    except UnexpectedInput as err:  # pragma: no cover - lark has no others today
+        problem = "a string without its end" if text[err.pos_in_stream or 0] == '"' else "not readable"
+        raise SettingsError(file, err.line, err.column, "", problem) from err
+    except UnexpectedInput as err:  # pragma: no cover - lark raises no other subclass today
         raise SettingsError(file, err.line, err.column, "", "not readable") from err
     return tuple(_item(child, file) for child in tree.children)
 
@@ -89,13 +93,16 @@
 
 
 def _check_depth(text: str, file: str) -> None:
-    """Refuses deep nesting before the recursive walk; a bracket in a string or comment only errs early."""
+    """Rejects deep nesting before the recursive conversion.
+
+    Brackets in strings and comments are counted too, so that a text may be rejected although its nesting is allowed.
+    """
     depth = 0
     for number, line in enumerate(text.split("\n"), 1):
         for column, char in enumerate(line, 1):
             depth += (char == "(") - (char == ")")
-            if depth > MOST_DEPTH:
-                raise SettingsError(file, number, column, "", f"lists nested deeper than {MOST_DEPTH}")
+            if depth > MAX_DEPTH:
+                raise SettingsError(file, number, column, "", f"lists nested deeper than {MAX_DEPTH}")
 
 
 def _item(node: Tree[Token] | Token, file: str) -> Item:
@@ -110,19 +117,19 @@
 
 def _value(token: Token, file: str, line: int, column: int) -> Value:
     if token.type == "STRING":
-        out, escaped = [], False
+        characters, escaped = [], False
         for char in token[1:-1]:
             if escaped:
                 if char not in _ESCAPES:
                     raise SettingsError(file, line, column, "", f"unknown escape \\{char} in a string")
-                out.append(_ESCAPES[char])
+                characters.append(_ESCAPES[char])
             elif char != "\\":
-                out.append(char)
+                characters.append(char)
             escaped = char == "\\" and not escaped
-        return "".join(out)
+        return "".join(characters)
     if token.type == "NUMBER":
         text = str(token)
-        if len(text) > MOST_DIGITS:
-            raise SettingsError(file, line, column, "", f"a number longer than {MOST_DIGITS} characters")
+        if len(text) > MAX_NUMBER_CHARACTERS:
+            raise SettingsError(file, line, column, "", f"a number longer than {MAX_NUMBER_CHARACTERS} characters")
         return int(text) if text.lstrip("+-").isdigit() else float(text)
     return Symbol(str(token))
--- a/badgerbend/config/value_types.py
+++ b/badgerbend/config/value_types.py
@@ -1,4 +1,4 @@
-"""Kinds of values in settings, with their bounds."""
+"""Types of the values in settings, with their bounds."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def check_host_port(text: str, what: str) -> None:
-    """Raises ValueError for a text that is not HOST:PORT; `what` names it there."""
+    """Raises ValueError for a text that is not HOST:PORT; `what` names the value in the error message."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"{what} {text} is not HOST:PORT")
