--- a/badgerbend/remote/__init__.py
+++ b/badgerbend/remote/__init__.py
@@ -1,1 +1,1 @@
-"""Prometheus remote read: the second front. Wire formats, matchers, placement of series, and the merge."""
+"""Prometheus remote read, the second protocol for clients: wire formats, matchers, placement of series, and merging."""
--- a/badgerbend/remote/codec.py
+++ b/badgerbend/remote/codec.py
@@ -1,4 +1,4 @@
-"""Requests and answers of remote read: bytes in, checked values out, and back. Limits hold before any unpacking."""
+"""Encodes and decodes requests and answers of remote read. Size limits are checked before data is decompressed."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from badgerbend.remote import remote_pb2 as pb
 from badgerbend.remote import xor
 from badgerbend.remote.frames import frame
-from badgerbend.remote.matchers import BadMatcher, Matcher, matcher
-from badgerbend.remote.merge import packed
-from badgerbend.remote.series import XOR, BadPart, Block, Labels, Series
+from badgerbend.remote.matchers import BadMatcher, Matcher, compile_matcher
+from badgerbend.remote.merge import to_chunks
+from badgerbend.remote.series import XOR, BadPart, Chunk, Labels, Series
 
 SAMPLES, CHUNKS = 0, 1
-FRAME_BYTES = 1 << 20  # of chunks in a frame, beyond which a series goes on in the next; as Prometheus frames them
+MAX_FRAME_BYTES = 1 << 20  # of chunks in a frame; a longer series continues in the next frame, as in Prometheus
 
 
 class BadRequest(ValueError):
-    """A request that cannot be served, in words for the client."""
+    """A request is invalid or exceeds a limit; the message is sent to the client."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadLimits:
-    """What a request may bring. unpacked_bytes: after decompression."""
+    """Limits on a request. decompressed_bytes: its size after decompression."""
 
-    unpacked_bytes: int = 1 << 20
+    decompressed_bytes: int = 1 << 20
     queries: int = 64
     matchers: int = 64
     span_ms: int = 400 * 24 * 3600 * 1000
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hints:
-    """What a client means to do with the samples; it binds nobody."""
+    """How the client intends to use the samples. Servers may ignore the hints."""
 
     step_ms: int = 0
     func: str = ""
@@ -46,8 +46,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
-    """One query of a request: both times included, milliseconds."""
+class ReadQuery:
+    """One query of a request. Its times are in milliseconds, and both are inclusive."""
 
     start_ms: int
     end_ms: int
@@ -55,40 +55,44 @@
     hints: Hints
 
 
-def request(body: bytes, limits: ReadLimits) -> tuple[list[Read], int]:
-    """The queries of a request and the type of answer: the first accepted one that is known. Raises BadRequest."""
-    got = pb.ReadRequest()
+def decode_request(body: bytes, limits: ReadLimits) -> tuple[list[ReadQuery], int]:
+    """The queries of a request and the first accepted response type that is supported. Raises BadRequest."""
+    message = pb.ReadRequest()
     try:
-        got.ParseFromString(unpacked(body, limits.unpacked_bytes))
+        message.ParseFromString(decompress(body, limits.decompressed_bytes))
     except DecodeError as err:
         raise BadRequest(f"no ReadRequest: {err}") from err
-    if len(got.queries) > limits.queries:
-        raise BadRequest(f"{len(got.queries)} queries, {limits.queries} are allowed")
-    accepted = list(got.accepted_response_types) or [SAMPLES]
-    kind = next((kind for kind in accepted if kind in (SAMPLES, CHUNKS)), None)
-    if kind is None:
+    if len(message.queries) > limits.queries:
+        raise BadRequest(f"{len(message.queries)} queries, {limits.queries} are allowed")
+    accepted = list(message.accepted_response_types) or [SAMPLES]
+    response_type = next((kind for kind in accepted if kind in (SAMPLES, CHUNKS)), None)
+    if response_type is None:
         raise BadRequest(f"accepted response types {accepted}: none of them is known here")
-    return [_read(query, place, limits) for place, query in enumerate(got.queries)], kind
+    return [_decode_query(query, index, limits) for index, query in enumerate(message.queries)], response_type
 
 
-def _read(query: pb.Query, place: int, limits: ReadLimits) -> Read:
+def _decode_query(query: pb.Query, index: int, limits: ReadLimits) -> ReadQuery:
     start, end = query.start_timestamp_ms, query.end_timestamp_ms
     if end < start:
-        raise BadRequest(f"query {place} ends at {end}, before its start at {start}")
+        raise BadRequest(f"query {index} ends at {end}, before its start at {start}")
     if end - start > limits.span_ms:
-        raise BadRequest(f"query {place} spans {end - start} ms, {limits.span_ms} are allowed")
+        raise BadRequest(f"query {index} spans {end - start} ms, {limits.span_ms} are allowed")
     if not 0 < len(query.matchers) <= limits.matchers:
-        raise BadRequest(f"query {place} has {len(query.matchers)} matchers, 1 to {limits.matchers} are allowed")
+        raise BadRequest(f"query {index} has {len(query.matchers)} matchers, 1 to {limits.matchers} are allowed")
     try:
-        matchers = tuple(matcher(m.type, m.name, m.value) for m in query.matchers)
+        matchers = tuple(compile_matcher(m.type, m.name, m.value) for m in query.matchers)
     except BadMatcher as err:
-        raise BadRequest(f"query {place}: {err}") from err
+        raise BadRequest(f"query {index}: {err}") from err
     h = query.hints
-    return Read(start, end, matchers, Hints(h.step_ms, h.func, h.start_ms, h.end_ms, h.range_ms))
+    return ReadQuery(start, end, matchers, Hints(h.step_ms, h.func, h.start_ms, h.end_ms, h.range_ms))
 
 
-def unpacked(body: bytes, most: int) -> bytes:
-    """A snappy block, whose first bytes tell its size: refused before it is unpacked. Raises BadRequest."""
+def decompress(body: bytes, max_bytes: int) -> bytes:
+    """Decompresses a snappy block.
+
+    The block's header states the decompressed size, so a block that is too large is rejected before decompression.
+    Raises BadRequest.
+    """
     size = shift = 0
     for byte in body[:5]:
         size |= (byte & 0x7F) << shift
@@ -97,23 +101,23 @@
             break
     else:
         raise BadRequest("no snappy block")
-    if size > most:
-        raise BadRequest(f"{size} bytes unpacked, {most} are allowed")
+    if size > max_bytes:
+        raise BadRequest(f"{size} bytes unpacked, {max_bytes} are allowed")
     try:
         return bytes(cramjam.snappy.decompress_raw(body))
     except cramjam.DecompressionError as err:
         raise BadRequest(f"no snappy block: {err}") from err
 
 
-def asked(reads: Iterable[Read], kind: Any) -> bytes:
-    """A request as it goes to a server, the reverse of `request`."""
-    out = pb.ReadRequest(accepted_response_types=[kind])
-    for read in reads:
-        h = read.hints
+def encode_request(queries: Iterable[ReadQuery], response_type: Any) -> bytes:
+    """Encodes a request to a server; the inverse of `decode_request`."""
+    out = pb.ReadRequest(accepted_response_types=[response_type])
+    for query in queries:
+        h = query.hints
         out.queries.add(
-            start_timestamp_ms=read.start_ms,
-            end_timestamp_ms=read.end_ms,
-            matchers=[pb.LabelMatcher(**_fields(m)) for m in read.matchers],
+            start_timestamp_ms=query.start_ms,
+            end_timestamp_ms=query.end_ms,
+            matchers=[pb.LabelMatcher(**_matcher_fields(m)) for m in query.matchers],
             hints=pb.ReadHints(
                 step_ms=h.step_ms, func=h.func, start_ms=h.start_ms, end_ms=h.end_ms, range_ms=h.range_ms
             ),
@@ -121,97 +125,103 @@
     return bytes(cramjam.snappy.compress_raw(out.SerializeToString()))
 
 
-def _fields(m: Matcher) -> dict[str, Any]:
+def _matcher_fields(m: Matcher) -> dict[str, Any]:
     return {"type": m.kind, "name": m.name, "value": m.value}
 
 
 # -- Answers.
-def streamed(place: int, series: Iterable[Series], most: int = FRAME_BYTES) -> Iterator[bytes]:
-    """One query's answer as frames, one after the other: nothing beyond a frame is held."""
-    for one in series:
-        some: list[Block] = []
+def encode_frames(index: int, series: Iterable[Series], max_bytes: int = MAX_FRAME_BYTES) -> Iterator[bytes]:
+    """Yields the answer to one query as frames; no more than one frame is held in memory."""
+    for each in series:
+        pending: list[Chunk] = []
         size = 0
-        for block in one.blocks:
-            if some and size + len(block.data) > most:
-                yield _frame(place, one.labels, some)
-                some, size = [], 0
-            some.append(block)
-            size += len(block.data)
-        yield _frame(place, one.labels, some)
+        for chunk in each.chunks:
+            if pending and size + len(chunk.data) > max_bytes:
+                yield _frame(index, each.labels, pending)
+                pending, size = [], 0
+            pending.append(chunk)
+            size += len(chunk.data)
+        yield _frame(index, each.labels, pending)
+
 
+def _frame(index: int, labels: Labels, chunks: list[Chunk]) -> bytes:
+    encoded = [pb.Chunk(**_chunk_fields(chunk)) for chunk in chunks]
+    series = pb.ChunkedSeries(labels=[pb.Label(name=n, value=v) for n, v in labels], chunks=encoded)
+    return frame(pb.ChunkedReadResponse(chunked_series=[series], query_index=index).SerializeToString())
 
-def _frame(place: int, labels: Labels, blocks: list[Block]) -> bytes:
-    chunks = [pb.Chunk(**_chunk(block)) for block in blocks]
-    series = pb.ChunkedSeries(labels=[pb.Label(name=n, value=v) for n, v in labels], chunks=chunks)
-    return frame(pb.ChunkedReadResponse(chunked_series=[series], query_index=place).SerializeToString())
 
+def _chunk_fields(chunk: Chunk) -> dict[str, Any]:
+    return {"min_time_ms": chunk.first_ms, "max_time_ms": chunk.last_ms, "type": chunk.encoding, "data": chunk.data}
 
-def _chunk(block: Block) -> dict[str, Any]:
-    return {"min_time_ms": block.first_ms, "max_time_ms": block.last_ms, "type": block.kind, "data": block.data}
 
+def encode_samples(results: Iterable[Iterable[Series]], queries: list[ReadQuery]) -> bytes:
+    """Encodes and compresses the answers to all queries, with samples within their times only.
 
-def sampled(results: Iterable[Iterable[Series]], reads: list[Read]) -> bytes:
-    """All queries' answers as samples within their times, packed. Raises BadPart for chunks that are none."""
+    Raises BadPart for an invalid chunk, and for one that does not hold float samples.
+    """
     out = pb.ReadResponse()
-    for series, read in zip(results, reads, strict=True):
+    for series, query in zip(results, queries, strict=True):
         result = out.results.add()
-        for one in series:
-            found = [s for block in one.blocks for s in _samples(block, one.labels) if _within(s[0], read)]
-            if found:
+        for each in series:
+            samples = [s for chunk in each.chunks for s in _samples(chunk, each.labels) if _is_within(s[0], query)]
+            if samples:
                 result.timeseries.add(
-                    labels=[pb.Label(name=n, value=v) for n, v in one.labels],
-                    samples=[pb.Sample(timestamp=t, value=v) for t, v in found],
+                    labels=[pb.Label(name=n, value=v) for n, v in each.labels],
+                    samples=[pb.Sample(timestamp=t, value=v) for t, v in samples],
                 )
     return bytes(cramjam.snappy.compress_raw(out.SerializeToString()))
 
 
-def _within(at: int, read: Read) -> bool:
-    return read.start_ms <= at <= read.end_ms
+def _is_within(timestamp: int, query: ReadQuery) -> bool:
+    return query.start_ms <= timestamp <= query.end_ms
 
 
-def _samples(block: Block, labels: Labels) -> Iterator[tuple[int, float]]:
-    if block.kind != XOR:
-        raise BadPart(f"{labels}: histograms are read as streamed chunks only")
+def _samples(chunk: Chunk, labels: Labels) -> Iterator[tuple[int, float]]:
+    if chunk.encoding != XOR:
+        raise BadPart(f"{labels}: histograms are supported in streamed chunks only")
     try:
-        yield from xor.decode(block.data)
+        yield from xor.decode(chunk.data)
     except xor.BadChunk as err:
-        raise BadPart(f"{labels}: a chunk: {err}") from err
+        raise BadPart(f"{labels}: invalid chunk: {err}") from err
+
 
+def decode_frames(messages: Iterable[bytes]) -> Iterator[tuple[int, Series]]:
+    """Decodes a server's frames into series, each with the index of its query.
 
-def from_chunks(messages: Iterable[bytes]) -> Iterator[tuple[int, Series]]:
-    """A server's frames as series with their query's place; those that go on over frames are joined. Raises BadPart."""
-    held: tuple[int, Series] | None = None
+    A series that continues over several frames is joined. Raises BadPart.
+    """
+    current: tuple[int, Series] | None = None
     for message in messages:
-        got = pb.ChunkedReadResponse()
+        response = pb.ChunkedReadResponse()
         try:
-            got.ParseFromString(message)
+            response.ParseFromString(message)
         except DecodeError as err:
-            raise BadPart(f"no ChunkedReadResponse: {err}") from err
-        for one in got.chunked_series:
-            labels = tuple((x.name, x.value) for x in one.labels)
-            blocks = [Block(c.min_time_ms, c.max_time_ms, c.data, c.type) for c in one.chunks]
-            if held is not None and held[0] == got.query_index and held[1].labels == labels:
-                held[1].blocks.extend(blocks)
+            raise BadPart(f"invalid ChunkedReadResponse: {err}") from err
+        for each in response.chunked_series:
+            labels = tuple((x.name, x.value) for x in each.labels)
+            chunks = [Chunk(c.min_time_ms, c.max_time_ms, c.data, c.type) for c in each.chunks]
+            if current is not None and current[0] == response.query_index and current[1].labels == labels:
+                current[1].chunks.extend(chunks)
                 continue
-            if held is not None:
-                yield held
-            held = got.query_index, Series(labels, blocks)
-    if held is not None:
-        yield held
+            if current is not None:
+                yield current
+            current = response.query_index, Series(labels, chunks)
+    if current is not None:
+        yield current
 
 
-def from_samples(body: bytes, most: int) -> Iterator[tuple[int, Series]]:
-    """A server's sampled answer, as `from_chunks`. Raises BadPart."""
-    got = pb.ReadResponse()
+def decode_samples(body: bytes, max_bytes: int) -> Iterator[tuple[int, Series]]:
+    """Decodes a server's answer of samples into series, like `decode_frames`. Raises BadPart."""
+    response = pb.ReadResponse()
     try:
-        got.ParseFromString(unpacked(body, most))
+        response.ParseFromString(decompress(body, max_bytes))
     except (BadRequest, DecodeError) as err:
-        raise BadPart(f"no ReadResponse: {err}") from err
-    for place, result in enumerate(got.results):
-        for one in result.timeseries:
-            if one.histograms:
-                raise BadPart("histograms are read as streamed chunks only")
-            samples = [(s.timestamp, s.value) for s in one.samples]
+        raise BadPart(f"invalid ReadResponse: {err}") from err
+    for index, result in enumerate(response.results):
+        for each in result.timeseries:
+            if each.histograms:
+                raise BadPart("histograms are supported in streamed chunks only")
+            samples = [(s.timestamp, s.value) for s in each.samples]
             if any(a[0] >= b[0] for a, b in zip(samples, samples[1:], strict=False)):
-                raise BadPart("samples out of the order of their times")
-            yield place, Series(tuple((x.name, x.value) for x in one.labels), packed(samples))
+                raise BadPart("samples are not sorted by timestamp")
+            yield index, Series(tuple((x.name, x.value) for x in each.labels), to_chunks(samples))
--- a/badgerbend/remote/frames.py
+++ b/badgerbend/remote/frames.py
@@ -1,6 +1,7 @@
-"""The stream of a chunked answer: frames of a length (uvarint), a checksum (CRC-32C, big end first) and a message.
+"""Frames of a streamed answer. Each has a length (uvarint), a checksum (CRC-32C, big-endian) and a message.
 
-The checksum is of the message alone. Pure: bytes in, messages out, in whatever pieces they come.
+The checksum covers the message only. The reader performs no I/O: it takes bytes in pieces of any size and yields
+messages.
 """
 
 from __future__ import annotations
@@ -10,60 +11,60 @@
 import google_crc32c
 
 CONTENT_TYPE = b"application/x-streamed-protobuf; proto=prometheus.ChunkedReadResponse"
-MOST_VARINT = 10  # bytes of a 64-bit number
+MAX_VARINT_BYTES = 10  # the length of a 64-bit number
 
 
 class BadFrame(Exception):
-    """A stream that breaks its own rules; nothing after it can be trusted."""
+    """The stream is malformed; no data after the error can be trusted."""
 
 
 def frame(message: bytes) -> bytes:
-    """A message as it goes on the wire."""
-    head = bytearray()
+    """Encodes a message as a frame."""
+    header = bytearray()
     size = len(message)
     while size > 0x7F:
-        head.append(size & 0x7F | 0x80)
+        header.append(size & 0x7F | 0x80)
         size >>= 7
-    head.append(size)
-    return bytes(head) + int(google_crc32c.value(message)).to_bytes(4, "big") + message
+    header.append(size)
+    return bytes(header) + int(google_crc32c.value(message)).to_bytes(4, "big") + message
 
 
-class Frames:
-    """Takes bytes as they come. `most`: bytes of one message; `end` tells whether the stream stopped between frames."""
+class FrameReader:
+    """Splits a stream of bytes into messages of at most `max_message_bytes`."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.held = most, bytearray()
+    def __init__(self, max_message_bytes: int) -> None:
+        self.max_message_bytes, self.buffer = max_message_bytes, bytearray()
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """The messages that are whole by now. Raises BadFrame."""
-        self.held += data
+        """Adds received bytes and yields the messages that are complete. Raises BadFrame."""
+        self.buffer += data
         while True:
-            head = self._head()
-            if head is None:
+            header = self._header()
+            if header is None:
                 return
-            size, at = head
-            if size > self.most:
-                raise BadFrame(f"a message of {size} bytes, where {self.most} are allowed")
-            if len(self.held) < at + 4 + size:
+            size, offset = header
+            if size > self.max_message_bytes:
+                raise BadFrame(f"message has {size} bytes; the limit is {self.max_message_bytes}")
+            if len(self.buffer) < offset + 4 + size:
                 return
-            message = bytes(self.held[at + 4 : at + 4 + size])
-            if int(google_crc32c.value(message)) != int.from_bytes(self.held[at : at + 4], "big"):
-                raise BadFrame("the checksum is of another message")
-            del self.held[: at + 4 + size]
+            message = bytes(self.buffer[offset + 4 : offset + 4 + size])
+            if int(google_crc32c.value(message)) != int.from_bytes(self.buffer[offset : offset + 4], "big"):
+                raise BadFrame("checksum does not match the message")
+            del self.buffer[: offset + 4 + size]
             yield message
 
-    def _head(self) -> tuple[int, int] | None:
-        """The length of the next message and where its checksum begins; None while that is not all there."""
+    def _header(self) -> tuple[int, int] | None:
+        """The length of the next message and the offset of its checksum; None while the length is incomplete."""
         size = 0
-        for at, byte in enumerate(self.held[:MOST_VARINT]):
-            size |= (byte & 0x7F) << 7 * at
+        for offset, byte in enumerate(self.buffer[:MAX_VARINT_BYTES]):
+            size |= (byte & 0x7F) << 7 * offset
             if byte < 0x80:
-                return size, at + 1
-        if len(self.held) >= MOST_VARINT:
-            raise BadFrame("a length of more than 64 bits")
+                return size, offset + 1
+        if len(self.buffer) >= MAX_VARINT_BYTES:
+            raise BadFrame("message length has more than 64 bits")
         return None
 
     def end(self) -> None:
-        """The stream has ended. Raises BadFrame where that is within a frame."""
-        if self.held:
-            raise BadFrame("the stream ends within a frame")
+        """Must be called when the stream ends. Raises BadFrame if it ends within a frame."""
+        if self.buffer:
+            raise BadFrame("stream ends within a frame")
--- a/badgerbend/remote/series.py
+++ b/badgerbend/remote/series.py
@@ -1,4 +1,4 @@
-"""Series as the merge sees them: sorted labels, and chunks in time. What a server sends is checked on the way in."""
+"""Series as they are merged: labels sorted by name, chunks by time. Servers' answers are validated on arrival."""
 
 from __future__ import annotations
 
@@ -11,41 +11,47 @@
 
 
 class BadPart(Exception):
-    """A server's answer that breaks the protocol's order: an error of that part, which is tried elsewhere."""
+    """A server's answer that violates the protocol. It is an error of that part, which is retried on another server."""
 
 
 @dataclass(frozen=True, slots=True)
-class Block:
-    """A chunk: its first and last sample's time in milliseconds, and its bytes. kind: XOR, or passed on unread."""
+class Chunk:
+    """A chunk: the times of its first and last sample in milliseconds, and its bytes.
+
+    encoding: XOR; chunks of any other encoding are passed on without being decoded.
+    """
 
     first_ms: int
     last_ms: int
     data: bytes
-    kind: int = XOR
+    encoding: int = XOR
 
 
 @dataclass(slots=True)
 class Series:
+    """A series of one part, or of the merged answer."""
+
     labels: Labels
-    blocks: list[Block]
+    chunks: list[Chunk]
 
 
-def checked(part: Iterable[Series], name: str) -> Iterator[Series]:
-    """A part's series, refused where they are out of order: the merge holds one series of each part, and no more.
+def validate_order(series_list: Iterable[Series], name: str) -> Iterator[Series]:
+    """Yields a part's series and rejects those that are out of order.
 
-    Raises BadPart, which names the part.
+    The merge relies on the order, because it keeps only one series of each part in memory. Raises BadPart with the
+    name of the part.
     """
-    before: Labels | None = None
-    for series in part:
+    previous: Labels | None = None
+    for series in series_list:
         labels = series.labels
         if any(a[0] >= b[0] for a, b in zip(labels, labels[1:], strict=False)):
-            raise BadPart(f"{name}: labels out of order, or one twice: {labels}")
-        if before is not None and before >= labels:
-            raise BadPart(f"{name}: series {labels} comes after {before}")
-        end = None
-        for block in series.blocks:
-            if block.last_ms < block.first_ms or (end is not None and block.first_ms <= end):
-                raise BadPart(f"{name}: chunks of {labels} are out of order")
-            end = block.last_ms
-        before = labels
+            raise BadPart(f"{name}: labels are duplicated or out of order: {labels}")
+        if previous is not None and previous >= labels:
+            raise BadPart(f"{name}: series {labels} is duplicated or out of order: it follows {previous}")
+        end_ms = None
+        for chunk in series.chunks:
+            if chunk.last_ms < chunk.first_ms or (end_ms is not None and chunk.first_ms <= end_ms):
+                raise BadPart(f"{name}: chunks of series {labels} overlap or are out of order")
+            end_ms = chunk.last_ms
+        previous = labels
         yield series
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -179,7 +179,7 @@
     "remote/frames.py",
     "remote/matchers.py",
     "remote/merge.py",
-    "remote/placing.py",
+    "remote/placement.py",
     "remote/series.py",
     "remote/xor.py",
     "site_service/operator_key.py",
--- a/tests/test_remote.py
+++ b/tests/test_remote.py
@@ -11,11 +11,11 @@
 
 from badgerbend.remote import codec, xor
 from badgerbend.remote import remote_pb2 as pb
-from badgerbend.remote.frames import BadFrame, Frames, frame
-from badgerbend.remote.matchers import EQ, NEQ, NRE, RE, BadMatcher, fit, matcher
-from badgerbend.remote.merge import Limits, TooMuch, merged, packed
-from badgerbend.remote.placing import shard_of, shards_of
-from badgerbend.remote.series import BadPart, Block, Series, checked
+from badgerbend.remote.frames import BadFrame, FrameReader, frame
+from badgerbend.remote.matchers import EQ, NEQ, NRE, RE, BadMatcher, compile_matcher, match_all
+from badgerbend.remote.merge import LimitExceeded, Limits, merge_series, to_chunks
+from badgerbend.remote.placement import shard_of, shards_of
+from badgerbend.remote.series import BadPart, Chunk, Series, validate_order
 
 # -- Bytes made by hand from the specifications.
 REQUEST = bytes.fromhex(
@@ -61,7 +61,7 @@
 
 @given(st.lists(st.binary(max_size=300), max_size=5), st.integers(1, 64))
 def test_frames_are_read_in_whatever_pieces_they_come(messages, piece):
-    stream, reader, got = b"".join(map(frame, messages)), Frames(1000), []
+    stream, reader, got = b"".join(map(frame, messages)), FrameReader(1000), []
     for at in range(0, len(stream), piece):
         got += reader.feed(stream[at : at + piece])
     reader.end()
@@ -74,11 +74,11 @@
 )
 def test_a_spoiled_stream_is_an_error(stream):
     with pytest.raises(BadFrame):
-        list(Frames(100).feed(stream))
+        list(FrameReader(100).feed(stream))
 
 
 def test_a_stream_cut_short_is_an_error_at_its_end():
-    reader = Frames(100)
+    reader = FrameReader(100)
     assert list(reader.feed(frame(b"abc") + b"\x05")) == [b"abc"]
     with pytest.raises(BadFrame, match="within a frame"):
         reader.end()
@@ -142,10 +142,15 @@
 # -- Matchers and placement.
 def test_matchers_are_anchored_and_take_a_missing_label_as_empty():
     labels = {"job": "api", "pod": "a\nb"}
-    assert fit([matcher(EQ, "job", "api"), matcher(NEQ, "job", "db"), matcher(EQ, "zone", "")], labels)
-    assert fit([matcher(RE, "job", "a.*|x"), matcher(RE, "pod", "a.b"), matcher(NRE, "zone", ".+")], labels)
+    assert match_all(
+        [compile_matcher(EQ, "job", "api"), compile_matcher(NEQ, "job", "db"), compile_matcher(EQ, "zone", "")], labels
+    )
+    assert match_all(
+        [compile_matcher(RE, "job", "a.*|x"), compile_matcher(RE, "pod", "a.b"), compile_matcher(NRE, "zone", ".+")],
+        labels,
+    )
     for kind, name, value in ((RE, "job", "ap"), (RE, "job", "pi"), (NEQ, "zone", ""), (NRE, "job", "api")):
-        assert not fit([matcher(kind, name, value)], labels)
+        assert not match_all([compile_matcher(kind, name, value)], labels)
 
 
 @pytest.mark.parametrize(
@@ -161,11 +166,11 @@
 )
 def test_what_cannot_be_matched_is_refused_in_words(kind, name, value, says):
     with pytest.raises(BadMatcher, match=says):
-        matcher(kind, name, value)
+        compile_matcher(kind, name, value)
 
 
 def test_an_expression_that_hangs_others_does_not_hang():
-    assert not matcher(RE, "job", "(a+)+b").fits({"job": "a" * 100_000})
+    assert not compile_matcher(RE, "job", "(a+)+b").matches({"job": "a" * 100_000})
 
 
 NAMES, VALUES = ("job", "name", "pod"), ("", "a", "b", "c", "a|b", ".*", "[ab]")
@@ -177,19 +182,19 @@
     st.integers(1, 50),
 )
 def test_a_series_that_fits_is_never_at_a_shard_that_is_not_asked(rows, labels, shards):
-    matchers = [matcher(*row) for row in rows]
+    matchers = [compile_matcher(*row) for row in rows]
     asked = shards_of(matchers, ("job", "name"), shards)
-    if fit(matchers, labels):
+    if match_all(matchers, labels):
         assert shard_of(labels, ("job", "name"), shards) in asked
 
 
 def test_equalities_on_the_placing_labels_ask_one_shard_and_literals_few():
-    both = [matcher(EQ, "job", "api"), matcher(EQ, "name", "up")]
+    both = [compile_matcher(EQ, "job", "api"), compile_matcher(EQ, "name", "up")]
     assert len(shards_of(both, ("job", "name"), 1000)) == 1
-    few = [matcher(RE, "job", "api|db|web"), matcher(EQ, "name", "up")]
+    few = [compile_matcher(RE, "job", "api|db|web"), compile_matcher(EQ, "name", "up")]
     assert len(shards_of(few, ("job", "name"), 1000)) == 3
-    assert len(shards_of([matcher(EQ, "job", "api")], ("job", "name"), 1000)) == 1000
-    assert shards_of([*both, matcher(EQ, "job", "db")], ("job", "name"), 1000) == []
+    assert len(shards_of([compile_matcher(EQ, "job", "api")], ("job", "name"), 1000)) == 1000
+    assert shards_of([*both, compile_matcher(EQ, "job", "db")], ("job", "name"), 1000) == []
 
 
 # -- The merge.
@@ -203,7 +208,7 @@
     for labels in sorted(series):
         rows = sorted(series[labels].items())
         some = [rows[at : at + size] for at in range(0, len(rows), size)]
-        yield Series(labels, [Block(s[0][0], s[-1][0], xor.encode(s)) for s in some])
+        yield Series(labels, [Chunk(s[0][0], s[-1][0], xor.encode(s)) for s in some])
 
 
 def plain(parts):
@@ -219,23 +224,23 @@
 
 
 def opened(stream):
-    return {s.labels: [(t, struct.pack(">d", v)) for b in s.blocks for t, v in xor.decode(b.data)] for s in stream}
+    return {s.labels: [(t, struct.pack(">d", v)) for b in s.chunks for t, v in xor.decode(b.data)] for s in stream}
 
 
 @given(PARTS, st.integers(1, 30))
 def test_the_merge_is_that_of_a_plain_one_whoever_comes_first(parts, size):
     wanted = plain(parts)
     for order in (parts, parts[::-1]):
-        got = opened(merged([checked(part(p, size), "part") for p in order], Limits()))
+        got = opened(merge_series([validate_order(part(p, size), "part") for p in order], Limits()))
         assert got == wanted
         assert list(got) == list(wanted)
 
 
 def test_chunks_that_do_not_overlap_pass_through_as_they_are():
-    early, late = packed([(t, 1.0) for t in range(240)]), packed([(t, 1.0) for t in range(240, 480)])
+    early, late = to_chunks([(t, 1.0) for t in range(240)]), to_chunks([(t, 1.0) for t in range(240, 480)])
     labels = (("a", "1"),)
-    (series,) = merged([[Series(labels, early)], [Series(labels, late)], [Series(labels, early)]], Limits())
-    assert [b.data for b in series.blocks] == [b.data for b in early + late]
+    (series,) = merge_series([[Series(labels, early)], [Series(labels, late)], [Series(labels, early)]], Limits())
+    assert [b.data for b in series.chunks] == [b.data for b in early + late]
 
 
 @pytest.mark.parametrize(
@@ -245,32 +250,32 @@
         [Series((("a", "1"), ("a", "2")), [])],
         [Series((("a", "2"),), []), Series((("a", "1"),), [])],
         [Series((("a", "1"),), []), Series((("a", "1"),), [])],
-        [Series((("a", "1"),), [Block(5, 4, b"")])],
-        [Series((("a", "1"),), [Block(0, 5, b""), Block(5, 9, b"")])],
+        [Series((("a", "1"),), [Chunk(5, 4, b"")])],
+        [Series((("a", "1"),), [Chunk(0, 5, b""), Chunk(5, 9, b"")])],
     ],
 )
 def test_a_part_out_of_order_is_an_error_of_that_part(series):
     with pytest.raises(BadPart, match="server 7"):
-        list(checked(series, "server 7"))
+        list(validate_order(series, "server 7"))
 
 
 def test_limits_are_kept_as_it_comes():
-    many = [Series((("a", f"{i:03}"),), packed([(0, 1.0), (1, 1.0)])) for i in range(100)]
+    many = [Series((("a", f"{i:03}"),), to_chunks([(0, 1.0), (1, 1.0)])) for i in range(100)]
     taken = []
-    with pytest.raises(TooMuch, match="more than 10 series"):
-        taken.extend(s for s in merged([many], Limits(series=10)))
-    with pytest.raises(TooMuch, match="more than 21 samples"):
-        list(merged([many], Limits(samples=21)))
-    pair = [Series((("a", "1"),), packed([(t, 1.0) for t in range(start, start + 50)])) for start in (0, 1)]
-    with pytest.raises(TooMuch, match="overlap"):
-        list(merged([[pair[0]], [pair[1]]], Limits(overlapping=99)))
+    with pytest.raises(LimitExceeded, match="more than 10 series"):
+        taken.extend(s for s in merge_series([many], Limits(series=10)))
+    with pytest.raises(LimitExceeded, match="more than 21 samples"):
+        list(merge_series([many], Limits(samples=21)))
+    pair = [Series((("a", "1"),), to_chunks([(t, 1.0) for t in range(start, start + 50)])) for start in (0, 1)]
+    with pytest.raises(LimitExceeded, match="overlap"):
+        list(merge_series([[pair[0]], [pair[1]]], Limits(overlapping=99)))
 
 
 def test_a_spoiled_chunk_under_an_overlap_is_an_error_of_a_part():
-    good = packed([(t, 1.0) for t in range(10)])
-    bad = [Block(3, 12, good[0].data[:10])]
-    with pytest.raises(BadPart, match="a chunk"):
-        list(merged([[Series((("a", "1"),), good)], [Series((("a", "1"),), bad)]], Limits()))
+    good = to_chunks([(t, 1.0) for t in range(10)])
+    bad = [Chunk(3, 12, good[0].data[:10])]
+    with pytest.raises(BadPart, match="invalid chunk"):
+        list(merge_series([[Series((("a", "1"),), good)], [Series((("a", "1"),), bad)]], Limits()))
 
 
 # -- Requests and answers.
@@ -286,10 +291,10 @@
 
 def test_a_request_is_read_and_asked_on_as_it_was():
     body = bytes(cramjam.snappy.compress_raw(REQUEST))
-    reads, kind = codec.request(body, codec.ReadLimits())
+    reads, kind = codec.decode_request(body, codec.ReadLimits())
     assert kind == codec.CHUNKS
-    assert reads[0].matchers[0] == matcher(RE, "job", "api|db")
-    again, kind = codec.request(codec.asked(reads, codec.SAMPLES), codec.ReadLimits())
+    assert reads[0].matchers[0] == compile_matcher(RE, "job", "api|db")
+    again, kind = codec.decode_request(codec.encode_request(reads, codec.SAMPLES), codec.ReadLimits())
     assert again == reads
     assert kind == codec.SAMPLES
 
@@ -312,40 +317,43 @@
 )
 def test_a_request_that_cannot_be_served_is_refused_in_words(body, says):
     with pytest.raises(codec.BadRequest, match=says):
-        codec.request(body, codec.ReadLimits())
+        codec.decode_request(body, codec.ReadLimits())
 
 
 def test_both_kinds_of_answer_bring_the_same_series_and_long_ones_go_over_frames():
     rows = [(t * 1000, math.sin(t)) for t in range(4000)]
-    wanted = [Series((("a", "1"),), packed(rows)), Series((("a", "2"),), packed([(0, 1.0)]))]
-    frames = list(codec.streamed(0, wanted, 10_000))
+    wanted = [Series((("a", "1"),), to_chunks(rows)), Series((("a", "2"),), to_chunks([(0, 1.0)]))]
+    frames = list(codec.encode_frames(0, wanted, 10_000))
     assert len(frames) > 3
     assert max(map(len, frames)) < 12_000
-    messages = list(Frames(2 << 20).feed(b"".join(frames)))
-    assert [s for _, s in codec.from_chunks(messages)] == wanted
-    (read,), _ = codec.request(packed_request(queries=[a_query(0, 10**9)]), codec.ReadLimits())
-    body = codec.sampled([wanted], [read])
-    got = [s for _, s in codec.from_samples(body, 1 << 24)]
+    messages = list(FrameReader(2 << 20).feed(b"".join(frames)))
+    assert [s for _, s in codec.decode_frames(messages)] == wanted
+    (read,), _ = codec.decode_request(packed_request(queries=[a_query(0, 10**9)]), codec.ReadLimits())
+    body = codec.encode_samples([wanted], [read])
+    got = [s for _, s in codec.decode_samples(body, 1 << 24)]
     assert [s.labels for s in got] == [s.labels for s in wanted]
-    assert got[0].blocks == wanted[0].blocks
+    assert got[0].chunks == wanted[0].chunks
 
 
 def test_samples_outside_of_the_asked_times_are_left_out():
-    (read,), _ = codec.request(packed_request(queries=[a_query(10, 20)]), codec.ReadLimits())
-    series = [Series((("a", "1"),), packed([(t, 1.0) for t in range(100)])), Series((("b", "1"),), packed([(5, 1.0)]))]
-    answer = pb.ReadResponse.FromString(bytes(cramjam.snappy.decompress_raw(codec.sampled([series], [read]))))
+    (read,), _ = codec.decode_request(packed_request(queries=[a_query(10, 20)]), codec.ReadLimits())
+    series = [
+        Series((("a", "1"),), to_chunks([(t, 1.0) for t in range(100)])),
+        Series((("b", "1"),), to_chunks([(5, 1.0)])),
+    ]
+    answer = pb.ReadResponse.FromString(bytes(cramjam.snappy.decompress_raw(codec.encode_samples([series], [read]))))
     (one,) = answer.results[0].timeseries
     assert [s.timestamp for s in one.samples] == list(range(10, 21))
 
 
 def test_histograms_pass_as_chunks_and_are_refused_as_samples():
-    chunk = Block(0, 5, b"\0\1whatever", 2)
+    chunk = Chunk(0, 5, b"\0\1whatever", 2)
     series = Series((("a", "1"),), [chunk])
-    messages = list(Frames(1000).feed(b"".join(codec.streamed(3, merged([[series]], Limits())))))
-    assert list(codec.from_chunks(messages)) == [(3, series)]
-    (read,), _ = codec.request(packed_request(queries=[a_query()]), codec.ReadLimits())
+    messages = list(FrameReader(1000).feed(b"".join(codec.encode_frames(3, merge_series([[series]], Limits())))))
+    assert list(codec.decode_frames(messages)) == [(3, series)]
+    (read,), _ = codec.decode_request(packed_request(queries=[a_query()]), codec.ReadLimits())
     with pytest.raises(BadPart, match="streamed chunks only"):
-        codec.sampled([[series]], [read])
+        codec.encode_samples([[series]], [read])
 
 
 @pytest.mark.parametrize(
@@ -368,4 +376,4 @@
 )
 def test_a_bad_answer_of_a_server_is_an_error_of_its_part(body):
     with pytest.raises(BadPart):
-        list(codec.from_samples(body, 1000))
+        list(codec.decode_samples(body, 1000))
