--- a/badgerbend/remote/frames.py
+++ b/badgerbend/remote/frames.py
@@ -44,7 +44,7 @@
                 return
             size, offset = header
             if size > self.max_message_bytes:
-                raise BadFrame(f"message has {size} bytes; the limit is {self.max_message_bytes}")
+                raise BadFrame(f"message has {size} bytes, but only {self.max_message_bytes} are allowed")
             if len(self.buffer) < offset + 4 + size:
                 return
             message = bytes(self.buffer[offset + 4 : offset + 4 + size])
--- a/tests/interfaces.py
+++ b/tests/interfaces.py
@@ -1,7 +1,7 @@
-"""Lists of the public interfaces as the running program has them, and their comparison with the committed lists.
+"""Collects the public interfaces of the running program and compares them with the committed lists.
 
-The committed lists are the contract with operators, clients and dashboards. A test that fails here means that a name,
-a default or a word changed for them; the remedy is to give the old name back, not to edit the list.
+The committed lists are the contract with operators, clients and dashboards. A failing comparison means that a name, a
+default or a message on which they rely has changed; the remedy is to restore the old one, not to edit the list.
 """
 
 import ast
@@ -19,7 +19,7 @@
 
 
 def as_text(listed):
-    """A list as it is committed; the order of keys counts."""
+    """A list in the format of the committed files, in which the order of keys is significant."""
     return json.dumps(listed, indent=1, ensure_ascii=False) + "\n"
 
 
@@ -28,18 +28,18 @@
 
 
 def compare(name, listed):
-    """Fails with the lines that differ from the committed list."""
+    """Asserts that a list equals the committed one; a failure shows the lines that differ."""
     expected = (LISTS / f"{name}.json").read_text(encoding="utf-8")
-    found = as_text(listed)
-    difference = difflib.unified_diff(expected.splitlines(), found.splitlines(), "committed", "running", lineterm="")
-    assert found == expected, "\n".join(difference)
+    running = as_text(listed)
+    difference = difflib.unified_diff(expected.splitlines(), running.splitlines(), "committed", "running", lineterm="")
+    assert running == expected, "\n".join(difference)
 
 
 # -- shapes of JSON values
 
 
 def shape(value):
-    """The recursive key set of a JSON value; the items of an array are taken together."""
+    """The keys of a JSON value at all levels; the shapes of an array's items are merged into one."""
     if isinstance(value, Mapping):
         return {str(key): shape(inner) for key, inner in value.items()}
     if isinstance(value, list | tuple):
@@ -61,24 +61,24 @@
 
 
 def answer_seen(reply):
-    """What a client can rely on in an HTTP answer: status, headers, and the key set of JSON."""
-    kind = reply.headers.get(b"content-type", b"").decode()
-    seen = {
+    """The parts of an HTTP answer on which a client can rely: status, names of headers, and the keys of its JSON."""
+    content_type = reply.headers.get(b"content-type", b"").decode()
+    contract = {
         "status": reply.status,
         "headers": sorted(name.decode() for name in reply.headers),
-        "content-type": kind,
+        "content-type": content_type,
     }
-    if "json" in kind:
-        seen["json"] = shape(msgspec.json.decode(reply.body))
-    return seen
+    if "json" in content_type:
+        contract["json"] = shape(msgspec.json.decode(reply.body))
+    return contract
 
 
-# -- schemas of msgspec structs, by the names they have when encoded
+# -- schemas of msgspec structs, with the names under which fields are encoded
 
 
-def struct_schema(kind, name_of=str):
-    """The JSON schema of a struct without the names and docstrings of classes."""
-    schema = msgspec.json.schema(kind)
+def struct_schema(struct, name_of=str):
+    """The JSON schema of a struct without the names and docstrings of classes, which are private."""
+    schema = msgspec.json.schema(struct)
     return _inline(schema, schema.get("$defs", {}), name_of)
 
 
@@ -86,46 +86,46 @@
     if "$ref" in schema:
         rest = {key: value for key, value in schema.items() if key != "$ref"}
         return _inline(definitions[schema["$ref"].rpartition("/")[2]] | rest, definitions, name_of)
-    plain = {}
+    inlined = {}
     for key, value in schema.items():
         if key == "properties":
-            plain["fields"] = {name_of(name): _inline(inner, definitions, name_of) for name, inner in value.items()}
+            inlined["fields"] = {name_of(name): _inline(inner, definitions, name_of) for name, inner in value.items()}
         elif key == "required":
-            plain["required"] = [name_of(name) for name in value]
+            inlined["required"] = [name_of(name) for name in value]
         elif key == "default" and isinstance(value, Mapping):
-            plain["default"] = {name_of(name): inner for name, inner in value.items()}
+            inlined["default"] = {name_of(name): inner for name, inner in value.items()}
         elif key in ("anyOf", "prefixItems"):
-            plain[key] = [_inline(inner, definitions, name_of) for inner in value]
+            inlined[key] = [_inline(inner, definitions, name_of) for inner in value]
         elif key == "items" and isinstance(value, Mapping):
-            plain["items"] = _inline(value, definitions, name_of)
+            inlined["items"] = _inline(value, definitions, name_of)
         elif key not in ("title", "description", "$defs"):
-            plain[key] = value
-    return plain
+            inlined[key] = value
+    return inlined
 
 
-# -- words that stand as literals in the code
+# -- string literals of the code
 
 
 def literals():
-    """All texts and byte strings in the package's code, docstrings left out; byte strings as text."""
-    found = set()
+    """All string literals in the package's code except docstrings; bytes literals are included as text."""
+    literal_values = set()
     for path in sorted(PACKAGE.rglob("*.py")):
         tree = ast.parse(path.read_text(encoding="utf-8"))
         bare = {id(node.value) for node in ast.walk(tree) if isinstance(node, ast.Expr)}
         for node in ast.walk(tree):
             if isinstance(node, ast.Constant) and id(node) not in bare:
                 if isinstance(node.value, str):
-                    found.add(node.value)
+                    literal_values.add(node.value)
                 elif isinstance(node.value, bytes):
-                    found.add(node.value.decode("latin-1"))
-    return found
+                    literal_values.add(node.value.decode("latin-1"))
+    return literal_values
 
 
-# -- settings looked up
+# -- recording of the keys of settings that are read
 
 
 class RecordingMapping(dict):
-    """A mapping that keeps the keys looked up in it, in order of their first use."""
+    """A mapping that records the keys that are looked up in it, in the order of their first use."""
 
     def __init__(self, values):
         super().__init__(values)
--- a/tests/test_public_interfaces.py
+++ b/tests/test_public_interfaces.py
@@ -1,4 +1,4 @@
-"""Settings, deploy file, stored documents and command line keep their names, defaults and words."""
+"""Guards the public names: settings, deploy file, stored documents and command line keep their names and defaults."""
 
 import copy
 import tomllib
@@ -10,7 +10,7 @@
 import typer
 from typer.testing import CliRunner
 
-# Whoever renames a class or module edits these lines, and nothing else in this file.
+# A rename of a class or module changes these imports, and nothing else in this file.
 from badgerbend import cli, platform_settings
 from badgerbend.config.decode import dashed
 from badgerbend.config.reading import parse as parse_settings
@@ -40,23 +40,23 @@
 
 
 def known_keys(text, path):
-    """The keys that the parser says it knows at the innermost form of `text`."""
+    """The keys that the parser lists as known for the innermost form of `text`."""
     with pytest.raises(SettingsError) as error:
         parse_settings(text, "file")
-    said = str(error.value)
-    assert "; known are " in said, f"{path}: {said}"
-    return said.partition("; known are ")[2].split(", ")
+    message = str(error.value)
+    assert "; known are " in message, f"{path}: {message}"
+    return message.partition("; known are ")[2].split(", ")
 
 
 def forms(schema, path=()):
-    """Each form that holds others, as its keys from the top, with whether it begins with a name."""
+    """Yields each form that contains others as a path of pairs: its key, and whether the form begins with a name."""
     for key, inner in schema["fields"].items():
-        kinds = [inner, *inner.get("anyOf", ()), *([inner["items"]] if "items" in inner else [])]
-        for kind in kinds:
-            if "fields" in kind:
-                here = (*path, (key, inner.get("type") == "array"))
-                yield here
-                yield from forms(kind, here)
+        subschemas = [inner, *inner.get("anyOf", ()), *([inner["items"]] if "items" in inner else [])]
+        for subschema in subschemas:
+            if "fields" in subschema:
+                inner_path = (*path, (key, inner.get("type") == "array"))
+                yield inner_path
+                yield from forms(subschema, inner_path)
 
 
 def test_settings_have_the_same_forms_fields_types_bounds_defaults_and_words():
@@ -86,13 +86,13 @@
 
 
 def platform_paths():
-    """Every value of a complete platform configuration, by its path; optional ones too."""
+    """All values of a complete platform configuration, including optional ones, by their path."""
     paths = platform_settings.flatten(SETTINGS)
     return paths | OPTIONAL_PATHS
 
 
-def answer_to(file, key):
-    """What the platform says of a configuration file: that it is accepted, or whether its error names the key."""
+def parse_outcome(file, key):
+    """Whether the platform accepts a configuration file, and if not, whether its error names the key."""
     try:
         platform_config.parse(msgspec.json.encode(file), {})
     except platform_config.ConfigError as error:
@@ -101,15 +101,15 @@
 
 
 def put(settings, path, value):
-    """Sets the value at a path, or takes it away where value is None."""
+    """Sets the value at a path; None removes it."""
     *names, last = path.split(".")
-    where = settings
+    container = settings
     for name in names:
-        where = where[int(name)] if isinstance(where, list) else where[name]
+        container = container[int(name)] if isinstance(container, list) else container[name]
     if value is None:
-        where.pop(last, None)
+        container.pop(last, None)
     else:
-        where[last] = value
+        container[last] = value
 
 
 def test_the_platform_looks_up_the_same_keys():
@@ -122,36 +122,38 @@
 
 
 def test_the_platform_names_the_same_keys_in_its_errors():
-    told = {}
+    outcomes = {}
     complete = msgspec.json.decode(file_of(8500))
     for path in platform_paths():
         if path.endswith(".count"):
             continue
-        for way, value in (("missing", None), ("malformed", "?")):
+        for defect, value in (("missing", None), ("malformed", "?")):
             file = copy.deepcopy(complete)
             put(file["settings"], path, value)
-            told[f"{path} {way}"] = answer_to(file, path)
-    compare("platform_errors", told)
+            outcomes[f"{path} {defect}"] = parse_outcome(file, path)
+    compare("platform_errors", outcomes)
 
 
 def test_the_platform_file_has_the_same_members():
-    told = {}
+    outcomes = {}
     complete = msgspec.json.decode(file_of(8500))
     for name in complete:
-        told[f"{name} missing"] = answer_to({key: value for key, value in complete.items() if key != name}, name)
-        told[f"{name} malformed"] = answer_to(complete | {name: ["?"]}, name)
-    told["known list malformed"] = answer_to(complete | {"known": {"targets": "?"}}, "known.targets")
-    listed = {"limits": struct_schema(PlatformLimits), "told": told}
+        outcomes[f"{name} missing"] = parse_outcome(
+            {key: value for key, value in complete.items() if key != name}, name
+        )
+        outcomes[f"{name} malformed"] = parse_outcome(complete | {name: ["?"]}, name)
+    outcomes["known list malformed"] = parse_outcome(complete | {"known": {"targets": "?"}}, "known.targets")
+    listed = {"limits": struct_schema(PlatformLimits), "told": outcomes}
     compare("platform_file", listed)
 
 
 def test_the_deploy_file_has_the_same_keys_and_commands():
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
-    movable = {"policy", "node"}  # paths of code: they follow the packages
-    compare("deploy", {key: "paths" if key in movable else value for key, value in deploy.items()})
+    code_paths = {"policy", "node"}  # paths of code, which change when packages are renamed
+    compare("deploy", {key: "paths" if key in code_paths else value for key, value in deploy.items()})
 
 
-# -- documents that are stored or sent with field names
+# -- documents that are stored or sent under the names of their fields
 
 
 def test_documents_with_field_names_keep_them():
@@ -161,19 +163,19 @@
         "knowledge record": KnowledgeRecord,
         "row of the list in the feed": NodeRow,
     }
-    compare("documents", {name: struct_schema(kind) for name, kind in documents.items()})
+    compare("documents", {name: struct_schema(struct) for name, struct in documents.items()})
 
 
 # -- the command line
 
 
 def parameter(param):
-    kind = param.type_descriptor.annotation
+    type_ = param.type_descriptor.annotation
     return {
         "kind": param.param_type_name,
         "options": [*param.opts, *param.secondary_opts],
-        "type": getattr(kind, "__name__", str(kind)),
-        "words": [str(word) for word in get_args(kind)],
+        "type": getattr(type_, "__name__", str(type_)),
+        "words": [str(word) for word in get_args(type_)],
         "required": param.required,
         "many": param.multiple,
         "values": param.nargs,
--- a/tests/test_public_status.py
+++ b/tests/test_public_status.py
@@ -1,11 +1,11 @@
-"""HTTP paths, headers, the JSON of status pages and the metrics stay as they are, read from a running broker."""
+"""Guards the HTTP paths, headers, the JSON of status pages and the metrics of a running broker against changes."""
 
 import asyncio
 
 import msgspec
 import pytest
 
-# Whoever renames a class or an attribute that is reached here edits these lines and `State` below.
+# A rename of a class or an attribute that is used here changes these imports and `State` below.
 from badgerbend.broker import Broker, read_subgraph
 from badgerbend.config.fleet import Duties, Peers, Site, Sites, VoterEndpoint
 from badgerbend.config.settings import Identity, Tenant
@@ -27,9 +27,14 @@
     watch=0.0,
     key="key",
 )
-REPORTS = 20  # queries: a site's use is shown while enough reports of its servers are recent
-LONG_COLD_MS = 600_000.0  # a restarted server stays cold while the test runs, so that its allowance is dealt
-BY_CHANCE = ("badgerbend_extra_attempts", "badgerbend_troubles")  # a slow machine has retries and faults
+LOAD_REPORT_QUERIES = 20  # a site's utilization is shown only while enough load reports of its servers are recent
+LONG_SLOW_START_MS = (
+    600_000.0  # a restarted server stays in slow start during the test, so that a budget for it is granted
+)
+TIMING_DEPENDENT_METRICS = (
+    "badgerbend_extra_attempts",
+    "badgerbend_troubles",
+)  # a slow machine causes retries and faults
 BEARER = f"Authorization: Bearer {KEY}"
 JSON = "Content-Type: application/json"
 BODY = '{"query": "%s"}'
@@ -66,7 +71,7 @@
 
 
 class State:
-    """Where the running broker holds what its status pages show."""
+    """Access to the objects of the running broker whose state is shown in its status pages."""
 
     def __init__(self, broker):
         self.broker = broker
@@ -80,7 +85,7 @@
     def raft(self):
         return self.broker.lease_service.local_voter.voter.raft
 
-    def rota_status(self):
+    def lease_service_status(self):
         return msgspec.to_builtins(service_status(self.broker.lease_service))
 
     def peers_status(self):
@@ -90,8 +95,8 @@
         service = self.broker.site_service
         return msgspec.to_builtins(sites_status(service.preference, service.now_ms()))
 
-    def refuse(self, reason):
-        """Counts a query as refused for want of a site."""
+    def count_rejection(self, reason):
+        """Counts a query as rejected because no site could take it."""
         rejection = Rejection(RejectionReason(reason), 0, 0)
         self.broker.site_service.preference.admission.rejections[rejection] += 1
 
@@ -102,8 +107,8 @@
         return self.broker.knowledge_exchange.knowledge_port
 
 
-class CompleteStage(BrokerFixture):
-    """A broker with everything set that has a status page: sites, duties with a vote, peers, tenants."""
+class FullyConfiguredBroker(BrokerFixture):
+    """A broker that has all status pages: it is configured with sites, duties and a voter, peers, and tenants."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -117,7 +122,7 @@
             duties=duties,
             peers=Peers((key,), port=0, knowledge_port=0),
             tenant=(Tenant("acme", 1000.0),),
-            servers={"cold_ms": LONG_COLD_MS},
+            servers={"cold_ms": LONG_SLOW_START_MS},
         )
 
     def _broker(self, settings, graph):
@@ -129,7 +134,7 @@
         await self._start_peer()
         await self.world.restart(next(iter(self.world.servers)))
         await self.query()
-        await until(self._settled)
+        await until(self._is_settled)
         return self
 
     async def __aexit__(self, *error):
@@ -137,7 +142,7 @@
         await super().__aexit__(*error)
 
     async def _start_peer(self):
-        """Another broker, so that the one looked at has a member to show."""
+        """Starts another broker, so that the broker under test has a member to show."""
         peers = Peers((str(self.folder / "key"),), (f"127.0.0.1:{self.state.peers_port()}",), port=0, knowledge_port=0)
         settings = msgspec.structs.replace(
             self.settings, peers=peers, identity=Identity(1, 2), sites=None, duties=None, tenant=()
@@ -145,124 +150,126 @@
         self.peer = Broker(settings, read_subgraph(settings, EXAMPLE), self.folder)
         await self.peer.start()
 
-    def _settled(self):
+    def _is_settled(self):
         if not self.state.members():
             return False
-        status = self.state.rota_status()
-        holds = bool(status["duties"]) and all(duty["may_act"] for duty in status["duties"])
-        return holds and status["vote"]["leases"] and status["dealing"]["cold"] and status["dealing"]["dealt"]
+        status = self.state.lease_service_status()
+        holds_duties = bool(status["duties"]) and all(duty["may_act"] for duty in status["duties"])
+        return holds_duties and status["vote"]["leases"] and status["dealing"]["cold"] and status["dealing"]["dealt"]
 
     async def query(self):
         return await self.client.query(QUERY, **{"badgerbend-tenant": "acme"})
 
     async def reply(self, method, path, headers=(), body=""):
         lines = "".join(f"{line}\r\n" for line in (*headers, f"Content-Length: {len(body)}"))
-        done = asyncio.get_running_loop().create_future()
+        response = asyncio.get_running_loop().create_future()
         request = f"{method} {path} HTTP/1.1\r\nHost: x\r\n{lines}\r\n{body}".encode()
-        self.client.pool.request(request, lambda reply: None if done.done() else done.set_result(reply))
-        reply = await done
+        self.client.pool.request(request, lambda reply: None if response.done() else response.set_result(reply))
+        reply = await response
         assert reply.result is CallResult.ANSWER
         return reply
 
 
 @pytest.fixture(scope="module")
-def seen(tmp_path_factory):
-    """What one running broker shows."""
+def observed(tmp_path_factory):
+    """The status pages, metrics and answers of one running broker."""
 
     async def main():
-        shown = {}
-        async with CompleteStage(tmp_path_factory.mktemp("broker")) as stage:
-            state = stage.state
+        observations = {}
+        async with FullyConfiguredBroker(tmp_path_factory.mktemp("broker")) as running:
+            state = running.state
             for reason in committed("words")["refusals for want of a site"]:
-                state.refuse(reason)
-            await asyncio.gather(*(stage.query() for _ in range(REPORTS)))
-            shown["metrics"] = (await stage.reply("GET", "/metrics")).body.decode()
-            shown["metric objects"] = stage.broker.metrics.registry
-            shown["words"] = state_words(state)
-            shown["duties"] = [duty["duty"] for duty in state.rota_status()["duties"]]
-            shown["knowledge"] = await knowledge(state.knowledge_port())
+                state.count_rejection(reason)
+            await asyncio.gather(*(running.query() for _ in range(LOAD_REPORT_QUERIES)))
+            observations["metrics"] = (await running.reply("GET", "/metrics")).body.decode()
+            observations["metric objects"] = running.broker.metrics.registry
+            observations["words"] = collect_state_names(state)
+            observations["duties"] = [duty["duty"] for duty in state.lease_service_status()["duties"]]
+            observations["knowledge"] = await knowledge(state.knowledge_port())
             replies = []
             for method, path, headers, body in REQUESTS:
-                reply = await stage.reply(method, path, headers, body)
+                reply = await running.reply(method, path, headers, body)
                 request = "KEY".join(" ".join((method, path, *headers, body)).split(KEY)).strip()
                 replies.append({"request": request, **answer_seen(reply)})
-            shown["http"] = replies
-        return shown
+            observations["http"] = replies
+        return observations
 
     return run(main)
 
 
-def state_words(state):
-    """Every word that status pages have for a state, by putting the running objects into each."""
-    words = {}
+def collect_state_names(state):
+    """All names of states in status pages, collected by putting the running objects into each state."""
+    state_names = {}
     raft = state.raft()
     role = raft.role
-    words["voter's role"] = []
+    state_names["voter's role"] = []
     for raft.role in type(role):
-        words["voter's role"].append(state.rota_status()["vote"]["role"])
+        state_names["voter's role"].append(state.lease_service_status()["vote"]["role"])
     raft.role = role
     member = next(iter(state.members()))
     member_state = member.state
-    words["member's state"] = []
+    state_names["member's state"] = []
     for member.state in type(member_state):
-        words["member's state"].append(state.peers_status()["members"][0]["state"])
+        state_names["member's state"].append(state.peers_status()["members"][0]["state"])
     member.state = member_state
     availability = state.site_availabilities()[0]
     site_state = availability.state
-    words["site's state"] = []
+    state_names["site's state"] = []
     for availability.state in type(site_state):
-        words["site's state"].append(state.sites_status()["sites"][0]["state"])
+        state_names["site's state"].append(state.sites_status()["sites"][0]["state"])
     availability.state = site_state
-    words["site's tier"] = [site["tier"] for site in state.sites_status()["sites"]]
-    return words
+    state_names["site's tier"] = [site["tier"] for site in state.sites_status()["sites"]]
+    return state_names
 
 
 async def knowledge(port):
-    """What a peer reads of the broker's knowledge: the names in it."""
-    done = asyncio.get_running_loop().create_future()
-    fetch_record(KEY.encode(), "127.0.0.1", port, done.set_result)
-    record = await done
+    """The names of the fields in the knowledge record that a peer fetches from the broker."""
+    response = asyncio.get_running_loop().create_future()
+    fetch_record(KEY.encode(), "127.0.0.1", port, response.set_result)
+    record = await response
     assert not isinstance(record, FetchError), record
     return list(msgspec.to_builtins(record))
 
 
-def test_http_paths_methods_headers_and_json_of_the_broker(seen):
-    compare("http", seen["http"])
+def test_http_paths_methods_headers_and_json_of_the_broker(observed):
+    compare("http", observed["http"])
 
 
-def test_words_for_states_in_status_pages(seen):
-    compare("status_words", seen["words"] | {"duties": seen["duties"]})
+def test_words_for_states_in_status_pages(observed):
+    compare("status_words", observed["words"] | {"duties": observed["duties"]})
 
 
 def test_json_of_duties_by_its_types():
     compare("status_duties", struct_schema(LeaseServiceStatus))
 
 
-def test_knowledge_is_read_by_peers_under_the_same_names(seen):
-    compare("knowledge", seen["knowledge"])
+def test_knowledge_is_read_by_peers_under_the_same_names(observed):
+    compare("knowledge", observed["knowledge"])
 
 
-def test_metric_names_types_and_labels(seen):
-    described = {}
-    for line in seen["metrics"].splitlines():
+def test_metric_names_types_and_labels(observed):
+    metric_families = {}
+    for line in observed["metrics"].splitlines():
         if line.startswith("# TYPE "):
             _, _, name, kind = line.split()
-            if not name.endswith("_created"):  # shown only once there is a sample, and some come by chance
-                described[name] = {"type": kind, "labels": None}
-    collectors = seen["metric objects"]._collector_to_names
+            if not name.endswith(
+                "_created"
+            ):  # shown only once there is a sample, which for some metrics depends on timing
+                metric_families[name] = {"type": kind, "labels": None}
+    collectors = observed["metric objects"]._collector_to_names
     for collector in collectors:
         for family in collector.describe():
-            name = next(n for n in (family.name, f"{family.name}_total") if n in described)
-            described[name]["labels"] = list(collector._labelnames)
-    compare("metrics", dict(sorted(described.items())))
+            name = next(n for n in (family.name, f"{family.name}_total") if n in metric_families)
+            metric_families[name]["labels"] = list(collector._labelnames)
+    compare("metrics", dict(sorted(metric_families.items())))
 
 
-def test_constant_words_in_the_labels_of_metrics(seen):
-    samples = {line.rpartition(" ")[0] for line in seen["metrics"].splitlines() if not line.startswith("#")}
-    compare("metric_samples", sorted(sample for sample in samples if not sample.startswith(BY_CHANCE)))
+def test_constant_words_in_the_labels_of_metrics(observed):
+    samples = {line.rpartition(" ")[0] for line in observed["metrics"].splitlines() if not line.startswith("#")}
+    compare("metric_samples", sorted(sample for sample in samples if not sample.startswith(TIMING_DEPENDENT_METRICS)))
 
 
-def test_words_that_operators_and_clients_match_on_still_stand_in_the_code():
+def test_words_that_operators_and_clients_match_are_still_in_the_code():
     found = literals()
     missing = {group: [word for word in words if word not in found] for group, words in committed("words").items()}
     assert not any(missing.values()), missing
--- a/tests/test_published.py
+++ b/tests/test_published.py
@@ -1,4 +1,4 @@
-"""What a published configuration may change in a running broker, and what stays as in the broker's own file."""
+"""Which settings a published configuration can change in a running broker, and which stay as in its local file."""
 
 import msgspec
 import pytest
@@ -20,18 +20,17 @@
     return GOOD.rstrip().removesuffix(")") + "\n  " + "\n  ".join(forms) + ")\n"
 
 
-def test_forms_left_out_that_cannot_change_stay_as_in_the_local_settings():
+def test_omitted_forms_that_cannot_change_keep_the_local_settings():
     text = with_forms("(tenant a (quota-per-s 7))", "(attempts (most 2))", "(max-open 50)")
     text = replaced(text, "4000", "4500")
-    merged = settings_in_force(LOCAL, text, "c")
-    assert merged.class_[0].deadline_ms == 4500.0
-    assert merged.max_open == 50
-    assert merged.tenant == (Tenant("a", 7.0),)
-    assert merged.attempts == Attempts(most=2)
-    assert (merged.listen, merged.identity, merged.seed) == (LOCAL.listen, LOCAL.identity, 5)
-    assert merged.servers == Servers(
-        idle_ms=77.0
-    )  # its connections stay; the rest of the form is as published: default
+    settings = settings_in_force(LOCAL, text, "c")
+    assert settings.class_[0].deadline_ms == 4500.0
+    assert settings.max_open == 50
+    assert settings.tenant == (Tenant("a", 7.0),)
+    assert settings.attempts == Attempts(most=2)
+    assert (settings.listen, settings.identity, settings.seed) == (LOCAL.listen, LOCAL.identity, 5)
+    # Open connections keep the local idle time; the rest of the form is taken as published, which is the default here.
+    assert settings.servers == Servers(idle_ms=77.0)
 
 
 def test_a_form_that_cannot_change_may_be_stated_unchanged():
@@ -53,11 +52,11 @@
         '(duties (key "k") (voter v (address "h:1")))',
     ],
 )
-def test_a_change_of_what_cannot_change_is_rejected_with_its_place(form):
+def test_changing_a_form_that_cannot_change_is_rejected_with_its_position(form):
     name = form[1:].split()[0]
-    with pytest.raises(sexpr.SettingsError) as caught:
+    with pytest.raises(sexpr.SettingsError) as raised:
         settings_in_force(LOCAL, with_forms(form), "configuration/b")
-    assert str(caught.value).startswith(f"configuration/b:7:3: broker > {name}: cannot change while the broker runs")
+    assert str(raised.value).startswith(f"configuration/b:7:3: broker > {name}: cannot change while the broker runs")
 
 
 def test_layout_schema_and_pools_cannot_change():
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""Runs the code example of the README, so that the documentation cannot get out of step with the API."""
 
 import re
 from pathlib import Path
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what is right is read, what is wrong is named by file, line, column and path."""
+"""Parsing of settings: valid files are decoded, and errors state file, line, column and path."""
 
 import string
 
@@ -18,20 +18,20 @@
 """
 
 
-def test_a_good_file_is_read_with_its_defaults():
-    got = reading.parse(GOOD, "x.conf")
-    assert got.layout == settings.Layout(24, 12, 4)
-    assert got.class_[0].need == 0.75
-    assert got.field[0].rank_by == "monthly"
-    told = module.module_settings(got)
-    assert told.classes[0].minimum_weight == 0.75
-    assert told.cell_count == 12
-    assert not told.polls_endpoint_list
+def test_a_valid_file_is_parsed_with_its_defaults():
+    parsed = reading.parse(GOOD, "x.conf")
+    assert parsed.layout == settings.Layout(24, 12, 4)
+    assert parsed.class_[0].need == 0.75
+    assert parsed.field[0].rank_by == "monthly"
+    module_settings = module.module_settings(parsed)
+    assert module_settings.classes[0].minimum_weight == 0.75
+    assert module_settings.cell_count == 12
+    assert not module_settings.polls_endpoint_list
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
-    [  # @ stands just before the place that the error must name
+    ("old", "new", "message"),
+    [  # "@" marks the position that the error must state
         ("(cells 12)", "@(celsl 12)", "broker > layout > celsl: unknown key; did you mean cells?"),
         ("(cells 12)", "(cells @twelve)", "expected a whole number >= 1 and <= 1e+06, found twelve"),
         ("(cells 12)", "(cells @0)", "broker > layout > cells: expected a whole number >= 1"),
@@ -51,22 +51,22 @@
         ("(broker", "@(braker", "expected (broker ...)"),
     ],
 )
-def test_what_is_wrong_is_named_with_its_place(old, new, says):
+def test_an_error_states_position_and_path(old, new, message):
     assert old in GOOD
-    check_place(replaced(GOOD, old, new), says)
+    check_error(replaced(GOOD, old, new), message)
 
 
-def check_place(marked, says):
-    """A text is refused with these words, at the place before which @ stands."""
+def check_error(marked, message):
+    """Checks that a text is rejected with this message at the position marked by "@"."""
     before = marked[: marked.index("@")]
     line, column = before.count("\n") + 1, len(before) - before.rfind("\n")
-    with pytest.raises(sexpr.SettingsError) as caught:
+    with pytest.raises(sexpr.SettingsError) as raised:
         reading.parse(marked.replace("@", ""), "x.conf")
-    assert says in str(caught.value)
-    assert str(caught.value).startswith(f"x.conf:{line}:{column}: "), str(caught.value)
+    assert message in str(raised.value)
+    assert str(raised.value).startswith(f"x.conf:{line}:{column}: "), str(raised.value)
 
 
-def test_a_field_of_an_unknown_class_is_named():
+def test_the_error_for_an_unknown_class_names_the_field():
     with pytest.raises(sexpr.SettingsError, match="rateCompare has class other, which is none of compare"):
         reading.parse(replaced(GOOD, "(class compare) (blocks", "(class other) (blocks"), "x.conf")
 
@@ -79,21 +79,21 @@
 WITH_FEED = GOOD.rstrip().removesuffix(")") + FEED
 
 
-def test_a_feed_is_off_unless_it_is_set():
+def test_a_feed_is_followed_only_if_it_is_set():
     assert reading.parse(GOOD, "x.conf").feed is None
-    got = reading.parse(WITH_FEED, "x.conf").feed
-    assert got.configuration == "configuration/brokers"
-    assert [r.name for r in got.relay] == ["one", "two"]
+    parsed = reading.parse(WITH_FEED, "x.conf").feed
+    assert parsed.configuration == "configuration/brokers"
+    assert [r.name for r in parsed.relay] == ["one", "two"]
     without = replaced(WITH_FEED, '(configuration "configuration/brokers")', "")
     assert reading.parse(without, "x.conf").feed.configuration == "configuration/broker"
-    assert got.list
+    assert parsed.list
     assert not reading.parse(replaced(WITH_FEED, "(list true)", ""), "x.conf").feed.list
     shown = decode.show(reading.parse(WITH_FEED, "x.conf"))
-    assert reading.parse(f"(broker\n{shown}\n)", "shown").feed == got
+    assert reading.parse(f"(broker\n{shown}\n)", "shown").feed == parsed
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "message"),
     [
         ("(public-key", "@(public-kay", "broker > feed > public-kay: unknown key; did you mean public-key?"),
         ('(feed (public-key "feed.pub")', "@(feed", "broker > feed: public-key is missing"),
@@ -113,36 +113,36 @@
         ),
     ],
 )
-def test_what_is_wrong_with_a_feed_is_named_with_its_place(old, new, says):
+def test_an_error_in_a_feed_states_position_and_path(old, new, message):
     assert old in WITH_FEED
-    check_place(replaced(WITH_FEED, old, new), says)
+    check_error(replaced(WITH_FEED, old, new), message)
 
 
-def test_a_feed_needs_relays_with_names_of_their_own():
+def test_a_feed_needs_relays_with_distinct_names():
     first = WITH_FEED.index("(feed")
-    twice = replaced(WITH_FEED, "(relay two", "(relay one")
-    check_place(f"{twice[:first]}@{twice[first:]}", "broker > feed: two relays are named one")
-    none = GOOD.rstrip().removesuffix(")") + '\n @(feed (public-key "feed.pub") (region north)))'
-    check_place(none, "broker > feed: relay is missing")
+    duplicated = replaced(WITH_FEED, "(relay two", "(relay one")
+    check_error(f"{duplicated[:first]}@{duplicated[first:]}", "broker > feed: two relays are named one")
+    no_relays = GOOD.rstrip().removesuffix(")") + '\n @(feed (public-key "feed.pub") (region north)))'
+    check_error(no_relays, "broker > feed: relay is missing")
 
 
-def test_what_is_shown_can_be_read_back():
-    got = reading.parse(GOOD, "x.conf")
-    assert reading.parse(f"(broker\n{decode.show(got)}\n)", "shown") == got
+def test_printed_settings_can_be_parsed():
+    parsed = reading.parse(GOOD, "x.conf")
+    assert reading.parse(f"(broker\n{decode.show(parsed)}\n)", "shown") == parsed
 
 
-def test_a_missing_file_is_an_error_of_its_own(tmp_path):
+def test_a_missing_file_is_a_settings_error(tmp_path):
     with pytest.raises(sexpr.SettingsError, match="cannot be read"):
         reading.load(tmp_path / "none.conf")
 
 
-def test_deep_nesting_is_refused_before_it_is_walked():
+def test_deep_nesting_is_rejected_without_recursion():
     with pytest.raises(sexpr.SettingsError, match="nested deeper"):
         sexpr.read("(" * 100_000, "deep")
 
 
 @given(st.text(alphabet=string.printable + "é\u2028", max_size=80))
-def test_any_text_is_read_or_refused_with_a_place(text):
+def test_any_text_is_parsed_or_rejected_with_a_position(text):
     try:
         sexpr.read(text, "any")
     except sexpr.SettingsError as err:
@@ -155,7 +155,7 @@
 
 
 @given(st.recursive(atoms, lambda inner: st.lists(inner, max_size=4), max_leaves=20))
-def test_what_is_written_is_read_back(tree):
+def test_written_items_can_be_parsed(tree):
     def write(node):
         if isinstance(node, list):
             return "(" + " ".join(map(write, node)) + ")"
