--- a/badgerbend/config/settings.py
+++ b/badgerbend/config/settings.py
@@ -25,6 +25,8 @@
 
 
 class Listen(msgspec.Struct, frozen=True):
+    """The address on which the broker serves clients, and the limits of their connections."""
+
     host: Name = "127.0.0.1"
     port: Port = 8080
     max_connections: Count = 10_000
@@ -37,6 +39,8 @@
 
 
 class Identity(msgspec.Struct, frozen=True):
+    """Which of the brokers this is: its index, the number of brokers, and its zone."""
+
     index: CountOrZero = 0
     count: Count = 1
     zone: CountOrZero = 0
@@ -74,6 +78,16 @@
 
 
 class Servers(msgspec.Struct, frozen=True):
+    """Connections to servers, and how servers behave during slow start and under overload.
+
+    idle_ms: servers close a connection that has been idle for this long.
+    report: the names of the values that servers report about their load.
+    cold_from: the share of its full capacity that a server has right after its start.
+    cold_ms: the time after its start at which a server has its full capacity.
+    overload_factor: the multiple of its usual load at which a server fails. fall_ms: the window over which that load
+    is counted.
+    """
+
     parts_per_call: Count = 1
     connect_timeout_ms: Positive = 250.0
     idle_ms: Positive = 15_000.0
@@ -86,6 +100,15 @@
 
 
 class Attempts(msgspec.Struct, frozen=True):
+    """Attempts of a part, and the retry budget.
+
+    most: the limit for one part, including the first attempt.
+    second_copies: whether a part may have more than one attempt in flight.
+    cancel: whether attempts in flight may be cancelled.
+    free, share, window_ms: the retry budget: the retries that are always allowed within the window, and those allowed
+    per query and part accepted within it. Without them there is no retry budget.
+    """
+
     most: Count = 4
     second_copies: bool = True
     cancel: bool = True
@@ -101,8 +124,16 @@
 class Class(msgspec.Struct, frozen=True):
     """A class of query.
 
+    aim_ms: the latency objective; an answer within this time has its full value.
+    deadline_ms: how long a client waits in total, including its retries.
+    effect: whether the query is safe, keyed (idempotent with an idempotency key) or unsafe to repeat.
+    repeat_window_ms: how long servers recognize and drop repeated requests of a keyed query.
+    late_worth: the share of its value that an answer keeps after the latency objective.
+    worth: the priority weight of the class.
     need: the share of the parts' weight that makes an answer complete.
     floor: the least share that a partial answer needs; without it, the same as need.
+    partial: a factor on the value of a partial answer.
+    second_step: the number of parts in a second step after the first answer; 0 for none.
     """
 
     name: Name
@@ -127,6 +158,8 @@
 
 
 class Tenant(msgspec.Struct, frozen=True):
+    """A tenant's quota in queries per second, over all brokers."""
+
     name: Name
     quota_per_s: NonNegative
 
@@ -172,6 +205,8 @@
 
 
 class Advice(msgspec.Struct, frozen=True):
+    """Whether a rejection tells the client when to retry, and the longest delay that it may state."""
+
     retry_after: bool = True
     max_retry_after_ms: NonNegative = 1000.0
 
@@ -189,6 +224,12 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
+    """All settings of a broker.
+
+    max_open: the limit of open queries and parts at the broker.
+    over_share_worth: a factor on the priority weight of queries beyond their tenant's quota.
+    """
+
     layout: Layout
     class_: tuple[Class, ...]
     schema: Name
@@ -240,4 +281,5 @@
                 raise ValueError(f"the sites have {brokers} brokers together, identity counts {self.identity.count}")
 
     def class_index(self, name: str) -> int:
+        """The position of a class among the classes, by which other code refers to it."""
         return next(i for i, c in enumerate(self.class_) if c.name == name)
--- a/badgerbend/remote/codec.py
+++ b/badgerbend/remote/codec.py
@@ -83,8 +83,10 @@
         matchers = tuple(compile_matcher(m.type, m.name, m.value) for m in query.matchers)
     except BadMatcher as err:
         raise BadRequest(f"query {index}: {err}") from err
-    h = query.hints
-    return ReadQuery(start, end, matchers, Hints(h.step_ms, h.func, h.start_ms, h.end_ms, h.range_ms))
+    hints = query.hints
+    return ReadQuery(
+        start, end, matchers, Hints(hints.step_ms, hints.func, hints.start_ms, hints.end_ms, hints.range_ms)
+    )
 
 
 def decompress(body: bytes, max_bytes: int) -> bytes:
@@ -113,13 +115,17 @@
     """Encodes a request to a server; the inverse of `decode_request`."""
     out = pb.ReadRequest(accepted_response_types=[response_type])
     for query in queries:
-        h = query.hints
+        hints = query.hints
         out.queries.add(
             start_timestamp_ms=query.start_ms,
             end_timestamp_ms=query.end_ms,
             matchers=[pb.LabelMatcher(**_matcher_fields(m)) for m in query.matchers],
             hints=pb.ReadHints(
-                step_ms=h.step_ms, func=h.func, start_ms=h.start_ms, end_ms=h.end_ms, range_ms=h.range_ms
+                step_ms=hints.step_ms,
+                func=hints.func,
+                start_ms=hints.start_ms,
+                end_ms=hints.end_ms,
+                range_ms=hints.range_ms,
             ),
         )
     return bytes(cramjam.snappy.compress_raw(out.SerializeToString()))
--- a/badgerbend/remote/matchers.py
+++ b/badgerbend/remote/matchers.py
@@ -32,6 +32,7 @@
     pattern: Any = field(default=None, compare=False, repr=False)
 
     def matches(self, labels: Mapping[str, str]) -> bool:
+        """Whether a series with these labels satisfies the condition."""
         label_value = labels.get(self.name, "")
         if self.kind in (EQ, NEQ):
             return (label_value == self.value) == (self.kind == EQ)
