--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -8,7 +8,7 @@
 import pytest
 
 from badgerbend import api
-from badgerbend.config.fleet import Duties, VoterAt
+from badgerbend.config.fleet import Duties, VoterEndpoint
 from badgerbend.config.reading import parse
 from badgerbend.config.sexpr import SettingsError
 from badgerbend.consensus.messages import MalformedMessageError
@@ -55,13 +55,15 @@
 
 # -- settings and commands
 
-THREE_VOTERS = tuple(VoterAt(f"broker-{i}", f"127.0.0.1:{7000 + i}") for i in range(3))
+THREE_VOTERS = tuple(VoterEndpoint(f"broker-{i}", f"127.0.0.1:{7000 + i}") for i in range(3))
 INVALID_SETTINGS = {  # by the error message that each must cause
     "2 voters; 1, 3, 5 or 7": {"voter": THREE_VOTERS[:2]},
     "two voters have the name broker-0": {
-        "voter": (THREE_VOTERS[0], VoterAt("broker-0", "127.0.0.1:9"), THREE_VOTERS[1])
+        "voter": (THREE_VOTERS[0], VoterEndpoint("broker-0", "127.0.0.1:9"), THREE_VOTERS[1])
+    },
+    "two voters have the address": {
+        "voter": (THREE_VOTERS[0], THREE_VOTERS[1], VoterEndpoint("x", THREE_VOTERS[0].address))
     },
-    "two voters have the address": {"voter": (THREE_VOTERS[0], THREE_VOTERS[1], VoterAt("x", THREE_VOTERS[0].address))},
     "at least twice stall-ms": {"lease_ms": 900.0},
     "three times beat-ms": {"election_ms": 200.0},
     "advertise here is not HOST:PORT": {"advertise": "here"},
