--- a/badgerbend/lease_service/commands.py
+++ b/badgerbend/lease_service/commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands to a lease service, as the path of an HTTP request names them, and what came of one."""
+"""Operators' commands to a lease service: parsing them from the path of an HTTP request, and executing them."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOver:
-    """Give back all leases that this broker holds."""
+    """Return all leases that this broker holds."""
 
 
 @dataclass(frozen=True, slots=True)
 class AddVoter:
-    """Let a broker vote that has a store of its own."""
+    """Add a broker that has a voter's store to the voters."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class RemoveVoter:
-    """Let a broker vote no longer."""
+    """Remove a broker from the voters."""
 
     name: str
 
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """accepted: whether the command is carried out. message: for the operator, why not or what follows."""
+    """accepted: whether the command is carried out. message: tells the operator the outcome or the reason."""
 
     accepted: bool
     message: str
 
 
 def parse_command(path: str) -> Command | None:
-    """The command of a path as `hand-over`, `voters/add/NAME` or `voters/remove/NAME`; None for any other path."""
+    """Parses `hand-over`, `voters/add/NAME` or `voters/remove/NAME`. Returns None for any other path."""
     match path.split("/"):
         case ["hand-over"]:
             return HandOver()
@@ -52,7 +52,7 @@
 
 
 def execute(service: LeaseService, command: Command) -> CommandResult:
-    """Carries out an operator's command, or says why that cannot be."""
+    """Executes an operator's command, or returns why it is rejected."""
     match command:
         case HandOver():
             return _hand_over(service)
--- a/badgerbend/sites/from_settings.py
+++ b/badgerbend/sites/from_settings.py
@@ -1,4 +1,4 @@
-"""From the settings of a broker to its policy of preference among sites."""
+"""Converts the settings of a broker to its policy of preference among sites."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def site_policy(settings: Settings, sites: Sites) -> SitePolicy:
-    """The policy for the broker of these settings.
+    """The site policy of the broker with these settings.
 
-    `sites` is that of the settings, which have checked that the broker's zone stands in one of them.
+    `sites` is that of the settings, whose validation ensures that the broker's zone belongs to one of the sites.
     """
     module = module_settings(settings)
     report = settings.servers.report
@@ -41,7 +41,7 @@
 
 
 def _site_specs(settings: Settings, sites: Sites) -> tuple[SiteSpec, ...]:
-    own = sites.home(settings.identity.zone)
+    own = sites.site_of_zone(settings.identity.zone)
     assert own is not None
     near = set(own.near)
     near |= {site.name for site in sites.site if own.name in site.near}
