--- a/benchmarks/scale/brokers.py
+++ b/benchmarks/scale/brokers.py
@@ -5,9 +5,9 @@
 
 from collections.abc import Sequence
 
-from scale import dealers, duties, limits, records
+from scale import duties, limits, records, slow_start_budget
 from scale.figures import Figure, Part
-from scale.fleetsize import BROKERS, nodes_beside
+from scale.planned_fleet import BROKERS, nodes_beside
 
 
 def measure(sizes: Sequence[int], seed: int) -> list[Figure]:
@@ -18,7 +18,7 @@
     nodes = nodes_beside(brokers)
     found = records.figures(brokers, nodes)
     found += duties.figures(brokers, seed)
-    found += dealers.figures(brokers)
+    found += slow_start_budget.figures(brokers)
     return found + limits.figures(brokers, nodes)
 
 
--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -35,7 +35,7 @@
 from scale.feed_times import in_force_times
 from scale.feed_voters import NOT_PUBLISHED
 from scale.figures import Figure, Kind, Part
-from scale.fleetsize import BROKERS
+from scale.planned_fleet import BROKERS
 
 LOOK_S = 0.02
 PUBLISHES_WITHIN_S = 60.0
--- a/benchmarks/scale/duties.py
+++ b/benchmarks/scale/duties.py
@@ -13,7 +13,7 @@
 from badgerbend.leases.messages import Candidacy, LeaseRequest, PutValue, decode, encode
 from badgerbend.leases.table import LeaseTable
 from badgerbend.leases.voter import Voter
-from scale.dutyfleet import TERMS, VOTERS, DutyFleet, Use, duties_of
+from scale.duty_fleet import TERMS, VOTERS, DutyFleet, Use, duties_of
 from scale.figures import Figure, Kind
 
 SETTLE_S = 45.0  # seldom heard candidates have shown themselves several times, and grants are taken up
--- a/benchmarks/scale/feed.py
+++ b/benchmarks/scale/feed.py
@@ -11,14 +11,14 @@
 import asyncio
 from collections.abc import Sequence
 
-from scale.feed_alone import Alone, alone
 from scale.feed_content import ROW_CHANGES_A_DAY
 from scale.feed_figures import MEGABYTE
 from scale.feed_fleet import Fleet
 from scale.feed_scenarios import FULL, SMALL, Plan, Scenarios
-from scale.feed_today import WholeList, whole_list
+from scale.feed_single_follower import Alone, alone
+from scale.feed_whole_list import WholeList, whole_list
 from scale.figures import Figure, Kind, Part
-from scale.fleetsize import BROKERS, DAY_S
+from scale.planned_fleet import BROKERS, DAY_S
 
 FULL_SIZES, SMALL_SIZES = (100, 400, 1_900), (8, 16, 32)
 ROW_CHANGES_A_SECOND = ROW_CHANGES_A_DAY / DAY_S
--- a/benchmarks/scale/feed_content.py
+++ b/benchmarks/scale/feed_content.py
@@ -12,7 +12,7 @@
 
 from badgerbend.feed.messages import Change
 from badgerbend.platform.names import MEMBERS
-from scale.fleetsize import CONFIGURATIONS_A_DAY, DAY_S, FAILURES_A_DAY, RESTARTS_A_DAY, ZONES
+from scale.planned_fleet import CONFIGURATIONS_A_DAY, DAY_S, FAILURES_A_DAY, RESTARTS_A_DAY, ZONES
 
 CONFIGURATION_KEYS, CONFIGURATION_BYTES = 50, 2048
 CELLS = 100
--- a/benchmarks/scale/feed_figures.py
+++ b/benchmarks/scale/feed_figures.py
@@ -27,7 +27,7 @@
         if not times.seconds:
             return
         label = f"in force, {which}" if which else "in force"
-        for name, value in (("median", times.median), ("99 in 100", times.share(0.99)), ("all", times.most)):
+        for name, value in (("median", times.median), ("99 in 100", times.quantile(0.99)), ("all", times.longest)):
             self.add(scenario, f"{label}, {name}", "s", value, Kind.LOOPBACK)
 
     def traffic(self, scenario: str, publications: int, before: FleetMeasured, after: FleetMeasured) -> None:
--- a/benchmarks/scale/feed_fleet.py
+++ b/benchmarks/scale/feed_fleet.py
@@ -36,7 +36,7 @@
     StopZone,
 )
 from scale.feed_process import Child
-from scale.fleetsize import ZONES
+from scale.planned_fleet import ZONES
 
 REGIONS = ("north", "east", "south")
 RELAY_REGIONS = ("north", "north", "north", "east", "east", "south", "south")
--- a/benchmarks/scale/feed_followers.py
+++ b/benchmarks/scale/feed_followers.py
@@ -32,7 +32,7 @@
 )
 from scale.feed_relays import relay_address
 from scale.feed_usage import peak_bytes, resident_bytes
-from scale.fleetsize import ZONES
+from scale.planned_fleet import ZONES
 
 MANY_CHANGES = 2_000  # of one installation: a snapshot, whose content is shared as a whole
 TUNING = FollowerTuning()
--- a/benchmarks/scale/feed_scenarios.py
+++ b/benchmarks/scale/feed_scenarios.py
@@ -200,7 +200,7 @@
         first = [Published(1, returned_at, b"")]
         loaded = in_force_times(first, await self.fleet.collected(1, 1), _lost)
         self.figures.add("zone back", "until half have a snapshot", "s", loaded.median, Kind.LOOPBACK)
-        self.figures.add("zone back", "until all have a snapshot", "s", loaded.most, Kind.LOOPBACK)
+        self.figures.add("zone back", "until all have a snapshot", "s", loaded.longest, Kind.LOOPBACK)
         await self._times_from(returned_at, "zone back", [published], "returned", _lost)
 
     def _in_zone(self) -> int:
--- a/benchmarks/scale/feed_times.py
+++ b/benchmarks/scale/feed_times.py
@@ -16,16 +16,16 @@
     def __init__(self, seconds: Sequence[float]) -> None:
         self.seconds = sorted(seconds)
 
-    def share(self, share: float) -> float:
+    def quantile(self, fraction: float) -> float:
         """The time within which this share of all was in force."""
-        return self.seconds[max(math.ceil(share * len(self.seconds)) - 1, 0)]
+        return self.seconds[max(math.ceil(fraction * len(self.seconds)) - 1, 0)]
 
     @property
     def median(self) -> float:
-        return self.share(0.5)
+        return self.quantile(0.5)
 
     @property
-    def most(self) -> float:
+    def longest(self) -> float:
         return self.seconds[-1]
 
 
--- a/benchmarks/scale/feed_today.py
+++ b/benchmarks/scale/feed_whole_list.py
@@ -14,7 +14,7 @@
 from badgerbend.discovery.consul_rows import consul_directory
 from badgerbend.discovery.directory import ListReader, decode_rows
 from scale.feed_content import CELLS
-from scale.fleetsize import ZONES
+from scale.planned_fleet import ZONES
 
 RUNS = 5
 
--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -20,7 +20,7 @@
 from badgerbend.peering.exchange import SERVER_LIMITS
 from scale import records
 from scale.figures import Figure, Kind
-from scale.fleetsize import DAY_S, ZONES, restarts_expected
+from scale.planned_fleet import DAY_S, ZONES, restarts_expected
 
 HOUR_S = 3600.0
 KEY = b"k" * 32
--- a/benchmarks/scale/list_memory.py
+++ b/benchmarks/scale/list_memory.py
@@ -20,7 +20,7 @@
 
 from badgerbend.net.client import Reply
 from scale.list_reading import Reader
-from scale.list_rows import FORMS, ListForm, Node, nodes_of, turned
+from scale.list_rows import FORMS, ListForm, Node, nodes_of, with_drain_toggled
 
 BENCHMARKS = Path(__file__).parent.parent
 WARM_NODES = 10  # read first, so that what the first list of all brings with it is not counted
@@ -39,7 +39,7 @@
     with tempfile.TemporaryDirectory() as folder:
         files = [Path(folder, "first"), Path(folder, "second")]
         files[0].write_bytes(form.whole(nodes, 2).body)
-        files[1].write_bytes(form.whole(turned(nodes, [0]), 3).body)
+        files[1].write_bytes(form.whole(with_drain_toggled(nodes, [0]), 3).body)
         command = [sys.executable, __file__, form.name, str(cells), *map(str, files)]
         path = os.pathsep.join([str(BENCHMARKS.parent), str(BENCHMARKS)])
         done = subprocess.run(command, env=os.environ | {"PYTHONPATH": path}, capture_output=True, text=True)
@@ -74,14 +74,14 @@
 def main() -> None:
     name, cells, first, second = sys.argv[1:]
     form = next(form for form in FORMS if form.name == name)
-    Reader(form, int(cells)).take(form.whole(nodes_of(WARM_NODES, int(cells)), 1))
+    Reader(form, int(cells)).apply(form.whole(nodes_of(WARM_NODES, int(cells)), 1))
     gc.collect()
     before = _resident()
     reader = Reader(form, int(cells))
-    reader.take(_answer(form, first, 2))
+    reader.apply(_answer(form, first, 2))
     gc.collect()
     resident = _resident() - before
-    reader.take(_answer(form, second, 3))
+    reader.apply(_answer(form, second, 3))
     print(msgspec.json.encode(ListMemory(resident, _peak() - before)).decode())
 
 
--- a/benchmarks/scale/list_reading.py
+++ b/benchmarks/scale/list_reading.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class ApplyCost:
     """What one answer cost. read_ms: until it is in force; tell_ms: to tell it to the module; rows_told: by it."""
 
     body_bytes: int
@@ -44,14 +44,14 @@
         self.now_ms = NOW_MS
         self._ids = count(1)
 
-    def take(self, reply: Reply) -> Taken:
+    def apply(self, reply: Reply) -> ApplyCost:
         """Takes one answer, as `Watch` does. Raises ListError."""
         self.now_ms += STEP_MS
         held: list[ListReader] = []
         read_ms = spent_ms(lambda: held.append(self._read(reply)))
         views: list[api.EndpointUpdate] = []
         tell_ms = spent_ms(lambda: self._tell(held[0], views))
-        return Taken(len(reply.body), read_ms, tell_ms, sum(len(view.endpoints) for view in views))
+        return ApplyCost(len(reply.body), read_ms, tell_ms, sum(len(view.endpoints) for view in views))
 
     def _read(self, reply: Reply) -> ListReader:
         heard = self.version is not None
--- a/benchmarks/scale/list_rows.py
+++ b/benchmarks/scale/list_rows.py
@@ -47,7 +47,7 @@
     ]
 
 
-def turned(nodes: Sequence[Node], places: Collection[int]) -> list[Node]:
+def with_drain_toggled(nodes: Sequence[Node], places: Collection[int]) -> list[Node]:
     """The same nodes; those at these places drain if they were ready, and are ready if they drained."""
     chosen = set(places)
     return [replace(node, draining=not node.draining) if i in chosen else node for i, node in enumerate(nodes)]
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -13,10 +13,10 @@
 
 from badgerbend.net.client import Reply
 from scale.figures import Figure, Kind, Part
-from scale.fleetsize import CONFIGURATIONS_A_DAY, DAY_S, FAILURES_A_DAY, NODES, RESTARTS_A_DAY, ZONES
 from scale.list_memory import MEGABYTE, memory_of
-from scale.list_reading import Reader, Taken
-from scale.list_rows import FORMS, ListForm, Node, nodes_of, turned
+from scale.list_reading import ApplyCost, Reader
+from scale.list_rows import FORMS, ListForm, Node, nodes_of, with_drain_toggled
+from scale.planned_fleet import CONFIGURATIONS_A_DAY, DAY_S, FAILURES_A_DAY, NODES, RESTARTS_A_DAY, ZONES
 from scale.processor import collector_of_a_broker
 
 NODES_PER_CELL = 4  # with a reach of three cells: twelve holders a shard, at each size
@@ -60,11 +60,11 @@
 def change(form: ListForm, nodes: Sequence[Node], places: Collection[int]) -> Cost:
     """The rows at these places change at once; one broker hears of it again and again."""
     reader, now = Reader(form, cells_of(len(nodes))), list(nodes)
-    reader.take(form.whole(now, 1))
+    reader.apply(form.whole(now, 1))
     reader.query_ms()
     found = []
     for version in range(2, 2 + _repeats(len(nodes))):
-        now = turned(now, places)
+        now = with_drain_toggled(now, places)
         found.append(_taken(reader, form.change(now, places, version)))
     return _cost(found)
 
@@ -72,18 +72,18 @@
 def quiet_query_ms(form: ListForm, nodes: Sequence[Node]) -> float:
     """The step on a query while the list does not change."""
     reader = Reader(form, cells_of(len(nodes)))
-    reader.take(form.whole(nodes, 1))
+    reader.apply(form.whole(nodes, 1))
     for _ in range(_repeats(len(nodes))):
         reader.query_ms()
     return median(reader.query_ms() for _ in range(MOST_REPEATS))
 
 
-def _taken(reader: Reader, reply: Reply) -> tuple[Taken, float]:
-    taken = reader.take(reply)
+def _taken(reader: Reader, reply: Reply) -> tuple[ApplyCost, float]:
+    taken = reader.apply(reply)
     return taken, reader.query_ms()
 
 
-def _cost(found: Sequence[tuple[Taken, float]]) -> Cost:
+def _cost(found: Sequence[tuple[ApplyCost, float]]) -> Cost:
     return Cost(
         max(taken.body_bytes for taken, _ in found),
         median(taken.read_ms for taken, _ in found),
--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -21,7 +21,7 @@
 from badgerbend.net.seal import DatagramSealer
 from badgerbend.standin.network import Network
 from scale.figures import Figure, Kind, Part
-from scale.fleetsize import BROKERS, ZONES, restarts_expected
+from scale.planned_fleet import BROKERS, ZONES, restarts_expected
 
 CONFIG = SwimConfig()
 WINDOW_S = CONFIG.sync_every_periods * CONFIG.probe_interval_s  # each member begins one full exchange in it
--- a/benchmarks/scale/queries.py
+++ b/benchmarks/scale/queries.py
@@ -12,7 +12,7 @@
 from statistics import median
 
 from scale.figures import Figure, Kind, Part
-from scale.fleetsize import NODES
+from scale.planned_fleet import NODES
 from scale.processor import collector_of_a_broker
 from scale.query_bytes import BytesCost, QueryBytes
 from scale.query_load import Counts, Fleet, QueryLoad
--- a/benchmarks/scale/query_load.py
+++ b/benchmarks/scale/query_load.py
@@ -20,7 +20,7 @@
 from badgerbend.platform.log_observer import LogObserver
 from badgerbend.runtime.driver import Driver
 from badgerbend.runtime.ports import Attempt, PartPlan, QueryPlan
-from scale.fleetsize import ZONES
+from scale.planned_fleet import ZONES
 from scale.target import CLASS, QUERIES_PER_BROKER_S, configuration
 
 ANSWER_MS = (4, 16)  # the quickest and slowest answer of a warm node
--- a/benchmarks/scale/target.py
+++ b/benchmarks/scale/target.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from badgerbend.platform import config
-from scale.fleetsize import BROKERS, ZONES
+from scale.planned_fleet import BROKERS, ZONES
 
 QUERIES_PER_S = 420_000  # over all brokers
 PARTS = 210  # nodes that a query goes to
--- a/tests/test_capacity_feed.py
+++ b/tests/test_capacity_feed.py
@@ -181,7 +181,7 @@
     seen = [(10.5, 11.25), (10.5, None), (12.0, 12.0)]
     followers = [InForce(zone, False, "north", "north", times) for zone, times in enumerate(seen)]
     times = in_force_times(published, followers, lambda follower: follower.zone != 2)
-    assert (times.median, times.share(0.75), times.most) == (0.5, 0.5, NEVER)
+    assert (times.median, times.quantile(0.75), times.longest) == (0.5, 0.5, NEVER)
     assert in_force_times(published, followers, lambda follower: follower.zone == 0).seconds == [0.25, 0.5]
 
 
