--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Parts of the scale tests, one module a role; `benchmarks/capacity.py` runs them."""
+"""The scale benchmarks, which `benchmarks/capacity.py` runs, and the modules that they share."""
--- a/benchmarks/scale/brokers.py
+++ b/benchmarks/scale/brokers.py
@@ -1,5 +1,8 @@
-"""What brokers cost each other beside membership, by brokers: records of what they have seen, duties, voters; and which
-of the product's limits a size breaks. Nodes grow with brokers as in the fleet to come."""
+"""Scale benchmark of what brokers cost each other, membership excepted, by number of brokers.
+
+It covers the records of observations that brokers exchange, duties and their voters, the slow-start budget, and which
+of the product's limits each size exceeds. The number of nodes per broker is that of the planned fleet.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,11 @@
 
 def at_size(brokers: int, seed: int) -> list[Figure]:
     nodes = nodes_beside(brokers)
-    found = records.figures(brokers, nodes)
-    found += duties.figures(brokers, seed)
-    found += slow_start_budget.figures(brokers)
-    return found + limits.figures(brokers, nodes)
+    results = records.figures(brokers, nodes)
+    results += duties.figures(brokers, seed)
+    results += slow_start_budget.figures(brokers)
+    return results + limits.figures(brokers, nodes)
 
 
-# At 64 some brokers are heard seldom: three regions have 48 places for those heard often.
+# 64 brokers are more than the three regions have places for frequent candidates (48), so some are heard only seldom.
 PART = Part("brokers", "brokers", (64, 256, 1024, BROKERS), (8, 16, 32, 64), BROKERS, measure)
--- a/benchmarks/scale/duties.py
+++ b/benchmarks/scale/duties.py
@@ -1,4 +1,4 @@
-"""What duties and their voters cost, by brokers: quiet, when a holder goes, and when the leader goes."""
+"""What duties and their voters cost, by brokers: in a quiet fleet, when a holder leaves and when the leader crashes."""
 
 from __future__ import annotations
 
@@ -13,181 +13,209 @@
 from badgerbend.leases.messages import Candidacy, LeaseRequest, PutValue, decode, encode
 from badgerbend.leases.table import LeaseTable
 from badgerbend.leases.voter import Voter
-from scale.duty_fleet import TERMS, VOTERS, DutyFleet, Use, duties_of
+from scale.duty_fleet import TERMS, VOTERS, DutyFleet, Usage, duties_of
 from scale.figures import Figure, Kind
 
-SETTLE_S = 45.0  # seldom heard candidates have shown themselves several times, and grants are taken up
+SETTLE_S = 45.0  # by then even infrequent candidates have sent several requests, and all leases are held
 WINDOW_S = 30.0
-AFTER_S = 10.0  # after a holder or a leader has gone
-GRANTED_S = 5.0  # all have shown themselves, and the duties are granted
-LOOKS_A_SECOND = 50  # whether something has come about
+AFTER_S = 10.0  # measured after a holder has left; twice as long after a leader has crashed
+GRANTED_S = 5.0  # by then all candidates have sent a request, and the duties are granted
+CHECKS_PER_SECOND = 50  # checks of the conditions
 REPEATS = 300  # renewals and log entries whose processor time is measured
-STEP_S = 0.0001  # between them
+STEP_S = 0.0001  # between them, in simulated time
 
 
 def figures(brokers: int, seed: int) -> list[Figure]:
     fleet = DutyFleet(brokers, seed)
     fleet.run(SETTLE_S)
-    found = quiet(fleet)
-    found += holder_gone(fleet)
-    found += leader_gone(fleet)
-    found += agreement(DutyFleet(brokers, seed))
-    found.append(_figure("quiet", "memory of the leader's books", "MB", brokers, books_held(brokers), Kind.MEASURED))
-    return found
+    results = quiet(fleet)
+    results += holder_shut_down(fleet)
+    results += leader_crash(fleet)
+    results += agreement(DutyFleet(brokers, seed))
+    results.append(
+        _figure("quiet", "memory of the leader's books", "MB", brokers, lease_manager_mb(brokers), Kind.MEASURED)
+    )
+    return results
 
 
-def _figure(scenario: str, what: str, unit: str, brokers: int, value: float, kind: Kind = Kind.SIMULATED) -> Figure:
-    return Figure("brokers", f"duties, {scenario}", what, unit, brokers, value, kind)
+def _figure(scenario: str, quantity: str, unit: str, brokers: int, value: float, kind: Kind = Kind.SIMULATED) -> Figure:
+    return Figure("brokers", f"duties, {scenario}", quantity, unit, brokers, value, kind)
 
 
-# -- windows
+# -- scenarios
 
 
 def quiet(fleet: DutyFleet) -> list[Figure]:
-    """Every broker stands, every duty is held, and nothing changes."""
+    """Measures a window in which every broker is a candidate, every duty is held and nothing changes."""
     leader = fleet.processes[fleet.leader()]
-    often = set().union(*fleet.voter(fleet.leader()).manager.candidates.frequent.values())
-    before = {name: process.holder_use.copy() for name, process in fleet.processes.items()}
-    leader_before, voter = leader.voter_use.copy(), fleet.voter(fleet.leader())
+    frequent = set().union(*fleet.voter(fleet.leader()).manager.candidates.frequent.values())
+    before = {name: process.holder_usage.copy() for name, process in fleet.processes.items()}
+    leader_before, voter = leader.voter_usage.copy(), fleet.voter(fleet.leader())
     renewals, entries = voter.renewals, voter.raft.last_applied
     fleet.run(WINDOW_S)
-    used = {name: p.holder_use.minus(before[name]) for name, p in fleet.processes.items()}
-    led = leader.voter_use.minus(leader_before)
-    seldom = [use for name, use in used.items() if name not in often]
+    usages = {name: p.holder_usage.minus(before[name]) for name, p in fleet.processes.items()}
+    leader_usage = leader.voter_usage.minus(leader_before)
+    seldom = [usage for name, usage in usages.items() if name not in frequent]
     size = len(fleet.processes)
     rows = [
-        ("datagrams sent, a broker", "1/s", _mean([u.sent for u in used.values()]), Kind.SIMULATED),
-        ("bytes sent and received, a broker", "B/s", _mean([_bytes(u) for u in used.values()]), Kind.SIMULATED),
-        ("datagrams sent, one heard often", "1/s", _mean([used[n].sent for n in sorted(often)]), Kind.SIMULATED),
-        ("datagrams received by the leader", "1/s", led.received / WINDOW_S, Kind.SIMULATED),
-        ("datagrams sent by the leader", "1/s", led.sent / WINDOW_S, Kind.SIMULATED),
-        ("bytes sent and received by the leader", "B/s", _bytes(led) / WINDOW_S, Kind.SIMULATED),
+        ("datagrams sent, a broker", "1/s", _mean_per_s([usage.sent for usage in usages.values()]), Kind.SIMULATED),
+        (
+            "bytes sent and received, a broker",
+            "B/s",
+            _mean_per_s([_bytes(usage) for usage in usages.values()]),
+            Kind.SIMULATED,
+        ),
+        (
+            "datagrams sent, one heard often",
+            "1/s",
+            _mean_per_s([usages[n].sent for n in sorted(frequent)]),
+            Kind.SIMULATED,
+        ),
+        ("datagrams received by the leader", "1/s", leader_usage.received / WINDOW_S, Kind.SIMULATED),
+        ("datagrams sent by the leader", "1/s", leader_usage.sent / WINDOW_S, Kind.SIMULATED),
+        ("bytes sent and received by the leader", "B/s", _bytes(leader_usage) / WINDOW_S, Kind.SIMULATED),
         ("renewals", "1/s", (voter.renewals - renewals) / WINDOW_S, Kind.SIMULATED),
         ("log entries", "1/s", (voter.raft.last_applied - entries) / WINDOW_S, Kind.SIMULATED),
-        ("processor time of the leader, messages", "ms/s", led.messages_s / WINDOW_S * 1000.0, Kind.MEASURED),
-        ("processor time of the leader, its look at leases", "ms/s", led.ticks_s / WINDOW_S * 1000.0, Kind.MEASURED),
-        ("processor time of a broker", "ms/s", 1000.0 * _mean([_cpu_s(u) for u in used.values()]), Kind.MEASURED),
+        ("processor time of the leader, messages", "ms/s", leader_usage.messages_s / WINDOW_S * 1000.0, Kind.MEASURED),
+        (
+            "processor time of the leader, its look at leases",
+            "ms/s",
+            leader_usage.ticks_s / WINDOW_S * 1000.0,
+            Kind.MEASURED,
+        ),
+        (
+            "processor time of a broker",
+            "ms/s",
+            1000.0 * _mean_per_s([_cpu_s(usage) for usage in usages.values()]),
+            Kind.MEASURED,
+        ),
     ]
     if seldom:
-        rows.append(("datagrams sent, one heard seldom", "1/s", _mean([u.sent for u in seldom]), Kind.SIMULATED))
-    return [_figure("quiet", what, unit, size, value, kind) for what, unit, value, kind in rows]
+        rows.append(
+            ("datagrams sent, one heard seldom", "1/s", _mean_per_s([usage.sent for usage in seldom]), Kind.SIMULATED)
+        )
+    return [_figure("quiet", quantity, unit, size, value, kind) for quantity, unit, value, kind in rows]
 
 
-def holder_gone(fleet: DutyFleet) -> list[Figure]:
-    """The holder of the one duty for all ends politely: a new one is chosen, and all hear of it."""
+def holder_shut_down(fleet: DutyFleet) -> list[Figure]:
+    """The holder of the fleet-wide duty shuts down cleanly: another one takes over and all brokers learn of it."""
     holder, size, leader = fleet.holder_of(SLOW_START_DUTY), len(fleet.processes), fleet.leader()
     entries = fleet.voter(leader).raft.last_applied
     fleet.leave(holder)
-    watch = Watch(fleet, taken_over=lambda: fleet.holder_of(SLOW_START_DUTY) not in ("", holder))
+    watch = ConditionWatch(fleet, taken_over=lambda: fleet.holder_of(SLOW_START_DUTY) not in ("", holder))
     watch.run(AFTER_S)
     rows = (
-        ("until another may act", "s", watch.came_s("taken_over"), Kind.SIMULATED),
+        ("until another may act", "s", watch.elapsed_s("taken_over"), Kind.SIMULATED),
         ("log entries", "", fleet.voter(leader).raft.last_applied - entries, Kind.SIMULATED),
-        ("datagrams sent by the leader, busiest second", "", watch.most_sent(leader), Kind.SIMULATED),
-        ("processor time of the leader, busiest second", "ms", watch.most_cpu_s(leader) * 1000.0, Kind.MEASURED),
+        ("datagrams sent by the leader, busiest second", "", watch.max_sent(leader), Kind.SIMULATED),
+        ("processor time of the leader, busiest second", "ms", watch.max_cpu_s(leader) * 1000.0, Kind.MEASURED),
     )
-    return [_figure("holder gone", what, unit, size, value, kind) for what, unit, value, kind in rows]
+    return [_figure("holder gone", quantity, unit, size, value, kind) for quantity, unit, value, kind in rows]
 
 
-def leader_gone(fleet: DutyFleet) -> list[Figure]:
-    """The leading voter is killed: another is elected, and all brokers find it."""
+def leader_crash(fleet: DutyFleet) -> list[Figure]:
+    """The leading voter crashes: another one is elected, and all brokers find it."""
     size = len(fleet.processes)
     fleet.crash(fleet.leader())
-    watch = Watch(fleet, elected=lambda: bool(fleet.leader()), followed=fleet.settled)
+    watch = ConditionWatch(fleet, elected=lambda: bool(fleet.leader()), followed=fleet.settled)
     watch.run(2 * AFTER_S)
     leader = fleet.leader()
     rows = (
-        ("until another leads", "s", watch.came_s("elected"), Kind.SIMULATED),
-        ("until all brokers follow it", "s", watch.came_s("followed"), Kind.SIMULATED),
-        ("datagrams received by the new one, busiest second", "", watch.most_received(leader), Kind.SIMULATED),
-        ("datagrams sent by the new one, busiest second", "", watch.most_sent(leader), Kind.SIMULATED),
-        ("processor time of the new one, busiest second", "ms", watch.most_cpu_s(leader) * 1000.0, Kind.MEASURED),
+        ("until another leads", "s", watch.elapsed_s("elected"), Kind.SIMULATED),
+        ("until all brokers follow it", "s", watch.elapsed_s("followed"), Kind.SIMULATED),
+        ("datagrams received by the new one, busiest second", "", watch.max_received(leader), Kind.SIMULATED),
+        ("datagrams sent by the new one, busiest second", "", watch.max_sent(leader), Kind.SIMULATED),
+        ("processor time of the new one, busiest second", "ms", watch.max_cpu_s(leader) * 1000.0, Kind.MEASURED),
     )
-    return [_figure("leader gone", what, unit, size, value, kind) for what, unit, value, kind in rows]
+    return [_figure("leader gone", quantity, unit, size, value, kind) for quantity, unit, value, kind in rows]
 
 
-class Watch:
-    """Lets time pass in small steps; when conditions first held, and what each voter did in its busiest second."""
+class ConditionWatch:
+    """Advances the fleet in small steps; records when conditions first held and what each voter used each second."""
 
     def __init__(self, fleet: DutyFleet, **conditions: Callable[[], bool]) -> None:
         self.fleet, self.conditions, self.began = fleet, conditions, fleet.now
-        self.came: dict[str, float] = {}
-        self.seconds: dict[str, list[Use]] = {name: [] for name in VOTERS}
+        self.first_held: dict[str, float] = {}
+        self.seconds: dict[str, list[Usage]] = {name: [] for name in VOTERS}
 
     def run(self, seconds: float) -> None:
-        """So many whole seconds."""
+        """Advances the fleet by whole seconds."""
         for _ in range(round(seconds)):
-            before = {name: self.fleet.processes[name].voter_use.copy() for name in VOTERS}
-            for _ in range(LOOKS_A_SECOND):
-                self.fleet.run(1.0 / LOOKS_A_SECOND)
-                self._look()
+            before = {name: self.fleet.processes[name].voter_usage.copy() for name in VOTERS}
+            for _ in range(CHECKS_PER_SECOND):
+                self.fleet.run(1.0 / CHECKS_PER_SECOND)
+                self._check()
             for name in VOTERS:
-                self.seconds[name].append(self.fleet.processes[name].voter_use.minus(before[name]))
+                self.seconds[name].append(self.fleet.processes[name].voter_usage.minus(before[name]))
 
-    def _look(self) -> None:
-        for name, holds in self.conditions.items():
-            if name not in self.came and holds():
-                self.came[name] = self.fleet.now - self.began
+    def _check(self) -> None:
+        for name, is_met in self.conditions.items():
+            if name not in self.first_held and is_met():
+                self.first_held[name] = self.fleet.now - self.began
 
-    def came_s(self, condition: str) -> float:
-        """Raises RuntimeError where it has never held."""
-        if condition not in self.came:
+    def elapsed_s(self, condition: str) -> float:
+        """Returns the time until the condition first held. Raises RuntimeError if it never held."""
+        if condition not in self.first_held:
             brokers, seconds = len(self.fleet.processes), self.fleet.now - self.began
-            raise RuntimeError(f"{brokers} brokers: not {condition} within {seconds:g} s")
-        return self.came[condition]
+            raise RuntimeError(f"{brokers} brokers: condition {condition} was not met within {seconds:g} s")
+        return self.first_held[condition]
 
-    def most_sent(self, voter: str) -> int:
-        return max(use.sent for use in self.seconds[voter])
+    def max_sent(self, voter: str) -> int:
+        return max(usage.sent for usage in self.seconds[voter])
 
-    def most_received(self, voter: str) -> int:
-        return max(use.received for use in self.seconds[voter])
+    def max_received(self, voter: str) -> int:
+        return max(usage.received for usage in self.seconds[voter])
 
-    def most_cpu_s(self, voter: str) -> float:
-        return max(_cpu_s(use) for use in self.seconds[voter])
+    def max_cpu_s(self, voter: str) -> float:
+        return max(_cpu_s(usage) for usage in self.seconds[voter])
 
 
-def _mean(values: list[float] | list[int]) -> float:
-    """A second, of counts over the window."""
+def _mean_per_s(values: list[float] | list[int]) -> float:
+    """Returns the mean of values counted over the window, per second."""
     return sum(values) / len(values) / WINDOW_S
 
 
-def _bytes(use: Use) -> int:
-    return use.bytes_sent + use.bytes_received
+def _bytes(usage: Usage) -> int:
+    return usage.bytes_sent + usage.bytes_received
 
 
-def _cpu_s(use: Use) -> float:
-    return use.messages_s + use.ticks_s
+def _cpu_s(usage: Usage) -> float:
+    return usage.messages_s + usage.ticks_s
 
 
 # -- one renewal, one log entry
 
 
 def agreement(fleet: DutyFleet) -> list[Figure]:
-    """The leader's processor time of one renewal with its round of heartbeats, and of one entry of the log."""
+    """Measures the leader's processor time for one renewal with its round of heartbeats, and for one log entry."""
     fleet.run(GRANTED_S)
     size = len(fleet.processes)
     leader = fleet.voter(fleet.leader())
     others = [fleet.voter(name) for name in VOTERS if name != leader.name]
-    lone = Exchange(leader, others, fleet.now)
+    exchange = Exchange(leader, others, fleet.now)
     rows = (
-        ("processor time of the leader, a renewal", "ms", lone.renewal_s() * 1000.0),
-        ("processor time of the leader, a log entry", "ms", lone.entry_s() * 1000.0),
+        ("processor time of the leader, a renewal", "ms", exchange.renewal_s() * 1000.0),
+        ("processor time of the leader, a log entry", "ms", exchange.entry_s() * 1000.0),
     )
-    return [_figure("voters", what, unit, size, value, Kind.MEASURED) for what, unit, value in rows]
+    return [_figure("voters", quantity, unit, size, value, Kind.MEASURED) for quantity, unit, value in rows]
 
 
 class Exchange:
-    """A leader and its followers whose messages arrive at once; counts the leader's time alone."""
+    """A leader and its followers whose messages arrive without delay; only the leader's processor time is counted."""
 
     def __init__(self, leader: Voter, others: list[Voter], now: float) -> None:
         self.leader, self.now = leader, now
         self.others = {other.name: other for other in others}
-        self.spent_s = 0.0
+        self.leader_cpu_s = 0.0
 
     def renewal_s(self) -> float:
-        """Each renewal has a round of its own, and in one of ten falls a look at leases, as by the leader's clock."""
+        """Returns the processor seconds of one renewal.
+
+        Each renewal has its own round of heartbeats. The simulated clock advances so that the leader's periodic check
+        of leases takes place in about one renewal of ten.
+        """
         holder = self.leader.table.lease(SLOW_START_DUTY)
-        want = encode(
+        request = encode(
             LeaseRequest(
                 holder.holder,
                 1,
@@ -197,67 +225,69 @@
                 (Candidacy(SLOW_START_DUTY, holder.epoch, True, False),),
             )
         )
-        self._renew(want)  # with what was under way
+        self._renew(request)  # also completes what was still in flight
         before = self.leader.renewals
-        self.spent_s = 0.0
+        self.leader_cpu_s = 0.0
         for _ in range(REPEATS):
-            self._renew(want)
+            self._renew(request)
         if self.leader.renewals - before != REPEATS:
             raise RuntimeError(f"{self.leader.renewals - before} of {REPEATS} renewals were confirmed")
-        return self.spent_s / REPEATS
+        return self.leader_cpu_s / REPEATS
 
-    def _renew(self, want: bytes) -> None:
+    def _renew(self, request: bytes) -> None:
         self.now += STEP_S
         began = time.process_time()
-        self.leader.receive_from_broker(self.now, decode(want))  # type: ignore[arg-type]
+        self.leader.receive_from_broker(self.now, decode(request))  # type: ignore[arg-type]
         self.now = max(self.now, self.leader.raft.next_at)
         self.leader.tick(self.now)
-        self.spent_s += time.process_time() - began
+        self.leader_cpu_s += time.process_time() - began
         self._settle()
 
     def entry_s(self) -> float:
-        before, over = self.leader.raft.last_applied, 0
-        self.spent_s = 0.0
+        before, previous = self.leader.raft.last_applied, 0
+        self.leader_cpu_s = 0.0
         for i in range(REPEATS):
             self.now += STEP_S
             began = time.process_time()
-            index = self.leader.propose_command(self.now, PutValue("version", b"%d" % i, over))
-            self.spent_s += time.process_time() - began
+            index = self.leader.propose_command(self.now, PutValue("version", b"%d" % i, previous))
+            self.leader_cpu_s += time.process_time() - began
             if index is None:
-                raise RuntimeError("the leader took no command")
-            over = index
+                raise RuntimeError("the leader did not accept the command")
+            previous = index
             self._settle()
         if self.leader.raft.last_applied - before < REPEATS:
             raise RuntimeError(f"{self.leader.raft.last_applied - before} of {REPEATS} entries were applied")
-        return self.spent_s / REPEATS
+        return self.leader_cpu_s / REPEATS
 
     def _settle(self) -> None:
-        """Until nobody has anything to say."""
+        """Exchanges messages until nobody has any left to send."""
         while self._leader_round():
             pass
 
     def _leader_round(self) -> bool:
         began = time.process_time()
-        out = self.leader.drain_output()
-        data = [(to, voting.encode(message)) for to, message in out.to_voters]
-        for _, told in out.to_brokers:
-            encode(told)
-        if out.records:
-            self.leader.persisted(self.now, out.records[-1][0])
-        self.spent_s += time.process_time() - began
-        answers = [answer for to, body in data if to in self.others for answer in self._follower(self.others[to], body)]
+        output = self.leader.drain_output()
+        messages = [(to, voting.encode(message)) for to, message in output.to_voters]
+        for _, reply in output.to_brokers:
+            encode(reply)
+        if output.records:
+            self.leader.persisted(self.now, output.records[-1][0])
+        self.leader_cpu_s += time.process_time() - began
+        replies = [
+            reply for to, body in messages if to in self.others for reply in self._follower(self.others[to], body)
+        ]
         began = time.process_time()
-        for body in answers:
+        for body in replies:
             self.leader.receive_from_voter(self.now, voting.decode(body))
-        self.spent_s += time.process_time() - began
-        return bool(out.records or answers)
+        self.leader_cpu_s += time.process_time() - began
+        return bool(output.records or replies)
 
     def _follower(self, voter: Voter, body: bytes) -> list[bytes]:
         voter.receive_from_voter(self.now, voting.decode(body))
-        out = voter.drain_output()
-        messages = list(out.to_voters)
-        if out.records:
-            voter.persisted(self.now, out.records[-1][0])
+        output = voter.drain_output()
+        messages = list(output.to_voters)
+        if output.records:
+            voter.persisted(self.now, output.records[-1][0])
             messages += voter.drain_output().to_voters
         return [voting.encode(message) for to, message in messages if to == self.leader.name]
 
@@ -265,22 +295,24 @@
 # -- memory
 
 
-def books_held(brokers: int) -> float:
-    """Megabytes that a leader holds of so many candidates, each heard once."""
-    wants = []
+def lease_manager_mb(brokers: int) -> float:
+    """Returns the megabytes that a leader's lease manager holds after one request from each of the brokers."""
+    requests = []
     for number in range(brokers):
-        stands = tuple(Candidacy(duty, 0, near, False) for duty, near in duties_of(number).items())
-        wants.append(
+        candidacies = tuple(Candidacy(duty, 0, is_preferred, False) for duty, is_preferred in duties_of(number).items())
+        requests.append(
             encode(
-                LeaseRequest(f"broker-{number}", 1, f"10.123.{number // 256}.{number % 256}:7960", 0.0, False, stands)
+                LeaseRequest(
+                    f"broker-{number}", 1, f"10.123.{number // 256}.{number % 256}:7960", 0.0, False, candidacies
+                )
             )
         )
     gc.collect()
     tracemalloc.start()
     manager = LeaseManager(LeaseTable(), TERMS, 1)
-    for data in wants:
+    for data in requests:
         manager.receive_request(0.0, decode(data))  # type: ignore[arg-type]
     gc.collect()
-    held = tracemalloc.get_traced_memory()[0]
+    memory_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return held / 2**20
+    return memory_bytes / 2**20
--- a/benchmarks/scale/duty_fleet.py
+++ b/benchmarks/scale/duty_fleet.py
@@ -1,7 +1,7 @@
-"""Voters and brokers that stand for duties, in simulated time: the product's `Voter` and `Holder` over a plain network.
+"""Voters and brokers that are candidates for duties: the product's `Voter` and `LeaseHolder` in simulated time.
 
-Nothing is lost and no clock is off: what is measured is the cost of a sound fleet. The first brokers are its voters.
-A datagram is the body that goes under the seal; the seal's 33 bytes and those of UDP are not counted.
+The network loses nothing and all clocks agree, since the cost of a healthy fleet is measured. The first brokers are the
+voters. A datagram is counted as the body inside the seal: the 33 bytes of the seal and the UDP header are left out.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 from badgerbend.leases.voter import Voter
 
 VOTERS = ("broker-0", "broker-1", "broker-2")
-REGIONS = 3  # each has probing as a duty of its own; dealing is one for all
+REGIONS = 3  # health checks are a duty of each region; the slow-start budget is one duty for all of them
 TERMS = LeaseTiming()
 TUNING = RaftConfig(election_timeout_s=0.5, heartbeat_interval_s=0.1)  # the defaults of the settings
 DELAY_S = (0.001, 0.01)
-DISK_S = (0.001, 0.005)  # until a write is surely kept
+DISK_S = (0.001, 0.005)  # until a write is durable
 
 
 @dataclass(slots=True)
-class Use:
-    """What one process has used. The times are those within the pure cores, with decoding and encoding."""
+class Usage:
+    """What one process has used. Processor times are those of `Voter` and `LeaseHolder`, with decoding and encoding."""
 
     received: int = 0
     sent: int = 0
@@ -45,8 +45,8 @@
     messages_s: float = 0.0
     ticks_s: float = 0.0
 
-    def minus(self, earlier: Use) -> Use:
-        return Use(
+    def minus(self, earlier: Usage) -> Usage:
+        return Usage(
             self.received - earlier.received,
             self.sent - earlier.sent,
             self.bytes_received - earlier.bytes_received,
@@ -55,34 +55,34 @@
             self.ticks_s - earlier.ticks_s,
         )
 
-    def copy(self) -> Use:
-        return self.minus(Use())
+    def copy(self) -> Usage:
+        return self.minus(Usage())
 
 
 @dataclass(slots=True)
 class Process:
-    """A broker, and its vote where it has one. Each is woken on its own."""
+    """A broker, and its voter if it has one. Each of the two has a timer of its own."""
 
     holder: LeaseHolder
     voter: Voter | None
     up: bool = True
-    holder_use: Use = field(default_factory=Use)
-    voter_use: Use = field(default_factory=Use)
-    wakes_at: dict[bool, float] = field(default_factory=dict)  # by whether it is the vote's
+    holder_usage: Usage = field(default_factory=Usage)
+    voter_usage: Usage = field(default_factory=Usage)
+    timers: dict[bool, float] = field(default_factory=dict)  # by whether it is the voter's timer
 
 
 def duties_of(number: int) -> dict[str, bool]:
-    """What the broker of this number stands for: probing in its own region, and dealing."""
+    """Returns the duties of a broker: health checks in its own region, and the slow-start budget."""
     return {f"{HEALTH_CHECK_DUTY}:region-{number % REGIONS}": True, SLOW_START_DUTY: True}
 
 
 class DutyFleet:
-    """Brokers and voters on one simulated clock. All chance comes from the seed."""
+    """Brokers and voters on one simulated clock. All randomness comes from the seed."""
 
     def __init__(self, brokers: int, seed: int) -> None:
         self.rng = random.Random(seed)
         self.now, self._order = 0.0, count()
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
+        self._events: list[tuple[float, int, Callable[[], None]]] = []
         self.processes: dict[str, Process] = {}
         for number in range(brokers):
             self._start(number)
@@ -92,25 +92,25 @@
         voter = None
         if name in VOTERS:
             voter = Voter(name, new_store(), TUNING, TERMS, self.rng.getrandbits(32), self.now)
-        at = f"10.123.{number // 256}.{number % 256}:7960"
-        holder = LeaseHolder(name, at, duties_of(number), VOTERS, TERMS, self.rng.getrandbits(32), self.now)
+        address = f"10.123.{number // 256}.{number % 256}:7960"
+        holder = LeaseHolder(name, address, duties_of(number), VOTERS, TERMS, self.rng.getrandbits(32), self.now)
         self.processes[name] = Process(holder, voter)
-        self._wake(name)
+        self._set_timers(name)
 
-    # -- what is asked of it
+    # -- control and queries
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> bool:
-        """Lets time pass; True as soon as `until` holds."""
+        """Advances the clock. Returns True as soon as `until` holds, False if it does not."""
         end = self.now + seconds
-        while self._due and self._due[0][0] <= end:
-            self.now, _, what = heapq.heappop(self._due)
-            what()
+        while self._events and self._events[0][0] <= end:
+            self.now, _, action = heapq.heappop(self._events)
+            action()
             if until is not None and until():
                 return True
         self.now = end
         return False
 
     def leader(self) -> str:
-        """The voter that leads; empty while none does."""
+        """Returns the voter that leads; empty while there is none."""
         for name in VOTERS:
             process = self.processes[name]
             if process.up and process.voter is not None and process.voter.is_leader:
@@ -120,27 +120,27 @@
     def voter(self, name: str) -> Voter:
         voter = self.processes[name].voter
         if voter is None:
-            raise ValueError(f"{name} does not vote")
+            raise ValueError(f"{name} is not a voter")
         return voter
 
     def holder_of(self, duty: str) -> str:
-        """The broker that may act on a duty now; empty where none may."""
+        """Returns the broker that may act on a duty now; empty if there is none."""
         leader = self.leader()
         name = self.voter(leader).table.lease(duty).holder if leader else ""
         if not name or not self.processes[name].up:
             return ""
-        return name if self._looking(name).may_act(self.now, duty) is not None else ""
+        return name if self._running_holder(name).may_act(self.now, duty) is not None else ""
 
     def settled(self) -> bool:
-        """Whether all brokers that are up agree on a leader that is up."""
+        """Whether all running brokers follow the current leader."""
         leader = self.leader()
         running = [
             process.holder for process in self.processes.values() if process.up and not process.holder.is_shut_down
         ]
         return bool(leader) and all(holder.leader == leader for holder in running)
 
-    def _looking(self, name: str) -> LeaseHolder:
-        """A broker's side, whose loop has run: the product's looks at its duties 20 times a second."""
+    def _running_holder(self, name: str) -> LeaseHolder:
+        """Returns a broker's lease holder as if its loop had just run: the product's runs 20 times a second."""
         holder = self.processes[name].holder
         holder._last_run_at = self.now
         return holder
@@ -149,35 +149,35 @@
         self.processes[name].up = False
 
     def leave(self, name: str) -> None:
-        """A broker ends politely; it does not vote."""
+        """Shuts down a broker cleanly; its voter, if it has one, keeps running."""
         self.processes[name].holder.shut_down(self.now)
         self._send_holder(name)
 
     # -- time
-    def _at(self, after: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self._due, (self.now + after, next(self._order), what))
+    def _schedule(self, delay: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (self.now + delay, next(self._order), action))
 
-    def _wake(self, name: str) -> None:
+    def _set_timers(self, name: str) -> None:
         process = self.processes[name]
-        for votes, one in ((False, process.holder), (True, process.voter)):
-            if one is None or one.next_at == float("inf") or process.wakes_at.get(votes) == one.next_at:
+        for is_voter, machine in ((False, process.holder), (True, process.voter)):
+            if machine is None or machine.next_at == float("inf") or process.timers.get(is_voter) == machine.next_at:
                 continue
-            at = process.wakes_at[votes] = one.next_at
-            self._at(max(at - self.now, 0.0), lambda at=at, votes=votes: self._tick(name, votes, at))  # type: ignore[misc]
+            at = process.timers[is_voter] = machine.next_at
+            self._schedule(max(at - self.now, 0.0), lambda at=at, is_voter=is_voter: self._tick(name, is_voter, at))  # type: ignore[misc]
 
-    def _tick(self, name: str, votes: bool, at: float) -> None:
+    def _tick(self, name: str, is_voter: bool, at: float) -> None:
         process = self.processes[name]
-        if not process.up or process.wakes_at.get(votes) != at:
+        if not process.up or process.timers.get(is_voter) != at:
             return
-        del process.wakes_at[votes]
+        del process.timers[is_voter]
         began = time.process_time()
-        if votes and process.voter is not None:
+        if is_voter and process.voter is not None:
             process.voter.tick(self.now)
-            process.voter_use.ticks_s += time.process_time() - began
+            process.voter_usage.ticks_s += time.process_time() - began
             self._send_voter(name)
         else:
-            self._looking(name).tick(self.now)
-            process.holder_use.ticks_s += time.process_time() - began
+            self._running_holder(name).tick(self.now)
+            process.holder_usage.ticks_s += time.process_time() - began
             self._send_holder(name)
 
     # -- datagrams
@@ -185,56 +185,56 @@
         process = self.processes[name]
         began = time.process_time()
         bodies = [(to, wire.encode_lease_message(message)) for to, message in process.holder.drain_output()]
-        process.holder_use.messages_s += time.process_time() - began
+        process.holder_usage.messages_s += time.process_time() - began
         for to, body in bodies:
-            self._send(process.holder_use, to, body)
-        self._wake(name)
+            self._send(process.holder_usage, to, body)
+        self._set_timers(name)
 
     def _send_voter(self, name: str) -> None:
         process = self.processes[name]
         began = time.process_time()
-        out = self.voter(name).drain_output()
-        bodies = [(to, wire.encode_consensus_message(message)) for to, message in out.to_voters]
-        bodies += [(to, wire.encode_lease_message(told)) for to, told in out.to_brokers]
-        process.voter_use.messages_s += time.process_time() - began
-        for seq, _ in out.records:
-            self._at(self.rng.uniform(*DISK_S), lambda seq=seq: self._saved(name, seq))  # type: ignore[misc]
+        output = self.voter(name).drain_output()
+        bodies = [(to, wire.encode_consensus_message(message)) for to, message in output.to_voters]
+        bodies += [(to, wire.encode_lease_message(reply)) for to, reply in output.to_brokers]
+        process.voter_usage.messages_s += time.process_time() - began
+        for seq, _ in output.records:
+            self._schedule(self.rng.uniform(*DISK_S), lambda seq=seq: self._persisted(name, seq))  # type: ignore[misc]
         for to, body in bodies:
-            self._send(process.voter_use, to, body)
-        self._wake(name)
+            self._send(process.voter_usage, to, body)
+        self._set_timers(name)
 
-    def _send(self, use: Use, to: str, body: bytes) -> None:
-        use.sent += 1
-        use.bytes_sent += len(body)
-        self._at(self.rng.uniform(*DELAY_S), lambda: self._arrive(to, body))
+    def _send(self, usage: Usage, to: str, body: bytes) -> None:
+        usage.sent += 1
+        usage.bytes_sent += len(body)
+        self._schedule(self.rng.uniform(*DELAY_S), lambda: self._deliver(to, body))
 
-    def _saved(self, name: str, seq: int) -> None:
+    def _persisted(self, name: str, seq: int) -> None:
         process = self.processes[name]
         if not process.up:
             return
         began = time.process_time()
         self.voter(name).persisted(self.now, seq)
-        process.voter_use.messages_s += time.process_time() - began
+        process.voter_usage.messages_s += time.process_time() - began
         self._send_voter(name)
 
-    def _arrive(self, to: str, body: bytes) -> None:
+    def _deliver(self, to: str, body: bytes) -> None:
         process = self.processes[to]
         if not process.up:
             return
         began = time.process_time()
         message = wire.decode(body)
         if isinstance(message, LeaseReply):
-            use = process.holder_use
-            self._looking(to).receive_reply(self.now, message)
+            usage = process.holder_usage
+            self._running_holder(to).receive_reply(self.now, message)
         elif isinstance(message, LeaseRequest | LeaseReturn):
-            use = process.voter_use
+            usage = process.voter_usage
             self.voter(to).receive_from_broker(self.now, message)
         else:
-            use = process.voter_use
+            usage = process.voter_usage
             self.voter(to).receive_from_voter(self.now, cast(voting.Message, message))
-        use.messages_s += time.process_time() - began
-        use.received += 1
-        use.bytes_received += len(body)
+        usage.messages_s += time.process_time() - began
+        usage.received += 1
+        usage.bytes_received += len(body)
         if isinstance(message, LeaseReply):
             self._send_holder(to)
         else:
@@ -242,7 +242,7 @@
 
 
 def new_store() -> PersistentState:
-    """What `badgerbend voters create` leaves on the disk of each voter."""
-    kept = PersistentState(log=Log())
-    kept.replay(voting.decode_record(voting.encode(voting.Snapshot(0, 0, VOTERS, b""))))
-    return kept
+    """Returns the state that `badgerbend voters create` writes for each voter."""
+    store = PersistentState(log=Log())
+    store.replay(voting.decode_record(voting.encode(voting.Snapshot(0, 0, VOTERS, b""))))
+    return store
--- a/benchmarks/scale/feed.py
+++ b/benchmarks/scale/feed.py
@@ -1,9 +1,9 @@
-"""Scale test of the feed: publisher, log, seven relays and hollow followers, in processes of this machine over TCP.
+"""Scale benchmark of the feed, by number of followers: publisher, log, seven relays and followers, over TCP.
 
-By followers. What it leaves out: agreement among voters (the log has one machine), and what a broker does beside its
-replica. Hundreds of followers share a process: times at 1,900 hold what they wait for each other there, which a fleet's
-brokers do not. So 32 followers, four of each zone, are apart in processes of eight; the relays they use serve all the
-others too. Bytes are those of TCP's payload.
+All processes run on this machine. Left out are the agreement among voters (the log is on one machine) and what a broker
+does besides keeping its replica. Hundreds of followers share a process, so the times at 1,900 followers include waiting
+for each other, which the brokers of a fleet do not do. Therefore 32 followers, four of each zone, run in uncrowded
+processes of eight; the relays that they use also serve all the others. Bytes are those of the TCP payload.
 """
 
 from __future__ import annotations
@@ -11,33 +11,33 @@
 import asyncio
 from collections.abc import Sequence
 
-from scale.feed_content import ROW_CHANGES_A_DAY
+from scale.feed_content import ROW_CHANGES_PER_DAY
 from scale.feed_figures import MEGABYTE
 from scale.feed_fleet import Fleet
 from scale.feed_scenarios import FULL, SMALL, Plan, Scenarios
-from scale.feed_single_follower import Alone, alone
-from scale.feed_whole_list import WholeList, whole_list
+from scale.feed_single_follower import SingleFollowerCost, single_follower_cost
+from scale.feed_whole_list import WholeListCost, read_whole_list
 from scale.figures import Figure, Kind, Part
 from scale.planned_fleet import BROKERS, DAY_S
 
 FULL_SIZES, SMALL_SIZES = (100, 400, 1_900), (8, 16, 32)
-ROW_CHANGES_A_SECOND = ROW_CHANGES_A_DAY / DAY_S
+ROW_CHANGES_PER_SECOND = ROW_CHANGES_PER_DAY / DAY_S
 
 
 def plan_for(size: int) -> Plan:
-    """Sizes of CI are short of nodes and of time."""
+    """Returns the plan for a run whose largest size is this; the sizes of CI get few nodes and short scenarios."""
     return SMALL if size <= max(SMALL_SIZES) else FULL
 
 
 def measure(sizes: Sequence[int], seed: int) -> list[Figure]:
-    """All figures, size after size."""
+    """Returns all figures, one size after the other."""
     figures: list[Figure] = []
     plan = plan_for(max(sizes))
-    one, today = asyncio.run(alone(plan.nodes, seed)), whole_list(plan.nodes)
+    single, whole = asyncio.run(single_follower_cost(plan.nodes, seed)), read_whole_list(plan.nodes)
     for size in sizes:
         figures += asyncio.run(_scenarios(size, plan, seed))
-        figures += _alone_figures(one, size)
-        figures += _today_figures(today, size)
+        figures += _single_follower_figures(single, size)
+        figures += _whole_list_figures(whole, size)
     return figures
 
 
@@ -45,36 +45,36 @@
     async with Fleet(size, plan.processes, plan.nodes, seed) as fleet:
         scenarios = Scenarios(fleet, plan)
         await scenarios.run()
-        return scenarios.figures.found
+        return scenarios.figures.figures
 
 
-def _alone_figures(one: Alone, size: int) -> list[Figure]:
-    """The same at each size: what a follower takes does not depend on how many there are."""
+def _single_follower_figures(cost: SingleFollowerCost, size: int) -> list[Figure]:
+    """Returns the same values at each size: the cost of one follower does not depend on how many there are."""
 
     def figure(quantity: str, unit: str, value: float, kind: Kind = Kind.MEASURED) -> Figure:
         return Figure("feed", "alone", quantity, unit, size, value, kind)
 
     return [
-        figure("memory of a replica", "MB", one.resident / MEGABYTE),
-        figure("peak, first snapshot", "MB", one.first_peak / MEGABYTE),
-        figure("peak, snapshot over a replica", "MB", one.again_peak / MEGABYTE),
-        figure("processor, first snapshot", "ms", one.first_cpu_s * 1000.0),
-        figure("first snapshot", "bytes", one.received),
+        figure("memory of a replica", "MB", cost.resident / MEGABYTE),
+        figure("peak, first snapshot", "MB", cost.snapshot_peak / MEGABYTE),
+        figure("peak, snapshot over a replica", "MB", cost.resnapshot_peak / MEGABYTE),
+        figure("processor, first snapshot", "ms", cost.snapshot_cpu_s * 1000.0),
+        figure("first snapshot", "bytes", cost.received),
     ]
 
 
-def _today_figures(today: WholeList, size: int) -> list[Figure]:
-    """One read is measured; a second of it is that read at the ordinary day's rate."""
+def _whole_list_figures(cost: WholeListCost, size: int) -> list[Figure]:
+    """Returns the cost of one read, as measured, and extrapolations to the rate of changes on an ordinary day."""
 
     def figure(quantity: str, unit: str, value: float, kind: Kind = Kind.EXTRAPOLATED) -> Figure:
         return Figure("feed", "today, whole lists", quantity, unit, size, value, kind)
 
     return [
-        figure("one read", "bytes", today.body_bytes, Kind.MEASURED),
-        figure("one read, processor", "ms", today.cpu_s * 1000.0, Kind.MEASURED),
-        figure("a broker received", "bytes/s", today.body_bytes * ROW_CHANGES_A_SECOND),
-        figure("processor, a broker", "% of a core", today.cpu_s * ROW_CHANGES_A_SECOND * 100.0),
-        figure("servers sent, all brokers", "MB/s", today.body_bytes * ROW_CHANGES_A_SECOND * size / 1e6),
+        figure("one read", "bytes", cost.body_bytes, Kind.MEASURED),
+        figure("one read, processor", "ms", cost.cpu_s * 1000.0, Kind.MEASURED),
+        figure("a broker received", "bytes/s", cost.body_bytes * ROW_CHANGES_PER_SECOND),
+        figure("processor, a broker", "% of a core", cost.cpu_s * ROW_CHANGES_PER_SECOND * 100.0),
+        figure("servers sent, all brokers", "MB/s", cost.body_bytes * ROW_CHANGES_PER_SECOND * size / 1e6),
     ]
 
 
--- a/benchmarks/scale/feed_child.py
+++ b/benchmarks/scale/feed_child.py
@@ -1,4 +1,4 @@
-"""A process of the feed's scale test: it carries out commands from its standard input until that ends.
+"""A process of the feed's scale benchmark, which executes commands from its standard input until end of file.
 
 Started by `feed_process`, never by hand: `feed_child.py relay|voter|followers|proxy`.
 """
@@ -15,28 +15,28 @@
 
 from scale.feed_messages import Command, Reply
 
-HEAD_BYTES = 4  # the length before each message
+LENGTH_BYTES = 4  # the length prefix of each message
 
 
 class Worker(Protocol):
-    """What a process does."""
+    """The role of a process: it executes commands."""
 
     async def handle(self, command: Command) -> Reply: ...
 
 
-def packed(message: Command | Reply) -> bytes:
-    """A message with its length before it."""
+def encode_message(message: Command | Reply) -> bytes:
+    """Encodes a message with its length prefix."""
     data = msgspec.msgpack.encode(message)
-    return len(data).to_bytes(HEAD_BYTES, "big") + data
+    return len(data).to_bytes(LENGTH_BYTES, "big") + data
 
 
 async def read_message(reader: asyncio.StreamReader) -> bytes:
-    """The next message's bytes. Raises IncompleteReadError at the end."""
-    length = int.from_bytes(await reader.readexactly(HEAD_BYTES), "big")
+    """Reads the next message. Raises IncompleteReadError at end of file."""
+    length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
     return await reader.readexactly(length)
 
 
-def worker_named(role: str) -> Worker:
+def worker_for(role: str) -> Worker:
     if role == "relay":
         from scale.feed_relays import RelayWorker
 
@@ -54,7 +54,7 @@
     return ProxyWorker()
 
 
-async def work(worker: Worker) -> None:
+async def serve(worker: Worker) -> None:
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -63,14 +63,14 @@
         try:
             command = decoder.decode(await read_message(reader))
         except asyncio.IncompleteReadError:
-            return  # whoever started this process has ended
-        sys.stdout.buffer.write(packed(await worker.handle(command)))
+            return  # the parent process has ended
+        sys.stdout.buffer.write(encode_message(await worker.handle(command)))
         sys.stdout.buffer.flush()
 
 
 async def main() -> None:
-    await work(worker_named(sys.argv[1]))
-    os._exit(0)  # there is nothing to save; hundreds of connections end at once
+    await serve(worker_for(sys.argv[1]))
+    os._exit(0)  # nothing needs to be saved, so hundreds of connections are not closed one by one
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/feed_content.py
+++ b/benchmarks/scale/feed_content.py
@@ -1,6 +1,7 @@
-"""The feed's content at size, and how often it changes on an ordinary day.
+"""Content of the feed for the planned fleet, and how often it changes on an ordinary day.
 
-A node's row has the fields that `badgerbend/discovery/members.py` reads, by the platform's names; about 150 bytes.
+A node's row has the fields that `badgerbend/discovery/members.py` reads, under the platform's names, and is about 150
+bytes long.
 """
 
 from __future__ import annotations
@@ -12,17 +13,17 @@
 
 from badgerbend.feed.messages import Change
 from badgerbend.platform.names import MEMBERS
-from scale.planned_fleet import CONFIGURATIONS_A_DAY, DAY_S, FAILURES_A_DAY, RESTARTS_A_DAY, ZONES
+from scale.planned_fleet import CONFIGURATIONS_PER_DAY, DAY_S, FAILURES_PER_DAY, RESTARTS_PER_DAY, ZONES
 
 CONFIGURATION_KEYS, CONFIGURATION_BYTES = 50, 2048
 CELLS = 100
 
-ROW_CHANGES_A_REPLACEMENT = 4  # draining, gone, back with a new start, up
-ROW_CHANGES_A_FAILURE = 4  # draining, gone, its replacement there, up
-ROW_CHANGES_A_DAY = RESTARTS_A_DAY * ROW_CHANGES_A_REPLACEMENT + FAILURES_A_DAY * ROW_CHANGES_A_FAILURE
-CHANGES_A_DAY = ROW_CHANGES_A_DAY + CONFIGURATIONS_A_DAY
-CHANGES_A_SECOND = CHANGES_A_DAY / DAY_S  # 0.274
-ROWS_TO_ONE_CONFIGURATION = round(ROW_CHANGES_A_DAY / CONFIGURATIONS_A_DAY)  # 6
+ROW_CHANGES_PER_REPLACEMENT = 4  # draining, gone, back with a new start time, up
+ROW_CHANGES_PER_FAILURE = 4  # draining, gone, replacement present, up
+ROW_CHANGES_PER_DAY = RESTARTS_PER_DAY * ROW_CHANGES_PER_REPLACEMENT + FAILURES_PER_DAY * ROW_CHANGES_PER_FAILURE
+CHANGES_PER_DAY = ROW_CHANGES_PER_DAY + CONFIGURATIONS_PER_DAY
+CHANGES_PER_SECOND = CHANGES_PER_DAY / DAY_S  # 0.274
+ROWS_PER_CONFIGURATION_CHANGE = round(ROW_CHANGES_PER_DAY / CONFIGURATIONS_PER_DAY)  # 6
 
 STATES = tuple(MEMBERS.states)
 FIRST_BOOT_MS = 1_700_000_000_000
@@ -33,7 +34,7 @@
 
 
 def node_row(number: int, state: str, boots: int) -> bytes:
-    """One node's row. boots: how often it has been started anew."""
+    """Returns the row of one node. boots: how often the node has been restarted."""
     address = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}"
     return msgspec.json.encode(
         {
@@ -50,40 +51,40 @@
 
 
 class ContentChanges:
-    """Makes changes of content with so many nodes; the same ones for the same seed."""
+    """Generates changes of the content for a number of nodes, reproducibly for a seed."""
 
     def __init__(self, nodes: int, seed: int) -> None:
         self.nodes = nodes
         self._random = random.Random(seed)
-        self._asked = 0  # by `next`
+        self._generated = 0  # by `next`
         self._rows = 0
 
-    def first(self) -> Iterator[Change]:
-        """All rows and all configuration."""
+    def initial(self) -> Iterator[Change]:
+        """Yields the initial content: all rows and all configuration."""
         for number in range(self.nodes):
             yield Change(node_key(number), node_row(number, STATES[0], 0))
-        for place in range(CONFIGURATION_KEYS):
-            yield self.configuration(place)
+        for index in range(CONFIGURATION_KEYS):
+            yield self.configuration(index)
 
     def next(self) -> Change:
-        """One change in the day's proportion of rows to configuration."""
-        self._asked += 1
-        if self._asked % (ROWS_TO_ONE_CONFIGURATION + 1) == 0:
-            return self.configuration(self._asked % CONFIGURATION_KEYS)
+        """Returns one change; rows and configuration change in the proportion of an ordinary day."""
+        self._generated += 1
+        if self._generated % (ROWS_PER_CONFIGURATION_CHANGE + 1) == 0:
+            return self.configuration(self._generated % CONFIGURATION_KEYS)
         return self.row(self._random.randrange(self.nodes))
 
     def row(self, number: int) -> Change:
-        """A node that was started anew, or is about to be."""
+        """Returns a change of a node that has been restarted, or is about to be."""
         self._rows += 1
         return Change(node_key(number), node_row(number, STATES[self._rows % 2], self._rows))
 
-    def configuration(self, place: int) -> Change:
-        """Text that packs about as configuration does."""
+    def configuration(self, index: int) -> Change:
+        """Returns a change of one configuration key, with text that compresses about as well as real configuration."""
         lines = bytearray()
         while len(lines) < CONFIGURATION_BYTES:
             lines += b"limit-%d = %d\n" % (len(lines), self._random.randrange(1_000_000))
-        return Change(f"configuration/{place:02d}", bytes(lines[:CONFIGURATION_BYTES]))
+        return Change(f"configuration/{index:02d}", bytes(lines[:CONFIGURATION_BYTES]))
 
     def zone_lost(self) -> list[Change]:
-        """The rows of all nodes of one zone."""
+        """Returns a change of the rows of all nodes of one zone."""
         return [self.row(number) for number in range(0, self.nodes, ZONES)]
--- a/benchmarks/scale/feed_control.py
+++ b/benchmarks/scale/feed_control.py
@@ -1,6 +1,6 @@
-"""One control machine without agreement: commands of the publisher are applied to the log as they come.
+"""A control machine without consensus: the publisher's commands are applied to the log immediately.
 
-Agreement among voters is not part of this scale test; a publication's time lacks its round trips.
+Agreement among voters is not part of this benchmark, so the time of a publication does not include its round trips.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Control:
-    """Publisher and log. cpu_s: processor time of both so far."""
+    """A publisher and its log. cpu_s: processor time of both so far."""
 
     def __init__(self, retention: Retention) -> None:
         self.machine = FeedStateMachine(retention)
@@ -34,15 +34,15 @@
         return self.machine.log
 
     def submit(self, now: float, changes: tuple[Change, ...]) -> None:
-        """Raises ValueError for changes that the publisher refuses."""
+        """Submits changes. Raises ValueError if the publisher rejects them."""
         began = time.process_time()
         problems = self.publisher.submit(now, changes)
         self.cpu_s += time.process_time() - began
         if problems:
             raise ValueError(problems[0].reason)
 
-    def pump(self, now: float) -> bool:
-        """Has what is due agreed on; whether the log has grown."""
+    def apply_due_commands(self, now: float) -> bool:
+        """Applies the commands that are due. Returns whether the log has grown."""
         began = time.process_time()
         before = self.log.revision
         self.publisher.tick(now)
@@ -52,8 +52,8 @@
         self.cpu_s += time.process_time() - began
         return self.log.revision > before
 
-    def forget_past(self) -> None:
-        """The log as after a restart from its dump: content and checkpoint stand, publications are gone."""
+    def restart_from_dump(self) -> None:
+        """Restores the log from its dump, as after a restart: it keeps content and checkpoint but no publications."""
         self.machine.load(self.machine.dump())
 
     def _apply(self, command: bytes) -> None:
--- a/benchmarks/scale/feed_followers.py
+++ b/benchmarks/scale/feed_followers.py
@@ -1,4 +1,4 @@
-"""A process of hollow followers: real replicas and connections, and an owner that only notes when what is in force."""
+"""A process of followers with real replicas and connections; instead of a broker, a recorder notes what is in force."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 from scale.feed_usage import peak_bytes, resident_bytes
 from scale.planned_fleet import ZONES
 
-MANY_CHANGES = 2_000  # of one installation: a snapshot, whose content is shared as a whole
+MAX_PUBLICATION_CHANGES = 2_000  # an installation of more changes is a snapshot, and all of its content is shared
 TUNING = FollowerTuning()
 
 
 class SharedValues:
-    """Equal keys and values of a process's replicas, held once, so that 1,900 replicas fit on one machine."""
+    """Shares equal keys and values among all replicas of a process, so that 1,900 replicas fit on one machine."""
 
     def __init__(self) -> None:
         self._keys: dict[str, str] = {}
@@ -52,9 +52,9 @@
         return self._values.setdefault(value, value)
 
     def share(self, content: Content, changes: tuple[Change, ...]) -> None:
-        """Has a replica hold the shared objects. Its digests stay as they are, since nothing changes."""
+        """Makes a replica hold the shared objects. Its digests stay valid, since the objects are equal."""
         buckets = content._buckets
-        if len(changes) > MANY_CHANGES:
+        if len(changes) > MAX_PUBLICATION_CHANGES:
             buckets[:] = [{self.key(k): self.value(v) for k, v in bucket.items()} for bucket in buckets]
             return
         for change in changes:
@@ -64,18 +64,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Installation:
-    """Revisions up to this one are in force since then."""
+    """The time since which revisions up to this one are in force."""
 
     revision: int
     at: float
 
 
-class HollowOwner:
-    """A broker without its work: it puts changes in force in a dict and notes when."""
+class RecordingOwner:
+    """Stands in for a broker: it puts changes in force in a dict and records when."""
 
     def __init__(self, follower: Follower, shared: SharedValues | None) -> None:
         self.follower, self.shared = follower, shared
-        self.held: dict[str, bytes] = {}
+        self.in_force: dict[str, bytes] = {}
         self.installations: list[Installation] = []
         self.rejections = 0
 
@@ -91,48 +91,48 @@
         self.rejections += 1
 
     def in_force_at(self, revision: int) -> float | None:
-        """When this revision, or a later one at once, was put in force."""
-        return next((done.at for done in self.installations if done.revision >= revision), None)
+        """Returns when this revision was put in force, by itself or together with later ones."""
+        return next((installation.at for installation in self.installations if installation.revision >= revision), None)
 
     def _put_in_force(self, change: Change) -> None:
         if change.value is None:
-            self.held.pop(change.key, None)
+            self.in_force.pop(change.key, None)
         elif self.shared is None:
-            self.held[change.key] = change.value
+            self.in_force[change.key] = change.value
         else:
-            self.held[self.shared.key(change.key)] = self.shared.value(change.value)
+            self.in_force[self.shared.key(change.key)] = self.shared.value(change.value)
 
 
-class HollowFollower:
-    """A follower, its connection and its owner."""
+class RecordingFollower:
+    """A follower with its connection and its recording owner."""
 
     def __init__(self, spec: FollowerSpec, seed: int, shared: SharedValues | None) -> None:
         self.spec, self.seed, self.shared = spec, seed, shared
-        self._make()
+        self._create()
 
     @property
     def relay_region(self) -> str:
-        """Where the relay is that it uses now; nothing between two."""
+        """The region of the relay that it uses now; empty between two relays."""
         return "" if self.follower.relay is None else self.follower.relay.region
 
-    def forget(self) -> None:
-        """As a broker that was started anew."""
+    def reset(self) -> None:
+        """Starts over with an empty replica, as a restarted broker does."""
         self.seed += 1
-        self._make()
+        self._create()
 
-    def _make(self) -> None:
+    def _create(self) -> None:
         spec = self.spec
         relays = [relay_address(relay) for relay in spec.relays]
         self.follower = Follower(spec.name, spec.region, relays, VERIFIER, TUNING, self.seed)
-        self.owner = HollowOwner(self.follower, self.shared)
+        self.owner = RecordingOwner(self.follower, self.shared)
         self.client = FollowerClient(self.follower, self.owner)
 
 
 class FollowersWorker:
-    """Carries out commands for the followers of its process."""
+    """Executes commands for the followers of its process."""
 
     def __init__(self) -> None:
-        self.followers: list[HollowFollower] = []
+        self.followers: list[RecordingFollower] = []
         self.shared = SharedValues()
 
     async def handle(self, command: Command) -> Reply:
@@ -140,81 +140,81 @@
             case StartFollowers():
                 self._start(command)
             case StopZone():
-                for hollow in self._of_zone(command.zone):
-                    hollow.client.stop()
+                for follower in self._followers_in(command.zone):
+                    follower.client.stop()
             case ReturnZone():
-                self._return(command)
+                self._return_zone(command)
             case Count():
-                return Counted(sum(self._has(hollow, command.revision) for hollow in self.followers))
+                return Counted(sum(self._has_in_force(follower, command.revision) for follower in self.followers))
             case Collect():
-                return self._collected(command)
+                return self._collect(command)
             case Audit():
-                return Counted(sum(self._holds(hollow, command) for hollow in self.followers))
+                return Counted(sum(self._matches(follower, command) for follower in self.followers))
             case Measure():
-                return self._measured()
+                return self._measure()
             case _:
                 raise ValueError(type(command).__name__)
         return Done(time.monotonic())
 
     def _start(self, command: StartFollowers) -> None:
         shared = self.shared if command.share else None
-        for place, spec in enumerate(command.followers):
-            hollow = HollowFollower(spec, command.seed * 1_000_003 + place, shared)
-            self.followers.append(hollow)
-            hollow.client.start()
+        for index, spec in enumerate(command.followers):
+            follower = RecordingFollower(spec, command.seed * 1_000_003 + index, shared)
+            self.followers.append(follower)
+            follower.client.start()
 
-    def _return(self, command: ReturnZone) -> None:
-        for hollow in self._of_zone(command.zone):
+    def _return_zone(self, command: ReturnZone) -> None:
+        for follower in self._followers_in(command.zone):
             if command.forget:
-                hollow.forget()
-            hollow.client.start()
+                follower.reset()
+            follower.client.start()
 
-    def _of_zone(self, zone: int) -> list[HollowFollower]:
-        return [hollow for hollow in self.followers if hollow.spec.zone == zone]
+    def _followers_in(self, zone: int) -> list[RecordingFollower]:
+        return [follower for follower in self.followers if follower.spec.zone == zone]
 
-    def _has(self, hollow: HollowFollower, revision: int) -> bool:
-        return bool(hollow.owner.installations) and hollow.owner.installations[-1].revision >= revision
+    def _has_in_force(self, follower: RecordingFollower, revision: int) -> bool:
+        return bool(follower.owner.installations) and follower.owner.installations[-1].revision >= revision
 
-    def _holds(self, hollow: HollowFollower, command: Audit) -> bool:
-        log = hollow.follower.log
-        in_force = hollow.owner.held == dict(log.content.items())
-        return in_force and (log.revision, log.content.digest()) == (command.revision, command.digest)
+    def _matches(self, follower: RecordingFollower, command: Audit) -> bool:
+        log = follower.follower.log
+        is_in_force = follower.owner.in_force == dict(log.content.items())
+        return is_in_force and (log.revision, log.content.digest()) == (command.revision, command.digest)
 
-    def _collected(self, command: Collect) -> Collected:
+    def _collect(self, command: Collect) -> Collected:
         revisions = range(command.first, command.last + 1)
         return Collected(
             tuple(
                 InForce(
-                    hollow.spec.zone,
-                    hollow.spec.apart,
-                    hollow.spec.region,
-                    hollow.relay_region,
-                    tuple(hollow.owner.in_force_at(revision) for revision in revisions),
+                    follower.spec.zone,
+                    follower.spec.is_uncrowded,
+                    follower.spec.region,
+                    follower.relay_region,
+                    tuple(follower.owner.in_force_at(revision) for revision in revisions),
                 )
-                for hollow in self.followers
+                for follower in self.followers
             )
         )
 
-    def _measured(self) -> Measured:
-        cpu_s = time.process_time()  # before the collection of garbage, which is this measurement's own cost
+    def _measure(self) -> Measured:
+        cpu_s = time.process_time()  # before the garbage collection below, which is a cost of the measurement itself
         received, sent = [0] * ZONES, [0] * ZONES
-        for hollow in self.followers:
-            traffic = hollow.client.traffic
-            received[hollow.spec.zone] += traffic.received_bytes
-            sent[hollow.spec.zone] += traffic.sent_bytes
-        rejected = sum(hollow.owner.rejections for hollow in self.followers)
+        for follower in self.followers:
+            traffic = follower.client.traffic
+            received[follower.spec.zone] += traffic.received_bytes
+            sent[follower.spec.zone] += traffic.sent_bytes
+        rejected = sum(follower.owner.rejections for follower in self.followers)
         return Measured(
             time.monotonic(),
             cpu_s,
             0.0,
-            self._settled(),
+            self._resident_after_collection(),
             peak_bytes(),
             tuple(received),
             tuple(sent),
             rejected=rejected,
-            attempts=sum(hollow.follower.attempt for hollow in self.followers),
+            attempts=sum(follower.follower.attempt for follower in self.followers),
         )
 
-    def _settled(self) -> int:
+    def _resident_after_collection(self) -> int:
         gc.collect()
         return resident_bytes()
--- a/benchmarks/scale/feed_messages.py
+++ b/benchmarks/scale/feed_messages.py
@@ -1,4 +1,4 @@
-"""What the feed's scale test says to its processes and hears from them; typed arrays in MessagePack on their pipes."""
+"""Commands of the feed's scale benchmark to its processes, and their replies: MessagePack arrays over pipes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Address(msgspec.Struct, array_like=True, frozen=True):
-    """A relay as its clients reach it: its own socket, or a proxy's."""
+    """The address at which followers connect to a relay: that of its own socket or of a proxy's."""
 
     name: str
     region: str
@@ -16,12 +16,12 @@
 
 
 class FollowerSpec(msgspec.Struct, array_like=True, frozen=True):
-    """A follower to be started. zone: its place among all zones. apart: not among hundreds in its process."""
+    """A follower to start. zone: its index among all zones. is_uncrowded: its process has only a few followers."""
 
     name: str
     region: str
     zone: int
-    apart: bool
+    is_uncrowded: bool
     relays: tuple[Address, ...]
 
 
@@ -29,21 +29,21 @@
 
 
 class Measure(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Asks for `Measured`."""
+    """Requests `Measured`."""
 
 
 # -- to relays
 
 
 class StartControl(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Be the machine with publisher and log, and a relay beside them. retained: publications kept."""
+    """Start publisher, log and a relay. retained: publications that the log retains."""
 
     name: str
     retained: int
 
 
 class StartRelay(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Be a relay that follows another one."""
+    """Start a relay that follows another one."""
 
     name: str
     region: str
@@ -52,7 +52,7 @@
 
 
 class Publish(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """Have these changes published. forget: then drop the log's past, as a machine restarted from its dump does."""
+    """Publish these changes. forget: then drop the past publications, as a machine restarted from its dump does."""
 
     changes: tuple[Change, ...]
     forget: bool = False
@@ -62,7 +62,7 @@
 
 
 class StartFollowers(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """Add followers with empty replicas. share: equal keys and values are held once in the process."""
+    """Start followers with empty replicas. share: the process keeps one copy of equal keys and values."""
 
     followers: tuple[FollowerSpec, ...]
     seed: int
@@ -70,33 +70,33 @@
 
 
 class StopZone(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """End a zone's followers' connections."""
+    """Close the connections of the followers of a zone."""
 
     zone: int
 
 
 class ReturnZone(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """Start a zone's followers again. forget: with empty replicas."""
+    """Start the followers of a zone again. forget: with empty replicas."""
 
     zone: int
     forget: bool
 
 
 class Count(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """Asks how many followers have this revision in force."""
+    """Requests how many followers have this revision in force."""
 
     revision: int
 
 
 class Collect(msgspec.Struct, array_like=True, frozen=True, tag=9):
-    """Asks when each follower put the revisions of this range in force."""
+    """Requests when each follower put the revisions of this range in force."""
 
     first: int
     last: int
 
 
 class Audit(msgspec.Struct, array_like=True, frozen=True, tag=10):
-    """Asks how many followers hold just this content, and have put it in force."""
+    """Requests how many followers have exactly this content in their replica and in force."""
 
     revision: int
     digest: bytes
@@ -106,16 +106,17 @@
 
 
 class OpenProxy(msgspec.Struct, array_like=True, frozen=True, tag=11):
-    """Listen for each target. group: by which links are disturbed."""
+    """Open a listening socket for each target. group: the links that are disturbed together."""
 
     group: str
     targets: tuple[Address, ...]
 
 
 class Disturb(msgspec.Struct, array_like=True, frozen=True, tag=12):
-    """What befalls a group's links from now on. stall: probability a chunk; reset_every_s: a connection, 0 for never.
+    """How a group's links are disturbed from now on.
 
-    cut: nothing passes, and nothing is closed either.
+    stall: probability that a chunk is delayed. reset_every_s: mean time until a connection is reset, 0 for never. cut:
+    nothing passes, and nothing is closed either.
     """
 
     group: str
@@ -124,26 +125,26 @@
     cut: bool = False
 
 
-# -- to control machines with votes
+# -- to control machines that vote
 
 
 class VoterAddress(msgspec.Struct, array_like=True, frozen=True):
-    """Where a voter hears datagrams."""
+    """The port at which a voter receives datagrams."""
 
     name: str
     port: int
 
 
 class StartVoter(msgspec.Struct, array_like=True, frozen=True, tag=13):
-    """Be a control machine with a vote. store: the folder of its records."""
+    """Start a control machine that votes. store: the folder of its persistent state."""
 
     name: str
     store: str
     voters: tuple[VoterAddress, ...]
 
 
-class Stand(msgspec.Struct, array_like=True, frozen=True, tag=14):
-    """Asks for `Standing`."""
+class GetStatus(msgspec.Struct, array_like=True, frozen=True, tag=14):
+    """Requests `ControlStatus`."""
 
 
 Command = (
@@ -160,7 +161,7 @@
     | OpenProxy
     | Disturb
     | StartVoter
-    | Stand
+    | GetStatus
 )
 
 
@@ -168,9 +169,9 @@
 
 
 class Measured(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A process by now. cpu_s: of its life; resident, peak: bytes of memory.
+    """Measurements of a process. cpu_s: since its start. resident, peak: bytes of memory.
 
-    Of its followers: received, sent: bytes by zone; rejected: messages; attempts: connections tried.
+    Of its followers: received, sent: bytes by zone; rejected: messages; attempts: connection attempts.
     """
 
     at: float
@@ -190,7 +191,7 @@
 
 
 class Published(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """The revision of the last of the changes, and when they were submitted."""
+    """The revision of the last of the changes, when they were submitted, and the digest of the content."""
 
     revision: int
     at: float
@@ -202,10 +203,13 @@
 
 
 class InForce(msgspec.Struct, array_like=True, frozen=True):
-    """When one follower put each revision in force; None where it has not. relay_region: of the relay it uses now."""
+    """When one follower put each revision in force, None if it has not.
+
+    relay_region: the region of the relay that it uses now.
+    """
 
     zone: int
-    apart: bool
+    is_uncrowded: bool
     region: str
     relay_region: str
     times: tuple[float | None, ...]
@@ -216,13 +220,13 @@
 
 
 class Done(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """It has been done; `at` which time."""
+    """The command has been executed. at: the time."""
 
     at: float
 
 
-class Standing(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """What a control machine is now. in_force: followers at its revision, as far as relays have reported to it."""
+class ControlStatus(msgspec.Struct, array_like=True, frozen=True, tag=7):
+    """The status of a control machine. in_force: followers at its revision, as reported by the relays."""
 
     leads: bool
     publishes: bool
@@ -230,4 +234,4 @@
     in_force: int
 
 
-Reply = Standing | Measured | Listening | Published | Counted | Collected | Done
+Reply = ControlStatus | Measured | Listening | Published | Counted | Collected | Done
--- a/benchmarks/scale/feed_process.py
+++ b/benchmarks/scale/feed_process.py
@@ -1,4 +1,4 @@
-"""Processes of the feed's scale test, as the one that started them sees them. They end with it."""
+"""The parent's side of the processes of the feed's scale benchmark. They end when the parent ends."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 import msgspec
 
-from scale.feed_child import packed, read_message
+from scale.feed_child import encode_message, read_message
 from scale.feed_messages import Command, Measure, Measured, Reply
 
 BENCHMARKS = Path(__file__).parent.parent
-END_WITHIN_S = 5.0
-ANSWER_WITHIN_S = 120.0
+END_TIMEOUT_S = 5.0
+REPLY_TIMEOUT_S = 120.0
 
 ReplyType = TypeVar("ReplyType")
 
 
 class Child:
-    """One process; a command at a time."""
+    """A child process that executes one command at a time."""
 
     def __init__(self, process: Process) -> None:
         self._process = process
-        self._turn = asyncio.Lock()
+        self._lock = asyncio.Lock()
         self._decoder = msgspec.msgpack.Decoder(Reply)
 
     @classmethod
@@ -40,32 +40,35 @@
             )
         )
 
-    async def ask(self, command: Command, wanted: type[ReplyType]) -> ReplyType:
-        """Raises RuntimeError for another reply, TimeoutError for none."""
+    async def call(self, command: Command, reply_type: type[ReplyType]) -> ReplyType:
+        """Sends a command and returns the reply.
+
+        Raises RuntimeError for a reply of another type, TimeoutError if there is none.
+        """
         assert self._process.stdin is not None
         assert self._process.stdout is not None
-        async with self._turn, asyncio.timeout(ANSWER_WITHIN_S):
-            self._process.stdin.write(packed(command))
+        async with self._lock, asyncio.timeout(REPLY_TIMEOUT_S):
+            self._process.stdin.write(encode_message(command))
             await self._process.stdin.drain()
             reply = self._decoder.decode(await read_message(self._process.stdout))
-        if not isinstance(reply, wanted):
-            raise RuntimeError(f"{type(reply).__name__} after {type(command).__name__}")
+        if not isinstance(reply, reply_type):
+            raise RuntimeError(f"{type(command).__name__} was answered with {type(reply).__name__}")
         return reply
 
     async def measure(self) -> Measured:
-        return await self.ask(Measure(), Measured)
+        return await self.call(Measure(), Measured)
 
     async def kill(self) -> None:
-        """Ends it at once, by its id."""
+        """Kills the process."""
         self._process.kill()
         await self._process.wait()
 
     async def end(self) -> None:
-        """By the end of its input; a process that goes on is killed, by its id."""
+        """Closes the input of the process, which ends it; kills it if it keeps running."""
         assert self._process.stdin is not None
         self._process.stdin.close()
         try:
-            async with asyncio.timeout(END_WITHIN_S):
+            async with asyncio.timeout(END_TIMEOUT_S):
                 await self._process.wait()
         except TimeoutError:
             self._process.kill()
--- a/benchmarks/scale/feed_proxy.py
+++ b/benchmarks/scale/feed_proxy.py
@@ -1,8 +1,8 @@
 """A TCP proxy between followers and relays that disturbs the streams that pass it.
 
-It is no lossy network: a stall takes the place of what a lost packet and its retransmission do to a stream, a reset
-that of a connection that a network ended, and a cut holds everything back without closing anything. A connection that
-is opened during a cut is accepted here, where a network would leave it unanswered.
+It does not simulate a lossy network. A stall stands for the effect of a lost packet and its retransmission on a stream,
+a reset for a connection that the network broke, and a cut delays all data without closing any connection. A connection
+that is opened during a cut is accepted here, whereas a network would leave it unanswered.
 """
 
 from __future__ import annotations
@@ -26,49 +26,49 @@
 from scale.feed_relays import HOST
 from scale.feed_usage import peak_bytes, resident_bytes
 
-CHUNK = 16 * 1024
-STALL_S = 0.2  # as long as the least retransmission timeout of a TCP
-RESET_STEP_S = 0.1
+CHUNK_BYTES = 16 * 1024
+STALL_S = 0.2  # the usual minimum of the retransmission timeout of TCP
+RESET_INTERVAL_S = 0.1
 BACKLOG = 4096
 
 
 class Group:
-    """Links that are disturbed alike."""
+    """Links that are disturbed in the same way."""
 
     def __init__(self) -> None:
         self.disturbed = Disturb("")
-        self.passes = asyncio.Event()
-        self.passes.set()
+        self.not_cut = asyncio.Event()
+        self.not_cut.set()
         self.writers: set[asyncio.StreamWriter] = set()
         self.random = random.Random(1)
 
     def disturb(self, command: Disturb) -> None:
         self.disturbed = command
         if command.cut:
-            self.passes.clear()
+            self.not_cut.clear()
         else:
-            self.passes.set()
+            self.not_cut.set()
 
     async def delay(self) -> None:
-        """Before a chunk goes on."""
+        """Delays a chunk before it is forwarded, by a stall or until the cut ends."""
         if self.random.random() < self.disturbed.stall:
             await asyncio.sleep(STALL_S)
-        await self.passes.wait()
+        await self.not_cut.wait()
 
-    async def reset_some(self) -> None:
-        """Ends connections at random, each as often as asked for."""
+    async def reset_connections(self) -> None:
+        """Resets connections at random, each at the configured mean interval."""
         while True:
-            await asyncio.sleep(RESET_STEP_S)
+            await asyncio.sleep(RESET_INTERVAL_S)
             if not self.disturbed.reset_every_s:
                 continue
-            chance = RESET_STEP_S / self.disturbed.reset_every_s
+            probability = RESET_INTERVAL_S / self.disturbed.reset_every_s
             for writer in list(self.writers):
-                if self.random.random() < chance:
+                if self.random.random() < probability:
                     writer.transport.abort()
 
 
 class Link:
-    """One target's listening socket."""
+    """The listening socket for one target, and the connections to it."""
 
     def __init__(self, target: Address, group: Group) -> None:
         self.target, self.group = target, group
@@ -78,22 +78,22 @@
         return int(server.sockets[0].getsockname()[1])
 
     async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await self.group.passes.wait()
+        await self.group.not_cut.wait()
         try:
             target_reader, target_writer = await asyncio.open_connection(HOST, self.target.port)
         except OSError:
             writer.transport.abort()
             return
         self.group.writers.add(writer)
-        await asyncio.gather(self._pass(reader, target_writer), self._pass(target_reader, writer))
+        await asyncio.gather(self._forward(reader, target_writer), self._forward(target_reader, writer))
         self.group.writers.discard(writer)
 
-    async def _pass(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Carries one direction until it ends, then ends the connection beyond."""
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Forwards one direction until it ends, then aborts the connection on the other side."""
         with suppress(OSError):  # either side was reset
-            while data := await reader.read(CHUNK):
+            while data := await reader.read(CHUNK_BYTES):
                 await self.group.delay()
-                if writer.is_closing():  # it was reset meanwhile
+                if writer.is_closing():  # it was reset in the meantime
                     break
                 writer.write(data)
                 await writer.drain()
@@ -101,7 +101,7 @@
 
 
 class ProxyWorker:
-    """Carries out the proxy's commands."""
+    """Executes the commands for the proxy."""
 
     def __init__(self) -> None:
         self.groups: dict[str, Group] = {}
@@ -120,5 +120,5 @@
 
     async def _open(self, command: OpenProxy) -> Listening:
         group = self.groups[command.group] = Group()
-        self._tasks.append(asyncio.create_task(group.reset_some()))
+        self._tasks.append(asyncio.create_task(group.reset_connections()))
         return Listening(tuple([await Link(target, group).listen() for target in command.targets]))
--- a/benchmarks/scale/feed_relays.py
+++ b/benchmarks/scale/feed_relays.py
@@ -1,4 +1,4 @@
-"""A relay's process: beside the publisher and the log, or as a follower of that relay which publishes its log anew."""
+"""The process of a relay, which either runs beside publisher and log or follows the relay there and serves its log."""
 
 from __future__ import annotations
 
@@ -30,9 +30,10 @@
 from scale.feed_usage import peak_bytes, resident_bytes
 
 HOST = "127.0.0.1"
-CONFIRM_EVERY_S = 0.25
-# A relay has one upstream in this test, and there are six of them: no herd to spread, so it tries again soon.
-UPSTREAM = FollowerTuning(start_jitter=0.0, backoff_max=1.0)
+CONFIRM_INTERVAL_S = 0.25
+# In this benchmark only six relays have an upstream, and each has one. No burst of connections needs to be spread out,
+# so they retry soon.
+UPSTREAM_TUNING = FollowerTuning(start_jitter=0.0, backoff_max=1.0)
 
 
 def relay_address(address: Address) -> RelayAddress:
@@ -40,7 +41,7 @@
 
 
 class UpstreamOwner:
-    """Tells the relay's server what came from upstream."""
+    """Notifies the relay's server of changes from upstream."""
 
     def __init__(self, server: RelayServer) -> None:
         self.server = server
@@ -55,7 +56,7 @@
 
 
 class RelayWorker:
-    """Carries out a relay's commands."""
+    """Executes the commands for a relay."""
 
     def __init__(self) -> None:
         self.control: Control | None = None
@@ -74,18 +75,20 @@
             case Publish():
                 return await self._publish(command)
             case Measure():
-                return self._measured()
+                return self._measure()
         raise ValueError(type(command).__name__)
 
     async def _listen(self, relay: Relay) -> Listening:
         self.server = RelayServer(relay)
         port = await self.server.start(HOST, 0)
-        self._confirming = asyncio.create_task(self._confirm())
+        self._confirming = asyncio.create_task(self._confirm_age())
         return Listening((port,))
 
     async def _start_relay(self, command: StartRelay) -> Listening:
         upstream = [relay_address(command.upstream)]
-        follower = Follower(command.name, command.region, upstream, VERIFIER, UPSTREAM, command.seed, Retention())
+        follower = Follower(
+            command.name, command.region, upstream, VERIFIER, UPSTREAM_TUNING, command.seed, Retention()
+        )
         listening = await self._listen(Relay(command.name, follower.log, RelayTuning()))
         assert self.server is not None
         self.upstream_owner = UpstreamOwner(self.server)
@@ -93,30 +96,30 @@
         self.upstream.start()
         return listening
 
-    async def _confirm(self) -> None:
-        """Says again and again how old the log may be."""
+    async def _confirm_age(self) -> None:
+        """Periodically tells the relay's server how old the log may be."""
         assert self.server is not None
         while True:
             now = time.monotonic()
             age = 0.0 if self.upstream is None else self.upstream.follower.age_s(now)
             self.server.mark_current(now - age)
-            await asyncio.sleep(CONFIRM_EVERY_S)
+            await asyncio.sleep(CONFIRM_INTERVAL_S)
 
     async def _publish(self, command: Publish) -> Published:
         assert self.control is not None
         assert self.server is not None
         control, publisher = self.control, self.control.publisher
-        submitted = time.monotonic()
-        control.submit(submitted, command.changes)
+        submitted_at = time.monotonic()
+        control.submit(submitted_at, command.changes)
         while publisher.next_at != float("inf"):
             await asyncio.sleep(max(publisher.next_at - time.monotonic(), 0.0))
-            if control.pump(time.monotonic()):
+            if control.apply_due_commands(time.monotonic()):
                 self.server.log_advanced()
         if command.forget:
-            control.forget_past()
-        return Published(control.log.revision, submitted, control.log.content.digest())
+            control.restart_from_dump()
+        return Published(control.log.revision, submitted_at, control.log.content.digest())
 
-    def _measured(self) -> Measured:
+    def _measure(self) -> Measured:
         return Measured(
             time.monotonic(),
             time.process_time(),
--- a/benchmarks/scale/feed_single_follower.py
+++ b/benchmarks/scale/feed_single_follower.py
@@ -1,4 +1,4 @@
-"""What one follower alone takes: a process with one replica, nothing shared, beside the same process without."""
+"""What one follower costs: a process with one replica is compared with the same process without it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from scale.feed_content import ContentChanges
-from scale.feed_fleet import FIRST_CHANGES_AT_ONCE
+from scale.feed_fleet import INITIAL_BATCH_SIZE
 from scale.feed_messages import (
     Address,
     Count,
@@ -23,59 +23,61 @@
 )
 from scale.feed_process import Child
 
-RETAINED = 1  # publications: a follower that was away for two needs a snapshot
-WITHIN_S = 20.0
+RETAINED = 1  # publications: a follower that has missed two needs a snapshot
+TIMEOUT_S = 20.0
 ZONE = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Alone:
-    """Bytes beyond the process without a replica, and seconds of processor time."""
+class SingleFollowerCost:
+    """Bytes of memory beyond the process without a replica, and seconds of processor time."""
 
     resident: int
-    first_peak: int  # while the first snapshot came
-    again_peak: int  # while another one came over a whole replica
-    first_cpu_s: float
-    received: int  # bytes of the first snapshot, and a heartbeat or two
+    snapshot_peak: int  # while the first snapshot was loaded
+    resnapshot_peak: int  # while another snapshot was loaded into a complete replica
+    snapshot_cpu_s: float
+    received: int  # bytes of the first snapshot, and of one or two heartbeats
 
 
-async def alone(nodes: int, seed: int) -> Alone:
-    """One follower's memory with so many rows."""
+async def single_follower_cost(nodes: int, seed: int) -> SingleFollowerCost:
+    """Measures one follower whose content has a row for each node."""
     children = list(await asyncio.gather(Child.start("relay"), Child.start("followers")))
     try:
-        return await _measured(children[0], children[1], ContentChanges(nodes, seed))
+        return await _measure(children[0], children[1], ContentChanges(nodes, seed))
     finally:
         await asyncio.gather(*(child.end() for child in children))
 
 
-async def _measured(relay: Child, followers: Child, changes: ContentChanges) -> Alone:
-    listening = await relay.ask(StartControl("relay-1", RETAINED), Listening)
-    first = list(changes.first())
-    for at in range(0, len(first), FIRST_CHANGES_AT_ONCE):
-        await relay.ask(Publish(tuple(first[at : at + FIRST_CHANGES_AT_ONCE])), Published)
+async def _measure(relay: Child, followers: Child, changes: ContentChanges) -> SingleFollowerCost:
+    listening = await relay.call(StartControl("relay-1", RETAINED), Listening)
+    initial = list(changes.initial())
+    for at in range(0, len(initial), INITIAL_BATCH_SIZE):
+        await relay.call(Publish(tuple(initial[at : at + INITIAL_BATCH_SIZE])), Published)
     empty = await followers.measure()
     address = Address("relay-1", "north", listening.ports[0])
     spec = FollowerSpec("broker-0000", "north", ZONE, True, (address,))
-    await followers.ask(StartFollowers((spec,), 1, share=False), Done)
-    await _reached(followers, await _publish(relay, changes))
-    whole = await followers.measure()
-    await followers.ask(StopZone(ZONE), Done)
+    await followers.call(StartFollowers((spec,), 1, share=False), Done)
+    await _wait_until_in_force(followers, await _publish(relay, changes))
+    loaded = await followers.measure()
+    await followers.call(StopZone(ZONE), Done)
     for _ in range(RETAINED + 2):
         newest = await _publish(relay, changes)
-    await followers.ask(ReturnZone(ZONE, forget=False), Done)
-    await _reached(followers, newest)
-    again = await followers.measure()
+    await followers.call(ReturnZone(ZONE, forget=False), Done)
+    await _wait_until_in_force(followers, newest)
+    reloaded = await followers.measure()
     base = empty.resident
-    cpu_s = whole.cpu_s - empty.cpu_s
-    return Alone(whole.resident - base, whole.peak - base, again.peak - base, cpu_s, sum(whole.received))
+    cpu_s = loaded.cpu_s - empty.cpu_s
+    return SingleFollowerCost(
+        loaded.resident - base, loaded.peak - base, reloaded.peak - base, cpu_s, sum(loaded.received)
+    )
 
 
 async def _publish(relay: Child, changes: ContentChanges) -> int:
-    return (await relay.ask(Publish((changes.next(),)), Published)).revision
+    return (await relay.call(Publish((changes.next(),)), Published)).revision
 
 
-async def _reached(followers: Child, revision: int) -> None:
-    """Waits until the one follower has the revision in force."""
-    async with asyncio.timeout(WITHIN_S):
-        while not (await followers.ask(Count(revision), Counted)).count:
+async def _wait_until_in_force(followers: Child, revision: int) -> None:
+    """Waits until the follower has the revision in force."""
+    async with asyncio.timeout(TIMEOUT_S):
+        while not (await followers.call(Count(revision), Counted)).count:
             await asyncio.sleep(0.1)
--- a/benchmarks/scale/feed_times.py
+++ b/benchmarks/scale/feed_times.py
@@ -1,4 +1,4 @@
-"""Time from a publication's submission to its being in force, over followers and publications."""
+"""Times from the submission of a publication until followers have it in force."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Times:
-    """Seconds, sorted; never for a follower that has not put a publication in force."""
+    """Sorted times in seconds; NEVER stands for a publication that a follower has not put in force."""
 
     def __init__(self, seconds: Sequence[float]) -> None:
         self.seconds = sorted(seconds)
 
     def quantile(self, fraction: float) -> float:
-        """The time within which this share of all was in force."""
+        """Returns the time within which this fraction of all publications was in force."""
         return self.seconds[max(math.ceil(fraction * len(self.seconds)) - 1, 0)]
 
     @property
@@ -30,12 +30,12 @@
 
 
 def in_force_times(
-    published: Sequence[Published], followers: Sequence[InForce], counts: Callable[[InForce], bool]
+    published: Sequence[Published], followers: Sequence[InForce], selects: Callable[[InForce], bool]
 ) -> Times:
-    """Of successive publications, at the followers that count."""
-    found = []
+    """Returns the times of successive publications at the selected followers."""
+    seconds = []
     for follower in followers:
-        if counts(follower):
+        if selects(follower):
             for publication, at in zip(published, follower.times, strict=True):
-                found.append(NEVER if at is None else at - publication.at)
-    return Times(found)
+                seconds.append(NEVER if at is None else at - publication.at)
+    return Times(seconds)
--- a/benchmarks/scale/feed_voters.py
+++ b/benchmarks/scale/feed_voters.py
@@ -1,4 +1,4 @@
-"""A control machine's process: vote, lease on publishing, publisher and relay, as the product joins them."""
+"""The process of a control machine: voter, publishing lease, publisher and relay, joined as in the product."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 from scale.feed_control import SIGNER
 from scale.feed_messages import (
     Command,
+    ControlStatus,
+    GetStatus,
     Listening,
     Measure,
     Measured,
     Publish,
     Published,
     Reply,
-    Stand,
-    Standing,
     StartVoter,
 )
 from scale.feed_relays import HOST
 from scale.feed_usage import peak_bytes, resident_bytes
 
 KEYS = (b"the key of a scale test's control machines",)
-NOT_PUBLISHED = 0  # in place of a revision
-LOOK_S = 0.002  # between looks at whether a publication was agreed on
+NOT_PUBLISHED = 0  # takes the place of a revision
+COMMIT_POLL_S = 0.002  # between checks whether a publication has been committed
 
 
-def note(what: str, **values: object) -> None:
-    """What a control machine would log; the test asks for its standing."""
+def discard_log_line(what: str, **values: object) -> None:
+    """Discards the log lines of the control machine; the benchmark requests its status instead."""
 
 
 class VoterWorker:
-    """Carries out a control machine's commands."""
+    """Executes the commands for a control machine."""
 
     def __init__(self) -> None:
         self.server: ControlServer | None = None
@@ -47,10 +47,10 @@
                 return await self._start(command)
             case Publish():
                 return await self._publish(command.changes)
-            case Stand():
-                return self._standing()
+            case GetStatus():
+                return self._status()
             case Measure():
-                return self._measured()
+                return self._measure()
         raise ValueError(type(command).__name__)
 
     async def _start(self, command: StartVoter) -> Listening:
@@ -58,12 +58,15 @@
         create_store(store, command.name, [voter.name for voter in command.voters])
         voters = {voter.name: (HOST, voter.port) for voter in command.voters}
         settings = ControlSettings(command.name, store, voters, (HOST, 0), KEYS)
-        self.server = ControlServer(settings, SIGNER, lambda change: "", note)
+        self.server = ControlServer(settings, SIGNER, lambda change: "", discard_log_line)
         return Listening((await self.server.start(),))
 
     async def _publish(self, changes: tuple[Change, ...]) -> Published:
-        """Until the last of the changes stands in the agreed log, or the lease under which they were taken is over:
-        they are their submitter's again then, and revision 0 says so."""
+        """Publishes changes and waits until the last of them is committed.
+
+        If the lease under which they were submitted ends first, the reply has revision 0 and the caller has to submit
+        the changes again.
+        """
         server = self.server
         assert server is not None
         submitted, epoch = time.monotonic(), server.publisher.epoch
@@ -76,15 +79,15 @@
         while log.content.get(last.key) != last.value:
             if server.publisher.epoch != epoch:
                 return Published(NOT_PUBLISHED, submitted, b"")
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(COMMIT_POLL_S)
         return Published(log.revision, submitted, log.content.digest())
 
-    def _standing(self) -> Standing:
+    def _status(self) -> ControlStatus:
         assert self.server is not None
         server, revision = self.server, self.server.relay.log.revision
         progress = server.progress(revision)
-        return Standing(server.local_voter.voter.is_leader, server.is_publisher, revision, progress.applied)
+        return ControlStatus(server.local_voter.voter.is_leader, server.is_publisher, revision, progress.applied)
 
-    def _measured(self) -> Measured:
+    def _measure(self) -> Measured:
         snapshots = 0 if self.server is None else self.server.relay.snapshots_started
         return Measured(time.monotonic(), time.process_time(), 0.0, resident_bytes(), peak_bytes(), snapshots=snapshots)
--- a/benchmarks/scale/feed_whole_list.py
+++ b/benchmarks/scale/feed_whole_list.py
@@ -1,6 +1,6 @@
-"""The way of today beside the feed: a broker reads the whole list from Consul's health endpoint at each change.
+"""The alternative to the feed: at each change a broker reads the complete list from Consul's health endpoint.
 
-One read is measured; its rate and the fleet's bytes are multiplied from it.
+One read is measured; the cost per second and the bytes of the whole fleet are extrapolated from it.
 """
 
 from __future__ import annotations
@@ -20,33 +20,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeList:
-    """One read of the whole list: its body, and the least processor time of several reads."""
+class WholeListCost:
+    """The cost of reading the complete list: the size of its body, and the least processor time of several reads."""
 
     body_bytes: int
     cpu_s: float
 
 
-def whole_list(nodes: int) -> WholeList:
-    """Reads a list in which one row has changed, after a first one; without HTTP and without the module."""
+def read_whole_list(nodes: int) -> WholeListCost:
+    """Measures reading a list in which one row has changed, after a first list, without HTTP and decision logic."""
     directory = consul_directory(CELLS)
-    costs = []
+    cpu_s = []
     for run in range(RUNS + 1):
         body = msgspec.json.encode([_row(number, draining=number == run) for number in range(nodes)])
         began = time.process_time()
-        reading = ListReader(directory, decode_rows(body), 1e6 + run, 1.8e9)
-        for _ in reading.read_slices():
+        reader = ListReader(directory, decode_rows(body), 1e6 + run, 1.8e9)
+        for _ in reader.read_slices():
             pass
-        reading.apply()
-        directory.told = True
-        costs.append(time.process_time() - began)
-        if reading.errors:
-            raise ValueError(reading.errors[0])
-    return WholeList(len(body), min(costs[1:]))
+        reader.apply()
+        directory.published = True
+        cpu_s.append(time.process_time() - began)
+        if reader.errors:
+            raise ValueError(reader.errors[0])
+    return WholeListCost(len(body), min(cpu_s[1:]))
 
 
 def _row(number: int, draining: bool) -> dict[str, Any]:
-    """An instance of the service with the fields that Consul's HTTP API documents."""
+    """Returns an instance of the service with the fields that Consul's HTTP API documents."""
     name, host = f"rates-{number:05d}", f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}"
     return {
         "Node": _node(name, host),
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -16,7 +16,7 @@
 from scale.list_memory import MEGABYTE, memory_of
 from scale.list_reading import ApplyCost, Reader
 from scale.list_rows import FORMS, ListForm, Node, nodes_of, with_drain_toggled
-from scale.planned_fleet import CONFIGURATIONS_A_DAY, DAY_S, FAILURES_A_DAY, NODES, RESTARTS_A_DAY, ZONES
+from scale.planned_fleet import CONFIGURATIONS_PER_DAY, DAY_S, FAILURES_PER_DAY, NODES, RESTARTS_PER_DAY, ZONES
 from scale.processor import collector_of_a_broker
 
 NODES_PER_CELL = 4  # with a reach of three cells: twelve holders a shard, at each size
@@ -28,7 +28,7 @@
 # is gone, starts, is ready. A change of configuration changes one row. A machine that fails takes one node with it,
 # whose return counts among the replaced ones.
 STATES_PER_RESTART = 4
-CHANGES_PER_DAY = RESTARTS_A_DAY * STATES_PER_RESTART + CONFIGURATIONS_A_DAY + FAILURES_A_DAY
+CHANGES_PER_DAY = RESTARTS_PER_DAY * STATES_PER_RESTART + CONFIGURATIONS_PER_DAY + FAILURES_PER_DAY
 CHANGES_PER_S = CHANGES_PER_DAY / DAY_S
 
 
--- a/tests/test_capacity_feed.py
+++ b/tests/test_capacity_feed.py
@@ -16,7 +16,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "benchmarks"))
 
 from scale import feed
-from scale.feed_content import CHANGES_A_SECOND, CONFIGURATION_BYTES, ContentChanges, node_row
+from scale.feed_content import CHANGES_PER_SECOND, CONFIGURATION_BYTES, ContentChanges, node_row
 from scale.feed_fleet import RETAINED
 from scale.feed_messages import InForce, Published
 from scale.feed_scenarios import SMALL
@@ -111,7 +111,7 @@
     control = Control()
     control.grant()
     stage = FeedHarness(control)
-    first = list(ContentChanges(nodes, SEED).first())
+    first = list(ContentChanges(nodes, SEED).initial())
     for at in range(0, len(first), 1000):
         stage.publish(*first[at : at + 1000])
     for number in range(followers):
@@ -168,7 +168,7 @@
 
 # -- the parts of the scale test
 def test_the_rate_and_the_sizes_of_changes_are_those_of_the_expected_fleet():
-    assert 0.27 < CHANGES_A_SECOND < 0.28
+    assert 0.27 < CHANGES_PER_SECOND < 0.28
     assert 120 < len(node_row(12_999, "draining", 3)) < 180
     assert len(ContentChanges(10, SEED).configuration(0).value) == CONFIGURATION_BYTES
     made = ContentChanges(10, SEED)
