--- a/benchmarks/scale/brokers.py
+++ b/benchmarks/scale/brokers.py
@@ -10,7 +10,7 @@
 
 from scale import duties, limits, records, slow_start_budget
 from scale.figures import Figure, Part
-from scale.planned_fleet import BROKERS, nodes_beside
+from scale.planned_fleet import BROKERS, nodes_for
 
 
 def measure(sizes: Sequence[int], seed: int) -> list[Figure]:
@@ -18,7 +18,7 @@
 
 
 def at_size(brokers: int, seed: int) -> list[Figure]:
-    nodes = nodes_beside(brokers)
+    nodes = nodes_for(brokers)
     results = records.figures(brokers, nodes)
     results += duties.figures(brokers, seed)
     results += slow_start_budget.figures(brokers)
--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -1,4 +1,4 @@
-"""What a scale test reports: figures by size, and the straight line through them."""
+"""The results of a scale benchmark: figures by size, and the straight line fitted through them."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class Kind(StrEnum):
-    """How a figure came about."""
+    """How a figure was obtained."""
 
     MEASURED = "measured"  # processor time, memory or bytes of the product's own code on this machine
     SIMULATED = "simulated"  # counted in simulated time
     LOOPBACK = "loopback"  # measured over real sockets on this machine
-    EXTRAPOLATED = "extrapolated"  # read off the straight line through at least three sizes
+    EXTRAPOLATED = "extrapolated"  # calculated from figures, or read off the straight line through at least three sizes
 
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """One quantity at one size. quantity: what was measured, with its unit in `unit`; scenario: quiet, churn, …"""
+    """One quantity at one size. scenario: quiet, churn, …; quantity: what was measured, in `unit`."""
 
     part: str  # the module of `benchmarks/scale` that measured it
     scenario: str
@@ -46,27 +46,29 @@
 
 
 def fitted(figures: Sequence[Figure]) -> Line:
-    """The line through figures of at least three sizes. Raises ValueError for fewer."""
+    """Fits a line through figures of at least three sizes. Raises ValueError for fewer."""
     if len({figure.size for figure in figures}) < 3:
-        raise ValueError("a line is fitted through three sizes or more")
+        raise ValueError("fitting a line needs figures of at least three sizes")
     count = len(figures)
     mean_size = sum(f.size for f in figures) / count
     mean_value = sum(f.value for f in figures) / count
-    spread = sum((f.size - mean_size) ** 2 for f in figures)
-    slope = sum((f.size - mean_size) * (f.value - mean_value) for f in figures) / spread
+    size_variation = sum((f.size - mean_size) ** 2 for f in figures)
+    slope = sum((f.size - mean_size) * (f.value - mean_value) for f in figures) / size_variation
     intercept = mean_value - slope * mean_size
-    total = sum((f.value - mean_value) ** 2 for f in figures)
-    left = sum((f.value - intercept - slope * f.size) ** 2 for f in figures)
-    return Line(slope, intercept, 1.0 - left / total if total else 1.0, len({f.size for f in figures}))
+    value_variation = sum((f.value - mean_value) ** 2 for f in figures)
+    residual = sum((f.value - intercept - slope * f.size) ** 2 for f in figures)
+    return Line(
+        slope, intercept, 1.0 - residual / value_variation if value_variation else 1.0, len({f.size for f in figures})
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """One scale test: its name, what its size counts, the sizes of a full run and of the small run in CI."""
+    """One scale benchmark: its name, what its size counts, the sizes of a full run and of the small run in CI."""
 
     name: str
     size_counts: str  # nodes, members, brokers, parts, followers
     full: tuple[int, ...]
     small: tuple[int, ...]
-    target: int  # the size to come
+    target: int  # the size in the planned fleet
     measure: Callable[[Sequence[int], int], list[Figure]]  # sizes and a seed
--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -1,6 +1,7 @@
-"""Which of the product's limits the fleet to come would break: what is needed, as a share of the limit; and trials.
+"""Which of the product's limits the planned fleet would exceed: what it needs, as a share of each limit; and trials.
 
-A share above 1 is a limit that breaks. The trials bring the product's own code to the size and count what it holds.
+A share above 1 means that the limit is exceeded. The trials run the product's own code at the size and count how much
+of the content it still holds.
 """
 
 from __future__ import annotations
@@ -28,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """One of the product's limits, and what a fleet needs of it by brokers and nodes."""
+    """One of the product's limits, and how much of it a fleet needs, by number of brokers and nodes."""
 
     name: str
-    most: float
+    maximum: float
     needed: Callable[[int, int], float]
 
 
@@ -54,7 +55,7 @@
     Limit(
         "knowledge.record MOST_BYTES: a record of all nodes",
         MAX_RECORD_BYTES,
-        lambda brokers, nodes: len(encode(records.unbounded(nodes, 1))),
+        lambda brokers, nodes: len(encode(records.record_of_all_nodes(nodes, 1))),
     ),
     Limit("net.server BACKLOG: all brokers connect at once", BACKLOG, lambda brokers, nodes: brokers),
     Limit(
@@ -65,8 +66,8 @@
 )
 
 
-def members_held(brokers: int) -> float:
-    """The share of so many brokers that a member holds once it has heard of all."""
+def share_of_members_held(brokers: int) -> float:
+    """Returns the share of brokers that a member still holds after it has received the state of all of them."""
     member = Swim("observer", ("observer", 1), 1, "", SwimConfig(), 1)
     for i in range(brokers):
         sender = MemberUpdate(f"broker-{i}", f"host-{i}", 7946, MemberState.ALIVE, 1)
@@ -74,11 +75,12 @@
     return len(member.members) / brokers
 
 
-def windows_kept(brokers: int, replaced: int) -> float:
-    """The share of brokers whose replay window a receiver still has: without it a datagram seen before is taken again.
+def share_of_windows_kept(brokers: int, replaced: int) -> float:
+    """Returns the share of brokers whose replay window a receiver still has.
 
-    Each broker has sent one datagram; then so many others, from addresses of their own, which replace machines. A
-    broker whose window was dropped gets a new one with its next datagram, and the receiver drops another's for it.
+    Without the window, the receiver would accept a datagram for a second time. Each broker sends one datagram, and then
+    each replacement of a machine sends one from an address of its own. A broker whose window was dropped gets a new one
+    with its next datagram, for which the receiver drops another broker's window.
     """
     receiver = DatagramSealer((KEY,), 1)
     senders = [f"10.123.{i // 256}.{i % 256}:7946".encode() for i in range(brokers + replaced)]
@@ -87,25 +89,27 @@
     return sum(sender in receiver.senders for sender in senders[:brokers]) / brokers
 
 
-def record_of_all_read(nodes: int) -> bool:
-    """Whether a record that tells of all nodes would be read."""
+def accepts_record_of_all_nodes(nodes: int) -> bool:
+    """Returns whether a receiver would accept a record of all nodes."""
     try:
-        decode(encode(records.unbounded(nodes, 1)))
+        decode(encode(records.record_of_all_nodes(nodes, 1)))
     except RecordError:
         return False
     return True
 
 
 def figures(brokers: int, nodes: int) -> list[Figure]:
-    found = []
+    results = []
     for limit in LIMITS:
-        share = limit.needed(brokers, nodes) / limit.most
-        found.append(Figure("brokers", "limit", limit.name, "share", brokers, share, Kind.MEASURED))
+        share = limit.needed(brokers, nodes) / limit.maximum
+        results.append(Figure("brokers", "limit", limit.name, "share", brokers, share, Kind.MEASURED))
     replaced = round(restarts_expected(brokers, DAY_S))
     trials = (
-        ("brokers held by a member", members_held(brokers)),
-        ("replay windows kept, brokers only", windows_kept(brokers, 0)),
-        ("replay windows kept, after a day's replacements", windows_kept(brokers, replaced)),
-        ("a record of all nodes is read", float(record_of_all_read(nodes))),
+        ("brokers held by a member", share_of_members_held(brokers)),
+        ("replay windows kept, brokers only", share_of_windows_kept(brokers, 0)),
+        ("replay windows kept, after a day's replacements", share_of_windows_kept(brokers, replaced)),
+        ("a record of all nodes is read", float(accepts_record_of_all_nodes(nodes))),
     )
-    return found + [Figure("brokers", "trial", what, "share", brokers, value, Kind.MEASURED) for what, value in trials]
+    return results + [
+        Figure("brokers", "trial", quantity, "share", brokers, value, Kind.MEASURED) for quantity, value in trials
+    ]
--- a/benchmarks/scale/list_memory.py
+++ b/benchmarks/scale/list_memory.py
@@ -1,9 +1,9 @@
-"""Memory that a list takes in a broker: a process of its own takes it, so that sizes do not mix.
+"""Memory that a list of nodes uses in a broker, measured in a separate process for each list.
 
     PYTHONPATH=.:benchmarks python benchmarks/scale/list_memory.py FORM CELLS FIRST_ANSWER SECOND_ANSWER
 
-The answers are files. Printed as JSON: what stays once the first list is in force, and the peak while the second is
-taken over it.
+The answers are files. The output is JSON: the resident memory once the first list is in force, and the peak while the
+second list is applied over it.
 """
 
 from __future__ import annotations
@@ -19,53 +19,53 @@
 import msgspec
 
 from badgerbend.net.client import Reply
-from scale.list_reading import Reader
-from scale.list_rows import FORMS, ListForm, Node, nodes_of, with_drain_toggled
+from scale.list_reading import BrokerList
+from scale.list_rows import FORMS, ListForm, Node, make_nodes, with_drain_toggled
 
 BENCHMARKS = Path(__file__).parent.parent
-WARM_NODES = 10  # read first, so that what the first list of all brings with it is not counted
+WARM_UP_NODES = 10  # applied first, so that one-time allocations of the process are not counted
 MEGABYTE = 1_048_576
 
 
 class ListMemory(msgspec.Struct):
-    """Bytes beyond those of the process before it."""
+    """Bytes in addition to the memory of the process before it applied the list."""
 
     resident: int
     peak: int
 
 
 def memory_of(form: ListForm, nodes: Sequence[Node], cells: int) -> ListMemory:
-    """What a list of these nodes takes, measured in a process of its own."""
+    """Measures the memory for a list of these nodes in a separate process."""
     with tempfile.TemporaryDirectory() as folder:
         files = [Path(folder, "first"), Path(folder, "second")]
         files[0].write_bytes(form.whole(nodes, 2).body)
         files[1].write_bytes(form.whole(with_drain_toggled(nodes, [0]), 3).body)
         command = [sys.executable, __file__, form.name, str(cells), *map(str, files)]
         path = os.pathsep.join([str(BENCHMARKS.parent), str(BENCHMARKS)])
-        done = subprocess.run(command, env=os.environ | {"PYTHONPATH": path}, capture_output=True, text=True)
-    if done.returncode:
-        raise RuntimeError(done.stderr)
-    return msgspec.json.decode(done.stdout, type=ListMemory)
+        result = subprocess.run(command, env=os.environ | {"PYTHONPATH": path}, capture_output=True, text=True)
+    if result.returncode:
+        raise RuntimeError(result.stderr)
+    return msgspec.json.decode(result.stdout, type=ListMemory)
 
 
-def _status(field: str) -> int:
-    """A size of this process that the kernel states, in bytes.
+def _status_bytes(field: str) -> int:
+    """Returns a field of this process's status in `/proc`, in bytes.
 
-    Not by getrusage: its peak outlives exec, so that a child starts with that of its parent.
+    getrusage is not used: its peak survives exec, so that a child process would start with the peak of its parent.
     """
     line = next(line for line in Path("/proc/self/status").read_text().splitlines() if line.startswith(f"{field}:"))
     return int(line.split()[1]) * 1024
 
 
 def _resident() -> int:
-    return _status("VmRSS")
+    return _status_bytes("VmRSS")
 
 
 def _peak() -> int:
-    return _status("VmHWM")
+    return _status_bytes("VmHWM")
 
 
-def _answer(form: ListForm, file: str, version: int) -> Reply:
+def _read_answer(form: ListForm, file: str, version: int) -> Reply:
     reply = form.whole([], version)
     reply.body = Path(file).read_bytes()
     return reply
@@ -74,14 +74,14 @@
 def main() -> None:
     name, cells, first, second = sys.argv[1:]
     form = next(form for form in FORMS if form.name == name)
-    Reader(form, int(cells)).apply(form.whole(nodes_of(WARM_NODES, int(cells)), 1))
+    BrokerList(form, int(cells)).apply(form.whole(make_nodes(WARM_UP_NODES, int(cells)), 1))
     gc.collect()
     before = _resident()
-    reader = Reader(form, int(cells))
-    reader.apply(_answer(form, first, 2))
+    broker_list = BrokerList(form, int(cells))
+    broker_list.apply(_read_answer(form, first, 2))
     gc.collect()
     resident = _resident() - before
-    reader.apply(_answer(form, second, 3))
+    broker_list.apply(_read_answer(form, second, 3))
     print(msgspec.json.encode(ListMemory(resident, _peak() - before)).decode())
 
 
--- a/benchmarks/scale/list_rows.py
+++ b/benchmarks/scale/list_rows.py
@@ -1,4 +1,4 @@
-"""Lists of many nodes in both forms that the product reads: Consul's health endpoint, and the platform's members.
+"""Large lists of nodes in both forms that the product reads: Consul's health endpoint, and the platform's members.
 
 A Consul row has the fields that Consul's HTTP API documents for `/v1/health/service/:service`, with the node's
 serfHealth check beside the service's own. A row of the members has the fields of `badgerbend/platform/names.py`.
@@ -39,39 +39,39 @@
     started: float = 1_700_000_000.0
 
 
-def nodes_of(count: int, cells: int) -> list[Node]:
-    """So many nodes, dealt evenly to cells and zones."""
+def make_nodes(count: int, cells: int) -> list[Node]:
+    """Returns a number of nodes, spread evenly over cells and zones."""
     return [
         Node(f"rates-{i:05d}", f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}", FIRST_PORT, i % cells, i % len(ZONE_NAMES))
         for i in range(count)
     ]
 
 
-def with_drain_toggled(nodes: Sequence[Node], places: Collection[int]) -> list[Node]:
-    """The same nodes; those at these places drain if they were ready, and are ready if they drained."""
-    chosen = set(places)
+def with_drain_toggled(nodes: Sequence[Node], indices: Collection[int]) -> list[Node]:
+    """Returns the same nodes; those at the given indices are draining if they were ready, and the other way round."""
+    chosen = set(indices)
     return [replace(node, draining=not node.draining) if i in chosen else node for i, node in enumerate(nodes)]
 
 
 class ListForm(Protocol):
-    """One form of list: how it is answered, and what reads it."""
+    """One form of list: the answers that contain it, and the product's code that reads it."""
 
     name: str
-    max_bytes: int  # a longer answer is not read
+    max_bytes: int  # a longer answer is rejected
 
     def directory(self, cells: int) -> Directory: ...
 
     def target(self) -> Target: ...
 
     def whole(self, nodes: Sequence[Node], version: int) -> Reply:
-        """The answer to a broker that knows nothing yet."""
+        """Returns the answer to a broker that has no list yet."""
 
-    def change(self, nodes: Sequence[Node], places: Collection[int], version: int) -> Reply:
-        """The answer to a broker that knows all but what changed at these places."""
+    def change(self, nodes: Sequence[Node], indices: Collection[int], version: int) -> Reply:
+        """Returns the answer to a broker that has the list except for the changes at these indices."""
 
 
 class ConsulForm:
-    """The health endpoint: the whole list at each change."""
+    """Consul's health endpoint, which returns the complete list at each change."""
 
     name = "consul"
     max_bytes = Discovery().max_bytes
@@ -86,12 +86,12 @@
         body = msgspec.json.encode([_consul_row(node, version) for node in nodes])
         return Reply(CallResult.ANSWER, 200, {b"x-consul-index": b"%d" % version}, body)
 
-    def change(self, nodes: Sequence[Node], places: Collection[int], version: int) -> Reply:
+    def change(self, nodes: Sequence[Node], indices: Collection[int], version: int) -> Reply:
         return self.whole(nodes, version)
 
 
 class MembersForm:
-    """The platform's members: the whole list once, then the rows that changed."""
+    """The platform's members: the complete list once, then the rows that changed."""
 
     name = "members"
 
@@ -99,8 +99,8 @@
         self.max_bytes = self.target().max_bytes
 
     def directory(self, cells: int) -> Directory:
-        read = row_parser(names.MEMBERS, ZONE_NAMES, KIND_NAMES)
-        return Directory(cells, read, shared_clock=True, parse_departure=departure_parser(names.MEMBERS))
+        parse_row = row_parser(names.MEMBERS, ZONE_NAMES, KIND_NAMES)
+        return Directory(cells, parse_row, shared_clock=True, parse_departure=departure_parser(names.MEMBERS))
 
     def target(self) -> Target:
         return MembersTarget(names.MEMBERS, ("127.0.0.1", 9), polls_on_request=False, drain_grace_s=DRAIN_GRACE_S)
@@ -108,8 +108,8 @@
     def whole(self, nodes: Sequence[Node], version: int) -> Reply:
         return self._reply(nodes, version, whole=True)
 
-    def change(self, nodes: Sequence[Node], places: Collection[int], version: int) -> Reply:
-        return self._reply([nodes[place] for place in places], version, whole=False)
+    def change(self, nodes: Sequence[Node], indices: Collection[int], version: int) -> Reply:
+        return self._reply([nodes[index] for index in indices], version, whole=False)
 
     def _reply(self, nodes: Sequence[Node], version: int, whole: bool) -> Reply:
         fields = names.MEMBERS
--- a/benchmarks/scale/planned_fleet.py
+++ b/benchmarks/scale/planned_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet to come and what a broker may spend on control: the numbers that the scale tests' scenarios derive from."""
+"""The planned fleet: the numbers from which the scenarios of the scale benchmarks are derived."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 DAY_S = 86_400.0
 
 NODES_PER_BROKER = NODES / BROKERS
-# No machine is likelier to be restarted than another: each waits for its turn among all of them.
+# All machines, brokers and nodes alike, are equally likely to be restarted.
 RESTARTS_PER_MACHINE_S = (RESTARTS_PER_DAY + FAILURES_PER_DAY) / (BROKERS + NODES) / DAY_S
 
 
 def restarts_expected(machines: int, seconds: float) -> float:
-    """How many of so many machines are restarted, replaced or fail within so many ordinary seconds."""
+    """Returns how many of the machines are restarted, replaced or fail in a number of seconds of an ordinary day."""
     return machines * seconds * RESTARTS_PER_MACHINE_S
 
 
-def nodes_beside(brokers: int) -> int:
-    """Nodes of a smaller fleet of the same make."""
+def nodes_for(brokers: int) -> int:
+    """Returns the number of nodes in a smaller fleet with the same proportion of nodes to brokers."""
     return round(brokers * NODES_PER_BROKER)
--- a/benchmarks/scale/processor.py
+++ b/benchmarks/scale/processor.py
@@ -1,4 +1,4 @@
-"""Processor time of this process: how it is taken, and the garbage collector's settings while it is."""
+"""Measuring processor time of this process, with a broker's settings of the garbage collector."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from badgerbend.platform.service import settle_memory
 
 
-def spent_ms(action: Callable[[], object]) -> float:
-    """Milliseconds of processor time that one call takes."""
+def cpu_ms(action: Callable[[], object]) -> float:
+    """Returns the milliseconds of processor time that one call takes."""
     began = time.process_time()
     action()
     return (time.process_time() - began) * 1000.0
 
 
 @contextmanager
-def collector_of_a_broker() -> Iterator[None]:
-    """The garbage collector as a started broker sets it; as it was before, afterwards."""
+def broker_gc_settings() -> Iterator[None]:
+    """Sets the garbage collector as a started broker does, and restores its settings afterwards."""
     thresholds = gc.get_threshold()
     settle_memory()
     try:
--- a/benchmarks/scale/query_bytes.py
+++ b/benchmarks/scale/query_bytes.py
@@ -1,6 +1,6 @@
-"""What a query costs as bytes: its request and answer in HTTP, its calls and their answers in frames.
+"""The cost of encoding and decoding a query: its request and answer in HTTP, its calls and their answers in frames.
 
-The product's own protocols, given bytes by hand: no socket, so the kernel's share is not in it.
+The product's own protocols are given bytes directly. There is no socket, so the kernel's share is not included.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 TEXT = "SELECT id, lender, monthly FROM rates WHERE amount = 5000 AND term = 36 ORDER BY monthly LIMIT 20"
 VALUE = b"0123456789abcdef"
-WAIT_MS = 540.0
+TIME_LEFT_MS = 540.0
 MAX_FRAME = 65_536
 
 
 def request(number: int, shards: Sequence[int]) -> bytes:
-    """A client's query over these shards, as it is sent."""
+    """Encodes a client's query over these shards as an HTTP request."""
     fields = names.PART_FIELDS
     parts = [
         {
@@ -51,20 +51,20 @@
         names.TENANT,
         TENANT.encode(),
         names.TIME_LEFT,
-        int(WAIT_MS),
+        int(TIME_LEFT_MS),
         len(body),
     )
     return head + body
 
 
 def answer_frame(part: bytes) -> bytes:
-    """A node's answer for one part."""
+    """Encodes a node's answer for one part as a frame."""
     return codec.encode_frame(names.FRAMES.answer, b"%s served 7 -\n%s" % (part, VALUE))
 
 
 @dataclass(slots=True)
-class Written:
-    """A stand-in for asyncio's transport: bytes are kept, the kernel takes all."""
+class RecordingTransport:
+    """Stands in for asyncio's transport: keeps all bytes and accepts them without delay."""
 
     data: list[bytes] = field(default_factory=list)
 
@@ -75,7 +75,7 @@
         return False
 
     def get_extra_info(self, name: str) -> None:
-        """There is no socket."""
+        """Returns None, since there is no socket."""
 
     def set_write_buffer_limits(self, high: int) -> None:
         """Nothing is buffered."""
@@ -87,19 +87,19 @@
         """Nothing is open."""
 
 
-class TakingDriver:
-    """In the driver's place: keeps the query that the front hands over, and its sink."""
+class RecordingDriver:
+    """Stands in for the driver: keeps the queries that the front end submits, and their sinks."""
 
     def __init__(self) -> None:
-        self.taken: list[tuple[QueryPlan, Sink]] = []
+        self.submitted: list[tuple[QueryPlan, Sink]] = []
 
     def submit(self, plan: QueryPlan, sink: Sink) -> int:
-        self.taken.append((plan, sink))
-        return len(self.taken)
+        self.submitted.append((plan, sink))
+        return len(self.submitted)
 
 
 class ChannelOwner:
-    """In the transport's place: keeps how attempts ended."""
+    """Stands in for the transport: keeps the outcomes of attempts."""
 
     def __init__(self) -> None:
         self.names, self.streams, self.max_frame = names.FRAMES, 64, MAX_FRAME
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BytesCost:
-    """Of one query: processor time in seconds, and bytes. codec_s is within channel_s."""
+    """The cost of one query: processor time in seconds, and bytes. channel_s includes codec_s."""
 
     http_s: float
     channel_s: float
@@ -136,31 +136,31 @@
 
 
 class QueryBytes:
-    """One client's connection and one channel a part, on a running loop."""
+    """One client's connection and one channel for each part, on a running event loop."""
 
     def __init__(self, parts: int, cells: int) -> None:
         loop = asyncio.get_running_loop()
         config = configuration(cells)
         self.shards = range(min(parts, config.shards))
-        self.driver = TakingDriver()
+        self.driver = RecordingDriver()
         front = Front(config, cast(Driver, self.driver), lambda: True)
-        self.client, self.connection = Written(), _Connection(HttpServer(front.handle, ServerLimits()), loop)
+        self.client, self.connection = RecordingTransport(), _Connection(HttpServer(front.handle, ServerLimits()), loop)
         self.connection.connection_made(cast(asyncio.Transport, self.client))
         self.owner = ChannelOwner()
-        self.wires = [Written() for _ in self.shards]
+        self.transports = [RecordingTransport() for _ in self.shards]
         self.channels = [Channel(self.owner, node, loop) for node in self.shards]
-        for channel, wire in zip(self.channels, self.wires, strict=True):
-            channel.connection_made(cast(asyncio.Transport, wire))
+        for channel, transport in zip(self.channels, self.transports, strict=True):
+            channel.connection_made(cast(asyncio.Transport, transport))
 
     def query(self, number: int) -> BytesCost:
-        """One query through all of it. Raises ValueError if it is not answered whole."""
+        """Passes one query through all protocols. Raises ValueError if its answer is incomplete."""
         data = request(number, self.shards)
-        taken = time.process_time()
+        began_reading = time.process_time()
         self.connection.data_received(data)
-        read_s = time.process_time() - taken
-        plan, sink = self.driver.taken.pop()
-        channel_s = self._channels(plan.parts, number)
-        codec_s, node_bytes = self._codec(plan.parts)
+        read_s = time.process_time() - began_reading
+        plan, sink = self.driver.submitted.pop()
+        channel_s = self._channel_s(plan.parts, number)
+        codec_s, node_bytes = self._codec_cost(plan.parts)
         results = [(part, cast(object, VALUE)) for part in plan.parts]
         began = time.process_time()
         sink.answered(results, True)
@@ -168,37 +168,39 @@
         answer = b"".join(self.client.data)
         self.client.data.clear()
         if answer.count(VALUE) != len(self.shards):
-            raise ValueError(f"no whole answer: {answer[:200]!r}")
+            raise ValueError(f"incomplete answer: {answer[:200]!r}")
         return BytesCost(http_s, channel_s, codec_s, len(data) + len(answer), node_bytes)
 
-    def _channels(self, parts: Sequence[PartPlan], number: int) -> float:
-        """Calls written and answers read by the channels, the codec within."""
+    def _channel_s(self, parts: Sequence[PartPlan], number: int) -> float:
+        """Returns the seconds that channels take to write calls and read answers, including the codec."""
         now_ms = self.owner.now_ms()
-        attempts = [Attempt(i, 0, i, part, number, now_ms, WAIT_MS, now_ms + WAIT_MS) for i, part in enumerate(parts)]
-        answers = [answer_frame(_ask(part).id) for part in parts]
+        attempts = [
+            Attempt(i, 0, i, part, number, now_ms, TIME_LEFT_MS, now_ms + TIME_LEFT_MS) for i, part in enumerate(parts)
+        ]
+        answers = [answer_frame(_request_of(part).id) for part in parts]
         began = time.process_time()
         for channel, attempt, answer in zip(self.channels, attempts, answers, strict=True):
             channel.send([attempt])
             channel.data_received(answer)
-        took = time.process_time() - began
+        channel_s = time.process_time() - began
         served, self.owner.ends = [end for end in self.owner.ends if end == (Outcome.OK, VALUE)], []
         if len(served) != len(parts):
-            raise ValueError(f"{len(served)} answers of {len(parts)}")
-        for wire in self.wires:
-            wire.data.clear()
-        return took
-
-    def _codec(self, parts: Sequence[PartPlan]) -> tuple[float, int]:
-        """The codec alone: seconds, and the bytes to and from the nodes."""
-        answers = [answer_frame(_ask(part).id) for part in parts]
+            raise ValueError(f"{len(served)} of {len(parts)} parts were answered")
+        for transport in self.transports:
+            transport.data.clear()
+        return channel_s
+
+    def _codec_cost(self, parts: Sequence[PartPlan]) -> tuple[float, int]:
+        """Returns the seconds of the codec alone, and the bytes to and from the nodes."""
+        answers = [answer_frame(_request_of(part).id) for part in parts]
         decoder, size = codec.Decoder(names.FRAMES, MAX_FRAME), 0
         began = time.process_time()
         for part, answer in zip(parts, answers, strict=True):
-            size += len(codec.encode_call(names.FRAMES, [(_ask(part), WAIT_MS)]))
+            size += len(codec.encode_call(names.FRAMES, [(_request_of(part), TIME_LEFT_MS)]))
             decoder.feed(answer)
         return time.process_time() - began, size + sum(map(len, answers))
 
 
-def _ask(part: PartPlan) -> codec.PartRequest:
+def _request_of(part: PartPlan) -> codec.PartRequest:
     assert isinstance(part.payload, codec.PartRequest)
     return part.payload
--- a/benchmarks/scale/query_sockets.py
+++ b/benchmarks/scale/query_sockets.py
@@ -1,8 +1,8 @@
-"""The whole broker over loopback sockets: processor time of one query, with nodes, agent and client in another process.
+"""Processor time of a query at a complete broker over loopback, with nodes, agent and client in another process.
 
     PYTHONPATH=.:benchmarks python benchmarks/scale/query_sockets.py PARTS
 
-The nodes answer at once. The two processes share the machine, so only processor time is read, no time on a clock.
+The nodes answer immediately. The two processes share the machine, so only processor time is measured, not elapsed time.
 """
 
 from __future__ import annotations
@@ -26,14 +26,17 @@
 
 BENCHMARKS = Path(__file__).parent.parent
 NODES_PER_CELL = 4
-AIM_MS = 5_000.0  # two processes on a busy machine: none is refused or repeated for being late
-WARM, COUNTED, REPEATS = 100, 60, 5  # queries, and how often so many are counted
-AT_ONCE = 2
-LIMIT_S = 300.0
+LATENCY_OBJECTIVE_MS = (
+    5_000.0  # so long that no query is rejected or repeated as late, although two processes share a busy machine
+)
+# Queries before the measurement and in each count, and the number of counts.
+WARM_UP_QUERIES, COUNTED_QUERIES, REPEATS = 100, 60, 5
+CONCURRENCY = 2
+TIMEOUT_S = 300.0
 
 
 class Served(msgspec.Struct):
-    """What client and nodes saw of the queries of one count."""
+    """What client and nodes observed of the queries of one count."""
 
     queries: int
     whole: int
@@ -42,17 +45,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SocketCost:
-    """One count. cpu_s: processor time of the broker; opened: connections that it opened to nodes meanwhile."""
+    """The cost of one count. cpu_s: processor time of the broker. opened: connections that it opened to nodes."""
 
     cpu_s: float
     opened: int
     served: Served
 
 
-def measured(parts: int) -> list[SocketCost]:
-    """One broker in this process, its surroundings in another; the counts one after another."""
+def measure_service(parts: int) -> list[SocketCost]:
+    """Runs a broker in this process and its environment in another one; returns one cost for each count."""
     path = os.pathsep.join([str(BENCHMARKS.parent), str(BENCHMARKS)])
-    surroundings = subprocess.Popen(
+    environment = subprocess.Popen(
         [sys.executable, __file__, str(parts)],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
@@ -60,30 +63,30 @@
         env=os.environ | {"PYTHONPATH": path},
     )
     try:
-        return asyncio.run(asyncio.wait_for(_broker(parts, surroundings), LIMIT_S))
+        return asyncio.run(asyncio.wait_for(_broker(parts, environment), TIMEOUT_S))
     finally:
-        surroundings.kill()
-        surroundings.wait()
+        environment.kill()
+        environment.wait()
 
 
-async def _broker(parts: int, surroundings: subprocess.Popen[str]) -> list[SocketCost]:
-    assert surroundings.stdin
-    assert surroundings.stdout
-    loop, read_line = asyncio.get_running_loop(), surroundings.stdout.readline
+async def _broker(parts: int, environment: subprocess.Popen[str]) -> list[SocketCost]:
+    assert environment.stdin
+    assert environment.stdout
+    loop, read_line = asyncio.get_running_loop(), environment.stdout.readline
     agent_port = int(await loop.run_in_executor(None, read_line))
-    config = configuration(parts, reach=1, aim_ms=AIM_MS, agent_port=agent_port)
+    config = configuration(parts, reach=1, latency_objective_ms=LATENCY_OBJECTIVE_MS, agent_port=agent_port)
     service = Service(replace(config, listen=("127.0.0.1", 0)))
     service.observer.write_line = lambda what, **values: None  # type: ignore[method-assign]
     port = await service.start()
-    surroundings.stdin.write(f"{port}\n")
-    surroundings.stdin.flush()
-    await loop.run_in_executor(None, read_line)  # warm
+    environment.stdin.write(f"{port}\n")
+    environment.stdin.flush()
+    await loop.run_in_executor(None, read_line)  # the environment has finished the warm-up
     costs = []
     for _ in range(REPEATS):
         began, opened = time.process_time(), service.transport.opened
         line = await loop.run_in_executor(None, read_line)
-        took, opened = time.process_time() - began, service.transport.opened - opened
-        costs.append(SocketCost(took, opened, msgspec.json.decode(line, type=Served)))
+        cpu_s, opened = time.process_time() - began, service.transport.opened - opened
+        costs.append(SocketCost(cpu_s, opened, msgspec.json.decode(line, type=Served)))
     service.watch.close()
     service.transport.close()
     await service.server.close(0.0)
@@ -91,24 +94,24 @@
 
 
 class Client:
-    """Asks queries over all shards of the first kind, so many at once, so many in all."""
+    """Sends queries over all shards, a fixed number of them concurrently."""
 
     def __init__(self, port: int, parts: int) -> None:
         self.pool = Pool("127.0.0.1", port, PoolLimits(connect_timeout_s=5.0, idle_s=100.0))
         self.shards, self.number = range(parts), 0
 
-    async def ask(self, count: int) -> int:
-        """Returns how many of them were answered whole."""
+    async def send_queries(self, count: int) -> int:
+        """Sends a number of queries and returns how many of them were answered completely."""
         whole, left = 0, count
 
-        async def one_after_another() -> None:
+        async def send_sequentially() -> None:
             nonlocal whole, left
             while left > 0:
                 left -= 1
                 reply = await self._reply()
                 whole += reply.status == 200 and reply.body.startswith(b'{"full":true')
 
-        await asyncio.gather(*(one_after_another() for _ in range(AT_ONCE)))
+        await asyncio.gather(*(send_sequentially() for _ in range(CONCURRENCY)))
         return whole
 
     async def _reply(self) -> Reply:
@@ -118,31 +121,31 @@
         return await done
 
 
-async def surroundings(parts: int) -> None:
-    agent, nodes = Agent(), [FrameNode(_served) for _ in range(NODES_PER_CELL * parts)]
+async def environment(parts: int) -> None:
+    agent, nodes = Agent(), [FrameNode(_answer) for _ in range(NODES_PER_CELL * parts)]
     agent_port = await agent.start()
     for i, node in enumerate(nodes):
         agent.put(f"rates-{i}", await node.start(), i % parts)
     print(agent_port, flush=True)
     port = int(await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline))
     client = Client(port, parts)
-    await client.ask(WARM)
+    await client.send_queries(WARM_UP_QUERIES)
     print("warm", flush=True)
     for _ in range(REPEATS):
-        before = _parts(nodes)
-        whole = await client.ask(COUNTED)
-        served = Served(COUNTED, whole, _parts(nodes) - before)
+        before = _received_parts(nodes)
+        whole = await client.send_queries(COUNTED_QUERIES)
+        served = Served(COUNTED_QUERIES, whole, _received_parts(nodes) - before)
         print(msgspec.json.encode(served).decode(), flush=True)
     await asyncio.Event().wait()
 
 
-def _served(part: object) -> None:
+def _answer(part: object) -> None:
     part.connection.send(part.answer(b"served", VALUE))  # type: ignore[attr-defined]
 
 
-def _parts(nodes: list[FrameNode]) -> int:
+def _received_parts(nodes: list[FrameNode]) -> int:
     return sum(len(node.parts()) for node in nodes)
 
 
 if __name__ == "__main__":
-    asyncio.run(surroundings(int(sys.argv[1])))
+    asyncio.run(environment(int(sys.argv[1])))
--- a/benchmarks/scale/target.py
+++ b/benchmarks/scale/target.py
@@ -1,4 +1,4 @@
-"""The fleet to come, as the scale tests of lists and queries take it, and the configuration of one of its brokers."""
+"""The load of the planned fleet for the benchmarks of lists and queries, and the configuration of one broker."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from scale.planned_fleet import BROKERS, ZONES
 
 QUERIES_PER_S = 420_000  # over all brokers
-PARTS = 210  # nodes that a query goes to
-AIM_MS = 54.0  # 99 of 100 answers come within this
+PARTS = 210  # of one query, each for another node
+LATENCY_OBJECTIVE_MS = 54.0  # 99 of 100 answers arrive within this time
 REACH = 3  # consecutive cells that hold a shard
 QUERIES_PER_BROKER_S = QUERIES_PER_S / BROKERS
 
@@ -21,26 +21,28 @@
 SHARDS_PER_CELL = 2
 
 
-def configuration(cells: int, reach: int = REACH, aim_ms: float = AIM_MS, agent_port: int = 9) -> config.Config:
-    """A broker's configuration, read by the product. Each query needs all its parts, one call a part."""
-    return config.parse(msgspec.json.encode(_file(cells, reach, aim_ms, agent_port)), {})
+def configuration(
+    cells: int, reach: int = REACH, latency_objective_ms: float = LATENCY_OBJECTIVE_MS, agent_port: int = 9
+) -> config.Config:
+    """Returns a broker's configuration, parsed by the product. A query needs all its parts, with one call per part."""
+    return config.parse(msgspec.json.encode(_document(cells, reach, latency_objective_ms, agent_port)), {})
 
 
-def _file(cells: int, reach: int, aim_ms: float, agent_port: int) -> dict[str, Any]:
+def _document(cells: int, reach: int, latency_objective_ms: float, agent_port: int) -> dict[str, Any]:
     return {
         "name": "b0",
         "listen": "127.0.0.1:9",
         "discovery": f"127.0.0.1:{agent_port}",
         "limits": {"cores": 1.0, "memory_mb": 1024, "sockets": 8192},
-        "settings": _settings(cells, reach, aim_ms),
+        "settings": _settings(cells, reach, latency_objective_ms),
     }
 
 
-def _settings(cells: int, reach: int, aim_ms: float) -> dict[str, Any]:
+def _settings(cells: int, reach: int, latency_objective_ms: float) -> dict[str, Any]:
     category = {
         "name": CLASS,
-        "aimMs": aim_ms,
-        "hardLimitMs": 10 * aim_ms,
+        "aimMs": latency_objective_ms,
+        "hardLimitMs": 10 * latency_objective_ms,
         "idempotency": "read_like",
         "lateValue": 0.3,
         "value": 1.0,
--- a/tests/test_capacity_lists.py
+++ b/tests/test_capacity_lists.py
@@ -11,8 +11,8 @@
 from scale import lists, queries
 from scale.figures import fitted
 from scale.list_memory import MEGABYTE, memory_of
-from scale.list_reading import Reader
-from scale.list_rows import FORMS, ConsulForm, MembersForm, nodes_of, with_drain_toggled
+from scale.list_reading import BrokerList
+from scale.list_rows import FORMS, ConsulForm, MembersForm, make_nodes, with_drain_toggled
 from scale.planned_fleet import BROKERS, ZONES
 from scale.query_load import Fleet, QueryLoad
 from scale.target import PARTS, QUERIES_PER_BROKER_S, QUERIES_PER_S
@@ -102,28 +102,28 @@
 
 def test_memory_of_a_list_holds_nothing_of_the_process_that_asks():
     ballast = b"x" * 100 * MEGABYTE
-    memory = memory_of(MembersForm(), nodes_of(200, 50), 50)
+    memory = memory_of(MembersForm(), make_nodes(200, 50), 50)
     assert 0 < memory.peak < len(ballast) / 4
 
 
 @pytest.mark.parametrize("form", FORMS, ids=FORM_NAMES)
 def test_a_list_that_is_read_is_the_list_that_was_sent(form):
-    nodes = nodes_of(40, 10)
-    reader = Reader(form, 10)
-    reader.apply(form.whole(nodes, 1))
+    nodes = make_nodes(40, 10)
+    broker_list = BrokerList(form, 10)
+    broker_list.apply(form.whole(nodes, 1))
     changed = with_drain_toggled(nodes, [3, 7])
-    reader.apply(form.change(changed, [3, 7], 2))
-    states = {name: known.endpoint.state.name for name, known in reader.directory.servers.items()}
+    broker_list.apply(form.change(changed, [3, 7], 2))
+    states = {name: known.endpoint.state.name for name, known in broker_list.directory.servers.items()}
     assert states == {node.name: "DRAINING" if node.draining else "READY" for node in changed}
     assert sum(state == "DRAINING" for state in states.values()) == 2
 
 
 def test_an_answer_without_news_is_no_measurement():
     for form in (ConsulForm(), MembersForm()):
-        reader = Reader(form, 10)
-        reader.apply(form.whole(nodes_of(40, 10), 1))
+        broker_list = BrokerList(form, 10)
+        broker_list.apply(form.whole(make_nodes(40, 10), 1))
         with pytest.raises(ValueError, match="without news"):
-            reader.apply(form.change(nodes_of(40, 10), [], 1))
+            broker_list.apply(form.change(make_nodes(40, 10), [], 1))
 
 
 # -- queries
