--- a/benchmarks/scale/brokers.py
+++ b/benchmarks/scale/brokers.py
@@ -25,5 +25,5 @@
     return results + limits.figures(brokers, nodes)
 
 
-# 64 brokers are more than the three regions have places for frequent candidates (48), so some are heard only seldom.
+# At 64 brokers the three regions have more candidates than the 48 places for frequent ones, so some send seldom.
 PART = Part("brokers", "brokers", (64, 256, 1024, BROKERS), (8, 16, 32, 64), BROKERS, measure)
--- a/benchmarks/scale/duty_fleet.py
+++ b/benchmarks/scale/duty_fleet.py
@@ -132,7 +132,7 @@
         return name if self._running_holder(name).may_act(self.now, duty) is not None else ""
 
     def settled(self) -> bool:
-        """Whether all running brokers follow the current leader."""
+        """Returns whether all running brokers follow the current leader."""
         leader = self.leader()
         running = [
             process.holder for process in self.processes.values() if process.up and not process.holder.is_shut_down
--- a/benchmarks/scale/feed_scenarios.py
+++ b/benchmarks/scale/feed_scenarios.py
@@ -245,5 +245,5 @@
 
 
 def _cut_off(follower: InForce) -> bool:
-    """Whether the follower's relay is cut off; a follower may use a relay of another region."""
+    """Returns whether the follower's relay is cut off; a follower may use a relay of another region."""
     return follower.relay_region == CUT_REGION
--- a/benchmarks/scale/list_reading.py
+++ b/benchmarks/scale/list_reading.py
@@ -73,7 +73,7 @@
     def query_ms(self) -> float:
         """Returns the processor time of the step on one query, without that of the answers to its parts."""
         number = next(self._ids)
-        parts = tuple(self._part(number, place) for place in range(QUERY_PARTS))
+        parts = tuple(self._part(number, index) for index in range(QUERY_PARTS))
         query = api.Query(number, number, 0, 0, 0, 1e4, False, None, parts)
         actions: list[api.Action] = []
         self.now_ms += STEP_MS
@@ -88,6 +88,6 @@
         self.module.step(self.now_ms, completions)
         return step_ms
 
-    def _part(self, number: int, place: int) -> api.Part:
-        shard = (number * QUERY_PARTS + place) % self.cells
-        return api.Part(number * QUERY_PARTS + place, shard, 1 / QUERY_PARTS, None)
+    def _part(self, number: int, index: int) -> api.Part:
+        shard = (number * QUERY_PARTS + index) % self.cells
+        return api.Part(number * QUERY_PARTS + index, shard, 1 / QUERY_PARTS, None)
--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -310,8 +310,8 @@
     gc.unfreeze()
     sealing = quiet_usage.datagrams * seal_and_open_s() * 1000.0
     results.append(Figure("membership", "quiet", "processor time of seals", "ms/s", size, sealing, Kind.MEASURED))
-    held = memory_bytes(size) / 2**20
-    return [*results, Figure("membership", "quiet", "memory a member", "MB", size, held, Kind.MEASURED)]
+    memory_mb = memory_bytes(size) / 2**20
+    return [*results, Figure("membership", "quiet", "memory a member", "MB", size, memory_mb, Kind.MEASURED)]
 
 
 def ordinary_day(quiet_usage: Usage, restart: Usage, restarts: float) -> Usage:
--- a/benchmarks/scale/query_bytes.py
+++ b/benchmarks/scale/query_bytes.py
@@ -78,13 +78,13 @@
         """Returns None, since there is no socket."""
 
     def set_write_buffer_limits(self, high: int) -> None:
-        """Nothing is buffered."""
+        """Does nothing, since nothing is buffered."""
 
     def get_write_buffer_size(self) -> int:
         return 0
 
     def abort(self) -> None:
-        """Nothing is open."""
+        """Does nothing, since no connection is open."""
 
 
 class RecordingDriver:
--- a/benchmarks/scale/query_sockets.py
+++ b/benchmarks/scale/query_sockets.py
@@ -26,9 +26,8 @@
 
 BENCHMARKS = Path(__file__).parent.parent
 NODES_PER_CELL = 4
-LATENCY_OBJECTIVE_MS = (
-    5_000.0  # so long that no query is rejected or repeated as late, although two processes share a busy machine
-)
+# So long that no query is rejected or repeated as late, although two processes share a busy machine.
+LATENCY_OBJECTIVE_MS = 5_000.0
 # Queries before the measurement and in each count, and the number of counts.
 WARM_UP_QUERIES, COUNTED_QUERIES, REPEATS = 100, 60, 5
 CONCURRENCY = 2
