--- a/badgerbend/peering/own_snapshot.py
+++ b/badgerbend/peering/own_snapshot.py
@@ -62,4 +62,4 @@
         try:
             write_atomically(self._path, data)
         except OSError as err:
-            self._log.warning("snapshot could not be written", file=str(self._path), why=str(err))
+            self._log.warning("snapshot not written", file=str(self._path), why=str(err))
