--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -13,9 +13,7 @@
     MEASURED = "measured"  # processor time, memory or bytes of the product's own code on this machine
     SIMULATED = "simulated"  # counted in simulated time
     LOOPBACK = "loopback"  # measured over real sockets on this machine
-    EXTRAPOLATED = (
-        "extrapolated"  # calculated from measured figures, or read off the straight line through at least three sizes
-    )
+    EXTRAPOLATED = "extrapolated"  # calculated from measured figures, or from the line through at least three sizes
 
 
 @dataclass(frozen=True, slots=True)
