--- a/benchmarks/scale/query_bytes.py
+++ b/benchmarks/scale/query_bytes.py
@@ -111,6 +111,10 @@
     def ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None) -> None:
         self.ends.append((outcome, value))
 
+    def wanted(self, attempt: Attempt) -> bool:
+        """No client leaves, so every attempt is still wanted."""
+        return True
+
     def forget(self, channel: Channel) -> None:
         """Channels stay up."""
 
--- a/tests/test_capacity_lists.py
+++ b/tests/test_capacity_lists.py
@@ -1,5 +1,7 @@
 """The scale tests of lists and queries at their small sizes: counts and slopes, which no busy machine changes."""
 
+import asyncio
+import itertools
 import sys
 from functools import cache
 from pathlib import Path
@@ -14,9 +16,12 @@
 from scale.list_memory import MEGABYTE, memory_of
 from scale.list_reading import Reader
 from scale.list_rows import FORMS, ConsulForm, MembersForm, nodes_of, turned
+from scale.query_bytes import QueryBytes
 from scale.query_load import Fleet, QueryLoad
 from scale.target import PARTS, QUERIES_PER_BROKER_S, QUERIES_PER_S
 
+from badgerbend.frames.channel import DELAYED_MS
+
 SEED = 1
 LIST_SIZES, QUERY_SIZES = lists.PART.small, queries.PART.small
 FORM_NAMES = [form.name for form in FORMS]
@@ -168,6 +173,17 @@
     assert counts(1) == counts(1)
 
 
+def test_a_query_is_measured_even_if_its_calls_are_written_late(monkeypatch):
+    # On a busy machine a call may be written later than `DELAYED_MS` after its decision. The channel then asks its
+    # owner whether the attempt is still wanted, and the stand-in for the owner lacked that method.
+    async def measure():
+        load = QueryBytes(2, 4)
+        monkeypatch.setattr(load.owner, "now_ms", itertools.count(0.0, 2.0 * DELAYED_MS).__next__)
+        return load.query(0)
+
+    assert asyncio.run(measure()).node_bytes > 0
+
+
 @pytest.mark.parametrize("side", ["from and to the client", "from and to the nodes"])
 def test_bytes_of_a_query_grow_by_the_same_with_each_part(side):
     line = fitted(by_size(queries.PART, "bytes alone", side))
