--- a/benchmarks/fault_soak.py
+++ b/benchmarks/fault_soak.py
@@ -1,8 +1,9 @@
-"""Plays broker processes under drawn faults over loopback: system calls, discovery, signals, clients until the end.
+"""Runs broker processes under random faults over loopback: failing system calls, discovery outages and signals.
 
     python benchmarks/fault_soak.py --count 50 [--first 0] [--side-by-side 5]
 
-Prints each seed that broke a rule, and a last line of sums. Exit status 1 if one did.
+Clients stay connected until the process ends. Prints each seed that violated a rule and a last line with totals. The
+exit status is 1 if any seed did.
 """
 
 from __future__ import annotations
@@ -21,41 +22,41 @@
 
 from tests.fault_soak import Soak
 
-LIMIT_S = 60.0
+RUN_TIMEOUT_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What came of a seed. judge_late_s: how late the judge itself was at most."""
+    """The result of one seed. max_lateness_s: the largest delay of the event loop that measured the times."""
 
     seed: int
-    broken: list[str]
+    violations: list[str]
     requests: int
     answered: int
     attempts: int
-    judge_late_s: float
+    max_lateness_s: float
 
 
-async def play_in_time(soak: Soak) -> None:
-    """Plays a run within a limit, so that one which hangs is seen."""
-    async with asyncio.timeout(LIMIT_S):
+async def play_with_timeout(soak: Soak) -> None:
+    """Runs one seed under a timeout, so that a run that hangs is reported."""
+    async with asyncio.timeout(RUN_TIMEOUT_S):
         await soak.play()
 
 
 def play(seed: int) -> Outcome:
-    """One seed's run, in a process of its own: its judge takes times, and is late for no other run."""
+    """Runs one seed. It has a process of its own, so that no other run delays its time measurements."""
     soak = Soak(seed)
     try:
-        asyncio.run(play_in_time(soak))
+        asyncio.run(play_with_timeout(soak))
     except Exception as err:
-        soak.broken.append(f"the run itself: {type(err).__name__}: {err}")
+        soak.violations.append(f"the run itself failed: {type(err).__name__}: {err}")
     answered = sum(sent.answer is not None and sent.answer.status == HTTPStatus.OK for sent in soak.sent)
-    return Outcome(seed, soak.broken, len(soak.sent), answered, soak.arrivals, soak.judge_late_s)
+    return Outcome(seed, soak.violations, len(soak.sent), answered, soak.arrivals, soak.max_lateness_s)
 
 
-def play_all(seeds: Sequence[int], side_by_side: int) -> list[Outcome]:
-    """All seeds, some at a time."""
-    with ProcessPoolExecutor(side_by_side) as pool:
+def play_all(seeds: Sequence[int], concurrent_runs: int) -> list[Outcome]:
+    """Runs all seeds, at most `concurrent_runs` at a time."""
+    with ProcessPoolExecutor(concurrent_runs) as pool:
         return list(pool.map(play, seeds))
 
 
@@ -69,13 +70,13 @@
     seeds = range(options.first, options.first + options.count)
     outcomes = play_all(seeds, options.side_by_side)
     for outcome in outcomes:
-        for line in outcome.broken[:5]:
+        for line in outcome.violations[:5]:
             print(f"seed {outcome.seed}: {line}")
-    bad = sum(bool(outcome.broken) for outcome in outcomes)
+    bad = sum(bool(outcome.violations) for outcome in outcomes)
     requests = sum(outcome.requests for outcome in outcomes)
-    late_s = max(outcome.judge_late_s for outcome in outcomes)
-    print(f"{len(outcomes)} runs, {bad} with a break, {requests} requests, ", end="")
-    print(f"judges at most {late_s:.3f} s late, {time.monotonic() - began:.0f} s")
+    late_s = max(outcome.max_lateness_s for outcome in outcomes)
+    print(f"{len(outcomes)} runs, {bad} with a violation, {requests} requests, ", end="")
+    print(f"event loops at most {late_s:.3f} s late, {time.monotonic() - began:.0f} s")
     return 1 if bad else 0
 
 
--- a/tests/confined.py
+++ b/tests/confined.py
@@ -1,7 +1,8 @@
-"""Runs the platform's `run` in this process under a system-call filter of its own: what the platform refuses kills it.
+"""Runs the platform's `run` in this process under a system-call filter that kills it if it makes a forbidden call.
 
-Started as `python tests/confined.py`, with the environment that a broker is told by. The filter holds what the bench's
-own library refuses, and a read-only file system besides: it needs no rights, and binds this process alone.
+Started as `python tests/confined.py`, with a broker's environment variables. The filter forbids the system calls that
+the platform forbids, and opening files for writing, because the platform's file system is read-only. Installing it
+needs no privileges, and it applies to this process alone.
 """
 
 from __future__ import annotations
@@ -16,12 +17,17 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-LOAD, JUMP_EQ, JUMP_ANY, RETURN = 0x20, 0x15, 0x45, 0x06  # BPF: word at, equal, any bit of, and the verdict
+LOAD, JUMP_EQ, JUMP_ANY, RETURN = (
+    0x20,
+    0x15,
+    0x45,
+    0x06,
+)  # BPF: load a word, jump if equal, jump if any bit is set, return
 ALLOW, KILL = 0x7FFF0000, 0x80000000
-NUMBER, ARCH, ARGS = 0, 4, 16  # offsets in the data a filter sees
+NUMBER, ARCH, ARGS = 0, 4, 16  # offsets in `struct seccomp_data`
 CLONE_THREAD = 0x10000
 WRITES = os.O_WRONLY | os.O_RDWR | os.O_CREAT
-CALLS = {  # numbers by machine, from the kernel's tables
+CALLS = {  # architecture and system call numbers by machine, from the kernel's tables
     "x86_64": (
         0xC000003E,
         {
@@ -60,11 +66,11 @@
         },
     ),
 }
-IO_URING = (425, 426, 427)  # the same everywhere
+IO_URING = (425, 426, 427)  # the same on all architectures
 
 
 def program(machine: str) -> bytes:
-    """The filter: each rule is a test of the number, perhaps one of an argument, and death."""
+    """Returns the filter as BPF code. Each rule compares the call number, and some rules an argument as well."""
     arch, calls = CALLS[machine]
     ops: list[tuple[int, int, int, int]] = [
         (LOAD, 0, 0, ARCH),
@@ -75,9 +81,10 @@
     refused = [calls[n] for n in calls if n not in ("socket", "clone", "clone3", "openat", "open")]
     for number in (*refused, *IO_URING):
         ops += [(JUMP_EQ, 0, 1, number), (RETURN, 0, 0, KILL)]
-    # a thread's clone3 hides its flags behind a pointer: the C library falls back to clone where there is none
+    # clone3 passes its flags by pointer, which a filter cannot read. It fails with ENOSYS, so that the C library falls
+    # back to clone when it starts a thread.
     ops += [(JUMP_EQ, 0, 1, calls["clone3"]), (RETURN, 0, 0, 0x00050000 | 38)]
-    # number; then the low word of an argument, and whether what it says is let pass
+    # These calls are allowed or forbidden by the low word of one argument.
     ops += [
         (JUMP_EQ, 0, 4, calls["clone"]),
         (LOAD, 0, 0, ARGS),
@@ -92,11 +99,11 @@
         (RETURN, 0, 0, KILL),
         (RETURN, 0, 0, ALLOW),
     ]
-    for name, place in (("openat", 2), ("open", 1)):
+    for name, flags_index in (("openat", 2), ("open", 1)):
         if name in calls:
             ops += [
                 (JUMP_EQ, 0, 4, calls[name]),
-                (LOAD, 0, 0, ARGS + 8 * place),
+                (LOAD, 0, 0, ARGS + 8 * flags_index),
                 (JUMP_ANY, 0, 1, WRITES),
                 (RETURN, 0, 0, KILL),
                 (RETURN, 0, 0, ALLOW),
@@ -106,25 +113,25 @@
 
 
 def confine() -> None:
-    """From here on, for this process. Raises OSError where the kernel will not."""
+    """Installs the filter for this process. Raises OSError if the kernel refuses it."""
     libc = ctypes.CDLL(None, use_errno=True)
     code = program(platform.machine())
-    held = ctypes.create_string_buffer(code, len(code))
-    head = ctypes.create_string_buffer(struct.pack("HxxxxxxP", len(code) // 8, ctypes.addressof(held)))
-    for call in ((38, 1, 0, 0, 0), (22, 2, ctypes.addressof(head), 0, 0)):  # no new privileges; the filter
+    buffer = ctypes.create_string_buffer(code, len(code))
+    program_header = ctypes.create_string_buffer(struct.pack("HxxxxxxP", len(code) // 8, ctypes.addressof(buffer)))
+    for call in ((38, 1, 0, 0, 0), (22, 2, ctypes.addressof(program_header), 0, 0)):  # no new privileges; the filter
         if libc.prctl(call[0], *(ctypes.c_ulong(a) for a in call[1:])):
-            raise OSError(ctypes.get_errno(), "the filter was not taken")
+            raise OSError(ctypes.get_errno(), "cannot install the system-call filter")
 
 
 if __name__ == "__main__":
     from badgerbend.platform.__main__ import main
 
-    if os.getuid() == 0:  # an ordinary user; what it reads was imported above
+    if os.getuid() == 0:  # run as an ordinary user; modules that it may not read were imported above
         os.setgroups([])
         os.setgid(65534)
         os.setuid(65534)
     confine()
-    match sys.argv[1:]:  # what the filter is for, tried out
+    match sys.argv[1:]:  # makes one forbidden call, for the test of the filter
         case ["fork"]:
             os.fork()
         case ["unix"]:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""A pytest plugin: tests listed in KNOWN-RED.txt at the root may fail, and must fail.
+"""A pytest plugin that expects the tests listed in KNOWN-RED.txt at the root to fail.
 
 Each line of the file reads `TEST-ID | CAUSE | ISSUE`; lines that begin with `#` and empty lines are comments. The
-listed tests run and are printed in the summary. The run fails if one of them passes or is skipped, if a line cannot
-be read, if there are more than `MOST_KNOWN_FAILURES` of them, or if one names a test that does not exist. A run that
-names files collects only part of the tests, so a test missing from it is no error there.
+listed tests run and are printed in the summary. The run fails if one of them passes or is skipped, if a line is
+malformed, if more than `MAX_KNOWN_FAILURES` tests are listed, or if a listed test does not exist. A run that names
+files collects only part of the tests, so a listed test may be missing from it.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 import pytest
 
 FILE_NAME = "KNOWN-RED.txt"
-MOST_KNOWN_FAILURES = 3
+MAX_KNOWN_FAILURES = 3
 SEPARATOR = "|"
 COMMENT = "#"
 
 
 class KnownRedError(ValueError):
-    """The list of known failures is not as it must be."""
+    """The list of known failures is not valid."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """One line of the list. issue: where the fault is followed up."""
+    """One line of the list. issue: the issue that tracks the fault."""
 
     test_id: str
     cause: str
@@ -36,12 +36,12 @@
 def parse_line(number: int, line: str) -> KnownFailure:
     fields = [field.strip() for field in line.split(SEPARATOR)]
     if len(fields) != 3 or not all(fields):
-        raise KnownRedError(f"{FILE_NAME}:{number}: not of the form TEST-ID | CAUSE | ISSUE: {line.strip()}")
+        raise KnownRedError(f"{FILE_NAME}:{number}: expected TEST-ID | CAUSE | ISSUE: {line.strip()}")
     return KnownFailure(*fields)
 
 
 def parse(text: str) -> dict[str, KnownFailure]:
-    """The known failures of a list, by test id."""
+    """Parses a list of known failures. Returns them by test id."""
     failures: dict[str, KnownFailure] = {}
     for number, line in enumerate(text.splitlines(), start=1):
         if not line.strip() or line.lstrip().startswith(COMMENT):
@@ -50,13 +50,13 @@
         if failure.test_id in failures:
             raise KnownRedError(f"{FILE_NAME}:{number}: {failure.test_id} is listed twice")
         failures[failure.test_id] = failure
-    if len(failures) > MOST_KNOWN_FAILURES:
-        raise KnownRedError(f"{FILE_NAME}: {len(failures)} tests are listed, at most {MOST_KNOWN_FAILURES} may be")
+    if len(failures) > MAX_KNOWN_FAILURES:
+        raise KnownRedError(f"{FILE_NAME}: {len(failures)} tests are listed, at most {MAX_KNOWN_FAILURES} are allowed")
     return failures
 
 
 def load(path: Path) -> dict[str, KnownFailure]:
-    """The known failures of a file; none where the file is absent."""
+    """Returns the known failures of a file, none if it does not exist."""
     try:
         return parse(path.read_text(encoding="utf-8"))
     except FileNotFoundError:
@@ -66,7 +66,7 @@
 
 
 def collects_all(config: pytest.Config) -> bool:
-    """Whether the run collects the whole test tree: it names no files, and no folders but those that hold all."""
+    """Whether the run collects the whole test tree: no argument restricts it to a part of the tree."""
     if config.args_source is not pytest.Config.ArgsSource.ARGS:
         return True
     named = [(config.invocation_params.dir / argument).resolve() for argument in config.args]
@@ -80,7 +80,7 @@
     def __init__(self, failures: dict[str, KnownFailure]) -> None:
         self.failures = failures
 
-    @pytest.hookimpl(tryfirst=True)  # before -k and the like take tests out
+    @pytest.hookimpl(tryfirst=True)  # before -k and -m deselect tests
     def pytest_collection_modifyitems(self, config: pytest.Config, items: list[pytest.Item]) -> None:
         for item in items:
             failure = self.failures.get(item.nodeid)
--- a/tests/planted_defects.py
+++ b/tests/planted_defects.py
@@ -1,9 +1,10 @@
-"""Finds planted defects that no longer plant anything: overrides and assignments of names that the product lost.
+"""Finds planted defects without effect: overrides and assignments of names that the product no longer has.
 
-A test class that derives from a class of the product, to break it or to watch it, does nothing once the method that it
-overrides is renamed. The functions here read the source of a test file beside its imported module and name each such
-place. What cannot be seen: an attribute assigned on another object than `self` that is gone from its class, while some
-other class has that name; in a class with a base of the product, some other class of the packages in its reach.
+A test class that derives from a class of the product, to break or to observe it, has no effect once the method that it
+overrides is renamed. The functions here analyse the source of a test file together with its imported module and report
+each such place. One case is not detected: an attribute that is assigned on another object than `self` and is gone from
+its class while some other class still has that name. Within a class that derives from the product, only the packages
+that it imports from count as other classes.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 class Stale:
     """A name that a test file overrides or assigns, and that the product does not have.
 
-    owner: the class that overrides it or assigns it to `self`, else the expression that it is assigned on.
+    owner: the class that overrides it or assigns it to `self`, otherwise the expression on which it is assigned.
     """
 
     owner: str
@@ -36,7 +37,7 @@
 
 
 def names_of_body(definition: ast.ClassDef) -> Iterator[tuple[str, int]]:
-    """Give the names that a class body defines, with their lines."""
+    """Yield the names that a class body defines, with their line numbers."""
     for statement in definition.body:
         match statement:
             case ast.FunctionDef(name=name) | ast.AsyncFunctionDef(name=name) | ast.ClassDef(name=name):
@@ -50,12 +51,12 @@
 
 
 def assigned_attributes(tree: ast.AST) -> Iterator[ast.Attribute]:
-    """Give each attribute that the code assigns, on whatever object."""
+    """Yield each attribute that the code assigns, on any object."""
     return (node for node in ast.walk(tree) if isinstance(node, ast.Attribute) and isinstance(node.ctx, ast.Store))
 
 
 def names_defined(tree: ast.AST) -> set[str]:
-    """Collect the functions, classes, attributes and fields that a source text defines anywhere."""
+    """Collect the functions, classes, attributes and fields that a syntax tree defines anywhere."""
     names = {attribute.attr for attribute in assigned_attributes(tree)}
     for node in ast.walk(tree):
         match node:
@@ -71,14 +72,14 @@
 
 @cache
 def product_names(root: Path, place: str = PRODUCT) -> frozenset[str]:
-    """Collect every name that the product defines, or one package or module of it, as `badgerbend.feed`."""
+    """Collect every name that the product, or one package or module of it such as `badgerbend.feed`, defines."""
     folder = root.joinpath(*place.split("."))
     paths = sorted(folder.rglob("*.py")) if folder.is_dir() else [folder.with_suffix(".py")]
     return frozenset().union(*(names_defined(ast.parse(path.read_text(encoding="utf-8"))) for path in paths))
 
 
 def packages_imported(namespace: Mapping[str, object]) -> set[str]:
-    """Find the packages and modules, one level below the product, that a test module took something from."""
+    """Find the packages and modules, one level below the product, from which a test module imports something."""
     sources = (
         value.__name__ if isinstance(value, ModuleType) else getattr(value, "__module__", None) or ""
         for value in namespace.values()
@@ -89,7 +90,7 @@
 
 @cache
 def names_of_test_classes(root: Path) -> frozenset[str]:
-    """Collect what the classes of the tests define, and what they assign to `self`."""
+    """Collect the names that classes of the tests define or assign to `self`."""
     names: set[str] = set()
     for path in sorted((root / TESTS).rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
@@ -101,7 +102,7 @@
 
 @cache
 def class_names(cls: type) -> frozenset[str]:
-    """Collect what a class and its bases have: what is inherited, and what their methods assign to `self`."""
+    """Collect the names that a class has, including inherited ones and those that methods assign to `self`."""
     names = set(dir(cls))
     for base in cls.__mro__:
         names.update(getattr(base, "__annotations__", ()))
@@ -122,7 +123,7 @@
 
 
 def is_character(expression: ast.expr) -> bool:
-    """Whether the expression is a literal of one character: such are changed wherever they stand, as in a name."""
+    """Whether the expression is a literal of one character. Such a character is meant to be replaced wherever it is."""
     return (
         isinstance(expression, ast.Constant)
         and isinstance(expression.value, str | bytes)
@@ -136,7 +137,7 @@
 
 
 class DefectReader:
-    """Reads one test file, beside the module that was imported from it."""
+    """Analyses one test file together with the module that was imported from it."""
 
     def __init__(self, path: Path, module: ModuleType, root: Path) -> None:
         self.tree = ast.parse(path.read_text(encoding="utf-8"))
@@ -147,7 +148,7 @@
         self.definitions = {node.name: node for node in ast.walk(self.tree) if isinstance(node, ast.ClassDef)}
 
     def stale(self) -> set[Stale]:
-        """Give each name that the file overrides or assigns in vain."""
+        """Return each name that the file overrides or assigns without effect."""
         found = set(self._stale_on_others(self.tree, self.all_names))
         for node in ast.walk(self.tree):
             match node:
@@ -161,7 +162,7 @@
         return found
 
     def unchecked(self) -> list[str]:
-        """Give the replacements that would do nothing, and say nothing, where what they replace is not there."""
+        """Return the replacements that would silently do nothing if their target did not exist."""
         functions = {node.name for node in ast.walk(self.tree) if isinstance(node, FUNCTIONS)}
         found = []
         for node in ast.walk(self.tree):
@@ -178,11 +179,11 @@
         return found
 
     def _is_product(self, target: ast.expr) -> bool:
-        """Whether a target of an assignment is an attribute, not of `self`, that the product defines by this name."""
+        """Whether an assignment target is an attribute, not of `self`, whose name the product defines."""
         return isinstance(target, ast.Attribute) and not is_self(target.value) and target.attr in self.product
 
     def _stale_of_class(self, definition: ast.ClassDef) -> Iterator[Stale]:
-        """Give what a class with a base of the product overrides or assigns in vain."""
+        """Yield the names that a class derived from the product overrides or assigns without effect."""
         written = [
             *names_of_body(definition),
             *((node.attr, node.lineno) for node in assigned_attributes(definition) if is_self(node.value)),
@@ -193,20 +194,20 @@
             yield from self._stale_on_others(definition, self._names_in_reach(bases))
 
     def _names_in_reach(self, bases: list[type]) -> frozenset[str]:
-        """Collect what the packages define from which the file, or the module of a base class, imports something."""
+        """Collect the names defined by the packages from which the file, or the module of a base class, imports."""
         namespaces = [self.namespace, *(vars(sys.modules[base.__module__]) for base in bases)]
         places = set().union(*(packages_imported(namespace) for namespace in namespaces))
         return frozenset().union(*(product_names(self.root, place) for place in places))
 
     @staticmethod
     def _stale_on_others(tree: ast.AST, known: frozenset[str]) -> Iterator[Stale]:
-        """Give the attributes assigned on other objects than `self` that nobody defines."""
+        """Yield the attributes that are assigned on other objects than `self` and are not known."""
         for attribute in assigned_attributes(tree):
             if not is_self(attribute.value) and attribute.attr not in known:
                 yield Stale(ast.unparse(attribute.value), attribute.attr, attribute.lineno)
 
     def _missing(self, owner: str, bases: list[ast.expr], written: Iterable[tuple[str, int]]) -> Iterator[Stale]:
-        """Give the names that no base has, of a class with a base of the product."""
+        """Yield the names that no base has, if one of the bases derives from the product."""
         classes = self._resolved(bases)
         if not any(is_of_product(cls) for cls in classes):
             return
@@ -214,14 +215,14 @@
         yield from (Stale(owner, name, line) for name, line in written if name not in known)
 
     def _resolved(self, bases: list[ast.expr]) -> list[type]:
-        """Find the classes that the expressions name; for one that is defined in a function, its own bases."""
+        """Resolve the expressions to classes; a class that is defined in a function resolves to its own bases."""
         found: list[type] = []
         for base in bases:
             name = ast.unparse(base)
             if isinstance(base, ast.Name) and name not in self.namespace and name in self.definitions:
                 found += self._resolved(self.definitions[name].bases)
                 continue
-            value = eval(name, dict(self.namespace))  # the file's own source
+            value = eval(name, dict(self.namespace))  # the expression is from the repository's own test file
             if isinstance(value, type):
                 found.append(value)
         return found
--- a/tests/suite_size.py
+++ b/tests/suite_size.py
@@ -1,8 +1,8 @@
-"""A pytest plugin and a counter of assertions: the size of the test suite may not fall below committed floors.
+"""A pytest plugin and an assertion counter that keep the test suite from shrinking below committed floors.
 
-The floors stand in `tests/data/suite.json`. The number of collected tests is compared only in a run that collects the
-whole tree; a run that names files, or takes files out, collects part of it. `-k` and `-m` take tests out later, and do
-not matter. Assertions are counted in the source, so that a test file that lost some of its checks is seen although its
+The floors are stored in `tests/data/suite.json`. The number of collected tests is compared only in a run that collects
+the whole tree: a run that names or ignores files collects part of it. `-k` and `-m` deselect tests later and make no
+difference. Assertions are counted in the source, which detects a test file that lost some of its checks although its
 tests are still collected.
 """
 
@@ -19,17 +19,17 @@
 from tests.known_red import collects_all
 
 FLOORS = Path("tests") / "data" / "suite.json"
-# The tests of the suite itself, added with the floors: they make up for no test of the product.
+# Tests of the suite itself are not counted, because they must not make up for lost tests of the product.
 NOT_COUNTED = frozenset({"tests/test_suite_size.py", "tests/test_planted_defects.py"})
-# Calls that fail a test by themselves, by their last name.
+# Calls that can fail a test by themselves, by function or method name.
 ASSERTING_CALLS = frozenset({"raises", "warns", "deprecated_call", "fail", "fnmatch_lines", "no_fnmatch_line"})
-ASSERTING_PREFIX = "assert_"  # of methods, as `result.assert_outcomes`
-TAKES_FILES_OUT = ("ignore", "ignore_glob", "lf")  # options of pytest
+ASSERTING_PREFIX = "assert_"  # of method names, such as `result.assert_outcomes`
+PARTIAL_RUN_OPTIONS = ("ignore", "ignore_glob", "lf")  # pytest options that exclude files
 
 
 @dataclass(frozen=True, slots=True)
 class Floors:
-    """The least numbers allowed, and the commit that they were counted on."""
+    """The smallest numbers allowed, and the commit on which they were counted."""
 
     commit: str
     tests: int
@@ -37,14 +37,14 @@
 
 
 def load(path: Path) -> Floors:
-    """Read the floors of a file. Raises OSError, or TypeError where a field is missing or unknown."""
+    """Read the floors from a file. Raises OSError, or TypeError if a field is missing or unknown."""
     return Floors(**json.loads(path.read_text(encoding="utf-8")))
 
 
 def conditions(expression: ast.expr, *, negated: bool = False) -> int:
-    """Count the separate conditions of an assertion, so that splitting it changes no count.
+    """Count the separate conditions of an assertion, so that splitting it does not change the count.
 
-    `a and b` is two, `not (a or b)` is two, `a == b == c` is two, and a disjunction is one.
+    `a and b`, `not (a or b)` and `a == b == c` count as two; a disjunction counts as one.
     """
     match expression:
         case ast.UnaryOp(op=ast.Not(), operand=operand):
@@ -58,7 +58,7 @@
 
 
 def count_assertions(source: str) -> int:
-    """Count the conditions of assert statements, and the calls that fail a test by themselves, in a source text."""
+    """Count the conditions of assert statements and the calls that can fail a test by themselves in a source text."""
     total = 0
     for node in ast.walk(ast.parse(source)):
         match node:
@@ -83,11 +83,11 @@
 
 
 def collects_every_file(config: pytest.Config) -> bool:
-    """Whether the run collects the whole tree, and no option takes files out of it."""
-    return collects_all(config) and not any(config.getoption(option, None) for option in TAKES_FILES_OUT)
+    """Whether the run collects the whole tree without excluding any file."""
+    return collects_all(config) and not any(config.getoption(option, None) for option in PARTIAL_RUN_OPTIONS)
 
 
-@pytest.hookimpl(tryfirst=True)  # before -k and the like take tests out
+@pytest.hookimpl(tryfirst=True)  # before -k and -m deselect tests
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     path = config.rootpath / FLOORS
     if not collects_every_file(config):
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The arrows of docs/architecture.md hold: each room imports only what it may know of."""
+"""Each package imports only the packages that docs/architecture.md allows it to import."""
 
 import ast
 import subprocess
@@ -9,8 +9,8 @@
 
 ROOT = Path(__file__).parent.parent / "badgerbend"
 DECISIONS = sorted(path.relative_to(ROOT).as_posix() for path in (ROOT / "decisions").glob("*.py"))
-BARE = ("__init__.py", "api.py", "platform_settings.py", "benchlink.py", *DECISIONS)
-MAY = {  # room: rooms of ours that it may import
+STANDARD_LIBRARY_ONLY = ("__init__.py", "api.py", "platform_settings.py", "benchlink.py", *DECISIONS)
+ALLOWED_IMPORTS = {  # for each package or module: the packages of this project that it may import
     "config": {"api"},
     "decisions": {"api"},
     "runtime": {"api", "decisions"},
@@ -208,7 +208,7 @@
 
 
 def imports(path):
-    """Modules that a file imports, wherever it does."""
+    """Returns the modules that a file imports anywhere in its code."""
     out = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -219,48 +219,49 @@
     return out
 
 
-def rooms(path):
+def imported_packages(path):
+    """Returns the packages of this project that a file imports from."""
     return {m.split(".")[1] for m in imports(path) if m.startswith("badgerbend.")}
 
 
-@pytest.mark.parametrize("room", MAY)
-def test_a_room_imports_only_what_it_may_know_of(room):
-    files = sorted((ROOT / room).glob("*.py")) or [ROOT / f"{room}.py"]
+@pytest.mark.parametrize("package", ALLOWED_IMPORTS)
+def test_a_package_imports_only_allowed_packages(package):
+    files = sorted((ROOT / package).glob("*.py")) or [ROOT / f"{package}.py"]
     for file in files:
-        assert rooms(file) <= MAY[room] | {room}, file
+        assert imported_packages(file) <= ALLOWED_IMPORTS[package] | {package}, file
 
 
-def test_the_bench_starts_the_adapter_with_the_standard_library_alone():
-    for name in BARE:
+def test_the_adapter_and_the_decisions_need_only_the_standard_library():
+    for name in STANDARD_LIBRARY_ONLY:
         for module in imports(ROOT / name):
             top = module.split(".")[0]
             assert top in sys.stdlib_module_names or top == "badgerbend", (name, module)
-        assert rooms(ROOT / name) <= {"api", "decisions", "platform_settings"}
+        assert imported_packages(ROOT / name) <= {"api", "decisions", "platform_settings"}
 
 
 @pytest.mark.parametrize("name", PURE)
-def test_pure_modules_reach_for_no_clock_and_no_socket(name):
+def test_pure_modules_import_no_clock_and_no_socket(name):
     found = {m.split(".")[0] for m in imports(ROOT / name)}
     assert not found & {"asyncio", "socket", "time", "os", "threading", "datetime", "uvloop", "subprocess"}
 
 
-def test_the_platform_starts_with_what_it_uses_alone():
-    """Its limits leave no room for the rest: not GraphQL, peers, Prometheus, the command line's libraries, uvloop."""
+def test_the_platform_loads_only_what_it_uses():
+    """Its memory limit leaves no space for GraphQL, peers, Prometheus, the libraries of the command line or uvloop."""
     code = "import sys; old = set(sys.modules); import badgerbend.platform.__main__; print(*set(sys.modules) - old)"
     found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout.split()
     libraries = {name.split(".")[0] for name in found} - set(sys.stdlib_module_names) - {"badgerbend"}
     assert {n for n in libraries if "cython" not in n} <= {"httptools", "msgspec", "typing_extensions"}
-    mine = {name.split(".")[1] for name in found if name.startswith("badgerbend.")}
-    assert mine <= {"api", "decisions", "platform_settings", "discovery", "frames", "net", "platform", "runtime"}
+    packages = {name.split(".")[1] for name in found if name.startswith("badgerbend.")}
+    assert packages <= {"api", "decisions", "platform_settings", "discovery", "frames", "net", "platform", "runtime"}
 
 
-def test_nothing_but_the_command_line_knows_the_stand_ins():
+def test_only_the_command_line_imports_the_stand_ins():
     for file in ROOT.rglob("*.py"):
         if "standin" not in file.parts and file.name != "cli.py":
-            assert "standin" not in rooms(file), file
+            assert "standin" not in imported_packages(file), file
 
 
-def test_the_page_names_every_package_and_none_that_is_gone():
+def test_the_architecture_page_lists_exactly_the_existing_packages():
     page = (ROOT.parent / "docs" / "architecture.md").read_text()
     table = page.partition("## Packages and arrows")[2].partition("## Glossary")[0]
     cells = [line.split("|")[1] for line in table.splitlines() if line.startswith("| `")]
--- a/tests/test_capacity_lists.py
+++ b/tests/test_capacity_lists.py
@@ -1,4 +1,4 @@
-"""The scale tests of lists and queries at their small sizes: counts and slopes, which no busy machine changes."""
+"""The scale tests of lists and queries at small sizes: counts and slopes, which do not depend on the machine's load."""
 
 import asyncio
 import itertools
@@ -25,7 +25,7 @@
 SEED = 1
 LIST_SIZES, QUERY_SIZES = lists.PART.small, queries.PART.small
 FORM_NAMES = [form.name for form in FORMS]
-SECOND_COPIES_MOST = 1.25  # over loopback a busy machine makes answers late, and late parts are sent again
+MAX_SECOND_COPIES = 1.25  # over loopback, answers are late on a busy machine, and late parts are sent again
 
 
 @cache
@@ -34,7 +34,7 @@
 
 
 def by_size(part, scenario, quantity):
-    """The figures of one quantity; there must be one a size."""
+    """Returns the figures of one quantity; there must be one for each size."""
     found = [f for f in figures(part) if (f.scenario, f.quantity) == (scenario, quantity)]
     assert [f.size for f in found] == list(part.small)
     return found
@@ -50,29 +50,31 @@
 
 # -- lists
 @pytest.mark.parametrize("form", FORM_NAMES)
-def test_a_whole_list_grows_by_the_same_bytes_with_each_node(form):
+def test_a_full_list_grows_linearly_with_the_nodes(form):
     line = fitted(by_size(lists.PART, f"{form}: whole", "answer"))
     assert line.determination > 0.99
-    assert line.slope * LIST_SIZES[-1] == pytest.approx(line.at(LIST_SIZES[-1]), rel=0.02)  # nothing but rows
+    assert line.slope * LIST_SIZES[-1] == pytest.approx(
+        line.at(LIST_SIZES[-1]), rel=0.02
+    )  # there is hardly a constant share
 
 
-def test_a_row_of_consul_is_larger_than_one_of_the_members():
+def test_a_consul_row_is_larger_than_a_row_of_the_members_form():
     consul, members = (fitted(by_size(lists.PART, f"{form}: whole", "answer")) for form in ("consul", "members"))
     assert consul.slope > 4 * members.slope > 0
 
 
-def test_consul_sends_the_whole_list_for_one_row():
+def test_consul_sends_the_full_list_when_one_row_changes():
     whole, one = (values(lists.PART, f"consul: {what}", "answer") for what in ("whole", "one row"))
     assert one == pytest.approx(whole, rel=0.01)
 
 
-def test_the_members_delta_of_one_row_does_not_grow_with_the_nodes():
+def test_the_members_delta_for_one_row_does_not_grow_with_the_nodes():
     one = values(lists.PART, "members: one row", "answer")
-    assert max(one) - min(one) <= 4  # digits of numbers in it
+    assert max(one) - min(one) <= 4  # numbers in it have more digits
     assert max(one) < 400
 
 
-def test_the_members_delta_of_a_zone_grows_with_the_zone():
+def test_the_members_delta_for_a_zone_grows_with_the_zone():
     zone = fitted(by_size(lists.PART, "members: a zone", "answer"))
     whole = fitted(by_size(lists.PART, "members: whole", "answer"))
     assert zone.determination > 0.99
@@ -80,15 +82,15 @@
 
 
 @pytest.mark.parametrize("form", FORM_NAMES)
-def test_the_module_is_told_of_what_changed_and_of_nothing_else(form):
-    told = "rows told to the module"
-    assert values(lists.PART, f"{form}: whole", told) == list(LIST_SIZES)
-    assert values(lists.PART, f"{form}: one row", told) == [1] * len(LIST_SIZES)
-    assert values(lists.PART, f"{form}: a zone", told) == [-(-size // ZONES) for size in LIST_SIZES]
+def test_the_module_receives_only_the_rows_that_changed(form):
+    quantity = "rows told to the module"
+    assert values(lists.PART, f"{form}: whole", quantity) == list(LIST_SIZES)
+    assert values(lists.PART, f"{form}: one row", quantity) == [1] * len(LIST_SIZES)
+    assert values(lists.PART, f"{form}: a zone", quantity) == [-(-size // ZONES) for size in LIST_SIZES]
 
 
 @pytest.mark.parametrize("form", FORM_NAMES)
-def test_a_days_bytes_are_its_changes_times_an_answer(form):
+def test_the_bytes_of_a_day_are_its_changes_times_the_size_of_an_answer(form):
     day, one = (
         values(lists.PART, f"{form}: {what}", q)
         for what, q in (("ordinary day", "answers to a broker"), ("one row", "answer"))
@@ -98,21 +100,21 @@
 
 
 @pytest.mark.parametrize("form", FORM_NAMES)
-def test_memory_of_a_list_grows_and_its_peak_holds_what_stays(form):
+def test_memory_of_a_list_grows_and_its_peak_includes_the_resident_memory(form):
     resident = values(lists.PART, f"{form}: whole", "resident memory once taken")
     peak = values(lists.PART, f"{form}: whole", "peak memory of the next whole list")
     assert resident[-1] > resident[0] >= 0
-    assert all(most >= stays for most, stays in zip(peak, resident, strict=True))
+    assert all(highest >= retained for highest, retained in zip(peak, resident, strict=True))
 
 
-def test_memory_of_a_list_holds_nothing_of_the_process_that_asks():
+def test_memory_of_a_list_excludes_the_memory_of_the_measuring_process():
     ballast = b"x" * 100 * MEGABYTE
     memory = memory_of(MembersForm(), nodes_of(200, 50), 50)
     assert 0 < memory.peak < len(ballast) / 4
 
 
 @pytest.mark.parametrize("form", FORMS, ids=FORM_NAMES)
-def test_a_list_that_is_read_is_the_list_that_was_sent(form):
+def test_the_list_that_is_read_equals_the_list_that_was_sent(form):
     nodes = nodes_of(40, 10)
     reader = Reader(form, 10)
     reader.take(form.whole(nodes, 1))
@@ -123,7 +125,7 @@
     assert sum(state == "DRAINING" for state in states.values()) == 2
 
 
-def test_an_answer_without_news_is_no_measurement():
+def test_an_answer_without_changes_is_rejected_as_a_measurement():
     for form in (ConsulForm(), MembersForm()):
         reader = Reader(form, 10)
         reader.take(form.whole(nodes_of(40, 10), 1))
@@ -141,14 +143,14 @@
 
 
 @pytest.mark.parametrize("scenario", simulated_scenarios())
-def test_a_query_of_more_parts_takes_more_steps_but_not_one_a_part_each(scenario):
+def test_a_query_of_more_parts_takes_more_steps_but_fewer_than_one_for_each_part(scenario):
     steps = values(queries.PART, scenario, "steps")
     assert steps == sorted(steps)
     assert steps[0] >= 2
-    assert steps[-1] < QUERY_SIZES[-1]  # answers of one millisecond share a turn
+    assert steps[-1] < QUERY_SIZES[-1]  # answers that arrive in one millisecond share a step
 
 
-def test_the_count_of_sends_shows_attempts_that_are_repeated():
+def test_repeated_attempts_are_counted_as_sends():
     load = QueryLoad(Fleet(100, 25, 3), 4, SEED, lost=lambda number: number == 0)
     load.run(20)
     total = load.finish()
@@ -156,7 +158,7 @@
     assert total.ends == total.sends
 
 
-def test_a_load_comes_at_a_brokers_share_of_the_queries():
+def test_a_load_has_the_query_rate_of_one_broker():
     load = QueryLoad(Fleet(100, 25, 3), 2, SEED)
     counts = load.run(200)
     assert QUERIES_PER_S / BROKERS == QUERIES_PER_BROKER_S
@@ -185,20 +187,20 @@
 
 
 @pytest.mark.parametrize("side", ["from and to the client", "from and to the nodes"])
-def test_bytes_of_a_query_grow_by_the_same_with_each_part(side):
+def test_bytes_of_a_query_grow_linearly_with_its_parts(side):
     line = fitted(by_size(queries.PART, "bytes alone", side))
     assert line.determination > 0.99
     assert line.slope > 100
 
 
-def test_over_sockets_the_nodes_see_every_part_and_every_query_is_answered_whole():
+def test_over_sockets_nodes_receive_every_part_and_every_query_is_answered_completely():
     scenario = "loopback, 4 nodes a part"
     assert values(queries.PART, scenario, "answered whole") == [1.0] * len(QUERY_SIZES)
     for size, seen in zip(QUERY_SIZES, values(queries.PART, scenario, "parts that nodes saw"), strict=True):
-        assert size <= seen <= SECOND_COPIES_MOST * size
+        assert size <= seen <= MAX_SECOND_COPIES * size
 
 
-def test_the_full_sizes_reach_the_fleet_to_come():
+def test_the_full_sizes_reach_the_planned_fleet():
     assert lists.PART.full[-1] == lists.PART.target == 13_000
     assert queries.PART.full[-1] == queries.PART.target == PARTS == 210
     assert max(fleet.nodes for fleet in queries.FULL_PLAN.fleets) == 13_000
--- a/tests/test_crossings_nodes.py
+++ b/tests/test_crossings_nodes.py
@@ -1,4 +1,4 @@
-"""Two events that cross between a broker and its nodes, each forced over loopback: which first, and what holds then."""
+"""Pairs of events between a broker and its nodes that happen at the same time, forced in one order over loopback."""
 
 import asyncio
 import time
@@ -16,34 +16,35 @@
 SHORT_WINDOW = {"categories.2.repeatWindowMs": 300.0, "ceilings.connectTimeoutMs": 2000.0}
 
 
-def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_begun():
-    # zone+brink of hamilton-rural, seed 101: decided 302 ms after the first attempt, begun after 529, window 477 ms.
+def test_a_repeat_whose_connection_is_established_after_the_window_is_not_sent():
+    # A repeat was decided 302 ms after the first attempt, within its window of 477 ms, but it was sent only when its
+    # connection was established, after 529 ms.
     async def main():
         stage = Stage(each=2, settings=SHORT_WINDOW, behave=lambda part: None)
         async with stage, DelayedConnections(lambda: stage.nodes.values()) as dials:
-            asked = asyncio.create_task(stage.ask((1,), b"accept"))
+            pending = asyncio.create_task(stage.ask((1,), b"accept"))
             await until(lambda: dials.waiting)
             dials.release()
             await until(lambda: stage.sent())
-            stage.sent()[0].connection.cut()  # it may have run
-            await until(lambda: dials.waiting)  # decided in time
+            stage.sent()[0].connection.cut()  # the attempt may have run
+            await until(lambda: dials.waiting)  # the repeat was decided within the window
             now = asyncio.get_running_loop().time
             decided = now()
             await until(lambda: now() > decided + 0.3)
             dials.release()
-            status, _ = await asked  # the window is over: an answer at once, not at the end of its three seconds
+            status, _ = await pending  # the window is over: answered at once, not at the deadline of three seconds
             assert status == 502
             assert now() - decided < 1.5
             await until(lambda: not stage.service.transport._connecting)
-            assert (await stage.ask((2,), b"quote", X_Time_Left_Ms="50"))[0] == 503  # a later turn of every loop
+            assert (await stage.ask((2,), b"quote", X_Time_Left_Ms="50"))[0] == 503  # lets the event loop run again
             assert [part.shard for part in stage.sent() if part.shard == 1] == [1]
 
     run(main)
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_nothing_begins_for_a_client_that_left_while_its_part_waited_for_a_connection(cancel):
-    # Where the settings let nothing be called off, the part was sent when its connection came up.
+def test_no_part_is_sent_for_a_client_that_disconnected_while_the_part_waited_for_a_connection(cancel):
+    # If the settings allow no cancellation, the part was sent nevertheless once its connection was established.
     async def main():
         settings = {"ceilings.cancel": cancel, "ceilings.connectTimeoutMs": 2000.0}
         stage = Stage(settings=settings)
@@ -60,49 +61,49 @@
     run(main)
 
 
-def test_nothing_begins_for_a_query_answered_while_a_spare_part_waited_for_a_connection():
+def test_no_part_is_sent_for_a_query_that_was_answered_while_the_part_waited_for_a_connection():
     async def main():
-        held = []
+        received = []
         settings = {"ceilings.cancel": False, "ceilings.connectTimeoutMs": 2000.0}
-        async with Stage(each=1, settings=settings, behave=held.append) as stage:
+        async with Stage(each=1, settings=settings, behave=received.append) as stage:
             first = asyncio.create_task(stage.ask((1,)))
-            await until(lambda: held)
-            held.pop().served()
-            assert (await first)[0] == 200  # a connection to the cell of shard 1 is up
+            await until(lambda: received)
+            received.pop().served()
+            assert (await first)[0] == 200  # a connection to the cell of shard 1 is established
             async with DelayedConnections(lambda: stage.nodes.values()) as dials:
-                some = asyncio.create_task(stage.ask((1, 2), b"some"))  # half of it is enough
-                await until(lambda: held and dials.waiting)
-                held.pop().served()
+                some = asyncio.create_task(stage.ask((1, 2), b"some"))  # one of the two parts completes the answer
+                await until(lambda: received and dials.waiting)
+                received.pop().served()
                 status, body = await some
                 assert status == 200
                 assert len(body["pieces"]) == 1
                 dials.release()
                 await until(lambda: not stage.service.transport._connecting)
             last = asyncio.create_task(stage.ask((4,)))
-            await until(lambda: held)
-            held.pop().served()
+            await until(lambda: received)
+            received.pop().served()
             assert (await last)[0] == 200
             assert not [part for part in stage.sent() if part.shard == 2]
 
     run(main)
 
 
-def test_a_connection_that_comes_up_in_the_turn_of_its_time_out_has_carried_its_calls(monkeypatch):
-    # Its parts were told as never run, and so might be sent again, while the node had them.
+def test_calls_on_a_connection_that_is_established_as_it_times_out_count_as_sent(monkeypatch):
+    # The parts were reported as never sent, and so might be sent again, although the node had received them.
     async def main():
         node = FrameNode(lambda part: None)
         transport, ends, _ = await transport_to(await node.start(), connect_timeout_s=0.05)
         loop = asyncio.get_running_loop()
         connect = loop.create_connection
 
-        async def late(factory, *address):
-            def made():
-                time.sleep(0.1)  # the loop's turn in which the connection is there lasts beyond the time-out
+        async def connect_late(factory, *address):
+            def slow_factory():
+                time.sleep(0.1)  # blocks the event loop beyond the timeout as the connection is established
                 return factory()
 
-            return await connect(made, *address)
+            return await connect(slow_factory, *address)
 
-        monkeypatch.setattr(loop, "create_connection", late)
+        monkeypatch.setattr(loop, "create_connection", connect_late)
         transport.send(1, [attempt(1)])
         await until(lambda: ends)
         await until(lambda: node.parts() or (node.accepted and not node.connections))
@@ -114,13 +115,13 @@
     run(main)
 
 
-def test_a_descriptor_counts_until_its_connecting_ends():
+def test_a_file_descriptor_counts_until_its_connection_attempt_ends():
     async def main():
         node = FrameNode(lambda part: None)
         transport, ends, _ = await transport_to(await node.start(), connections=2, connect_timeout_s=30.0)
         async with DelayedConnections(lambda: [node]) as dials:
-            given_up = [attempt(shard) for shard in (1, 2)]
-            for one in given_up:
+            cancelled = [attempt(shard) for shard in (1, 2)]
+            for one in cancelled:
                 transport.send(1, [one])
                 transport.cancel(one)
                 transport.close_idle(1)
@@ -140,7 +141,7 @@
     run(main)
 
 
-def test_a_node_that_drains_while_its_connection_is_full_gets_nothing_of_the_call_that_waits_there():
+def test_a_node_that_drains_while_its_connection_is_blocked_receives_no_queued_call():
     async def main():
         node = FrameNode(lambda part: None)
         transport, ends, _ = await transport_to(await node.start(), streams=1000)
@@ -152,7 +153,7 @@
         (channel,) = transport.channels[1]
         long = b"x" * 60_000
         shard = 2
-        while not channel.blocked:  # the node reads no more: the kernel's buffers fill
+        while not channel.blocked:  # the node stopped reading, so the kernel's buffers fill up
             transport.send(1, [attempt(shard, text=long)])
             await asyncio.sleep(0)
             shard += 1
@@ -170,19 +171,19 @@
     run(main)
 
 
-def test_an_answer_and_the_word_that_gives_its_part_up_cross():
+def test_an_answer_and_the_cancellation_of_its_part_cross():
     async def main():
-        held: list[Part] = []
-        node = FrameNode(held.append)
+        received: list[Part] = []
+        node = FrameNode(received.append)
         transport, ends, _ = await transport_to(await node.start())
         one, two = attempt(1), attempt(2)
         transport.send(1, [one, two])
-        await until(lambda: len(held) == 2)
-        held[0].served()  # on its way
+        await until(lambda: len(received) == 2)
+        received[0].served()  # this answer is in flight during the cancellation
         transport.cancel(one)
-        held[1].served()
+        received[1].served()
         await until(lambda: ends and node.cancelled)
-        assert ends == [(2, Outcome.OK, held[1].value())]
+        assert ends == [(2, Outcome.OK, received[1].value())]
         assert transport.open == 1
         assert node.cancelled == [b"q1.1"]
         assert FRAMES.cancel == b"c"
@@ -192,7 +193,7 @@
     run(main)
 
 
-def test_an_idle_connection_that_its_node_closes_as_a_call_is_written_may_have_run_it():
+def test_a_call_on_an_idle_connection_that_its_node_closes_counts_as_possibly_run():
     async def main():
         node = FrameNode()
         transport, ends, _ = await transport_to(await node.start())
@@ -200,7 +201,7 @@
         await until(lambda: ends)
         (connection,) = node.connections
         connection.cut()
-        transport.send(1, [attempt(2)])  # written before the end of the connection is read here
+        transport.send(1, [attempt(2)])  # written before the end of the connection is noticed here
         await until(lambda: len(ends) == 2)
         assert ends[1] == (2, Outcome.RESET, None)
         transport.close()
@@ -209,7 +210,7 @@
     run(main)
 
 
-def test_a_part_that_waited_for_its_connection_tells_the_deadline_that_is_left():
+def test_a_part_that_waited_for_its_connection_carries_the_remaining_time():
     async def main():
         node = FrameNode(lambda part: None)
         transport, _, _ = await transport_to(await node.start(), connect_timeout_s=30.0)
@@ -219,14 +220,14 @@
             await asyncio.sleep(0.2)
             dials.release()
             await until(lambda: node.parts())
-        told = node.parts()[0].wait_ms
-        assert 0 < told <= 800  # of a second
+        remaining_ms = node.parts()[0].wait_ms
+        assert 0 < remaining_ms <= 800  # the deadline was a second
         node.stop()
 
     run(main)
 
 
-def test_a_part_whose_client_left_while_it_waited_for_its_connection_is_not_written():
+def test_a_part_whose_client_disconnected_while_it_waited_for_its_connection_is_not_written():
     async def main():
         node = FrameNode(lambda part: None)
         transport, ends, _ = await transport_to(await node.start(), connect_timeout_s=30.0)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the platform asks of `run`: one process, nothing that its filter refuses, a file system it cannot write to."""
+"""The requirements of the platform on `run`: one process, no system call that its filter forbids, no file written."""
 
 import asyncio
 import os
@@ -24,22 +24,24 @@
 CONFINED = ROOT / "tests" / "confined.py"
 
 
-def test_run_and_sim_end_by_exec_in_one_process_of_what_build_leaves():
-    # A signal to reload that comes while the interpreter starts is ignored, not fatal; the file is read after it.
+def test_run_and_sim_replace_the_shell_by_one_process_from_the_built_environment():
+    # A reload signal that arrives while the interpreter starts is ignored rather than fatal; the file is read later.
     assert DEPLOY["run"] == "trap '' HUP; exec .venv/bin/python -m badgerbend.platform"
     assert DEPLOY["sim"].startswith("exec ")
     assert not any(c in DEPLOY["sim"] for c in "&|;")
-    assert "compileall" in DEPLOY["build"]  # the file system is read-only later: nothing could be kept then
+    assert (
+        "compileall" in DEPLOY["build"]
+    )  # the file system is read-only at run time, so no bytecode could be cached then
     assert not DEPLOY["packages"]
 
 
-def test_what_is_named_in_the_deploy_file_is_there():
+def test_the_paths_in_the_deploy_file_exist():
     for path in (*DEPLOY["policy"], *DEPLOY["node"]):
         assert (ROOT / path).exists(), path
 
 
 @pytest.mark.parametrize("what", ["fork", "unix", "write", "sendfile", "splice", "execute"])
-def test_the_filter_kills_what_it_is_for(what):
+def test_the_filter_kills_a_process_that_makes_a_forbidden_call(what):
     done = subprocess.run([sys.executable, CONFINED, what], capture_output=True)
     assert done.returncode == -signal.SIGSYS, done.stderr
 
@@ -48,8 +50,8 @@
 def readable_directory():
     """A directory that any user may read, outside `tmp_path`.
 
-    Each pytest session takes the root of all `tmp_path` back to its owner alone when it starts, also while a test of
-    another session runs.
+    When a pytest session starts, it makes the root of all `tmp_path` directories accessible to its owner alone, even
+    while a test of another session runs.
     """
     with tempfile.TemporaryDirectory() as name:
         os.chmod(name, 0o755)
@@ -57,7 +59,7 @@
 
 
 def test_run_serves_reloads_and_ends_under_the_filter(readable_directory):
-    """As an ordinary user where the test may become one. Anything refused, and the process is gone by SIGSYS."""
+    """Runs as an ordinary user if the test may change its user. Any forbidden call kills the process with SIGSYS."""
 
     async def main():
         agent, node = await surroundings()
@@ -70,21 +72,23 @@
         pool = Pool("127.0.0.1", port, LIMITS)
         try:
             first = [await asyncio.to_thread(process.stderr.readline) for _ in range(2)]
-            assert all(line.startswith(b"{") for line in first), first  # otherwise an error in words, shown as it is
+            assert all(line.startswith(b"{") for line in first), (
+                first
+            )  # a line that is not JSON is an error message, which the assertion shows
             assert [msgspec.json.decode(line)["what"] for line in first] == ["list", "listening"], first
-            await until(lambda: agent.waiting)  # the list was read, and is watched
+            await until(lambda: agent.waiting)  # the list was read, and a watch on it is open
             body = query((1, 2, 3))
             head = (
                 b"POST /quote/abc HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: q1\r\nX-Service-Class: quote\r\n"
                 b"X-Account: acme\r\nX-Time-Left-Ms: 3000\r\nContent-Length: %d\r\n\r\n" % len(body)
             )
-            done = asyncio.get_running_loop().create_future()
-            pool.request(head + body, done.set_result)
-            assert (await done).status == 200
-            node.stop()  # and what it does when a connection is refused
-            done = asyncio.get_running_loop().create_future()
-            pool.request(replaced(head, b"q1", b"q2") + body, done.set_result)
-            assert (await done).status == 503
+            reply = asyncio.get_running_loop().create_future()
+            pool.request(head + body, reply.set_result)
+            assert (await reply).status == 200
+            node.stop()  # the next connection is refused
+            reply = asyncio.get_running_loop().create_future()
+            pool.request(replaced(head, b"q1", b"q2") + body, reply.set_result)
+            assert (await reply).status == 503
             process.send_signal(signal.SIGHUP)
             await until(lambda: sum("since" not in path for path in agent.asked) == 2)
             process.send_signal(signal.SIGTERM)
@@ -95,7 +99,7 @@
             process.kill()
             process.stderr.close()
         ends = [line for line in lines if line["what"] == "ended"]
-        assert [line["id"] for line in ends] == ["q2"]  # an answer that was refused can be followed by its id
+        assert [line["id"] for line in ends] == ["q2"]  # a refused query can be traced by its id
         assert ends[0]["how"].startswith("refused: ")
         assert {row[3] for row in ends[0]["lost"]} >= {"CONNECT_FAILED"}
         await agent.close()
--- a/tests/test_fault_soak.py
+++ b/tests/test_fault_soak.py
@@ -1,14 +1,14 @@
-"""Some drawn runs of a broker process under faults. More: `python benchmarks/fault_soak.py --count 50`."""
+"""Random runs of a broker process under faults. For more seeds: `python benchmarks/fault_soak.py --count 50`."""
 
 from benchmarks.fault_soak import play_all
 from tests.fault_soak import Soak
 
-SEEDS, SIDE_BY_SIDE = range(8), 4
+SEEDS, CONCURRENT_RUNS = range(8), 4
 
 
-def test_the_rules_hold_under_faults_signals_and_clients_that_stay():
-    outcomes = play_all(SEEDS, SIDE_BY_SIDE)
-    assert [line for outcome in outcomes for line in outcome.broken] == []
+def test_the_rules_hold_under_faults_signals_and_clients_that_stay_connected():
+    outcomes = play_all(SEEDS, CONCURRENT_RUNS)
+    assert [line for outcome in outcomes for line in outcome.violations] == []
     assert all(outcome.attempts > 100 for outcome in outcomes)
     assert all(outcome.answered > 20 for outcome in outcomes)
 
--- a/tests/test_fleetlog.py
+++ b/tests/test_fleetlog.py
@@ -1,4 +1,4 @@
-"""The table of a day from brokers' logs: what is counted, in which phase, and what a broken log does to it."""
+"""The table that benchmarks/fleetlog.py makes from brokers' logs: its counts by phase, also of truncated logs."""
 
 import subprocess
 import sys
@@ -11,7 +11,7 @@
 
 def log(folder, name, *lines):
     text = "".join(f"{at:.3f} {msgspec.json.encode(line).decode()}\n" for at, line in lines)
-    (folder / f"{name}.log").write_text(text + '7.9 {"what":"summ')  # killed while it wrote
+    (folder / f"{name}.log").write_text(text + '7.9 {"what":"summ')  # the process was killed while it wrote
 
 
 def summary(queries, servers, opened, nodes=2):
@@ -24,7 +24,7 @@
     return done, [dict(zip(rows[0], row, strict=True)) for row in rows[2:]]
 
 
-def test_what_brokers_wrote_adds_up_by_phase(tmp_path):
+def test_log_lines_of_all_brokers_are_added_up_by_phase(tmp_path):
     good, bad = {"OK": 9, "served_ms": 20.0}, {"OK": 1, "TIMEOUT": 4, "served_ms": 90.0}
     log(
         tmp_path,
@@ -39,7 +39,7 @@
         "n1",
         (0.2, {"what": "listening"}),
         (1.0, summary({"quote answered": 4, "quote failed": 2}, {"a": good}, 4)),
-        (6.0, {"what": "listening"}),  # a new life counts its connections from nothing
+        (6.0, {"what": "listening"}),  # a restarted broker counts its connections from zero
         (6.1, summary({"quote answered": 1}, {"a": {"OK": 2}}, 3)),
     )
     done, (first, second) = table(tmp_path)
@@ -57,7 +57,7 @@
     assert "1 quote: its time is over" in done.stdout
 
 
-def test_a_folder_without_logs_is_said_to_be_one(tmp_path):
+def test_a_folder_without_logs_is_reported(tmp_path):
     done, _ = table(tmp_path)
     assert done.returncode == 2
     assert "no logs of brokers" in done.stderr
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt passes over the listed failures, and over nothing else."""
+"""Failures that KNOWN-RED.txt lists do not fail a run; any other failure does."""
 
 import pytest
 
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def run(pytester):
-    """Runs pytest with a list of known failures, on the tests of `SOME_TESTS` that it names or on all there are."""
+    """Runs pytest with a list of known failures, on the tests named by the arguments or on all tests."""
     pytester.makepyfile(test_some=SOME_TESTS, test_sound=SOUND_TESTS)
 
     def run_with(known_red, *arguments):
@@ -49,14 +49,14 @@
     result.assert_outcomes(failed=1)
 
 
-def test_a_listed_failure_is_passed_over_and_printed(run):
-    result = run(f"# to be mended first\n\n{FAILS}\n", "-k", "fails and not start")
+def test_a_listed_failure_is_expected_and_printed(run):
+    result = run(f"# to be fixed first\n\n{FAILS}\n", "-k", "fails and not start")
     assert result.ret == pytest.ExitCode.OK
     result.assert_outcomes(xfailed=1, deselected=6)
     result.stdout.fnmatch_lines(["*known failures*", "KNOWN RED test_some.py::test_fails | numbers differ | #12"])
 
 
-def test_a_listed_test_that_fails_in_its_fixture_is_passed_over(run):
+def test_a_listed_test_that_fails_in_its_fixture_is_expected_to_fail(run):
     known_red = "test_some.py::test_fails_to_start | no such thing | #12\n"
     result = run(known_red, "test_some.py::test_fails_to_start")
     assert result.ret == pytest.ExitCode.OK
@@ -88,7 +88,7 @@
     result.stdout.fnmatch_lines(["*but skipped*"])
 
 
-def test_a_marker_of_the_test_itself_does_not_ease_its_line(run, pytester):
+def test_an_xfail_marker_of_the_test_does_not_relax_its_line(run, pytester):
     pytester.makepyfile(test_lax="import pytest\n@pytest.mark.xfail\ndef test_lax():\n    pass\n")
     result = run("test_lax.py::test_lax | none | #12\n", "test_lax.py")
     assert result.ret == pytest.ExitCode.TESTS_FAILED
@@ -106,7 +106,7 @@
     ],
     ids=["the test alone", "no issue", "an empty cause", "four fields", "one test twice", "a fourth line"],
 )
-def test_a_list_that_is_not_as_it_must_be_fails_the_run_even_of_sound_tests(run, known_red):
+def test_an_invalid_list_fails_the_run_even_if_all_tests_pass(run, known_red):
     result = run(known_red, "test_sound.py")
     assert result.ret == pytest.ExitCode.USAGE_ERROR
     result.stderr.fnmatch_lines(["*KNOWN-RED.txt*"])
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("arguments", [(), (".",)], ids=["no arguments", "the root"])
-def test_a_listed_test_that_does_not_exist_fails_a_run_of_all(run, arguments):
+def test_a_listed_test_that_does_not_exist_fails_a_run_of_all_tests(run, arguments):
     result = run("test_some.py::test_gone | numbers differ | #12\n", *arguments)
     assert result.ret == pytest.ExitCode.USAGE_ERROR
     result.stderr.fnmatch_lines(["*do not exist: test_some.py::test_gone*"])
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -1,4 +1,4 @@
-"""Every exception from the linter's rules in pyproject.toml is still needed: the list shows what is left to do."""
+"""Every exception from the linter's rules in pyproject.toml is still needed: the list shows the work that is left."""
 
 import fnmatch
 import json
@@ -12,7 +12,7 @@
 ROOT = Path(__file__).resolve().parents[1]
 EXCEPTIONS = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["ruff"]["lint"]["per-file-ignores"]
 TESTS = "tests/*"
-NEVER_REQUIRED = {(TESTS, "D1")}  # a decision, not a debt: tests need no docstrings
+NEVER_REQUIRED = {(TESTS, "D1")}  # tests need no docstrings; this is not work that is left
 
 # Exceptions (path and rule) that became idle and were removed: the files follow these rules now.
 REMOVED = [
@@ -25,7 +25,7 @@
 
 @pytest.fixture(scope="module")
 def violations():
-    """Pairs of file and rule that the linter reports when nothing is excepted."""
+    """The pairs of file and rule that the linter reports without any exception."""
     command = [Path(sys.executable).parent / "ruff", "check", "--output-format", "json", "--no-cache", "."]
     command += ["--config", "lint.per-file-ignores = {}"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
--- a/tests/test_planted_defects.py
+++ b/tests/test_planted_defects.py
@@ -1,4 +1,4 @@
-"""Each defect that the tests plant stands on something that the product has."""
+"""Each defect that the tests plant overrides or replaces something that exists in the product."""
 
 import importlib
 from pathlib import Path
@@ -13,7 +13,7 @@
 ROOT = Path(__file__).resolve().parents[1]
 FILES = sorted(path for path in (ROOT / "tests").rglob("*.py") if path.name != "__init__.py")
 
-# What test classes with a base of the product add to it: names that override nothing.
+# Names that test classes derived from the product add to it on purpose; they override nothing.
 ADDED = {
     "tests/feed_process.py": {
         "MeasuredRelay": {
@@ -31,14 +31,14 @@
         "ReportingClient": {"publications"},
         "ReportingControl": {"reported_revision"},
     },
-    "tests/known_red.py": {"report": {"longrepr"}},  # of pytest
+    "tests/known_red.py": {"report": {"longrepr"}},  # defined by pytest
     "tests/modelvoters.py": {"new": {"__dict__"}},
     "tests/mutants.py": {"CountsVotesTwice": {"counted"}},
     "tests/test_feed_faults.py": {"LyingRelay": {"lie"}},
     "tests/test_site_service.py": {"BrokerInFolder": {"folder"}},
 }
 
-UNCHECKED = {"tests/replacing.py": ["text.replace(old, new)"]}  # after its own check
+UNCHECKED = {"tests/replacing.py": ["text.replace(old, new)"]}  # checked before the call
 
 
 def name_of(path):
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("path", FILES, ids=name_of)
-def test_what_a_test_overrides_or_assigns_is_there(path):
+def test_overridden_and_assigned_names_exist(path):
     module = importlib.import_module(".".join(path.relative_to(ROOT).with_suffix("").parts))
     assert stale_by_owner(DefectReader(path, module, ROOT)) == ADDED.get(name_of(path), {})
 
@@ -63,8 +63,8 @@
 
 
 @pytest.mark.parametrize("path", FILES, ids=name_of)
-def test_every_replacement_fails_where_there_is_nothing_to_replace(path):
-    # `monkeypatch.setattr`, `replace_attribute` and `replaced` do; see tests/replacing.py
+def test_every_replacement_fails_if_its_target_does_not_exist(path):
+    # `monkeypatch.setattr`, `replace_attribute` and `replaced` fail in that case; see tests/replacing.py.
     module = importlib.import_module(".".join(path.relative_to(ROOT).with_suffix("").parts))
     assert DefectReader(path, module, ROOT).unchecked() == UNCHECKED.get(name_of(path), [])
 
@@ -91,7 +91,7 @@
         ("step", "step", {}),
     ],
 )
-def test_a_name_that_the_product_does_not_have_is_found(tmp_path, old, new, stale):
+def test_a_name_that_the_product_does_not_have_is_reported(tmp_path, old, new, stale):
     assert old in SOUND
     path = tmp_path / "test_some.py"
     path.write_text(replaced(SOUND, old, new, SOUND.count(old)))
@@ -118,7 +118,7 @@
     assert DefectReader(path, SimpleNamespace(), ROOT).unchecked() == unchecked
 
 
-def test_replacing_an_attribute_that_is_not_there_fails():
+def test_replacing_an_attribute_that_does_not_exist_fails():
     owner = SimpleNamespace(one=1)
     replace_attribute(owner, "one", 2)
     assert owner.one == 2
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize(("old", "times"), [("none", 1), ("twice", 1), ("once", 2)])
-def test_replacing_text_that_does_not_stand_as_often_fails(old, times):
+def test_replacing_text_that_does_not_occur_as_often_fails(old, times):
     text = "once twice twice"
     assert replaced(text, "once", "1") == "1 twice twice"
     assert replaced(text, "twice", "2", times=2) == "once 2 2"
--- a/tests/test_suite_size.py
+++ b/tests/test_suite_size.py
@@ -1,4 +1,4 @@
-"""The suite does not shrink: its assertions are counted here, its collected tests by the plugin `suite_size`."""
+"""The test suite does not shrink: assertions are counted here, collected tests by the plugin `suite_size`."""
 
 import json
 from pathlib import Path
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(
-    ("whole", "split"),
+    ("combined", "split"),
     [
         ("assert a and b and c", "assert a\nassert b\nassert c"),
         ("assert (a and b) and not (c or d)", "assert a\nassert b\nassert not c\nassert not d"),
@@ -26,8 +26,8 @@
         ("assert not not (a and b), 'text'", "assert a\nassert b"),
     ],
 )
-def test_splitting_an_assertion_changes_no_count(whole, split):
-    assert count_assertions(whole) == count_assertions(split)
+def test_splitting_an_assertion_does_not_change_the_count(combined, split):
+    assert count_assertions(combined) == count_assertions(split)
 
 
 @pytest.mark.parametrize(
@@ -49,7 +49,7 @@
     assert count_assertions(source) == count
 
 
-def test_tests_of_the_suite_itself_make_up_for_no_other():
+def test_tests_of_the_suite_itself_are_not_counted():
     assert (
         count_tests(["tests/test_suite_size.py::test_a", "tests/test_feed.py::test_a", "tests/test_feed.py::a[b::c]"])
         == 2
@@ -58,7 +58,7 @@
 
 @pytest.fixture
 def run(pytester):
-    """Runs pytest in a tree of two tests, under a floor."""
+    """Runs pytest with a floor in a tree of three tests."""
     pytester.makeini("[pytest]\ntestpaths = tests\n")
     folder = pytester.mkdir("tests")
     folder.joinpath("test_some.py").write_text(TWO_TESTS)
@@ -74,18 +74,18 @@
 
 
 @pytest.mark.parametrize("arguments", [(), ("tests",), (".",), ("-k", "one")], ids=["none", "tests", "root", "-k"])
-def test_a_run_of_all_with_fewer_tests_than_the_floor_fails(run, arguments):
+def test_a_run_of_the_whole_tree_with_fewer_tests_than_the_floor_fails(run, arguments):
     result = run(4, *arguments)
     assert result.ret == pytest.ExitCode.USAGE_ERROR
     result.stderr.fnmatch_lines(["*3 tests collected, 4 on c0ffee0*"])
 
 
 @pytest.mark.parametrize("floor", [2, 3])
-def test_a_run_of_all_with_as_many_tests_or_more_passes(run, floor):
+def test_a_run_of_the_whole_tree_with_at_least_the_floor_passes(run, floor):
     run(floor).assert_outcomes(passed=3)
 
 
-def test_a_choice_by_name_from_a_tree_that_is_large_enough_passes(run):
+def test_deselecting_tests_of_a_tree_that_is_large_enough_passes(run):
     run(3, "-k", "one").assert_outcomes(passed=1, deselected=2)
 
 
@@ -94,5 +94,5 @@
     [(("tests/test_other.py",), 1), (("tests/test_some.py::test_one",), 1), (("--ignore", "tests/test_other.py"), 2)],
     ids=["a file", "a test", "--ignore"],
 )
-def test_a_run_that_names_files_or_takes_some_out_is_not_compared(run, arguments, passed):
+def test_a_run_that_names_or_ignores_files_is_not_compared(run, arguments, passed):
     run(4, *arguments).assert_outcomes(passed=passed)
