--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -1,4 +1,4 @@
-"""Agreement over thousands of seeds, defects that must be found, and every interleaving to a depth.
+"""Checks the consensus in simulated time over many seeds, with planted defects, and over all interleavings to a depth.
 
 python benchmarks/agreement.py seeds --count 10000
 python benchmarks/agreement.py mutants --count 2000
@@ -28,56 +28,61 @@
 )
 
 
-def one_seed(seed: int) -> tuple[int, str, int, int, int, int]:
-    """Seed, what broke, acts that took effect, acts refused, terms with a leader, entries."""
+def run_seed(seed: int) -> tuple[int, str, int, int, int, int]:
+    """Returns the seed, the violation (or ""), the acts that took effect, those rejected, the terms with a leader and
+    the committed entries.
+    """
     world = World(seed, CHAOS[seed % len(CHAOS)])
     try:
         world.run(12)
         world.heal()
-        wrong = "" if world.settles(10) else "not settled within 10 s of the last trouble"
+        violation = "" if world.settles(10) else "not settled within 10 s of the last fault"
     except InvariantViolation as err:
-        wrong = str(err)
-    return seed, wrong, world.acts, world.rejected, world.elections, len(world.committed)
+        violation = str(err)
+    return seed, violation, world.acts, world.rejected, world.elections, len(world.committed)
 
 
 def seeds(count: int, first: int) -> int:
-    began, wrong, sums = time.monotonic(), 0, [0, 0, 0, 0]
+    began, failed, totals = time.monotonic(), 0, [0, 0, 0, 0]
     with ProcessPoolExecutor() as pool:
-        for seed, what, *counts in pool.map(one_seed, range(first, first + count), chunksize=20):
-            sums = [a + b for a, b in zip(sums, counts, strict=True)]
-            if what:
-                wrong += 1
-                print(f"seed {seed}: {what}")
-    acts, refused, elections, entries = sums
+        for seed, violation, *counts in pool.map(run_seed, range(first, first + count), chunksize=20):
+            totals = [a + b for a, b in zip(totals, counts, strict=True)]
+            if violation:
+                failed += 1
+                print(f"seed {seed}: {violation}")
+    acts, rejected, elections, entries = totals
     print(
         f"{count} seeds from {first}, {len(CHAOS)} kinds of chaos in turn, {time.monotonic() - began:.0f} s on "
-        f"{os.cpu_count()} cores: {wrong} wrong; {acts} acts took effect, {refused} were refused for their epoch, "
-        f"{elections} terms had a leader, {entries} entries were chosen"
+        f"{os.cpu_count()} cores: {failed} failed; {acts} acts took effect, {rejected} were rejected for their epoch, "
+        f"{elections} terms had a leader, {entries} entries were committed"
     )
-    return 1 if wrong else 0
+    return 1 if failed else 0
 
 
-def hunt(job: tuple[str, int]) -> tuple[str, int, str, int]:
-    """A defect: how many seeds found it, what the first said, and which that was."""
+def run_mutant(job: tuple[str, int]) -> tuple[str, int, str, int]:
+    """Runs a planted defect over seeds 0 to count - 1.
+
+    Returns its name, how many seeds detected it, the first violation and the seed of that violation.
+    """
     name, count = job
     kinds, chaos, _ = MUTANTS[name]
-    found, first, said = 0, -1, ""
+    found, first, violation = 0, -1, ""
     for seed in range(count):
         try:
             World(seed, chaos, **kinds).run(10)
         except InvariantViolation as err:
             found += 1
             if first < 0:
-                first, said = seed, str(err)
-    return name, found, said, first
+                first, violation = seed, str(err)
+    return name, found, violation, first
 
 
 def mutants(count: int) -> int:
     missed = 0
     with ProcessPoolExecutor() as pool:
-        for name, found, said, first in pool.map(hunt, [(name, count) for name in MUTANTS]):
+        for name, found, violation, first in pool.map(run_mutant, [(name, count) for name in MUTANTS]):
             missed += not found
-            print(f"{name}: found by {found} of {count} seeds, first {first}: {said}")
+            print(f"{name}: detected by {found} of {count} seeds, first {first}: {violation}")
     return 1 if missed else 0
 
 
--- a/benchmarks/allowance.py
+++ b/benchmarks/allowance.py
@@ -1,4 +1,4 @@
-"""Cold allowance in simulated time: sums kept over thousands of seeds, and what dealing it gains.
+"""The slow-start budget in simulated time: checks its limit over many seeds and measures the gain of sharing it.
 
 python benchmarks/allowance.py seeds --count 10000
 python benchmarks/allowance.py gain --count 12
@@ -23,8 +23,8 @@
 WAYS = {"each its own share": (False, False), "nobody deals": (True, False), "dealt": (True, True)}
 
 
-def one_seed(seed: int) -> tuple[int, str, int, int]:
-    """Seed, what broke, sums looked at, words dealt."""
+def run_seed(seed: int) -> tuple[int, str, int, int]:
+    """Returns the seed, the violation (or ""), the number of checked totals and that of the allocator's replies."""
     world = World(seed, brokers=3 + seed % 8, loss=LOSSES[seed % len(LOSSES)])
     try:
         world.run(30_000)
@@ -34,28 +34,28 @@
 
 
 def seeds(count: int, first: int) -> int:
-    began, wrong, checks, dealt = time.monotonic(), 0, 0, 0
+    began, failed, checks, replies = time.monotonic(), 0, 0, 0
     with ProcessPoolExecutor() as pool:
-        for seed, what, looked, words in pool.map(one_seed, range(first, first + count), chunksize=20):
-            checks, dealt = checks + looked, dealt + words
-            if what:
-                wrong += 1
-                print(f"seed {seed}: {what}")
+        for seed, violation, seed_checks, seed_replies in pool.map(run_seed, range(first, first + count), chunksize=20):
+            checks, replies = checks + seed_checks, replies + seed_replies
+            if violation:
+                failed += 1
+                print(f"seed {seed}: {violation}")
     print(
-        f"{count} seeds from {first}, {time.monotonic() - began:.0f} s on {os.cpu_count()} cores: {wrong} wrong; "
-        f"{checks} sums, {dealt} answers of dealers"
+        f"{count} seeds from {first}, {time.monotonic() - began:.0f} s on {os.cpu_count()} cores: {failed} failed; "
+        f"{checks} totals checked, {replies} replies of allocators"
     )
-    return 1 if wrong else 0
+    return 1 if failed else 0
 
 
-def one_play(job: tuple[str, str, int]) -> dict[str, float]:
+def run_scene(job: tuple[str, str, int]) -> dict[str, float]:
     scene, way, seed = job
-    dealt, held = WAYS[way]
-    return SCENES[scene](seed, dealt, has_allocator=held)  # type: ignore[no-any-return]
+    shared, has_allocator = WAYS[way]
+    return SCENES[scene](seed, shared, has_allocator=has_allocator)  # type: ignore[no-any-return]
 
 
 def gain(count: int) -> int:
-    """Means over the same seeds, with 95% intervals of the paired difference to the first way (t)."""
+    """Prints means over the same seeds, with the 95% t-interval of the paired difference to the first variant."""
     import numpy as np
     from scipy import stats
 
@@ -65,7 +65,7 @@
         rows = {}
         with ProcessPoolExecutor() as pool:
             for way in WAYS:
-                rows[way] = list(pool.map(one_play, [(scene, way, s) for s in range(count)]))
+                rows[way] = list(pool.map(run_scene, [(scene, way, s) for s in range(count)]))
         base = rows[next(iter(WAYS))]
         for way, found in rows.items():
             cells = []
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""The scale tests behind docs/CAPACITY.md: one command, a table of figures by size with their straight lines, and JSON.
+"""Runs the scale tests behind docs/CAPACITY.md and prints their figures by size with fitted lines, optionally as JSON.
 
 python benchmarks/capacity.py [--parts lists,membership,...] [--small] [--seed 1] [--json FILE]
 """
@@ -17,14 +17,14 @@
 PARTS = ("lists", "membership", "brokers", "queries", "feed", "control")
 
 
-def part_named(name: str) -> Part:
-    """The part of `benchmarks/scale/NAME.py`."""
+def load_part(name: str) -> Part:
+    """Returns the part that `benchmarks/scale/NAME.py` defines."""
     part: Part = importlib.import_module(f"scale.{name}").PART
     return part
 
 
 def grouped(figures: Sequence[Figure]) -> dict[tuple[str, str, str], list[Figure]]:
-    """By scenario, quantity and unit, in the order measured."""
+    """Groups figures by scenario, quantity and unit, in the order in which they were measured."""
     groups: dict[tuple[str, str, str], list[Figure]] = {}
     for figure in figures:
         groups.setdefault((figure.scenario, figure.quantity, figure.unit), []).append(figure)
@@ -32,7 +32,7 @@
 
 
 def table(part: Part, figures: Sequence[Figure]) -> str:
-    """Markdown: a row for each quantity, a column for each size, then the line and what it says of the target."""
+    """Returns a Markdown table: a row per quantity, a column per size, the fitted line and its value at the target."""
     sizes = sorted({figure.size for figure in figures})
     head = ["scenario", "quantity", "unit", "how", *(f"{s:,}" for s in sizes), "slope", "R²", f"at {part.target:,}"]
     rows = [head, ["---"] * len(head)]
@@ -51,13 +51,13 @@
 def main() -> None:
     parser = argparse.ArgumentParser()
     parser.add_argument("--parts", default=",".join(PARTS))
-    parser.add_argument("--small", action="store_true", help="the sizes that CI runs")
+    parser.add_argument("--small", action="store_true", help="measure the sizes that CI runs")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--json", type=Path, help="writes all figures there")
+    parser.add_argument("--json", type=Path, help="write all figures to this file")
     arguments = parser.parse_args()
     found: list[Figure] = []
     for name in arguments.parts.split(","):
-        part = part_named(name)
+        part = load_part(name)
         began = time.perf_counter()
         figures = part.measure(part.small if arguments.small else part.full, arguments.seed)
         found += figures
--- a/benchmarks/coldfleet.py
+++ b/benchmarks/coldfleet.py
@@ -1,7 +1,7 @@
-"""Cold servers before a fleet that shares nothing, over many simulated seeds: `python benchmarks/coldfleet.py`.
+"""Slow start of servers by a fleet of independent processes, in many simulations: `python benchmarks/coldfleet.py`.
 
-Judged from outside (`tests/simfleet.py`): in no window may all processes together send a cold server more than its
-budget N and 2 x root of N + 2.
+Checked from outside the processes (`tests/simfleet.py`): in no window may all processes together send a cold server
+more than its budget N plus 2 * sqrt(N) + 2.
 """
 
 import sys
@@ -15,8 +15,8 @@
 FACTORS, WINDOWS_MS = (3.0, 4.0, 5.0), (1000.0, 1500.0, 2000.0)
 
 
-def play(day):
-    seed, processes = day
+def play(run):
+    seed, processes = run
     windows = Fleet(seed, processes, FACTORS[seed % 3], WINDOWS_MS[seed // 3 % 3]).run()
     return f"seed {seed}, {processes} processes: {len(windows)} windows, first {windows[0]}" if windows else ""
 
@@ -25,8 +25,8 @@
     parser = day_parser(__doc__)
     parser.add_argument("--processes", type=int, nargs="+", default=[20, 30, 200])
     options = parser.parse_args()
-    days = [(seed, processes) for processes in options.processes for seed in range(options.count)]
-    return play_all(play, days, options.workers, "a window over its budget and chance")
+    runs = [(seed, processes) for processes in options.processes for seed in range(options.count)]
+    return play_all(play, runs, options.workers, "a window over its budget and the random excess")
 
 
 if __name__ == "__main__":
--- a/benchmarks/crossings.py
+++ b/benchmarks/crossings.py
@@ -1,4 +1,4 @@
-"""Random pairs of events over the real service on loopback: `python benchmarks/crossings.py --count 1000`."""
+"""Random pairs of simultaneous events at a real service on loopback: `python benchmarks/crossings.py --count 1000`."""
 
 import sys
 from pathlib import Path
@@ -10,8 +10,8 @@
 
 
 def play(seed):
-    found = Day(seed).play()
-    return f"seed {seed}: {found}" if found else ""
+    violation = Day(seed).play()
+    return f"seed {seed}: {violation}" if violation else ""
 
 
 def main():
@@ -19,7 +19,7 @@
     parser.add_argument("--first", type=int, default=0)
     options = parser.parse_args()
     seeds = range(options.first, options.first + options.count)
-    return play_all(play, seeds, options.workers, "a rule broken")
+    return play_all(play, seeds, options.workers, "a violated rule")
 
 
 if __name__ == "__main__":
--- a/benchmarks/days.py
+++ b/benchmarks/days.py
@@ -1,4 +1,4 @@
-"""Random days played in worker processes; what breaks a rule is printed with the seed that shows it."""
+"""Runs random days in worker processes and prints each violated rule with its seed."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 def day_parser(description: str | None) -> argparse.ArgumentParser:
-    """The options of every command that plays days: how many, and in how many processes."""
+    """Returns a parser with the options of every command that runs days: the number of days and of processes."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--count", type=int, default=100)
     parser.add_argument("--workers", type=int, default=4)
     return parser
 
 
-def play_all(play: Callable[[Day], str], days: Sequence[Day], workers: int, broken_by: str) -> int:
-    """Plays the days and prints how many broke a rule, which `broken_by` names; an exit status, 1 if any did.
+def play_all(play: Callable[[Day], str], days: Sequence[Day], workers: int, violation: str) -> int:
+    """Runs the days and prints how many had a violation, named `violation`. Returns the exit status, 1 if any had.
 
-    play: what a day broke, for a person; empty for a sound day. It must be a function of a module.
+    play: returns a message about the violation in a day, or "". Must be a module-level function, because it is pickled.
     """
-    broken = 0
+    failed = 0
     with ProcessPoolExecutor(workers) as pool:
-        for fault in pool.map(play, days):
-            if fault:
-                broken += 1
-                print(fault)
-    print(f"{len(days)} days, {broken} with {broken_by}")
-    return 1 if broken else 0
+        for message in pool.map(play, days):
+            if message:
+                failed += 1
+                print(message)
+    print(f"{len(days)} days, {failed} with {violation}")
+    return 1 if failed else 0
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -1,6 +1,7 @@
-"""Time without a holder, and acts out of turn, over many scenes with processes; a chart of holders over time.
+"""Measures how long a lease has no holder after a fault and counts invalid acts, and draws a chart of the holders.
 
-Each run is a scene of its own seed, with one kind of fault twice. Loopback: fronts between all processes.
+Each run is a scene of broker processes with its own seed, in which one kind of fault occurs twice. The processes are
+connected over loopback by proxies that can cut connections.
 
     python benchmarks/duties.py [--runs 3] [--kinds kill,stop,end] [--chart holders.png]
 """
@@ -20,7 +21,7 @@
 from badgerbend.standin.scene import Event, Played, Scene, load_scene, play  # noqa: E402
 
 ALL_FAULTS = Path(__file__).parent.parent / "examples" / "duties" / "all-faults.conf"
-KINDS = {  # name: what is done, to whom, for how many seconds
+KINDS = {  # name: action, target, duration in seconds
     "SIGTERM": ("end", "holder", 1.0),
     "SIGKILL": ("kill", "holder", 3.5),
     "SIGSTOP": ("stop", "holder", 4.0),
@@ -33,13 +34,13 @@
 
 
 def scene_of(kind: str, seed: int) -> Scene:
-    do, who, for_s = KINDS[kind]
-    events = tuple(Event(do, at, who, for_s) for at in (1.0, 8.0))  # type: ignore[arg-type]
+    action, target, duration_s = KINDS[kind]
+    events = tuple(Event(action, at, target, duration_s) for at in (1.0, 8.0))  # type: ignore[arg-type]
     return Scene(seconds=14.0, event=events, brokers=5, drift=0.01, seed=seed)
 
 
 def chart(played: Played, path: Path) -> None:
-    """Who acted when, and what was done to whom."""
+    """Draws which process acted when, and the faults that were injected."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -66,28 +67,28 @@
     parser.add_argument("--kinds", default=",".join(KINDS))
     parser.add_argument("--chart", type=Path)
     args = parser.parse_args()
-    broken = runs = 0
+    violations = runs = 0
     print("| what is done | runs | ms without an act, median (least to most) | acts | out of turn |")
     print("|---|---|---|---|---|")
     for kind in args.kinds.split(","):
-        gaps, acts, wrong, began = list[float](), 0, 0, time.monotonic()
+        gaps, acts, invalid, began = list[float](), 0, 0, time.monotonic()
         for seed in range(args.runs):
             played = uvloop.run(play(scene_of(kind, seed)))
             gaps += [played.after(n, 6.0) for n in range(len(played.marks))]
             acts += sum(h.acts for h in played.judged.holdings)
-            wrong += sum(len(f.cases) for f in played.judged.findings)
+            invalid += sum(len(f.cases) for f in played.judged.findings)
             runs += 1
-        broken += wrong
+        violations += invalid
         spread = f"{statistics.median(gaps):.0f} ({min(gaps):.0f} to {max(gaps):.0f})"
-        print(f"| {kind} | {args.runs} | {spread} | {acts} | {wrong} |", flush=True)
+        print(f"| {kind} | {args.runs} | {spread} | {acts} | {invalid} |", flush=True)
         print(f"{kind}: {time.monotonic() - began:.0f} s", file=sys.stderr)
     if args.chart is not None:
         played = uvloop.run(play(load_scene(ALL_FAULTS)))
         chart(played, args.chart)
-        broken += sum(len(f.cases) for f in played.judged.findings)
+        violations += sum(len(f.cases) for f in played.judged.findings)
         runs += 1
-    print(f"{runs} runs, {broken} acts or grants out of turn")
-    return 1 if broken else 0
+    print(f"{runs} runs, {violations} invalid acts or grants")
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/feed_seeds.py
+++ b/benchmarks/feed_seeds.py
@@ -1,4 +1,4 @@
-"""The feed in simulated time over many seeds, and its defects that must be found.
+"""Runs the feed in simulated time over many seeds, with planted defects that must be detected, or without.
 
 python benchmarks/feed_seeds.py --count 1000
 python benchmarks/feed_seeds.py --mutants --count 50
@@ -20,16 +20,16 @@
 from tests.simfeed import FAULTS_S, World, play  # noqa: E402
 from tests.simvoters import InvariantViolation  # noqa: E402
 
-MOST_PROCESSES = 4
-CHUNK = 5  # seeds that a process takes at once
+MAX_PROCESSES = 4
+SEEDS_PER_TASK = 5  # seeds that a worker process receives at once
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What a seed came to; wrong is empty where all held."""
+    """The result of one seed. violation: empty if no invariant was violated."""
 
     seed: int
-    wrong: str
+    violation: str
     publications: int
     installs: int
     simulated_s: float
@@ -38,16 +38,16 @@
     counts: Counter[str]
 
 
-def one_seed(seed: int) -> Outcome:
+def run_seed(seed: int) -> Outcome:
     world = World(seed)
     try:
-        wrong = play(world)
-    except Exception as err:  # what the judge says, or a defect that ends a process
-        wrong = f"{type(err).__name__}: {err}"
+        violation = play(world)
+    except Exception as err:  # a violated invariant, or a defect that ends a simulated process
+        violation = f"{type(err).__name__}: {err}"
     judge = world.judge
     return Outcome(
         seed,
-        wrong,
+        violation,
         judge.agreed.newest,
         judge.installs,
         world.now,
@@ -60,12 +60,12 @@
 def seeds(count: int, first: int, processes: int) -> int:
     began, outcomes, counts = time.monotonic(), list[Outcome](), Counter[str]()
     with ProcessPoolExecutor(processes) as pool:
-        for outcome in pool.map(one_seed, range(first, first + count), chunksize=CHUNK):
+        for outcome in pool.map(run_seed, range(first, first + count), chunksize=SEEDS_PER_TASK):
             outcomes.append(outcome)
             counts += outcome.counts
-            if outcome.wrong:
-                print(f"seed {outcome.seed}: {outcome.wrong}", flush=True)
-    passed = sum(not outcome.wrong for outcome in outcomes)
+            if outcome.violation:
+                print(f"seed {outcome.seed}: {outcome.violation}", flush=True)
+    passed = sum(not outcome.violation for outcome in outcomes)
     print(f"{passed} of {count} seeds from {first} passed, {time.monotonic() - began:.0f} s in {processes} processes")
     simulated_s = sum(outcome.simulated_s for outcome in outcomes)
     publications = sum(outcome.publications for outcome in outcomes)
@@ -74,34 +74,37 @@
     settled_s = max(outcome.simulated_s - FAULTS_S for outcome in outcomes)
     margin_s = min(outcome.margin_s for outcome in outcomes)
     print(f"{simulated_s:.0f} simulated s, {publications} publications, {installs} installs")
-    print(f"all was settled within {settled_s:.1f} s of the last trouble, where it settled")
-    print(f"an age was too low by {understated_s:.2f} s at most; the least distance to its bound was {margin_s:.2f} s")
+    print(f"in runs that settled, everything was settled within {settled_s:.1f} s of the last fault")
+    print(f"an age was too low by {understated_s:.2f} s at most; the smallest margin to its bound was {margin_s:.2f} s")
     print(", ".join(f"{what} {number}" for what, number in sorted(counts.items())))
     return 0 if passed == count else 1
 
 
-def hunt(job: tuple[str, int, int]) -> tuple[str, int, int, str]:
-    """A defect: how many seeds found it, which was the first, and what that said."""
+def run_mutant(job: tuple[str, int, int]) -> tuple[str, int, int, str]:
+    """Runs a planted defect over the seeds.
+
+    Returns its name, how many seeds detected it, the first such seed and its violation.
+    """
     name, count, first = job
-    mutant, found, first_found, said = MUTANTS[name], 0, -1, ""
+    mutant, found, first_found, first_violation = MUTANTS[name], 0, -1, ""
     for seed in range(first, first + count):
         try:
-            wrong = play(World(seed, mutant.chaos, mutant.kinds))
+            violation = play(World(seed, mutant.chaos, mutant.kinds))
         except InvariantViolation as err:
-            wrong = str(err)
-        if wrong:
+            violation = str(err)
+        if violation:
             found += 1
             if first_found < 0:
-                first_found, said = seed, wrong
-    return name, found, first_found, said
+                first_found, first_violation = seed, violation
+    return name, found, first_found, first_violation
 
 
 def mutants(count: int, first: int, processes: int) -> int:
     missed = 0
     with ProcessPoolExecutor(processes) as pool:
-        for name, found, seed, said in pool.map(hunt, [(name, count, first) for name in MUTANTS]):
+        for name, found, seed, violation in pool.map(run_mutant, [(name, count, first) for name in MUTANTS]):
             missed += not found
-            print(f"{name}: found by {found} of {count} seeds, first {seed}: {said}", flush=True)
+            print(f"{name}: detected by {found} of {count} seeds, first {seed}: {violation}", flush=True)
     return 1 if missed else 0
 
 
@@ -109,7 +112,7 @@
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--count", type=int, default=1000, help="seeds to run")
     parser.add_argument("--first", type=int, default=0, help="the first seed")
-    parser.add_argument("--processes", type=int, default=MOST_PROCESSES, choices=range(1, MOST_PROCESSES + 1))
+    parser.add_argument("--processes", type=int, default=MAX_PROCESSES, choices=range(1, MAX_PROCESSES + 1))
     parser.add_argument("--mutants", action="store_true", help="run each defect over the seeds in place of the product")
     options = parser.parse_args()
     run = mutants if options.mutants else seeds
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,7 +1,8 @@
-"""What duties cost a fleet of N brokers as processes: the leader's CPU and bytes, and probes that servers see.
+"""Measures what duties cost a fleet of N broker processes: the leader's CPU time and bytes, and probes at servers.
 
-One of three servers is twenty times slower than the others, so that every broker that was asked doubts it. Then nobody
-asks, and for some seconds it is counted what passes and what processes use. Loopback; 200 processes take 12 GB.
+One of three servers is twenty times slower than the others, so that every broker that was queried suspects it. Then no
+queries are sent, and for some seconds messages, probes and CPU time are counted. Over loopback; 200 processes need
+12 GB of memory.
 
     python benchmarks/fleet.py [--brokers 8,64,200] [--seconds 15]
 """
@@ -27,13 +28,13 @@
 from badgerbend.standin.scene import DOUBTER, Scene, Stage  # noqa: E402
 
 QUERY = "{ fullQuote(blocks: [0], amount: 5) { id } }"
-ASKED = 40  # queries a broker: enough that it knows what is usual
+WARM_UP_QUERIES = 40  # for each broker: enough for its estimate of the usual latency
 SLOWER = 20.0
 TICKS = os.sysconf("SC_CLK_TCK")
 
 
 def cpu_s(pid: int) -> float:
-    """What a process has used, of both kinds."""
+    """Returns the CPU time that a process has used, in user and kernel mode."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
@@ -42,9 +43,9 @@
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
-async def ask(port: int) -> None:
+async def send_queries(port: int) -> None:
     client = Client(port)
-    for _ in range(ASKED):
+    for _ in range(WARM_UP_QUERIES):
         await client.query(QUERY)
     client.close()
 
@@ -62,11 +63,11 @@
         began = time.monotonic()
         await stage.start()
         started = time.monotonic() - began
-        stage.task.cancel()  # brokers doubt by themselves here
+        stage.task.cancel()  # stops the scene's artificial suspicions: the brokers suspect the slow server themselves
         stage.world.servers["rates-0"].machine.slower = SLOWER
         ports = [p.settings.listen.port for p in stage.processes.values()]
         for i in range(0, len(ports), 20):
-            await asyncio.gather(*(ask(port) for port in ports[i : i + 20]))
+            await asyncio.gather(*(send_queries(port) for port in ports[i : i + 20]))
         await asyncio.sleep(2.0)
         leader, holder = stage.processes[stage.leader()], stage.holder()
         others = [p for n, p in stage.processes.items() if n not in (stage.leader(), holder)]
@@ -76,7 +77,7 @@
         took = time.monotonic() - t0
         used = {pid: (cpu_s(pid) - cpu) / took for pid, cpu in before.items()}
         lines, name = stage.lines[first:], stage.leader()
-        said = [(r, message_of(r["data"])) for r in lines if r["from"] != DOUBTER]
+        messages = [(r, message_of(r["data"])) for r in lines if r["from"] != DOUBTER]
         return {
             "brokers": brokers,
             "started_s": started,
@@ -84,9 +85,9 @@
             "leader_cpu": used[leader.pid] * 100.0,
             "other_cpu": sum(used[p.pid] for p in others) / max(len(others), 1) * 100.0,
             "leader_kb_s": sum(len(r["data"]) for r in lines if name in (r["from"], r["to"])) / took / 1000.0,
-            "asks_s": sum(isinstance(m, LeaseRequest) for _, m in said) / took,
-            "doubts_s": sum(isinstance(m, SuspicionReport) for _, m in said) / took,
-            "doubting": len({r["from"] for r, m in said if isinstance(m, SuspicionReport)}),
+            "asks_s": sum(isinstance(m, LeaseRequest) for _, m in messages) / took,
+            "doubts_s": sum(isinstance(m, SuspicionReport) for _, m in messages) / took,
+            "doubting": len({r["from"] for r, m in messages if isinstance(m, SuspicionReport)}),
             "probes_s": sum(t >= t0 * 1000.0 for t in probes) / took,
             "wrong": sum(len(f.cases) for f in judge(stage.lines).findings),
         }
--- a/benchmarks/fleetlog.py
+++ b/benchmarks/fleetlog.py
@@ -1,8 +1,8 @@
-"""What a fleet of brokers did, in phases of a day, from their logs: queries, attempts, handshakes, connections, lists.
+"""Summarizes brokers' logs by phase of a day: queries, attempts, handshakes, connections and failed list requests.
 
-Each line of a log is a time in seconds and a JSON object, as `badgerbend.platform` writes it. Summaries come every five
-seconds of each life; one is counted in the phase in which it was written. A life ends with its last line; what was
-counted after its last summary is not known, and so killed brokers tell a little too little.
+Each line of a log is a time in seconds and a JSON object, as `badgerbend.platform` writes it. Each process writes a
+summary every five seconds, which counts in the phase in which it was written. What a process counted after its last
+summary is unknown, so the figures of killed brokers are slightly too low.
 
     python benchmarks/fleetlog.py LOGS [--phase 5]
 """
@@ -25,21 +25,21 @@
 
 @dataclass
 class Phase:
-    """All that brokers said of a span of time."""
+    """The totals of all brokers' log lines in one phase."""
 
     brokers: set[str] = field(default_factory=set)
     ends: Counter[str] = field(default_factory=Counter)
     why: Counter[str] = field(default_factory=Counter)
     attempts: Counter[str] = field(default_factory=Counter)
     by_server: dict[str, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
-    first_met: int = 0  # servers that lost a broker an attempt, which had lost it none before
+    first_losses: int = 0  # pairs of broker process and server that lost their first attempt in this phase
     opened: int = 0
-    nodes: list[int] = field(default_factory=list)  # connections held, of each broker
-    lists: int = 0
+    nodes: list[int] = field(default_factory=list)  # open connections to nodes, in each summary
+    failed_lists: int = 0
 
 
 def lines(path: Path) -> Iterator[tuple[float, dict[str, Any]]]:
-    """A log's lines, in their order; those that cannot be read are passed over (a killed broker's last one)."""
+    """Yields the lines of a log in order, without malformed ones such as the last line of a killed broker."""
     for text in path.read_text(encoding="utf-8", errors="replace").splitlines():
         at, _, rest = text.partition(" ")
         try:
@@ -48,23 +48,23 @@
             continue
 
 
-def read(folder: Path, span: float) -> dict[int, Phase]:
+def read_phases(folder: Path, span: float) -> dict[int, Phase]:
     phases: dict[int, Phase] = defaultdict(Phase)
     for path in sorted(folder.glob("n*.log")):
-        opened, met = 0, set[str]()
+        opened, lossy = 0, set[str]()
         for at, line in lines(path):
             phase = phases[int(at // span)]
             if line["what"] == "listening":
-                opened, met = 0, set()
+                opened, lossy = 0, set()
             elif line["what"] == "trouble" and line["kind"] == "list not read":
-                phase.lists += 1
+                phase.failed_lists += 1
             elif line["what"] == "summary":
-                _summary(phase, path.stem, line, opened, met)
+                _add_summary(phase, path.stem, line, opened, lossy)
                 opened = line.get("opened", opened)
     return phases
 
 
-def _summary(phase: Phase, broker: str, line: dict[str, Any], opened: int, met: set[str]) -> None:
+def _add_summary(phase: Phase, broker: str, line: dict[str, Any], opened: int, lossy: set[str]) -> None:
     phase.brokers.add(broker)
     phase.opened += line.get("opened", opened) - opened
     phase.nodes.append(line.get("nodes", 0))
@@ -78,9 +78,9 @@
         counts = {k: n for k, n in ends.items() if k != "served_ms"}
         phase.attempts.update(counts)
         phase.by_server[server].update(counts)
-        if server not in met and any(counts.get(k) for k in LOST):
-            met.add(server)
-            phase.first_met += 1
+        if server not in lossy and any(counts.get(k) for k in LOST):
+            lossy.add(server)
+            phase.first_losses += 1
 
 
 def row(phase: Phase, span: float) -> list[str]:
@@ -97,10 +97,10 @@
         f"{attempts / max(queries, 1):.1f}",
         f"{100 * sum(lost.values()) / max(attempts, 1):.1f}",
         f"{100 * sum(worst) / max(sum(lost.values()), 1):.0f}",
-        str(phase.first_met),
+        str(phase.first_losses),
         f"{phase.opened / servers / span:.2f}",
         f"{sum(phase.nodes) / servers:.0f}",
-        str(phase.lists),
+        str(phase.failed_lists),
         f"{max(each) / max(mean, 1e-9):.1f}",
         f"{statistics.pvariance(each) / max(mean, 1e-9):.1f}",
     ]
@@ -130,7 +130,7 @@
     parser.add_argument("logs", type=Path)
     parser.add_argument("--phase", type=float, default=5.0, help="seconds")
     args = parser.parse_args()
-    phases = read(args.logs, args.phase)
+    phases = read_phases(args.logs, args.phase)
     if not phases:
         print(f"{args.logs}: no logs of brokers (n*.log)", file=sys.stderr)
         return 2
--- a/benchmarks/listing.py
+++ b/benchmarks/listing.py
@@ -1,6 +1,7 @@
-"""A list on which every server has changed: the longest turn of the loop it costs, at once and in slices.
+"""Measures how long a list on which every server changed blocks the event loop, read at once and in slices.
 
-A turn is what a loop does without a break: reading lines, or the module's step on a view and a query of eight parts.
+A turn is the work that the event loop does without a break: reading rows of the list, or a step of the module with an
+update of endpoints and a query of eight parts.
 
     python benchmarks/listing.py [--sizes 100,1000,5000] [--runs 5]
 """
@@ -31,12 +32,12 @@
 CELLS = 100
 
 
-def body(size: int, started: float) -> bytes:
+def list_body(size: int, started: float) -> bytes:
     rows = [Entry(f"rates-{i}", 1000 + i % 60_000, i % CELLS, i % 2, started).as_json() for i in range(size)]
     return msgspec.json.encode(rows)
 
 
-def made() -> Aggregator:
+def make_aggregator() -> Aggregator:
     wide = cfg.Layout(CELLS, CELLS, 3)
     settings = module_settings(SETTINGS)
     policy = replace(site_policy(SETTINGS, SETTINGS.sites), cell_count=CELLS, cells_per_shard=wide.reach)  # type: ignore[arg-type]
@@ -63,29 +64,29 @@
 
 
 def in_slices(module: Aggregator, directory: Directory, data: bytes, now: float) -> Iterator[float]:
-    held: list[ListReader] = []
-    yield timed(lambda: held.append(ListReader(directory, decode_rows(data), now, now)))
-    slices = held[0].read_slices()
+    readers: list[ListReader] = []
+    yield timed(lambda: readers.append(ListReader(directory, decode_rows(data), now, now)))
+    slices = readers[0].read_slices()
     done = False
     while not done:
 
-        def read() -> None:
+        def read_slice() -> None:
             nonlocal done
             done = next(slices, True) is True
 
-        yield timed(read)
-    yield timed(held[0].apply)
-    news = held[0].updates()
+        yield timed(read_slice)
+    yield timed(readers[0].apply)
+    updates = readers[0].updates()
     for number in range(2, 10_000):
         found: list[api.EndpointUpdate] = []
 
-        def tell(number: int = number, found: list[api.EndpointUpdate] = found) -> None:
-            view = next(news, None)
+        def apply_update(number: int = number, found: list[api.EndpointUpdate] = found) -> None:
+            view = next(updates, None)
             if view is not None:
                 found.append(view)
                 step(module, now, view, number)
 
-        yield timed(tell)
+        yield timed(apply_update)
         if not found:
             return
 
@@ -98,17 +99,17 @@
     print(f"{a.runs} runs each, {CELLS} cells; ms, median (least to most)\n")
     print("| servers | way | turns | longest turn | all turns |\n| --- | --- | --- | --- | --- |")
     for size in map(int, a.sizes.split(",")):
-        first, second = body(size, 0.0), body(size, 50.0)
+        first, second = list_body(size, 0.0), list_body(size, 50.0)
         for way in (at_once, in_slices):
             rows = []
             for _ in range(a.runs):
-                module, directory = made(), consul_directory(CELLS)
+                module, directory = make_aggregator(), consul_directory(CELLS)
                 view, _ = directory.read(decode_rows(first), 1000.0, 1.0)
                 module.step(1000.0, [view])
-                tune_garbage_collector()  # as a broker does once it is started
+                tune_garbage_collector()  # as a broker does after its start
                 rows.append(list(way(module, directory, second, 2000.0)))
-            longest, whole = cell([max(r) for r in rows]), cell([sum(r) for r in rows])
-            print(f"| {size} | {way.__name__.replace('_', ' ')} | {len(rows[0])} | {longest} | {whole} |", flush=True)
+            longest, total = cell([max(r) for r in rows]), cell([sum(r) for r in rows])
+            print(f"| {size} | {way.__name__.replace('_', ' ')} | {len(rows[0])} | {longest} | {total} |", flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,8 +1,8 @@
-"""Membership in simulated time: messages and bytes a second a member, and how long a death stays unnoticed.
+"""Measures membership in simulated time: messages and bytes per second and member, and the time to detect a failure.
 
-Beside them SWIM's own expectation: the first member notices (is seen to ping the dead) after e / (e - 1) periods on
-average, and each member sends at most one ping, one answer, and for a failed ping 3 requests and their answers, a
-period.
+For comparison, the expectation from the SWIM paper: the first member pings the failed one after e / (e - 1) periods on
+average. In each period a member sends at most one ping and one acknowledgement and, if its ping fails, 3 indirect ping
+requests with their acknowledgements.
 
     python benchmarks/membership.py [--sizes 8,32,85] [--runs 10]
 """
@@ -28,8 +28,8 @@
     for name in names:
         net.start(name, tuple(names[:3]))
     began = net.now
-    assert net.run(300, net.agreed), "they did not meet"
-    met = net.now - began
+    assert net.run(300, net.agreed), "the members did not agree on the member list"
+    agreed_s = net.now - began
     net.run(20)
     net.loss = loss
     net.sent = net.bytes = 0
@@ -40,21 +40,21 @@
     victim = names[seed % size]
     net.crash(victim)
     net.events.clear()
-    died = net.now
+    crashed_at = net.now
 
-    def noticed() -> bool:
+    def detected() -> bool:
         return all(v.get(victim) == MemberState.DEAD for v in net.views().values())
 
-    assert net.run(300, noticed), "a death went unnoticed"
+    assert net.run(300, detected), "a failure was not detected"
     suspected = min(t for t, _, e in net.events if e.name == victim and e.state == MemberState.SUSPECT)
     dead = min(t for t, _, e in net.events if e.name == victim and e.state == MemberState.DEAD)
     return {
-        "met_s": met,
+        "met_s": agreed_s,
         "messages": messages,
         "bytes": data,
-        "suspected_s": suspected - died,
-        "first_dead_s": dead - died,
-        "all_know_s": net.now - died,
+        "suspected_s": suspected - crashed_at,
+        "first_dead_s": dead - crashed_at,
+        "all_know_s": net.now - crashed_at,
         "false_deaths": float(false),
     }
 
@@ -67,7 +67,7 @@
     period = SwimConfig().probe_interval_s
     expected = math.e / (math.e - 1) * period
     print(f"simulated, {a.runs} runs each, period {period:g} s, median (least to most);")
-    print(f"SWIM's expectation of the first failed ping: {expected:.2f} s after the death, whatever the size\n")
+    print(f"SWIM's expectation of the first failed ping: {expected:.2f} s after the failure, at any size\n")
     names = ("met_s", "messages", "bytes", "suspected_s", "first_dead_s", "all_know_s", "false_deaths")
     print("| members | loss | " + " | ".join(names) + " |\n| --- | --- " + "| --- " * len(names) + "|")
     began = time.perf_counter()
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -1,12 +1,12 @@
-"""A fleet of three voters on two versions of the program, over loopback: is a lease handed over between them?
+"""Tests that a fleet of three voters on two versions of the program hands a lease over between versions, on loopback.
 
     python -m benchmarks.mixed_versions --against CHECKOUT
 
 The voter `broker-0` runs the other checkout, `broker-1` and `broker-2` run this one. The lease is handed over in both
 directions and each version leads once; then the versions are swapped, so that each store is read by the version that
-did not write it. Last, a broker of this version starts on the snapshot of observations that one of the other version
-wrote. What passed between the processes is judged as in `badgerbend.standin.scene`. Exit status 1 where a rule was
-broken or a step did not come about.
+did not write it. Finally, a broker of this version starts from a snapshot of observations that a broker of the other
+version wrote. The messages between the processes are checked as in `badgerbend.standin.scene`. The exit status is 1 if
+a rule was violated or an expected event did not happen.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 from badgerbend.standin.world import World
 
 HERE = Path(__file__).resolve().parents[1]
-MAX_TURNS = 30  # hand-overs tried until both directions were seen: the next holder is drawn at random
+MAX_HANDOVERS = 30  # tries until both directions were seen; the next holder is random
 WAIT_S = 20.0
 POLL_S = 0.02
 
@@ -47,7 +47,7 @@
     checkout = HERE
 
     async def launch(self) -> None:
-        """Starts it in its checkout, whose package goes before the installed one."""
+        """Starts the broker in its checkout, whose package takes precedence over the installed one."""
         self.conf.write_text(f"(broker\n{decode.show(self.settings, 1)}\n)\n", encoding="utf-8")
         with open(self.conf.with_suffix(".log"), "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
@@ -89,17 +89,17 @@
             BrokerProcess.start = starting  # type: ignore[method-assign]
 
     def acted_since(self, name: str, since: int) -> bool:
-        """Whether an act of this broker arrived after that line of the record."""
+        """Whether an act of this broker arrived after the line `since` of the record."""
         return any(row["from"] == name and row["k"] == "passed" and row["to"] == DOUBTER for row in self.lines[since:])
 
     async def another_acts(self, old: str) -> str:
-        """Waits for an act of another broker; which one."""
+        """Waits for an act of another broker and returns that broker's name."""
         since = len(self.lines)
-        await until(lambda: any(self.acted_since(name, since) for name in self.names if name != old))
+        await wait_until(lambda: any(self.acted_since(name, since) for name in self.names if name != old))
         return self.holder()
 
 
-async def until(happened: Callable[[], bool]) -> None:
+async def wait_until(happened: Callable[[], bool]) -> None:
     """Waits until something has happened. Raises TimeoutError."""
     async with asyncio.timeout(WAIT_S):
         while not happened():
@@ -107,9 +107,9 @@
 
 
 async def hand_over_both_ways(stage: MixedStage) -> dict[str, int]:
-    """Ends and restarts whoever holds the lease until it went from each version to the other, and each has led."""
+    """Restarts the lease holder until the lease was handed over in both directions and each version has led."""
     seen = {"old to new": 0, "new to old": 0, "old led": 0, "new led": 0}
-    for _ in range(MAX_TURNS):
+    for _ in range(MAX_HANDOVERS):
         holder = stage.holder()
         leader = stage.leader()
         seen["old led" if leader == "broker-0" else "new led"] += 1
@@ -137,11 +137,11 @@
         process.checkout = HERE if process.checkout == old else old
     since = len(stage.lines)
     await asyncio.gather(*(stage.processes[name].start() for name in stage.names))
-    await until(lambda: any(stage.acted_since(name, since) for name in stage.names))
+    await wait_until(lambda: any(stage.acted_since(name, since) for name in stage.names))
 
 
-async def take_up_snapshot(old: Path, folder: Path) -> int:
-    """Starts a broker on a snapshot that the other version wrote; of how many servers it took estimates from there."""
+async def start_from_snapshot(old: Path, folder: Path) -> int:
+    """Starts a broker from a snapshot of the other version. Returns for how many servers it took estimates from it."""
     base = load(RATES)
     world = World(base.layout.shards, base.layout.cells, base.layout.reach, 1, lambda line: None)
     await world.start(3, 1, Model(part_ms=1.0, call_ms=0.2))
@@ -171,7 +171,7 @@
 
 
 async def servers_learned(port: int) -> int:
-    """What the metrics of a broker say, once it has taken estimates from others. Raises TimeoutError."""
+    """Returns the metric of servers learned, once a broker took estimates from others. Raises TimeoutError."""
     async with asyncio.timeout(WAIT_S):
         while True:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -185,7 +185,7 @@
 
 
 async def run(old: Path, folder: Path) -> int:
-    """Plays the whole scene and prints what was seen; the exit status."""
+    """Runs the whole scene, prints the results and returns the exit status."""
     stage = MixedStage(folder, {"broker-0": old, "broker-1": HERE, "broker-2": HERE})
     began = time.monotonic()
     try:
@@ -194,18 +194,18 @@
         await swap_versions(stage, old)
     finally:
         ends = await stage.stop()
-    learned = await take_up_snapshot(old, folder)
+    learned = await start_from_snapshot(old, folder)
     judged = judge(stage.lines)
-    broken = [(finding.name, len(finding.cases)) for finding in judged.findings if finding.cases]
+    violations = [(finding.name, len(finding.cases)) for finding in judged.findings if finding.cases]
     print(f"hand-overs and leads: {seen}")
     print(f"each store read by the version that did not write it; holdings: {len(judged.holdings)}; ends: {ends}")
-    print(f"a snapshot of the other version was taken up: estimates of {learned} servers")
-    print(f"rules broken: {broken or 'none'}; {time.monotonic() - began:.1f} s")
-    return 0 if not broken and all(seen.values()) and not any(ends) else 1
+    print(f"a snapshot of the other version was loaded: estimates of {learned} servers")
+    print(f"rules violated: {violations or 'none'}; {time.monotonic() - began:.1f} s")
+    return 0 if not violations and all(seen.values()) and not any(ends) else 1
 
 
 def main() -> int:
-    """The command."""
+    """Parses the command line and runs the scene."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--against", type=Path, required=True, help="a checkout of the other version")
     parser.add_argument("--keep", type=Path, help="a folder for stores, settings and logs")
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,8 +1,8 @@
-"""What a query costs in one process: the broker, a plain asyncio gather over aiohttp, and a bare uvloop fan-out.
+"""Measures the cost of a query in one process: the broker, asyncio.gather over aiohttp, and a minimal uvloop fan-out.
 
-All three answer the same two GraphQL queries from the same servers, in one run, one after the other, several
-rounds each. The servers, two processes of them, answer at once from bytes kept ready, so that they are not what
-is measured. Load is closed: so many requests in flight, for so many requests.
+All three answer the same two GraphQL queries from the same servers, one after the other in one run, several rounds
+each. The servers run in two processes and answer immediately with cached bytes, so that their cost does not dominate.
+The load is a closed loop: a fixed number of requests in flight, for a fixed total number of requests.
 
     python benchmarks/path.py [--requests 3000] [--inflight 16] [--rounds 3] [--profile]
 """
@@ -43,20 +43,20 @@
 }
 
 
-# -- servers, in a process of their own: each answer is made once and then sent as bytes
-async def servers(names: list[int]) -> None:
+# -- servers in their own process; each answer is computed once and then sent from a cache
+async def serve_subgraphs(names: list[int]) -> None:
     ports = {}
     for i in names:
-        graph, kept = Subgraph(f"rates-{i}", blocks_of(i % CELLS, SHARDS, CELLS, REACH)), {}
+        graph, cache = Subgraph(f"rates-{i}", blocks_of(i % CELLS, SHARDS, CELLS, REACH)), {}
 
-        def handle(exchange, graph=graph, kept=kept):  # type: ignore[no-untyped-def]
-            asked = msgspec.json.decode(exchange.body)
-            key = (asked["query"], repr(asked["variables"]))
-            body = kept.get(key)
+        def handle(exchange, graph=graph, cache=cache):  # type: ignore[no-untyped-def]
+            request = msgspec.json.decode(exchange.body)
+            key = (request["query"], repr(request["variables"]))
+            body = cache.get(key)
             if body is None:
-                result = graph.execute(asked["query"], asked["variables"])
+                result = graph.execute(request["query"], request["variables"])
                 load = {"load": {"util": 0.1, "latency_ms": 1.0}}
-                body = kept[key] = msgspec.json.encode({"data": result.data, "extensions": load})
+                body = cache[key] = msgspec.json.encode({"data": result.data, "extensions": load})
             exchange.respond(200, body, b"application/json")
 
         http = HttpServer(handle, ServerLimits(idle_timeout_s=1000.0))
@@ -65,8 +65,8 @@
     await asyncio.Event().wait()
 
 
-# -- the three ways; each listens on a port that it prints
-async def broker(ports: dict[int, int], profile: bool) -> None:
+# -- the three implementations; each listens on a port that it prints
+async def run_broker(ports: dict[int, int], profile: bool) -> None:
     log.configure(cfg.Log(level="error"))
     registry = Registry(lambda line: None)
     await registry.start()
@@ -109,8 +109,8 @@
 )
 
 
-def _asked(text: str) -> tuple[str, list[int]]:
-    """The field and blocks of a query: parsed by graphql-core, as the plain way would too."""
+def _parse_query(text: str) -> tuple[str, list[int]]:
+    """Returns the field and the blocks of a query, parsed by graphql-core as a simple implementation would do."""
     from graphql import parse
 
     field = parse(text).definitions[0].selection_set.selections[0]
@@ -118,8 +118,8 @@
     return field.name.value, blocks
 
 
-async def gather(ports: dict[int, int]) -> None:
-    """The plain way: aiohttp on both sides, a task a part, all parts asked and awaited; no decisions."""
+async def run_gather(ports: dict[int, int]) -> None:
+    """The simple implementation: aiohttp on both sides, one task for each part, all parts awaited, no decisions."""
     import aiohttp
     from aiohttp import web
 
@@ -132,7 +132,7 @@
             return await reply.json()  # type: ignore[no-any-return]
 
     async def handle(request: web.Request) -> web.Response:
-        name, blocks = _asked((await request.json())["query"])
+        name, blocks = _parse_query((await request.json())["query"])
         parts = await asyncio.gather(*(part(b) for b in blocks))
         return web.json_response({"data": {name: _merge(blocks, parts, name == "rateCompare")}})
 
@@ -143,11 +143,11 @@
     site = web.TCPSite(runner, "127.0.0.1", 0)
     await site.start()
     print(site._server.sockets[0].getsockname()[1], flush=True)  # type: ignore[union-attr]
-    await _until_told()
+    await _wait_for_end()
 
 
-async def bare(ports: dict[int, int]) -> None:
-    """The same bytes over uvloop and httptools with nothing else: no parse of the query, rows merged by msgspec."""
+async def run_bare(ports: dict[int, int]) -> None:
+    """The minimal implementation: uvloop and httptools, without parsing the query; rows are merged by msgspec."""
     pools = {i: Pool("127.0.0.1", p, PoolLimits(connect_timeout_s=2.0, idle_s=1000.0)) for i, p in ports.items()}
     head = b"POST /graphql HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\ncontent-length: %d\r\n\r\n"
     bodies = {}
@@ -172,10 +172,11 @@
 
     http = HttpServer(handle, ServerLimits(idle_timeout_s=1000.0))
     print(await http.start("127.0.0.1", 0), flush=True)
-    await _until_told()
+    await _wait_for_end()
 
 
-async def _until_told() -> None:
+async def _wait_for_end() -> None:
+    """Waits for a line on standard input, then prints the CPU time and ends the process."""
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
     print(msgspec.json.encode({"step_s": 0.0, "cpu_s": time.process_time()}).decode(), flush=True)
     os._exit(0)
@@ -188,9 +189,9 @@
     client, times, left = Client(port), [], requests
     first = await client.query(text)
     field = next(iter(first[1]["data"].values()))
-    true = {r["id"]: r["monthly"] for b in range(20) for r in rates(b, 5000.0, None)}
+    expected = {r["id"]: r["monthly"] for b in range(20) for r in rates(b, 5000.0, None)}
     assert field, "a wrong answer"
-    assert all(true[r["id"]] == r["monthly"] for r in field), "a wrong answer"
+    assert all(expected[r["id"]] == r["monthly"] for r in field), "a wrong answer"
 
     async def one() -> None:
         nonlocal left
@@ -213,7 +214,7 @@
     assert process.stdin
     assert process.stdout
     port = int(process.stdout.readline())
-    uvloop.run(load(port, text, requests // 5, inflight))  # warm
+    uvloop.run(load(port, text, requests // 5, inflight))  # warm-up
     before = cpu_s(process.pid)
     began = time.perf_counter()
     times = uvloop.run(load(port, text, requests, inflight))
@@ -244,13 +245,13 @@
     a = parser.parse_args()
     ports = {int(k): v for k, v in msgspec.json.decode(a.ports).items()} if a.role not in ("", "servers") else {}
     if a.role == "servers":
-        uvloop.run(servers(msgspec.json.decode(a.ports)))
+        uvloop.run(serve_subgraphs(msgspec.json.decode(a.ports)))
     elif a.role == "broker":
-        uvloop.run(broker(ports, a.profile))
+        uvloop.run(run_broker(ports, a.profile))
     elif a.role == "gather":
-        uvloop.run(gather(ports))
+        uvloop.run(run_gather(ports))
     elif a.role == "bare":
-        uvloop.run(bare(ports))
+        uvloop.run(run_bare(ports))
     else:
         report(a)
 
@@ -264,9 +265,9 @@
         assert process.stdout
         processes.append(process)
         ports |= msgspec.json.decode(process.stdout.readline())
-    told = msgspec.json.encode(ports).decode()
+    ports_json = msgspec.json.encode(ports).decode()
     print(f"{os.cpu_count()} cores shared with servers and load; {a.requests} requests, {a.inflight} in flight,")
-    print(f"median of {a.rounds} rounds; loopback, servers that answer at once\n")
+    print(f"median of {a.rounds} rounds; loopback, servers that answer immediately\n")
     print("| query | way | queries/s | CPU us a query | ms at 50% | ms at 99% | time in step |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     try:
@@ -275,7 +276,7 @@
             rows: dict[str, list[dict[str, float]]] = {way: [] for way in ways}
             for _ in range(a.rounds):
                 for way in ways:
-                    rows[way].append(measure(way, told, text, a.requests, a.inflight, a.profile))
+                    rows[way].append(measure(way, ports_json, text, a.requests, a.inflight, a.profile))
             for way in ways:
                 mid = {k: statistics.median(r[k] for r in rows[way]) for k in rows[way][0]}
                 step = f"{mid['step']:.0%}" if way == "broker" else ""
--- a/benchmarks/redundancy.py
+++ b/benchmarks/redundancy.py
@@ -1,4 +1,6 @@
-"""The bad day with the module's r, with r = m (`least`) and with r = k (`all`): the same seed, one after the other.
+"""Runs the bad-day example with the module's choice of r, with r = m (`least`) and with r = k (`all`) on equal seeds.
+
+Of k parts, r are sent and m are needed for a complete answer.
 
 python benchmarks/redundancy.py [--rounds 3] [--report FILE] [--chart FILE.png]
 """
@@ -19,7 +21,7 @@
 
 DAY = Path(__file__).parent.parent / "examples" / "bad-day" / "day.conf"
 WAYS = ("module", "least", "all")
-FIELD = "rateCompare"  # the one class of which fewer parts than all make a whole answer
+FIELD = "rateCompare"  # the only class whose answer is complete with fewer than all parts
 
 
 def main() -> None:
--- a/benchmarks/results.py
+++ b/benchmarks/results.py
@@ -1,4 +1,4 @@
-"""What measurements print and draw alike: a cell with its spread, a table, two box plots."""
+"""Output shared by the benchmarks: a table cell with a median and its spread, a table, and box plots."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-Runs = dict[str, list[dict[str, float]]]  # by way, a row for each run
+Runs = dict[str, list[dict[str, float]]]  # by variant: one dictionary of figures for each run
 
 
 def cell(values: Sequence[float], quartiles: bool = False) -> str:
-    """The middle, with the least and most or with the quartiles."""
+    """Formats the median with the minimum and maximum, or with the quartiles."""
     ordered = sorted(values)
     low, high = ordered[0], ordered[-1]
     if quartiles:
@@ -19,13 +19,14 @@
 
 
 def table(heading: str, found: Runs, names: Sequence[str], quartiles: bool = False) -> None:
+    """Prints a Markdown table with a row for each variant and a column for each name."""
     print(f"| {heading} | " + " | ".join(names) + " |\n| --- " + "| --- " * len(names) + "|")
     for way, rows in found.items():
         print(f"| {way} | " + " | ".join(cell([r[n] for r in rows], quartiles) for n in names) + " |")
 
 
 def boxes(found: Runs, titles: dict[str, str], path: Path) -> None:
-    """A box plot for each name in `titles`, side by side."""
+    """Draws a box plot for each name in `titles`, side by side."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/benchmarks/settle.py
+++ b/benchmarks/settle.py
@@ -1,16 +1,16 @@
-"""How long a new broker takes to settle beside six running ones, two of the servers being slow. Real sockets.
+"""Measures how long a new broker takes to settle beside six running ones while two servers are slow. Real sockets.
 
-One process holds the world and the running brokers; each way is measured with a new broker on the same traffic:
+One process runs the servers and all brokers. Each variant measures a new broker under the same traffic:
 
   cold      no peers, no snapshot
   peers     learns from three of the six
-  snapshot  its own, written by a broker that stopped a second before
-  stale     a peer whose news are five minutes old: other servers were slow then
-  liar      one of the three peers calls sound servers slow and the slow ones fast
+  snapshot  its own snapshot, written by a broker that stopped a second before
+  stale     learns from peers whose records are five minutes old, when other servers were slow
+  liar      one of the three peers reports healthy servers as slow and the slow ones as fast
 
-Settled: the first time from which, over three seconds of its answers, the 95th percentile and the share answered whole
-are within 10% of the running brokers' over the whole run. Each broker's share of traffic is its own open loop. Each way
-runs in a process of its own, side by side, seed by seed.
+A broker has settled at the first time from which, over three seconds of its answers, the 95th percentile and the share
+of complete answers are within 10% of those of the running brokers over the whole run. Each broker's traffic is an open
+loop of its own. The variants run at the same time, each in its own process, one seed after the other.
 
     python benchmarks/settle.py [--seeds 10] [--seconds 12] [--report FILE] [--chart FILE.png]
 """
@@ -54,45 +54,47 @@
 QUOTE = "{ fullQuote(blocks: %s, amount: 5) { id } }"
 
 
-class Flow:
-    """An open loop at one broker; notes when each was asked, how long it took and whether it was whole."""
+class OpenLoop:
+    """Sends queries to one broker in an open loop. A row: send time, latency in ms, whether the answer was complete."""
 
     def __init__(self, port: int, seed: int, per_s: float = PER_S) -> None:
         self.client, self.rng, self.rows = Client(port), random.Random(seed), list[tuple[float, float, bool]]()
-        self.loop, self.on, self.per_s = asyncio.get_running_loop(), True, per_s
+        self.loop, self.running, self.per_s = asyncio.get_running_loop(), True, per_s
         self.loop.call_soon(self._tick)
 
     def _tick(self) -> None:
-        if self.on:
-            self._ask()
+        if self.running:
+            self._send()
             self.loop.call_later(self.rng.expovariate(self.per_s), self._tick)
 
-    def _ask(self) -> None:
+    def _send(self) -> None:
         first, text = self.rng.randrange(24), TEXT if self.rng.random() < 0.5 else QUOTE
-        asked, size = time.monotonic(), 6
+        sent_at, size = time.monotonic(), 6
         blocks = [(first + i) % 24 for i in range(size)]
 
         def replied(reply: Reply) -> None:
-            whole = b'"whole":true' in reply.body
-            self.rows.append((asked, (time.monotonic() - asked) * 1000.0, whole))
+            complete = b'"whole":true' in reply.body
+            self.rows.append((sent_at, (time.monotonic() - sent_at) * 1000.0, complete))
 
         self.client.ask(text % blocks, None, {}, replied)
 
     def stop(self) -> None:
-        self.on = False
+        self.running = False
 
 
 def p95(values: list[float]) -> float:
     return sorted(values)[min(int(len(values) * 0.95), len(values) - 1)] if values else float("inf")
 
 
-def settled(rows: list[tuple[float, float, bool]], began: float, seconds: float, usual: float, whole: float) -> float:
-    """Seconds until the first window that is off by no more than 10%."""
+def settled(
+    rows: list[tuple[float, float, bool]], began: float, seconds: float, usual: float, complete: float
+) -> float:
+    """Returns the seconds until the first window whose figures are within 10% of the usual ones."""
     at = 0.0
     while at + WINDOW_S <= seconds:
         some = [(ms, w) for t, ms, w in rows if at <= t - began < at + WINDOW_S]
         share = sum(w for _, w in some) / max(len(some), 1)
-        if some and p95([ms for ms, _ in some]) <= 1.1 * usual and share >= 0.9 * whole:
+        if some and p95([ms for ms, _ in some]) <= 1.1 * usual and share >= 0.9 * complete:
             return at
         at += 0.1
     return seconds
@@ -108,7 +110,7 @@
     base = load(CONF)
     graph = read_subgraph(base, CONF)
     replace = msgspec.structs.replace
-    all_: list[Broker] = []
+    brokers: list[Broker] = []
     seed_at = ""
 
     async def add(index: int, with_peers: bool, snapshot: Path | None = None) -> Broker:
@@ -128,44 +130,44 @@
         )
         one = Broker(own, graph)
         await one.start()
-        all_.append(one)
+        brokers.append(one)
         if with_peers and not seed_at and one.knowledge_exchange:
             seed_at = f"127.0.0.1:{one.knowledge_exchange.membership_port}"
         return one
 
-    tellers = {"peers": RUNNING, "stale": RUNNING, "liar": 3}.get(way, 0)
-    running = [await add(i, i < tellers) for i in range(RUNNING)]
-    flows = [Flow(b.port, seed * 100 + i) for i, b in enumerate(running)]
+    peer_count = {"peers": RUNNING, "stale": RUNNING, "liar": 3}.get(way, 0)
+    running = [await add(i, i < peer_count) for i in range(RUNNING)]
+    flows = [OpenLoop(b.port, seed * 100 + i) for i, b in enumerate(running)]
     file = folder / f"seen-{way}-{seed}"
     if way == "snapshot":
         before = await add(RUNNING, False, file)
-        flow = Flow(before.port, seed * 100 + 50, NEW_PER_S)
+        flow = OpenLoop(before.port, seed * 100 + 50, NEW_PER_S)
         await asyncio.sleep(6.0)
         flow.stop()
         await asyncio.sleep(0.5)
         await before.stop()
-        all_.remove(before)
+        brokers.remove(before)
         await asyncio.sleep(0.5)
     else:
         await asyncio.sleep(7.0)
-    for broker in running:  # what these three ways make of the running brokers' records
+    for broker in running:  # `stale` changes the records that the running brokers send
         if broker.knowledge_exchange and broker.knowledge_exchange.server and way == "stale":
-            teller = broker.knowledge_exchange.server
-            teller.record = lambda real=teller.record: aged(_swapped(real()), 300_000.0)  # type: ignore[misc]
+            sender = broker.knowledge_exchange.server
+            sender.record = lambda real=sender.record: aged(_swapped(real()), 300_000.0)  # type: ignore[misc]
     if way == "liar" and running[1].knowledge_exchange and running[1].knowledge_exchange.server:
-        teller = running[1].knowledge_exchange.server
-        teller.record = lambda real=teller.record: _lie(real())  # type: ignore[misc]
+        sender = running[1].knowledge_exchange.server
+        sender.record = lambda real=sender.record: _lie(real())  # type: ignore[misc]
     began = time.monotonic()
     new = await add(RUNNING, way in ("peers", "stale", "liar"), file if way == "snapshot" else None)
-    await asyncio.sleep(0.5)  # clients find it a moment after it listens
+    await asyncio.sleep(0.5)  # clients discover the new broker shortly after it listens
     began = time.monotonic()
-    flow = Flow(new.port, seed * 100 + 51, NEW_PER_S)
+    flow = OpenLoop(new.port, seed * 100 + 51, NEW_PER_S)
     await asyncio.sleep(seconds)
     for f in (*flows, flow):
         f.stop()
     await asyncio.sleep(3.5)
     old = [r for f in flows for r in f.rows if r[0] >= began]
-    usual, whole = p95([ms for _, ms, _ in old]), sum(w for _, _, w in old) / len(old)
+    usual, complete = p95([ms for _, ms, _ in old]), sum(w for _, _, w in old) / len(old)
     first = [ms for t, ms, _ in flow.rows if t - began < 2.0]
     slow = [ms > 1.5 * usual for t, ms, _ in flow.rows if t - began < 3.0]
     learned = new.knowledge_exchange.servers_learned if new.knowledge_exchange else 0
@@ -174,11 +176,11 @@
         alive = sum(1 for m in new.knowledge_exchange.socket.swim.live_members() if m.state == MemberState.ALIVE)
     for f in (*flows, flow):
         f.client.close()
-    for b in all_:
+    for b in brokers:
         await b.stop()
     await world.close()
     return {
-        "settled_s": settled(flow.rows, began, seconds, usual, whole),
+        "settled_s": settled(flow.rows, began, seconds, usual, complete),
         "first_2s_p95": p95(first),
         "usual_p95": usual,
         "slow_first_3s": sum(slow) / max(len(slow), 1),
@@ -189,13 +191,14 @@
 
 
 def _swapped(record: KnowledgeRecord) -> KnowledgeRecord:
-    """As of a time when two other servers were slow, and these were sound."""
+    """Returns the record as of a time when two other servers were slow and the now slow ones were healthy."""
     other = {"rates-5": 180.0, "rates-8": 180.0}
     servers = tuple(ServerObservation(s.name, other.get(s.name, 14.0), s.age_ms, False) for s in record.servers)
     return msgspec.structs.replace(record, servers=servers)
 
 
 def _lie(record: KnowledgeRecord) -> KnowledgeRecord:
+    """Returns a record that reports the slow servers as fast and all others as slow."""
     servers = tuple(ServerObservation(s.name, 1.0 if s.name in SLOW else 900.0, 0.0, False) for s in record.servers)
     return msgspec.structs.replace(record, servers=servers)
 
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -1,10 +1,11 @@
-"""Losing a site and getting it back, on loopback stand-ins: the preference against three baselines, several seeds.
+"""Compares the locality preference with three baselines when a site fails and returns, on loopback stand-ins.
 
     python benchmarks/sites.py --report found.json [--days lost,rising] [--seeds 1,2,3] [--chart loss.png]
     python benchmarks/sites.py --draw found.json --chart loss.png
 
-`best` is the worth that the room of all servers then up and warm could earn, each second's parts given to the queries
-that earn most by a part: no policy can do better, for it knows the second ahead and loses no part.
+`best` is the value that the capacity of all servers that are up and warm could earn if each second's parts went to the
+queries that earn most by part. It is an upper bound for any policy, because it knows each second in advance and loses
+no part.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
 
 ROOT = Path(__file__).parent.parent
 POLICIES = ("module", "anywhere", "unlimited", "priority")
-AT_ONCE = 2  # days side by side: each takes two to three cores
+CONCURRENT_DAYS = 2  # each day uses two to three cores
 
 
-async def one(day: str, policy: str, seed: int, gate: asyncio.Semaphore, folder: Path) -> dict[str, Any]:
-    """One day with another seed, played as a user would."""
+async def run_day(day: str, policy: str, seed: int, gate: asyncio.Semaphore, folder: Path) -> dict[str, Any]:
+    """Runs one day with another seed through the command line, as a user would."""
     text = (ROOT / "examples" / "sites" / f"{day}.conf").read_text()
     text = text.replace("(seed 21)", f"(seed {seed})")
     text = text.replace('"broker.conf"', json.dumps(str(ROOT / "examples" / "sites" / "broker.conf")))
@@ -51,8 +52,8 @@
         await process.wait()
     found = json.loads(report.read_text())
     print(f"{name}: {row(found['seconds'])}", file=sys.stderr, flush=True)
-    broken = {r["name"]: len(r["cases"]) for r in found["rules"] if r["cases"]}
-    return {"day": day, "policy": policy, "seed": seed, "broken": broken, "seconds": found["seconds"]}
+    violations = {r["name"]: len(r["cases"]) for r in found["rules"] if r["cases"]}
+    return {"day": day, "policy": policy, "seed": seed, "broken": violations, "seconds": found["seconds"]}
 
 
 def parts_at(second: dict[str, Any], site: str) -> int:
@@ -61,9 +62,9 @@
 
 
 def row(seconds: list[dict[str, Any]]) -> dict[str, float]:
-    """A day's figures. Worth a second, before, during and after the outage; seconds until the site's share is back."""
-    gone = [i for i, s in enumerate(seconds) if s["sites"]["north"]["room"] == 0.0]
-    lost, back, end = gone[0], gone[-1] + 1, len(seconds) - 2
+    """Returns a day's figures, such as the value per second before, during and after the outage."""
+    outage = [i for i, s in enumerate(seconds) if s["sites"]["north"]["room"] == 0.0]
+    lost, back, end = outage[0], outage[-1] + 1, len(seconds) - 2
     spans = {"before": (2, lost), "during": (lost, back), "after": (back, end)}
     out: dict[str, float] = {}
     for name, (a, b) in spans.items():
@@ -73,8 +74,8 @@
     out["worst_second"] = min(s["served"] for s in seconds[2:end])
 
     def share(a: int, b: int) -> float:
-        whole = sum(s["parts"] for s in seconds[a:b])
-        return sum(parts_at(s, "north") for s in seconds[a:b]) / whole if whole else 0.0
+        total = sum(s["parts"] for s in seconds[a:b])
+        return sum(parts_at(s, "north") for s in seconds[a:b]) / total if total else 0.0
 
     usual = share(2, lost)
     out["back_s"] = next((i - back for i in range(back, end - 1) if share(i, i + 2) >= 0.9 * usual), end - back)
@@ -113,7 +114,7 @@
 
 
 def draw(found: list[dict[str, Any]], path: Path) -> None:
-    """For each day: worth served by policy, and under the preference what the south took against its limit."""
+    """Draws for each day the value served by each policy, and the parts that spilled to the south with their limit."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -153,9 +154,9 @@
 
 
 async def play(days: list[str], seeds: list[int], policies: list[str]) -> list[dict[str, Any]]:
-    gate = asyncio.Semaphore(AT_ONCE)
+    gate = asyncio.Semaphore(CONCURRENT_DAYS)
     with tempfile.TemporaryDirectory() as name:
-        runs = [one(d, p, s, gate, Path(name)) for d in days for s in seeds for p in policies]
+        runs = [run_day(d, p, s, gate, Path(name)) for d in days for s in seeds for p in policies]
         return list(await asyncio.gather(*runs))
 
 
@@ -165,7 +166,7 @@
     parser.add_argument("--seeds", default="1,2,3")
     parser.add_argument("--policies", default=",".join(POLICIES))
     parser.add_argument("--report", type=Path)
-    parser.add_argument("--draw", type=Path, help="a report to draw and show instead of playing")
+    parser.add_argument("--draw", type=Path, help="a report to draw and show instead of running days")
     parser.add_argument("--chart", type=Path)
     a = parser.parse_args()
     if a.draw:
--- a/benchmarks/sites_simulated.py
+++ b/benchmarks/sites_simulated.py
@@ -1,9 +1,10 @@
-"""Losing a site in simulated time: the real driver, module and preference beside three baselines, many seeds, no noise.
+"""Compares the locality preference with three baselines when a site fails, in simulated time over many seeds.
 
-Two sites of 8 servers (50 parts a second each) and two brokers each; two classes of 4 parts, one of which any 2 answer.
-The north is lost at 10 s for 15 s and comes back cold. `of best` is worth served over what the room of all servers up
-and warm could earn, each second's parts given to the queries that earn most by a part. Users' figures: the share of
-what they ask at brokers of a site that is answered whole, from two seconds after the loss to the return.
+The driver, module and preference are the real ones. There are two sites, each with 8 servers (50 parts a second each)
+and two brokers, and two classes of 4 parts; any 2 parts complete an answer of one of them. The north site fails at 10 s
+for 15 s and returns cold. `of best` is the value served, relative to what the capacity of all servers that are up and
+warm could earn if each second's parts went to the queries that earn most by part. The users' figures are the shares of
+queries at a site's brokers that are answered completely, from two seconds after the failure to the return.
 
     python benchmarks/sites_simulated.py [--seeds 10] [--chart FILE.png]
 """
@@ -36,7 +37,7 @@
     "unlimited": _Unlimited,
     "priority 1.4": lambda policy, seed: Priority(policy.own.zones, seed),
 }
-DAYS = {  # needed parts a second of both sites together, of 400 that one can serve; and the growth until the return
+DAYS = {  # parts per second that both sites need (one site can serve 400), and the growth factor until the return
     "fits, 75% of one site": (300.0, 1.0),
     "just, 95%": (380.0, 1.0),
     "over, 130%": (520.0, 1.0),
@@ -59,13 +60,16 @@
         grown = min(max(second - 5, 0) / 10, 1.0) if second < BACK else 0.0
         world.rate_factor = 1.0 + (growth - 1.0) * grown
         world.run(1000.0)
-    return seconds(world, began)
+    return figures_by_second(world, began)
 
 
-def seconds(world: World, began: float) -> list[dict[str, float]]:
+def figures_by_second(world: World, began: float) -> list[dict[str, float]]:
+    """Returns the figures of each second of a run."""
     first, out = int(began // 1000), []
     served: Counter[int] = Counter()
-    users: Counter[tuple[int, int, bool]] = Counter()  # by second, the site where they ask, and whether served
+    users: Counter[tuple[int, int, bool]] = (
+        Counter()
+    )  # by second, site of the broker, and whether the answer was complete
     for at, broker, cls, how, took in world.ends:
         c = SETTINGS.classes[cls]
         users[int(at // 1000), world.brokers[broker].home, how == "whole"] += 1
@@ -80,17 +84,17 @@
             c.complete_weight * parts
         )
     for second in range(END):
-        at, room = first + second, 0.0
+        at, capacity = first + second, 0.0
         for zone in (0, 1):
             up = 0.0 if zone == 0 and LOST <= second < BACK else 1.0
             cold = zone == 0 and BACK <= second < BACK + 5
             warm = 0.25 + 0.75 * (second + 0.5 - BACK) / 5 if cold else 1.0
-            room += up * warm * len(world.site_servers(zone)) * SERVER_RATE * 1000
+            capacity += up * warm * len(world.site_servers(zone)) * SERVER_RATE * 1000
         want = wants.get(at, Counter())
         out.append(
             {
                 "served": served[at],
-                "best": best(want, room),
+                "best": best(want, capacity),
                 "needed": sum(want.values()),
                 "spilled": float(world.spilled_parts[1, at]),
                 "limit": world.spill_limit(1, at),
@@ -106,6 +110,8 @@
 
 
 def row(found: list[dict[str, float]]) -> dict[str, float]:
+    """Returns the figures of a run, from those of its seconds."""
+
     def total(name: str, a: int, b: int) -> float:
         return sum(s[name] for s in found[a:b])
 
--- a/benchmarks/snapshot.py
+++ b/benchmarks/snapshot.py
@@ -1,9 +1,9 @@
-"""Snapshots: a writer killed outright at random points, and what exporting and taking in cost.
+"""Tests snapshots with a writer that is killed at random points, and measures the cost of export and import.
 
     python benchmarks/snapshot.py [--kills 200] [--servers 400]
 
-Each round a process writes snapshots as fast as it can, numbered, and says each number once it is on the disk; it is
-killed after a random time. The file must then hold a whole snapshot, the last one that was said or a later one.
+In each round a process writes numbered snapshots as fast as it can and prints each number once the snapshot is on the
+disk; it is killed after a random time. The file must then contain a complete snapshot, the last printed or a later one.
 """
 
 from __future__ import annotations
@@ -41,25 +41,34 @@
 
 
 def kills(rounds: int, servers: int) -> None:
-    rng, said, behind = random.Random(1), 0, []
+    rng, printed, ahead = random.Random(1), 0, []
     with tempfile.TemporaryDirectory() as name:
         path = Path(name) / "seen"
         for _ in range(rounds):
-            command = [sys.executable, __file__, "--writer", str(path), "--first", str(said), "--servers", str(servers)]
+            command = [
+                sys.executable,
+                __file__,
+                "--writer",
+                str(path),
+                "--first",
+                str(printed),
+                "--servers",
+                str(servers),
+            ]
             process = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
             assert process.stdout
-            process.stdout.readline()  # it is at it
+            process.stdout.readline()  # the writer has started
             time.sleep(rng.random() * 0.05)
             process.kill()
             lines = process.stdout.read().split()
             process.wait()
-            said = max([int(x) for x in lines], default=said + 1)
-            found = read_snapshot(path, time.time()).open_parts  # raises where the file is not whole
-            assert found >= said, (found, said)
-            behind.append(found - said)
-            said = found
-    print(f"{rounds} kills: the file was whole each time; {sum(1 for b in behind if b)} times it was one ahead of")
-    print(f"what had been said, never behind; last number {said}")
+            printed = max([int(x) for x in lines], default=printed + 1)
+            found = read_snapshot(path, time.time()).open_parts  # raises if the file is incomplete
+            assert found >= printed, (found, printed)
+            ahead.append(found - printed)
+            printed = found
+    print(f"{rounds} kills: the file was complete each time; {sum(1 for a in ahead if a)} times it was ahead of")
+    print(f"the last printed number, never behind; last number {printed}")
 
 
 def costs(servers: int) -> None:
@@ -74,10 +83,10 @@
     )
     module.step(1001.0, [prior])
     for node in module.endpoints.servers.values():
-        node.peer_observed = False  # as if seen itself
+        node.peer_observed = False  # as if this broker had observed it itself
     module.observation_exchange._imported_ms = -1e9
 
-    def each(what: object, times: int = 50) -> float:
+    def cpu_ms(what: object, times: int = 50) -> float:
         began = time.process_time()
         for _ in range(times):
             what()  # type: ignore[operator]
@@ -85,18 +94,20 @@
 
     own = make_record(module.observations(), names, 0, 0, 0, {})
     numbers = {n: i for i, n in names.items()}
-    told = {f"p{i}": own for i in range(3)}
-    out_ms = each(lambda: encode(make_record(module.observations(), names, 0, 0, 0, {})))
-    pack_ms = each(lambda: encode_snapshot(make_record(module.observations(), names, 0, 0, 0, {}), 0.0))
+    records = {f"p{i}": own for i in range(3)}
+    out_ms = cpu_ms(lambda: encode(make_record(module.observations(), names, 0, 0, 0, {})))
+    pack_ms = cpu_ms(lambda: encode_snapshot(make_record(module.observations(), names, 0, 0, 0, {}), 0.0))
     data = encode(own)
-    in_ms = each(lambda: [decode(data) for _ in range(3)]) + each(lambda: PeerTrust().combine(told, numbers, 0.0))
-    learn_ms = each(lambda: module.observation_exchange.learn(prior, 1001.0))
+    in_ms = cpu_ms(lambda: [decode(data) for _ in range(3)]) + cpu_ms(
+        lambda: PeerTrust().combine(records, numbers, 0.0)
+    )
+    learn_ms = cpu_ms(lambda: module.observation_exchange.learn(prior, 1001.0))
     print(f"\n{servers} servers, a record of {len(data)} bytes; CPU ms on one core")
     print("| export | export and pack a snapshot | take in three records | the module's part |")
     print("| --- | --- | --- | --- |")
     print(f"| {out_ms:.2f} | {pack_ms:.2f} | {in_ms:.2f} | {learn_ms:.2f} |")
     share = pack_ms / 2000.0 + (in_ms + learn_ms) / 5000.0 + 3 * out_ms / 5000.0
-    print(f"share of a core with a snapshot each 2 s, a pull each 5 s, three exports each 5 s: {share:.3%}")
+    print(f"share of a core with a snapshot every 2 s, a pull every 5 s and three exports every 5 s: {share:.3%}")
 
 
 def main() -> None:
--- a/benchmarks/voterstore.py
+++ b/benchmarks/voterstore.py
@@ -1,4 +1,4 @@
-"""Commits a second and recovery of a voter's store: our segments against SQLite in WAL mode, synced at each commit.
+"""Compares commits per second and recovery time of a voter's store with SQLite in WAL mode, both synced at each commit.
 
 python benchmarks/voterstore.py --seconds 3
 """
@@ -24,7 +24,7 @@
 
 
 def timed(seconds: float, commit: Callable[[int, int], None], group: int) -> tuple[float, int]:
-    """Commits a second of so many records each, and how many records there are then."""
+    """Returns the commits per second, each of `group` records, and the number of records written."""
     began, index, commits = time.monotonic(), 1, 0
     while time.monotonic() - began < seconds:
         commit(index, group)
@@ -38,10 +38,10 @@
     rate, count = timed(seconds, lambda at, n: store.append([entry(at + i) for i in range(n)]), group)
     store.close()
     began = time.monotonic()
-    again = Store(folder / "s")
+    reopened = Store(folder / "s")
     took = time.monotonic() - began
-    assert again.persistent_state.log.last_index == count
-    again.close()
+    assert reopened.persistent_state.log.last_index == count
+    reopened.close()
     return rate, took, count
 
 
@@ -59,16 +59,16 @@
     rate, count = timed(seconds, commit, group)
     base.close()
     began = time.monotonic()
-    again = sqlite3.connect(folder / "v.db")
-    assert again.execute("PRAGMA integrity_check").fetchone() == ("ok",)
-    assert len(again.execute("SELECT record FROM log").fetchall()) == count
+    reopened = sqlite3.connect(folder / "v.db")
+    assert reopened.execute("PRAGMA integrity_check").fetchone() == ("ok",)
+    assert len(reopened.execute("SELECT record FROM log").fetchall()) == count
     took = time.monotonic() - began
-    again.close()
+    reopened.close()
     return rate, took, count
 
 
-def flipped(folder: Path) -> str:
-    """A bit flips in the log of commits that SQLite acknowledged and had not yet checkpointed: what a reader finds."""
+def read_after_bit_flip(folder: Path) -> str:
+    """Flips a bit in SQLite's log, after commits that are not checkpointed, and reports what a reader finds then."""
     base = sqlite3.connect(folder / "f.db", isolation_level=None)
     base.execute("PRAGMA journal_mode=WAL")
     base.execute("PRAGMA synchronous=FULL")
@@ -82,11 +82,13 @@
     base.close()
     wal[len(wal) // 2] ^= 1
     (folder / "copy.db-wal").write_bytes(wal)
-    again = sqlite3.connect(copy)
-    sound = again.execute("PRAGMA integrity_check").fetchone()[0]
-    rows = again.execute("SELECT count(*) FROM log").fetchone()[0]
-    again.close()
-    return f"of 100 acknowledged commits SQLite finds {rows} after one bit flipped in the middle, and says {sound!r}"
+    reopened = sqlite3.connect(copy)
+    integrity = reopened.execute("PRAGMA integrity_check").fetchone()[0]
+    rows = reopened.execute("SELECT count(*) FROM log").fetchone()[0]
+    reopened.close()
+    return (
+        f"of 100 acknowledged commits SQLite finds {rows} after a bit flipped in the middle, and reports {integrity!r}"
+    )
 
 
 def main() -> int:
@@ -100,7 +102,7 @@
                 rate, took, count = run(Path(folder), args.seconds, group)
             print(f"| {name} | {group} | {rate:.0f} | {rate * group:.0f} | {took * 1000:.0f} | {count} |")
     with tempfile.TemporaryDirectory(dir=".") as folder:
-        print(flipped(Path(folder)))
+        print(read_after_bit_flip(Path(folder)))
     return 0
 
 
