--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -1,6 +1,6 @@
-"""A control machine over sockets: consensus and leases over sealed datagrams, a relay over TCP.
+"""A control machine over sockets: consensus and leases use sealed datagrams, and the relay uses TCP.
 
-What is published and when is decided by `feed.control`.
+`feed.control` decides what is published and when.
 """
 
 from __future__ import annotations
@@ -37,22 +37,25 @@
 from badgerbend.net.seal import DatagramSealer
 from badgerbend.net.udp import Address, SealedSocket, address_text
 
-MAX_ROUNDS = 64  # of actions at once: the parts of one machine answer each other
+MAX_ROUNDS = 64  # of actions per call, since the components of one machine reply to each other
 
 
 class NotPublishingError(Exception):
-    """This machine does not hold the lease on publishing. holder: who does, as last heard; empty for nobody."""
+    """Raised when this machine does not hold the publishing lease.
+
+    holder: the last known holder, or an empty string if there is none.
+    """
 
     def __init__(self, holder: str) -> None:
-        super().__init__(f"{holder or 'nobody'} publishes")
+        super().__init__(f"{holder or 'nobody'} holds the publishing lease")
         self.holder = holder
 
 
 class ControlServer(SealedSocket):
-    """One control machine: a voter, the lease on publishing, a publisher and a relay.
+    """One control machine: a voter, a holder of the publishing lease, a publisher and a relay.
 
-    Built and used on one running loop. validate: what is wrong with a change, or an empty string. log_event: writes an
-    event with its fields to the log. Raises StoreError or OSError if the voter's store cannot be used.
+    Created and used on one running event loop. validate: returns the reason to reject a change, or an empty string.
+    log_event: writes an event with its fields to the log. Raises StoreError or OSError if the store is unusable.
     """
 
     def __init__(
@@ -99,7 +102,7 @@
             self.clock,
             self.messenger,
             self.log_event,
-            self._settle,
+            self._process_actions,
             machine,
         )
 
@@ -115,16 +118,16 @@
         )
 
     async def start(self) -> int:
-        """Bind both sockets; returns the relay's port. Raises OSError."""
+        """Bind both sockets and return the port of the relay. Raises OSError."""
         await self.open(*self.own_address)
         port = await self.relay_server.start(*self.settings.relay_address)
-        self._settle()
+        self._process_actions()
         return port
 
     async def close(self) -> None:
-        """Return the lease, transfer leadership of the log to another voter, and end."""
+        """Return the lease, transfer the leadership of the log to another voter, and close the sockets."""
         self.lease_holder.shut_down(self.clock())
-        self._settle()
+        self._process_actions()
         self.local_voter.transfer_leadership()
         self._closed = True
         self.messenger.close()
@@ -137,22 +140,22 @@
 
     @property
     def is_publisher(self) -> bool:
-        """Whether this machine holds the lease on publishing now."""
+        """Whether this machine publishes under its lease now."""
         return bool(self.publisher.epoch)
 
     def submit(self, changes: Iterable[Change]) -> tuple[RejectedChange, ...]:
-        """Accept all of these changes for publication, or none.
+        """Accept all of these changes for publication, or none of them.
 
-        Returns the problems of those that are rejected. Raises NotPublishingError.
+        Returns the rejected changes with their reasons. Raises NotPublishingError.
         """
         if not self.is_publisher:
             raise NotPublishingError(self.lease_holder.duties[PUBLISH_LEASE].holder)
         problems = self.publisher.submit(self.clock(), changes)
-        self._settle()
+        self._process_actions()
         return problems
 
     def progress(self, revision: int) -> RolloutProgress:
-        """How many followers have a revision in force, as far as relays have reported."""
+        """Return how many followers have applied a revision, according to the reports of relays."""
         return self.publisher.progress(self.clock(), revision)
 
     # Datagrams.
@@ -167,7 +170,7 @@
             self.refused += 1
             return
         self._receive(message, source)
-        self._settle()
+        self._process_actions()
 
     def _receive(self, message: control_wire.ControlMessage, source: Address) -> None:
         match message:
@@ -190,15 +193,15 @@
             ):
                 self.local_voter.handle_consensus_message(message)
             case SuspicionReport() | ProbeReport() | BudgetRequest() | BudgetReply():
-                self.refused += 1  # messages between brokers
+                self.refused += 1  # these messages are exchanged between brokers only
             case _:
                 assert_never(message)
 
     def _receive_own_reply(self, reply: LeaseReply) -> None:
         self.lease_holder.receive_reply(self.clock(), reply)
-        self._settle()
+        self._process_actions()
 
-    # Time and actions.
+    # Timer and actions.
 
     def _tick(self) -> None:
         now = self.clock()
@@ -207,10 +210,10 @@
         if now >= self.local_voter.next_at:
             self.local_voter.tick()
         self.control_node.tick(now)
-        self._settle()
+        self._process_actions()
 
-    def _settle(self) -> None:
-        """Carry out the actions of all parts until there are none, and schedule the next tick."""
+    def _process_actions(self) -> None:
+        """Carry out the actions of all components until there are none, and schedule the next tick."""
         if self._closed:
             return
         for _ in range(MAX_ROUNDS):
--- a/benchmarks/feed_seeds.py
+++ b/benchmarks/feed_seeds.py
@@ -17,7 +17,7 @@
 sys.path[:0] = [str(Path(__file__).parent.parent)]
 
 from tests.feed_mutants import MUTANTS  # noqa: E402
-from tests.simfeed import FAULTS_S, World, play  # noqa: E402
+from tests.simfeed import FAULTS_S, World, run_until_settled  # noqa: E402
 from tests.simvoters import InvariantViolation  # noqa: E402
 
 MAX_PROCESSES = 4
@@ -41,18 +41,18 @@
 def run_seed(seed: int) -> Outcome:
     world = World(seed)
     try:
-        violation = play(world)
+        violation = run_until_settled(world)
     except Exception as err:  # a violated invariant, or a defect that ends a simulated process
         violation = f"{type(err).__name__}: {err}"
-    judge = world.judge
+    checker = world.checker
     return Outcome(
         seed,
         violation,
-        judge.agreed.newest,
-        judge.installs,
+        checker.agreed.newest,
+        checker.installs,
         world.now,
-        judge.lowest_margin,
-        judge.most_understated,
+        checker.lowest_margin,
+        checker.most_understated,
         Counter(world.counts),
     )
 
@@ -89,7 +89,7 @@
     mutant, found, first_found, first_violation = MUTANTS[name], 0, -1, ""
     for seed in range(first, first + count):
         try:
-            violation = play(World(seed, mutant.chaos, mutant.kinds))
+            violation = run_until_settled(World(seed, mutant.chaos, mutant.kinds))
         except InvariantViolation as err:
             violation = str(err)
         if violation:
--- a/tests/test_configuration_validation.py
+++ b/tests/test_configuration_validation.py
@@ -1,22 +1,22 @@
-"""The publisher rejects a bad configuration before any broker receives it, and says where it is wrong."""
+"""The publisher rejects an invalid configuration before any broker receives it, and names the line and field."""
 
 import pytest
 
 from badgerbend.feed.messages import Change
 from badgerbend.publication_validation.configurations import validate_configuration
-from tests.feed_stage import Control, Stage, change
+from tests.feed_harness import Control, FeedHarness, change
 from tests.replacing import replaced
 from tests.test_settings import GOOD
 
 KEY = "configuration/broker"
 
 
-def staged():
+def new_validating_harness():
     control = Control(check=validate_configuration)
     control.grant()
-    stage = Stage(control)
-    stage.follower("f")
-    return stage
+    harness = FeedHarness(control)
+    harness.follower("f")
+    return harness
 
 
 @pytest.mark.parametrize(
@@ -33,21 +33,21 @@
         ("(rank-by monthly)))", "(rank-by monthly))", f"{KEY}:7:1: the file ends inside a list"),
     ],
 )
-def test_a_bad_configuration_is_rejected_by_line_and_field_before_any_broker_receives_it(old, new, reason):
+def test_an_invalid_configuration_is_rejected_by_line_and_field_before_any_broker_receives_it(old, new, reason):
     assert old in GOOD
-    stage = staged()
-    stage.publish(change(KEY, GOOD))
-    (problem,) = stage.publish(change("node/1", "ready"), change(KEY, replaced(GOOD, old, new)))
+    harness = new_validating_harness()
+    harness.publish(change(KEY, GOOD))
+    (problem,) = harness.publish(change("node/1", "ready"), change(KEY, replaced(GOOD, old, new)))
     assert problem.key == KEY, problem.reason
     assert problem.reason.startswith(reason), problem.reason
-    stage.pass_time(5.0)
-    assert stage.control.machine.log.revision == 1
-    assert len(stage.installed["f"]) == 1
-    assert stage.followers["f"].log.content.get(KEY) == GOOD.encode()
-    assert stage.followers["f"].log.content.get("node/1") is None  # of the same batch: all of it or nothing
+    harness.pass_time(5.0)
+    assert harness.control.machine.log.revision == 1
+    assert len(harness.installed["f"]) == 1
+    assert harness.followers["f"].log.content.get(KEY) == GOOD.encode()
+    assert harness.followers["f"].log.content.get("node/1") is None  # a batch is published completely or not at all
 
 
-def test_bytes_that_are_no_text_are_rejected():
+def test_bytes_that_are_not_utf_8_are_rejected():
     assert validate_configuration(Change(KEY, b"(broker \xff)")) == f"{KEY}: not UTF-8 at byte 8"
 
 
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -19,6 +19,7 @@
     ("badgerbend/benchlink.py", "D1"),
     ("badgerbend/graphql/*", "N818"),
     ("badgerbend/net/*", "N818"),
+    ("badgerbend/remote/*", "D1"),
 ]
 FILES = sorted(path.relative_to(ROOT).as_posix() for path in (ROOT / "badgerbend").rglob("*.py"))
 
