--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -43,6 +43,7 @@
 
 
 def seeds(count: int, first: int) -> int:
+    """Runs the simulation without planted defects. Returns the exit status, 1 if a seed failed."""
     began, failed, totals = time.monotonic(), 0, [0, 0, 0, 0]
     with ProcessPoolExecutor() as pool:
         for seed, violation, *counts in pool.map(run_seed, range(first, first + count), chunksize=20):
@@ -78,6 +79,7 @@
 
 
 def mutants(count: int) -> int:
+    """Runs each planted defect. Returns the exit status, 1 if one was not detected."""
     missed = 0
     with ProcessPoolExecutor() as pool:
         for name, found, violation, first in pool.map(run_mutant, [(name, count) for name in MUTANTS]):
@@ -87,6 +89,7 @@
 
 
 def model(depth: int) -> int:
+    """Searches all interleavings to a depth, within bounds on candidacies, proposals and crashes."""
     for campaigns, proposals, crashes in ((2, 0, 1), (2, 1, 0), (3, 0, 0)):
         began = time.monotonic()
         states = search(depth, campaigns=campaigns, proposals=proposals, crashes=crashes)
--- a/benchmarks/allowance.py
+++ b/benchmarks/allowance.py
@@ -20,7 +20,7 @@
 
 LOSSES = (0.0, 0.2, 0.6)
 SCENES = {"all cold, clients moved": release_and_shift, "a site back": return_of_a_site}
-WAYS = {"each its own share": (False, False), "nobody deals": (True, False), "dealt": (True, True)}
+VARIANTS = {"each its own share": (False, False), "nobody deals": (True, False), "dealt": (True, True)}
 
 
 def run_seed(seed: int) -> tuple[int, str, int, int]:
@@ -34,6 +34,7 @@
 
 
 def seeds(count: int, first: int) -> int:
+    """Runs the simulation over the seeds. Returns the exit status, 1 if a seed failed."""
     began, failed, checks, replies = time.monotonic(), 0, 0, 0
     with ProcessPoolExecutor() as pool:
         for seed, violation, seed_checks, seed_replies in pool.map(run_seed, range(first, first + count), chunksize=20):
@@ -49,8 +50,9 @@
 
 
 def run_scene(job: tuple[str, str, int]) -> dict[str, float]:
-    scene, way, seed = job
-    shared, has_allocator = WAYS[way]
+    """Runs one scene with one variant of the budget and one seed."""
+    scene, variant, seed = job
+    shared, has_allocator = VARIANTS[variant]
     return SCENES[scene](seed, shared, has_allocator=has_allocator)  # type: ignore[no-any-return]
 
 
@@ -64,10 +66,10 @@
     for scene in SCENES:
         rows = {}
         with ProcessPoolExecutor() as pool:
-            for way in WAYS:
-                rows[way] = list(pool.map(run_scene, [(scene, way, s) for s in range(count)]))
-        base = rows[next(iter(WAYS))]
-        for way, found in rows.items():
+            for variant in VARIANTS:
+                rows[variant] = list(pool.map(run_scene, [(scene, variant, s) for s in range(count)]))
+        base = rows[next(iter(VARIANTS))]
+        for variant, found in rows.items():
             cells = []
             for what in ("answered", "ms"):
                 values = np.array([r[what] for r in found])
@@ -77,7 +79,7 @@
                     low, high = stats.t.interval(0.95, len(diff) - 1, diff.mean(), stats.sem(diff))
                     text += f" ({low:+.3f} to {high:+.3f})" if what == "answered" else f" ({low:+.0f} to {high:+.0f})"
                 cells.append(text)
-            print(f"| {scene} | {way} | {' | '.join(cells)} | {max(r['peak'] for r in found):.2f} |", flush=True)
+            print(f"| {scene} | {variant} | {' | '.join(cells)} | {max(r['peak'] for r in found):.2f} |", flush=True)
     return 0
 
 
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -34,6 +34,7 @@
 
 
 def scene_of(kind: str, seed: int) -> Scene:
+    """Returns a scene in which one kind of fault occurs twice."""
     action, target, duration_s = KINDS[kind]
     events = tuple(Event(action, at, target, duration_s) for at in (1.0, 8.0))  # type: ignore[arg-type]
     return Scene(seconds=14.0, event=events, brokers=5, drift=0.01, seed=seed)
--- a/benchmarks/feed_seeds.py
+++ b/benchmarks/feed_seeds.py
@@ -58,6 +58,7 @@
 
 
 def seeds(count: int, first: int, processes: int) -> int:
+    """Runs the product over the seeds. Returns the exit status, 1 if a seed failed."""
     began, outcomes, counts = time.monotonic(), list[Outcome](), Counter[str]()
     with ProcessPoolExecutor(processes) as pool:
         for outcome in pool.map(run_seed, range(first, first + count), chunksize=SEEDS_PER_TASK):
@@ -100,6 +101,7 @@
 
 
 def mutants(count: int, first: int, processes: int) -> int:
+    """Runs each planted defect over the seeds. Returns the exit status, 1 if one was not detected."""
     missed = 0
     with ProcessPoolExecutor(processes) as pool:
         for name, found, seed, violation in pool.map(run_mutant, [(name, count, first) for name in MUTANTS]):
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -51,6 +51,7 @@
 
 
 async def measure(brokers: int, seconds: float, folder: Path) -> dict[str, Any]:
+    """Runs one fleet and returns its figures, by the column names of the table."""
     stage = Stage(Scene(seconds=1.0, brokers=brokers), folder, {})
     probes: list[float] = []
 
@@ -114,13 +115,13 @@
         "wrong",
     )
     print("| " + " | ".join(names) + " |\n" + "|---" * len(names) + "|")
-    wrong = 0
+    violations = 0
     for count in args.brokers.split(","):
         with tempfile.TemporaryDirectory() as folder:
             row = uvloop.run(measure(int(count), args.seconds, Path(folder)))
-        wrong += row["wrong"]
+        violations += row["wrong"]
         print("| " + " | ".join(f"{row[n]:.2f}" if isinstance(row[n], float) else str(row[n]) for n in names) + " |")
-    return 1 if wrong else 0
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleetlog.py
+++ b/benchmarks/fleetlog.py
@@ -49,6 +49,7 @@
 
 
 def read_phases(folder: Path, span: float) -> dict[int, Phase]:
+    """Reads all logs in a folder. Returns the phases, each `span` seconds long, by number."""
     phases: dict[int, Phase] = defaultdict(Phase)
     for path in sorted(folder.glob("n*.log")):
         opened, lossy = 0, set[str]()
@@ -84,6 +85,7 @@
 
 
 def row(phase: Phase, span: float) -> list[str]:
+    """Formats a phase as a row of the table, without its first column."""
     queries, attempts = sum(phase.ends.values()), sum(phase.attempts.values())
     servers = max(len(phase.by_server), 1)
     each = [sum(c.values()) for c in phase.by_server.values()] or [0]
--- a/benchmarks/listing.py
+++ b/benchmarks/listing.py
@@ -56,6 +56,8 @@
 
 
 def at_once(module: Aggregator, directory: Directory, data: bytes, now: float) -> Iterator[float]:
+    """Reads the list in one turn. Yields the duration of that turn, in ms."""
+
     def turn() -> None:
         view, _ = directory.read(decode_rows(data), now, now)
         step(module, now, view, 1)
@@ -64,6 +66,7 @@
 
 
 def in_slices(module: Aggregator, directory: Directory, data: bytes, now: float) -> Iterator[float]:
+    """Reads the list in slices, as a broker does. Yields the duration of each turn, in ms."""
     readers: list[ListReader] = []
     yield timed(lambda: readers.append(ListReader(directory, decode_rows(data), now, now)))
     slices = readers[0].read_slices()
@@ -100,16 +103,18 @@
     print("| servers | way | turns | longest turn | all turns |\n| --- | --- | --- | --- | --- |")
     for size in map(int, a.sizes.split(",")):
         first, second = list_body(size, 0.0), list_body(size, 50.0)
-        for way in (at_once, in_slices):
+        for variant in (at_once, in_slices):
             rows = []
             for _ in range(a.runs):
                 module, directory = make_aggregator(), consul_directory(CELLS)
                 view, _ = directory.read(decode_rows(first), 1000.0, 1.0)
                 module.step(1000.0, [view])
                 tune_garbage_collector()  # as a broker does after its start
-                rows.append(list(way(module, directory, second, 2000.0)))
+                rows.append(list(variant(module, directory, second, 2000.0)))
             longest, total = cell([max(r) for r in rows]), cell([sum(r) for r in rows])
-            print(f"| {size} | {way.__name__.replace('_', ' ')} | {len(rows[0])} | {longest} | {total} |", flush=True)
+            print(
+                f"| {size} | {variant.__name__.replace('_', ' ')} | {len(rows[0])} | {longest} | {total} |", flush=True
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -23,6 +23,7 @@
 
 
 def measure(size: int, seed: int, loss: float) -> dict[str, float]:
+    """Runs one simulation. Returns its figures, by the column names of the table."""
     net = Network(seed, SwimConfig())
     names = [f"broker-{i}" for i in range(size)]
     for name in names:
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -45,6 +45,7 @@
 
 # -- servers in their own process; each answer is computed once and then sent from a cache
 async def serve_subgraphs(names: list[int]) -> None:
+    """Serves these subgraphs and prints their ports as JSON."""
     ports = {}
     for i in names:
         graph, cache = Subgraph(f"rates-{i}", blocks_of(i % CELLS, SHARDS, CELLS, REACH)), {}
@@ -184,14 +185,15 @@
 
 # -- the load
 async def load(port: int, text: str, requests: int, inflight: int) -> list[float]:
+    """Checks one answer, then sends all requests. Returns their latencies in seconds."""
     from badgerbend.standin.client import Client
 
     client, times, left = Client(port), [], requests
     first = await client.query(text)
     field = next(iter(first[1]["data"].values()))
     expected = {r["id"]: r["monthly"] for b in range(20) for r in rates(b, 5000.0, None)}
-    assert field, "a wrong answer"
-    assert all(expected[r["id"]] == r["monthly"] for r in field), "a wrong answer"
+    assert field, "the answer is wrong"
+    assert all(expected[r["id"]] == r["monthly"] for r in field), "the answer is wrong"
 
     async def one() -> None:
         nonlocal left
@@ -208,8 +210,8 @@
     return times
 
 
-def measure(way: str, ports: str, text: str, requests: int, inflight: int, profile: bool) -> dict[str, float]:
-    command = [sys.executable, __file__, "--role", way, "--ports", ports] + (["--profile"] if profile else [])
+def measure(variant: str, ports: str, text: str, requests: int, inflight: int, profile: bool) -> dict[str, float]:
+    command = [sys.executable, __file__, "--role", variant, "--ports", ports] + (["--profile"] if profile else [])
     process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
     assert process.stdin
     assert process.stdout
@@ -257,6 +259,7 @@
 
 
 def report(a: argparse.Namespace) -> None:
+    """Starts the servers, measures each variant and prints the table."""
     halves, processes, ports = [list(range(6)), list(range(6, 12))], [], {}
     for half in halves:
         process = subprocess.Popen(
@@ -272,16 +275,16 @@
     print("| --- | --- | --- | --- | --- | --- | --- |")
     try:
         for name, text in QUERIES.items():
-            ways = ("broker",) if a.profile else ("broker", "gather", "bare")
-            rows: dict[str, list[dict[str, float]]] = {way: [] for way in ways}
+            variants = ("broker",) if a.profile else ("broker", "gather", "bare")
+            rows: dict[str, list[dict[str, float]]] = {variant: [] for variant in variants}
             for _ in range(a.rounds):
-                for way in ways:
-                    rows[way].append(measure(way, ports_json, text, a.requests, a.inflight, a.profile))
-            for way in ways:
-                mid = {k: statistics.median(r[k] for r in rows[way]) for k in rows[way][0]}
-                step = f"{mid['step']:.0%}" if way == "broker" else ""
+                for variant in variants:
+                    rows[variant].append(measure(variant, ports_json, text, a.requests, a.inflight, a.profile))
+            for variant in variants:
+                mid = {k: statistics.median(r[k] for r in rows[variant]) for k in rows[variant][0]}
+                step = f"{mid['step']:.0%}" if variant == "broker" else ""
                 print(
-                    f"| {name} | {way} | {mid['qps']:.0f} | {mid['cpu_us']:.0f} | {mid['p50_ms']:.1f} "
+                    f"| {name} | {variant} | {mid['qps']:.0f} | {mid['cpu_us']:.0f} | {mid['p50_ms']:.1f} "
                     f"| {mid['p99_ms']:.1f} | {step} |",
                     flush=True,
                 )
--- a/benchmarks/redundancy.py
+++ b/benchmarks/redundancy.py
@@ -20,7 +20,7 @@
 from badgerbend.standin.day import load_day, play
 
 DAY = Path(__file__).parent.parent / "examples" / "bad-day" / "day.conf"
-WAYS = ("module", "least", "all")
+VARIANTS = ("module", "least", "all")
 FIELD = "rateCompare"  # the only class whose answer is complete with fewer than all parts
 
 
@@ -31,13 +31,13 @@
     parser.add_argument("--chart", type=Path)
     a = parser.parse_args()
     plan = load_day(DAY)
-    found: dict[str, list[dict[str, float]]] = {way: [] for way in WAYS}
+    found: dict[str, list[dict[str, float]]] = {variant: [] for variant in VARIANTS}
     for n in range(a.rounds):
-        for way in WAYS:
-            result = uvloop.run(play(msgspec.structs.replace(plan, seed=plan.seed + n), DAY, None, way))
+        for variant in VARIANTS:
+            result = uvloop.run(play(msgspec.structs.replace(plan, seed=plan.seed + n), DAY, None, variant))
             one = result.as_json()
             compare = one["service"][FIELD]
-            found[way].append(
+            found[variant].append(
                 {
                     "compare_p50": compare["p50_ms"],
                     "compare_p99": compare["p99_ms"],
--- a/benchmarks/results.py
+++ b/benchmarks/results.py
@@ -21,8 +21,8 @@
 def table(heading: str, found: Runs, names: Sequence[str], quartiles: bool = False) -> None:
     """Prints a Markdown table with a row for each variant and a column for each name."""
     print(f"| {heading} | " + " | ".join(names) + " |\n| --- " + "| --- " * len(names) + "|")
-    for way, rows in found.items():
-        print(f"| {way} | " + " | ".join(cell([r[n] for r in rows], quartiles) for n in names) + " |")
+    for variant, rows in found.items():
+        print(f"| {variant} | " + " | ".join(cell([r[n] for r in rows], quartiles) for n in names) + " |")
 
 
 def boxes(found: Runs, titles: dict[str, str], path: Path) -> None:
--- a/benchmarks/settle.py
+++ b/benchmarks/settle.py
@@ -46,7 +46,7 @@
 from badgerbend.standin.world import World
 
 CONF = Path(rates.__file__).parent / "rates" / "broker.conf"
-WAYS = ("cold", "peers", "snapshot", "stale", "liar")
+VARIANTS = ("cold", "peers", "snapshot", "stale", "liar")
 RUNNING, SLOW, SERVERS = 6, ("rates-3", "rates-10"), 24
 WINDOW_S = 3.0
 PER_S, NEW_PER_S = 5.0, 15.0  # queries a second at each running broker, and at the new one
@@ -100,7 +100,8 @@
     return seconds
 
 
-async def play(way: str, seed: int, seconds: float, folder: Path) -> dict[str, float]:
+async def play(variant: str, seed: int, seconds: float, folder: Path) -> dict[str, float]:
+    """Runs one variant with one seed and returns its figures."""
     world = World(24, 12, 3, seed, lambda line: None)
     await world.start(SERVERS, 2, Model(part_ms=12.0, call_ms=1.0))
     for name in SLOW:
@@ -135,11 +136,11 @@
             seed_at = f"127.0.0.1:{one.knowledge_exchange.membership_port}"
         return one
 
-    peer_count = {"peers": RUNNING, "stale": RUNNING, "liar": 3}.get(way, 0)
+    peer_count = {"peers": RUNNING, "stale": RUNNING, "liar": 3}.get(variant, 0)
     running = [await add(i, i < peer_count) for i in range(RUNNING)]
     flows = [OpenLoop(b.port, seed * 100 + i) for i, b in enumerate(running)]
-    file = folder / f"seen-{way}-{seed}"
-    if way == "snapshot":
+    file = folder / f"seen-{variant}-{seed}"
+    if variant == "snapshot":
         before = await add(RUNNING, False, file)
         flow = OpenLoop(before.port, seed * 100 + 50, NEW_PER_S)
         await asyncio.sleep(6.0)
@@ -151,14 +152,14 @@
     else:
         await asyncio.sleep(7.0)
     for broker in running:  # `stale` changes the records that the running brokers send
-        if broker.knowledge_exchange and broker.knowledge_exchange.server and way == "stale":
+        if broker.knowledge_exchange and broker.knowledge_exchange.server and variant == "stale":
             sender = broker.knowledge_exchange.server
             sender.record = lambda real=sender.record: aged(_swapped(real()), 300_000.0)  # type: ignore[misc]
-    if way == "liar" and running[1].knowledge_exchange and running[1].knowledge_exchange.server:
+    if variant == "liar" and running[1].knowledge_exchange and running[1].knowledge_exchange.server:
         sender = running[1].knowledge_exchange.server
         sender.record = lambda real=sender.record: _lie(real())  # type: ignore[misc]
     began = time.monotonic()
-    new = await add(RUNNING, way in ("peers", "stale", "liar"), file if way == "snapshot" else None)
+    new = await add(RUNNING, variant in ("peers", "stale", "liar"), file if variant == "snapshot" else None)
     await asyncio.sleep(0.5)  # clients discover the new broker shortly after it listens
     began = time.monotonic()
     flow = OpenLoop(new.port, seed * 100 + 51, NEW_PER_S)
@@ -207,7 +208,7 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--seconds", type=float, default=12.0)
-    parser.add_argument("--ways", default=",".join(WAYS))
+    parser.add_argument("--ways", default=",".join(VARIANTS))
     parser.add_argument("--report", type=Path)
     parser.add_argument("--chart", type=Path)
     parser.add_argument("--one", help=argparse.SUPPRESS)
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -57,6 +57,7 @@
 
 
 def parts_at(second: dict[str, Any], site: str) -> int:
+    """Returns the number of parts sent to a site within a second."""
     at = second["sites"][site]
     return int(at["own"] + at["spilled"])
 
@@ -89,6 +90,7 @@
 
 
 def show(found: list[dict[str, Any]]) -> None:
+    """Prints a table for each day, and the rules that were violated."""
     names = (
         "before",
         "during",
@@ -110,7 +112,7 @@
         table("policy", rows, names)
         for f in found:
             if f["day"] == day and f["broken"]:
-                print(f"rules broken, {f['policy']} seed {f['seed']}: {f['broken']}")
+                print(f"rules violated, {f['policy']} seed {f['seed']}: {f['broken']}")
 
 
 def draw(found: list[dict[str, Any]], path: Path) -> None:
@@ -154,6 +156,7 @@
 
 
 async def play(days: list[str], seeds: list[int], policies: list[str]) -> list[dict[str, Any]]:
+    """Runs each day with each seed and policy, a few at a time."""
     gate = asyncio.Semaphore(CONCURRENT_DAYS)
     with tempfile.TemporaryDirectory() as name:
         runs = [run_day(d, p, s, gate, Path(name)) for d in days for s in seeds for p in policies]
--- a/benchmarks/sites_simulated.py
+++ b/benchmarks/sites_simulated.py
@@ -31,7 +31,7 @@
 from badgerbend.standin.bysite import best  # noqa: E402
 
 LOST, BACK, END = 10, 25, 45
-WAYS = {
+VARIANTS = {
     "preference": LocalityPreference,
     "anywhere": lambda policy, seed: None,
     "unlimited": _Unlimited,
@@ -45,9 +45,10 @@
 }
 
 
-def play(day: str, way: str, seed: int) -> list[dict[str, float]]:
+def play(day: str, variant: str, seed: int) -> list[dict[str, float]]:
+    """Runs one simulated day. Returns the figures of each second."""
     needed, growth = DAYS[day]
-    world = World(seed, brokers=(2, 2), make=WAYS[way])
+    world = World(seed, brokers=(2, 2), make=VARIANTS[variant])
     for home in (0, 1):
         world.add_load(home, needed / 2 / 6, ALL)
         world.add_load(home, needed / 2 / 6, ANY)
@@ -77,25 +78,25 @@
             served[int(at // 1000)] += c.priority_weight * (
                 1.0 if took <= c.latency_objective_ms else c.late_value_share
             )
-    wants: dict[int, Counter[float]] = {}
+    demand: dict[int, Counter[float]] = {}
     for at, cls, parts in world.queries:
         c = SETTINGS.classes[cls]
-        wants.setdefault(int(at // 1000), Counter())[c.priority_weight / (c.complete_weight * parts)] += (
+        demand.setdefault(int(at // 1000), Counter())[c.priority_weight / (c.complete_weight * parts)] += (
             c.complete_weight * parts
         )
     for second in range(END):
         at, capacity = first + second, 0.0
         for zone in (0, 1):
             up = 0.0 if zone == 0 and LOST <= second < BACK else 1.0
-            cold = zone == 0 and BACK <= second < BACK + 5
-            warm = 0.25 + 0.75 * (second + 0.5 - BACK) / 5 if cold else 1.0
+            warming_up = zone == 0 and BACK <= second < BACK + 5
+            warm = 0.25 + 0.75 * (second + 0.5 - BACK) / 5 if warming_up else 1.0
             capacity += up * warm * len(world.site_servers(zone)) * SERVER_RATE * 1000
-        want = wants.get(at, Counter())
+        demand_now = demand.get(at, Counter())
         out.append(
             {
                 "served": served[at],
-                "best": best(want, capacity),
-                "needed": sum(want.values()),
+                "best": best(demand_now, capacity),
+                "needed": sum(demand_now.values()),
                 "spilled": float(world.spilled_parts[1, at]),
                 "limit": world.spill_limit(1, at),
                 "north": float(world.own_parts[0, at] + world.spilled_parts[0, at]),
@@ -147,8 +148,8 @@
         top, bottom = axes[0][column], axes[1][column]
         ours = found[day, "preference"]
         top.plot(mean(ours, "best"), color="black", linestyle=":", label="best")
-        for way in WAYS:
-            top.plot(mean(found[day, way], "served"), linewidth=1, label=way)
+        for variant in VARIANTS:
+            top.plot(mean(found[day, variant], "served"), linewidth=1, label=variant)
         top.set_title(day, fontsize=10)
         bottom.plot(mean(ours, "limit"), color="black", linestyle=":", label="spill limit")
         bottom.plot(mean(ours, "spilled"), linewidth=1, label="spilled")
@@ -172,12 +173,14 @@
     with ProcessPoolExecutor() as pool:
         seeds = range(1, a.seeds + 1)
         waiting: dict[Any, list[Any]] = {
-            (day, way): [pool.submit(play, day, way, seed) for seed in seeds] for day in DAYS for way in WAYS
+            (day, variant): [pool.submit(play, day, variant, seed) for seed in seeds]
+            for day in DAYS
+            for variant in VARIANTS
         }
         for key, runs in waiting.items():
             found[key] = [run.result() for run in runs]
     for day in DAYS:
-        rows: Runs = {way: [row(f) for f in found[day, way]] for way in WAYS}
+        rows: Runs = {variant: [row(f) for f in found[day, variant]] for variant in VARIANTS}
         print(f"\n{day}: {a.seeds} seeds, simulated, median (least to most)\n")
         table("way", rows, list(next(iter(rows.values()))[0]))
     if a.chart:
--- a/benchmarks/snapshot.py
+++ b/benchmarks/snapshot.py
@@ -33,6 +33,7 @@
 
 
 def writer(path: Path, servers: int, first: int) -> None:
+    """Writes numbered snapshots until the process is killed."""
     number = first
     while True:
         number += 1
@@ -40,7 +41,8 @@
         print(number, flush=True)
 
 
-def kills(rounds: int, servers: int) -> None:
+def check_killed_writers(rounds: int, servers: int) -> None:
+    """Kills a writer at a random point in each round and checks the file that it leaves."""
     rng, printed, ahead = random.Random(1), 0, []
     with tempfile.TemporaryDirectory() as name:
         path = Path(name) / "seen"
@@ -71,7 +73,8 @@
     print(f"the last printed number, never behind; last number {printed}")
 
 
-def costs(servers: int) -> None:
+def measure_costs(servers: int) -> None:
+    """Prints the CPU time of exporting, storing and importing a record."""
     settings = module_settings(load(RATES))
     module = Aggregator(settings, 1)
     lines = tuple(api.Endpoint(i, i % 12, api.EndpointState.READY, 0.0, 0, 0, 1.0) for i in range(servers))
@@ -119,8 +122,8 @@
     a = parser.parse_args()
     if a.writer:
         writer(a.writer, a.servers, a.first)
-    kills(a.kills, a.servers)
-    costs(a.servers)
+    check_killed_writers(a.kills, a.servers)
+    measure_costs(a.servers)
 
 
 if __name__ == "__main__":
--- a/benchmarks/voterstore.py
+++ b/benchmarks/voterstore.py
@@ -33,6 +33,7 @@
 
 
 def segments(folder: Path, seconds: float, group: int) -> tuple[float, float, int]:
+    """Measures the project's store: commits per second, seconds to recover, records."""
     create_store(folder / "s", "v0", ("v0",))
     store = Store(folder / "s")
     rate, count = timed(seconds, lambda at, n: store.append([entry(at + i) for i in range(n)]), group)
@@ -46,6 +47,7 @@
 
 
 def sqlite(folder: Path, seconds: float, group: int) -> tuple[float, float, int]:
+    """Measures SQLite in the same way as `segments`."""
     base = sqlite3.connect(folder / "v.db", isolation_level=None)
     base.execute("PRAGMA journal_mode=WAL")
     base.execute("PRAGMA synchronous=FULL")
--- a/tests/fault_soak.py
+++ b/tests/fault_soak.py
@@ -105,10 +105,10 @@
         async with BrokerProcess(behave=self.behave, faults=self.plan(), settings=settings) as broker:
             count = CLIENTS + (CROWD if self.crowd else 0)
             clients = [asyncio.create_task(self._client(broker)) for _ in range(count)]
-            trouble = asyncio.create_task(self._inject_trouble(broker))
+            fault_injection = asyncio.create_task(self._inject_faults(broker))
             watch = asyncio.create_task(self._measure_lateness())
             await asyncio.sleep(RUN_S)
-            await trouble
+            await fault_injection
             await self._end(broker)
             await asyncio.gather(*clients)
             watch.cancel()
@@ -126,7 +126,7 @@
             await asyncio.sleep(TICK_S)
             self.max_lateness_s = max(self.max_lateness_s, time.monotonic() - began - TICK_S)
 
-    async def _inject_trouble(self, broker):
+    async def _inject_faults(self, broker):
         """Causes a discovery outage, drains when it ends, a slow agent, a pause of the process and a reload."""
         draw = self.random
         await asyncio.sleep(draw.uniform(0.2, 0.8))
@@ -190,8 +190,8 @@
         self.sent.append(sent)
         writer.write(outgoing.data)
         answer = asyncio.ensure_future(read_answer(reader))
-        patience_s = self.random.uniform(0.01, 0.3) if self.random.random() < 0.1 else 20.0
-        done, _ = await asyncio.wait([answer], timeout=patience_s)
+        timeout_s = self.random.uniform(0.01, 0.3) if self.random.random() < 0.1 else 20.0
+        done, _ = await asyncio.wait([answer], timeout=timeout_s)
         if not done:
             writer.transport.abort()
             sent.left_at = time.monotonic()
--- a/tests/test_capacity_lists.py
+++ b/tests/test_capacity_lists.py
@@ -64,8 +64,8 @@
 
 
 def test_consul_sends_the_full_list_when_one_row_changes():
-    whole, one = (values(lists.PART, f"consul: {what}", "answer") for what in ("whole", "one row"))
-    assert one == pytest.approx(whole, rel=0.01)
+    full, one = (values(lists.PART, f"consul: {what}", "answer") for what in ("whole", "one row"))
+    assert one == pytest.approx(full, rel=0.01)
 
 
 def test_the_members_delta_for_one_row_does_not_grow_with_the_nodes():
@@ -76,9 +76,9 @@
 
 def test_the_members_delta_for_a_zone_grows_with_the_zone():
     zone = fitted(by_size(lists.PART, "members: a zone", "answer"))
-    whole = fitted(by_size(lists.PART, "members: whole", "answer"))
+    full = fitted(by_size(lists.PART, "members: whole", "answer"))
     assert zone.determination > 0.99
-    assert zone.slope == pytest.approx(whole.slope / ZONES, rel=0.1)
+    assert zone.slope == pytest.approx(full.slope / ZONES, rel=0.1)
 
 
 @pytest.mark.parametrize("form", FORM_NAMES)
