--- a/benchmarks/sites_simulated.py
+++ b/benchmarks/sites_simulated.py
@@ -68,9 +68,8 @@
     """Returns the figures of each second of a run."""
     first, out = int(began // 1000), []
     served: Counter[int] = Counter()
-    users: Counter[tuple[int, int, bool]] = (
-        Counter()
-    )  # by second, site of the broker, and whether the answer was complete
+    # Number of queries by second, site of the broker, and whether the answer was complete.
+    users: Counter[tuple[int, int, bool]] = Counter()
     for at, broker, cls, how, took in world.ends:
         c = SETTINGS.classes[cls]
         users[int(at // 1000), world.brokers[broker].home, how == "whole"] += 1
--- a/tests/confined.py
+++ b/tests/confined.py
@@ -17,12 +17,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-LOAD, JUMP_EQ, JUMP_ANY, RETURN = (
-    0x20,
-    0x15,
-    0x45,
-    0x06,
-)  # BPF: load a word, jump if equal, jump if any bit is set, return
+# BPF instructions: load a word, jump if equal, jump if any bit is set, return.
+LOAD, JUMP_EQ, JUMP_ANY, RETURN = 0x20, 0x15, 0x45, 0x06
 ALLOW, KILL = 0x7FFF0000, 0x80000000
 NUMBER, ARCH, ARGS = 0, 4, 16  # offsets in `struct seccomp_data`
 CLONE_THREAD = 0x10000
--- a/tests/fault_soak.py
+++ b/tests/fault_soak.py
@@ -224,7 +224,7 @@
         self.violations += [f"log: {line}" for line in steps]
 
     def _check_answer(self, sent, attempts):
-        """A request of which parts were sent is answered. If none was sent, its client may repeat a lost request."""
+        """Each answer must be in time, and a request of which parts were sent must be answered."""
         outgoing, answer = sent.request, sent.answer
         if sent.left_at is not None:
             return
--- a/tests/planted_defects.py
+++ b/tests/planted_defects.py
@@ -3,8 +3,8 @@
 A test class that derives from a class of the product, to break or to observe it, has no effect once the method that it
 overrides is renamed. The functions here analyse the source of a test file together with its imported module and report
 each such place. One case is not detected: an attribute that is assigned on another object than `self` and is gone from
-its class while some other class still has that name. Within a class that derives from the product, only the packages
-that it imports from count as other classes.
+its class while some other class still has that name. Within a test class that derives from the product, only a class
+in one of the packages imported by the test file or by the module of a base class can hide the missing name.
 """
 
 from __future__ import annotations
--- a/tests/test_capacity_lists.py
+++ b/tests/test_capacity_lists.py
@@ -53,9 +53,7 @@
 def test_a_full_list_grows_linearly_with_the_nodes(form):
     line = fitted(by_size(lists.PART, f"{form}: whole", "answer"))
     assert line.determination > 0.99
-    assert line.slope * LIST_SIZES[-1] == pytest.approx(
-        line.at(LIST_SIZES[-1]), rel=0.02
-    )  # there is hardly a constant share
+    assert line.slope * LIST_SIZES[-1] == pytest.approx(line.at(LIST_SIZES[-1]), rel=0.02)  # hardly any constant part
 
 
 def test_a_consul_row_is_larger_than_a_row_of_the_members_form():
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -29,9 +29,8 @@
     assert DEPLOY["run"] == "trap '' HUP; exec .venv/bin/python -m badgerbend.platform"
     assert DEPLOY["sim"].startswith("exec ")
     assert not any(c in DEPLOY["sim"] for c in "&|;")
-    assert (
-        "compileall" in DEPLOY["build"]
-    )  # the file system is read-only at run time, so no bytecode could be cached then
+    # The file system is read-only at run time, so no bytecode could be cached then.
+    assert "compileall" in DEPLOY["build"]
     assert not DEPLOY["packages"]
 
 
@@ -72,9 +71,8 @@
         pool = Pool("127.0.0.1", port, LIMITS)
         try:
             first = [await asyncio.to_thread(process.stderr.readline) for _ in range(2)]
-            assert all(line.startswith(b"{") for line in first), (
-                first
-            )  # a line that is not JSON is an error message, which the assertion shows
+            # A line that is not JSON is an error message, which the assertion shows.
+            assert all(line.startswith(b"{") for line in first), first
             assert [msgspec.json.decode(line)["what"] for line in first] == ["list", "listening"], first
             await until(lambda: agent.waiting)  # the list was read, and a watch on it is open
             body = query((1, 2, 3))
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize(("path", "rule"), REMOVED)
 def test_a_removed_exception_does_not_return(path, rule):
-    # Also not for some of the files, by a wider pattern, or as part of a wider or a narrower rule.
+    # It must not return for a part of the files, by a wider pattern, or as a wider or a narrower rule either.
     files = fnmatch.filter(FILES, path)
     assert files
     again = [
