--- a/benchmarks/allowance.py
+++ b/benchmarks/allowance.py
@@ -1,4 +1,4 @@
-"""Cold allowance in simulated time: sums kept over thousands of seeds, and what dealing it gains.
+"""The slow-start budget in simulated time: checks its limit over many seeds and measures the gain of sharing it.
 
 python benchmarks/allowance.py seeds --count 10000
 python benchmarks/allowance.py gain --count 12
@@ -20,11 +20,11 @@
 
 LOSSES = (0.0, 0.2, 0.6)
 SCENES = {"all cold, clients moved": release_and_shift, "a site back": return_of_a_site}
-WAYS = {"each its own share": (False, False), "nobody deals": (True, False), "dealt": (True, True)}
+VARIANTS = {"each its own share": (False, False), "nobody deals": (True, False), "dealt": (True, True)}
 
 
-def one_seed(seed: int) -> tuple[int, str, int, int]:
-    """Seed, what broke, sums looked at, words dealt."""
+def run_seed(seed: int) -> tuple[int, str, int, int]:
+    """Returns the seed, the violation (or ""), the number of checked totals and that of the allocator's replies."""
     world = World(seed, brokers=3 + seed % 8, loss=LOSSES[seed % len(LOSSES)])
     try:
         world.run(30_000)
@@ -34,28 +34,30 @@
 
 
 def seeds(count: int, first: int) -> int:
-    began, wrong, checks, dealt = time.monotonic(), 0, 0, 0
+    """Runs the simulation over the seeds. Returns the exit status, 1 if a seed failed."""
+    began, failed, checks, replies = time.monotonic(), 0, 0, 0
     with ProcessPoolExecutor() as pool:
-        for seed, what, looked, words in pool.map(one_seed, range(first, first + count), chunksize=20):
-            checks, dealt = checks + looked, dealt + words
-            if what:
-                wrong += 1
-                print(f"seed {seed}: {what}")
+        for seed, violation, seed_checks, seed_replies in pool.map(run_seed, range(first, first + count), chunksize=20):
+            checks, replies = checks + seed_checks, replies + seed_replies
+            if violation:
+                failed += 1
+                print(f"seed {seed}: {violation}")
     print(
-        f"{count} seeds from {first}, {time.monotonic() - began:.0f} s on {os.cpu_count()} cores: {wrong} wrong; "
-        f"{checks} sums, {dealt} answers of dealers"
+        f"{count} seeds from {first}, {time.monotonic() - began:.0f} s on {os.cpu_count()} cores: {failed} failed; "
+        f"{checks} totals checked, {replies} replies of allocators"
     )
-    return 1 if wrong else 0
+    return 1 if failed else 0
 
 
-def one_play(job: tuple[str, str, int]) -> dict[str, float]:
-    scene, way, seed = job
-    dealt, held = WAYS[way]
-    return SCENES[scene](seed, dealt, has_allocator=held)  # type: ignore[no-any-return]
+def run_scene(job: tuple[str, str, int]) -> dict[str, float]:
+    """Runs one scene with one variant of the budget and one seed."""
+    scene, variant, seed = job
+    shared, has_allocator = VARIANTS[variant]
+    return SCENES[scene](seed, shared, has_allocator=has_allocator)  # type: ignore[no-any-return]
 
 
 def gain(count: int) -> int:
-    """Means over the same seeds, with 95% intervals of the paired difference to the first way (t)."""
+    """Prints means over the same seeds, with the 95% t-interval of the paired difference to the first variant."""
     import numpy as np
     from scipy import stats
 
@@ -64,10 +66,10 @@
     for scene in SCENES:
         rows = {}
         with ProcessPoolExecutor() as pool:
-            for way in WAYS:
-                rows[way] = list(pool.map(one_play, [(scene, way, s) for s in range(count)]))
-        base = rows[next(iter(WAYS))]
-        for way, found in rows.items():
+            for variant in VARIANTS:
+                rows[variant] = list(pool.map(run_scene, [(scene, variant, s) for s in range(count)]))
+        base = rows[next(iter(VARIANTS))]
+        for variant, found in rows.items():
             cells = []
             for what in ("answered", "ms"):
                 values = np.array([r[what] for r in found])
@@ -77,7 +79,7 @@
                     low, high = stats.t.interval(0.95, len(diff) - 1, diff.mean(), stats.sem(diff))
                     text += f" ({low:+.3f} to {high:+.3f})" if what == "answered" else f" ({low:+.0f} to {high:+.0f})"
                 cells.append(text)
-            print(f"| {scene} | {way} | {' | '.join(cells)} | {max(r['peak'] for r in found):.2f} |", flush=True)
+            print(f"| {scene} | {variant} | {' | '.join(cells)} | {max(r['peak'] for r in found):.2f} |", flush=True)
     return 0
 
 
