--- a/badgerbend/api.py
+++ b/badgerbend/api.py
@@ -1,5 +1,7 @@
 """The interface of `Aggregator`: settings, events and actions. It contains no decisions and no tuned values.
 
+A step of the aggregator takes events and returns actions. Its decisions are the code that chooses these actions.
+
 Times are milliseconds of any monotonic clock; weights and shares are fractions of one.
 """
 
@@ -88,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The configuration of the decisions."""
+    """The configuration of the aggregator's decisions."""
 
     classes: tuple[QueryClass, ...]
     tenants: tuple[Tenant, ...]
@@ -108,7 +110,7 @@
     connection_idle_ms: float  # servers close a connection that has been idle for this long
     connect_timeout_ms: float
     polls_endpoint_list: bool  # whether discovery must be polled because it does not push changes
-    max_poll_interval_ms: float  # with polling: after this long without a poll the broker is deemed to know all changes
+    max_poll_interval_ms: float  # if polling: without a poll for this long, the broker counts as notified of changes
     over_quota_weight: float  # factor on the priority weight of queries beyond their tenant's quota
     slow_start_from: float  # share of its full capacity that a server has right after its start
     slow_start_ms: float  # time after its start at which a server has its full capacity
@@ -117,7 +119,7 @@
     retry_budget_min: float | None  # retries that are always allowed within the window; None: no retry budget
     retry_budget_share: float | None  # retries allowed per query and part accepted within the window
     retry_budget_window_ms: float | None
-    max_notification_delay_ms: float = math.inf  # with polling: the broker is deemed to know a change after this
+    max_notification_delay_ms: float = math.inf  # if polling: the broker counts as notified of a change after this
     max_write_delay_ms: float = 0.0  # longest delay of the process between a decision to send and the first byte
 
 
@@ -129,12 +131,12 @@
     """One server of the endpoint list."""
 
     node: int
-    cell: int
+    cell: int  # see `Settings.cells_per_shard`
     state: EndpointState
     started_ms: float  # time of its last start; 0 if it started long ago
     zone: int
     kind: int
-    size: float
+    size: float  # capacity relative to a server of size 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -187,7 +189,7 @@
     node: int
     outcome: Outcome
     elapsed_ms: float
-    report: tuple[float, ...]  # the server's load report
+    report: tuple[float, ...]  # the server's load report; empty if there is none
 
 
 @dataclass(frozen=True, slots=True)
@@ -315,7 +317,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Deliver `TimerFired` after a delay; replaces a timer that was set before."""
+    """Deliver `TimerFired` after a delay. It supersedes a timer that was set before, which may still be delivered."""
 
     after_ms: float
     token: int
@@ -384,7 +386,8 @@
 class SitePreference(Protocol):
     """Preference among sites, and limits on what is sent to each. Without one, all servers are treated alike.
 
-    It is called during a step, in the order of the decisions, and must be as pure as they are.
+    It is called during a step, in the order of the decisions, and must be pure like them: it
+    reads no clock and does no I/O.
     """
 
     def observe(self, now_ms: float, events: Sequence[Event]) -> None:
@@ -402,7 +405,7 @@
     def eligible(self, shard: int, nodes: Sequence[int], safe: bool) -> Sequence[int]:
         """The servers that a part may be sent to now, out of the given replicas of its shard; if empty, it must wait.
 
-        safe: the part may be lost or run twice without harm. A following `attempt_sent` refers to the last result.
+        safe: the part may be lost or run twice without harm. `attempt_sent` refers to the result of the last call.
         """
 
     def site_rate(self, node: int) -> float:
@@ -416,10 +419,10 @@
 
 
 class SlowStartBudget(Protocol):
-    """The rate at which a broker may send to servers that are warming up, where brokers divide it by demand.
+    """The rates at which a broker may send to servers that are warming up, if brokers share such rates by demand.
 
-    Without one, each broker uses a limit derived from its own traffic. It is called during a step and must be as pure
-    as the decisions.
+    Without one, each broker uses a limit derived from its own traffic. It is called during a step and must be pure
+    like the decisions: it reads no clock and does no I/O.
     """
 
     def server_rate(
--- a/badgerbend/consensus/leadership.py
+++ b/badgerbend/consensus/leadership.py
@@ -34,7 +34,7 @@
         self.broadcast_heartbeat(now)
 
     def stop(self) -> None:
-        """End a term of leadership; pending reads, a leadership transfer and a membership change are dropped."""
+        """End a term of leadership; drop its pending reads, leadership transfer and membership change."""
         self._reset()
         self.replication.stop()
 
@@ -72,7 +72,7 @@
         self._confirm_reads()
 
     def add_read(self, now: float, token: int) -> None:
-        """Confirm a read by the next round of heartbeats, and bring that round forward."""
+        """Have the next round of heartbeats confirm a read, and bring that round forward. token: identifies it."""
         self.reads.add(self.replication.heartbeat_round + 1, token)
         batch_s = self.replica.config.heartbeat_interval_s * READ_BATCH_FRACTION
         self.replication.schedule_heartbeat_by(now + batch_s)
--- a/badgerbend/feed_service/control.py
+++ b/badgerbend/feed_service/control.py
@@ -1,4 +1,4 @@
-"""A control machine over sockets: consensus and leases use sealed datagrams, and the relay uses TCP.
+"""Runs a control machine on sockets: consensus and leases use authenticated datagrams, and the relay uses TCP.
 
 `feed.control` decides what is published and when.
 """
@@ -37,7 +37,7 @@
 from badgerbend.net.seal import DatagramSealer
 from badgerbend.net.udp import Address, SealedSocket, address_text
 
-MAX_ROUNDS = 64  # of actions per call, since the components of one machine reply to each other
+MAX_ROUNDS = 64  # per call, since the components of one machine reply to each other; the rest waits for the next call
 
 
 class NotPublishingError(Exception):
@@ -150,9 +150,9 @@
         """
         if not self.is_publisher:
             raise NotPublishingError(self.lease_holder.duties[PUBLISH_LEASE].holder)
-        problems = self.publisher.submit(self.clock(), changes)
+        rejected_changes = self.publisher.submit(self.clock(), changes)
         self._process_actions()
-        return problems
+        return rejected_changes
 
     def progress(self, revision: int) -> RolloutProgress:
         """Return how many followers have applied a revision, according to the reports of relays."""
@@ -217,12 +217,12 @@
         if self._closed:
             return
         for _ in range(MAX_ROUNDS):
-            busy = self.messenger.send_pending_requests(self.lease_holder, self.local_voter)
-            busy |= self.control_node.synchronize(self.clock())
+            had_work = self.messenger.send_pending_requests(self.lease_holder, self.local_voter)
+            had_work |= self.control_node.synchronize(self.clock())
             for action in self.control_node.take_actions():
-                busy = True
+                had_work = True
                 self._carry_out(action)
-            if not busy:
+            if not had_work:
                 break
         self.local_voter.flush()
         self.relay_server.process_actions()
--- a/badgerbend/graphql/schema.py
+++ b/badgerbend/graphql/schema.py
@@ -36,7 +36,7 @@
 
 
 class SchemaError(Exception):
-    """The schema is invalid or does not match the settings; the text says why."""
+    """The schema is invalid or does not match the settings; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,16 +66,17 @@
         schema = build_schema(text + "\nextend schema " + LINK.removeprefix("extend schema ") + extra)
     except GraphQLError as err:
         raise SchemaError(str(err)) from err
-    except TypeError as err:  # by which graphql-core reports an inconsistent schema
+    except TypeError as err:  # graphql-core raises it for an inconsistent schema
         raise SchemaError(str(err)) from err
     return schema, sdl
 
 
 def _types_with_key(document: DocumentNode) -> set[str]:
     return {
-        d.name.value
-        for d in document.definitions
-        if isinstance(d, ObjectTypeDefinitionNode) and any(x.name.value == "key" for x in d.directives or ())
+        definition.name.value
+        for definition in document.definitions
+        if isinstance(definition, ObjectTypeDefinitionNode)
+        and any(directive.name.value == "key" for directive in definition.directives or ())
     }
 
 
@@ -89,22 +90,24 @@
             if name in ("_service", "_entities"):
                 continue
             if name not in fields:
-                raise SchemaError(f"root field {root.name if root else ''}.{name} has no (field {name} ...)")
+                raise SchemaError(
+                    f"root field {root.name if root else ''}.{name} has no (field {name} ...) in the settings"
+                )
             seen.add(name)
-            _check(schema, fields[name], field, root is schema.mutation_type)
+            _check_field(schema, fields[name], field, root is schema.mutation_type)
     for name in fields:
         if name not in seen:
-            raise SchemaError(f"(field {name} ...) names no root field of the schema")
+            raise SchemaError(f"the settings have (field {name} ...), but the schema has no such root field")
     if schema.subscription_type:
         raise SchemaError("subscriptions are not served")
     for entity in settings.entity:
-        kind = schema.type_map[entity.name]
-        if not isinstance(kind, GraphQLObjectType) or entity.key not in kind.fields:
+        entity_type = schema.type_map[entity.name]
+        if not isinstance(entity_type, GraphQLObjectType) or entity.key not in entity_type.fields:
             raise SchemaError(f"entity {entity.name} has no field {entity.key}")
     return Subgraph(schema, sdl, fields, {e.name: e for e in settings.entity}, text)
 
 
-def _check(schema: GraphQLSchema, field_map: FieldMap, field: GraphQLField, mutation: bool) -> None:
+def _check_field(schema: GraphQLSchema, field_map: FieldMap, field: GraphQLField, mutation: bool) -> None:
     def require(condition: bool, problem: str) -> None:
         if not condition:
             raise SchemaError(f"field {field_map.name}: {problem}")
@@ -114,24 +117,26 @@
         not isinstance(field.type, GraphQLNonNull),
         "must be nullable, or one rejected field would make the whole result null",
     )
-    row = get_named_type(field.type)
+    row_type = get_named_type(field.type)
     if mutation:
-        require(not field_map.fetch, "a mutation takes no fetch")
-        require(not field_map.rank_by and not field_map.detail, "a mutation takes no rank-by and no detail")
+        require(not field_map.fetch, "fetch cannot be set for a mutation")
+        require(not field_map.rank_by and not field_map.detail, "rank-by and detail cannot be set for a mutation")
         return
     require(is_list_type(field.type), "must be a list of rows")
-    require(isinstance(row, GraphQLObjectType | GraphQLInterfaceType), "must be a list of objects")
-    assert isinstance(row, GraphQLObjectType | GraphQLInterfaceType)
-    require(field_map.fetch is not None, "fetch is missing")
+    require(isinstance(row_type, GraphQLObjectType | GraphQLInterfaceType), "must be a list of objects")
+    assert isinstance(row_type, GraphQLObjectType | GraphQLInterfaceType)
+    require(field_map.fetch is not None, "fetch must be set for a query field")
     require(field_map.first_by is None or field_map.first_by in field.args, f"has no argument {field_map.first_by}")
     for name in filter(None, (field_map.rank_by, field_map.detail)):
-        require(name in row.fields, f"{row.name} has no field {name}")
+        require(name in row_type.fields, f"{row_type.name} has no field {name}")
     if field_map.rank_by:
         require(
-            is_leaf_type(get_named_type(row.fields[field_map.rank_by].type)), f"{field_map.rank_by} is not a number"
+            is_leaf_type(get_named_type(row_type.fields[field_map.rank_by].type)),
+            f"{field_map.rank_by} must be a number, since rank-by names it",
         )
     if field_map.detail:
-        require("id" in row.fields, f"{row.name} needs an id for its detail")
+        require("id" in row_type.fields, f"{row_type.name} must have a field id if detail is set")
         require(
-            not isinstance(row.fields[field_map.detail].type, GraphQLNonNull), f"{field_map.detail} must be nullable"
+            not isinstance(row_type.fields[field_map.detail].type, GraphQLNonNull),
+            f"{field_map.detail} must be nullable",
         )
--- a/badgerbend/peering/exchange.py
+++ b/badgerbend/peering/exchange.py
@@ -1,4 +1,4 @@
-"""Transfers knowledge records over HTTP, with authentication of both sides.
+"""Transfers knowledge records, which state what a broker has observed, over HTTP with mutual authentication.
 
 The client signs a fresh nonce, and the server signs that nonce together with its record. Each side thereby proves that
 it has a key, and a recorded answer cannot be replayed.
@@ -15,13 +15,14 @@
 from badgerbend.net.seal import sign, verify
 from badgerbend.net.server import Exchange, HttpServer, ServerLimits
 
-NONCE = b"badgerbend-nonce"  # header with a nonce that is fresh for each request
-MAC = b"badgerbend-mac"  # header with the signature of the request or of the answer
+NONCE = b"badgerbend-nonce"  # request header: a new nonce for each request
+MAC = b"badgerbend-mac"  # request and answer header: the signature in hexadecimal
 PATH = b"/knowledge"
 NONCE_BYTES = 16
 NONCE_DIGITS = 2 * NONCE_BYTES  # hexadecimal
 REQUEST_PREFIX = b"ask"  # signed data begins with one of these prefixes, so that no signature is valid for both
 ANSWER_PREFIX = b"tell"
+# HTTP/1.1 requires the host header; the server ignores its value.
 REQUEST = b"GET %s HTTP/1.1\r\nhost: x\r\n%s: %s\r\n%s: %s\r\nconnection: close\r\n\r\n"
 SERVER_LIMITS = ServerLimits(max_connections=1024, max_body_bytes=1024, read_timeout_s=2.0, idle_timeout_s=5.0)
 CLIENT_LIMITS = PoolLimits(connect_timeout_s=0.5, idle_s=1.0, max_answer_bytes=MAX_RECORD_BYTES)
@@ -53,7 +54,7 @@
 
     def _handle(self, exchange: Exchange) -> None:
         nonce = exchange.headers.get(NONCE, b"")
-        key = self._key_of(nonce, _bytes_of_hex(exchange.headers.get(MAC, b"")))
+        key = self._signing_key(nonce, _decode_hex(exchange.headers.get(MAC, b"")))
         if exchange.target != PATH or key is None:
             self.rejected += 1
             exchange.respond(403, b"", b"")
@@ -63,15 +64,18 @@
         mac = sign(key, ANSWER_PREFIX + nonce + body).hex().encode()
         exchange.respond(200, body, b"application/msgpack", ((MAC, mac),))
 
-    def _key_of(self, nonce: bytes, mac: bytes) -> bytes | None:
-        """The key with which a request is signed; None if it is none of this broker's keys."""
+    def _signing_key(self, nonce: bytes, mac: bytes) -> bytes | None:
+        """The key with which a request is signed, or None if it is not signed with any of this broker's keys."""
         if len(nonce) != NONCE_DIGITS:
             return None
         return next((key for key in self.keys if verify(key, REQUEST_PREFIX + nonce, mac)), None)
 
 
 def fetch_record(key: bytes, host: str, port: int, on_result: Callable[[KnowledgeRecord | FetchError], None]) -> Call:
-    """Fetch a peer's record. The callback gets the record, with its ages increased by the elapsed time, or an error."""
+    """Fetch a peer's record.
+
+    on_result: called with the record, whose ages include the time that the transfer took, or with an error.
+    """
     nonce = os.urandom(NONCE_BYTES).hex().encode()
     pool = Pool(host, port, CLIENT_LIMITS)
     began = time.monotonic()
@@ -79,7 +83,7 @@
     def on_reply(reply: Reply) -> None:
         pool.close()
         try:
-            record = _record_of(reply, key, nonce)
+            record = _verified_record(reply, key, nonce)
         except FetchError as error:
             on_result(error)
             return
@@ -89,11 +93,11 @@
     return pool.request(REQUEST % (PATH, NONCE, nonce, MAC, mac), on_reply)
 
 
-def _record_of(reply: Reply, key: bytes, nonce: bytes) -> KnowledgeRecord:
+def _verified_record(reply: Reply, key: bytes, nonce: bytes) -> KnowledgeRecord:
     """Verify and decode an answer. Raises FetchError."""
     if reply.result is not CallResult.ANSWER or reply.status != 200:
         raise FetchError(f"{reply.result.name.lower()} {reply.status}")
-    if not verify(key, ANSWER_PREFIX + nonce + reply.body, _bytes_of_hex(reply.headers.get(MAC, b""))):
+    if not verify(key, ANSWER_PREFIX + nonce + reply.body, _decode_hex(reply.headers.get(MAC, b""))):
         raise FetchError("not signed by our key")
     try:
         return decode(reply.body)
@@ -101,7 +105,7 @@
         raise FetchError(str(err)) from err
 
 
-def _bytes_of_hex(text: bytes) -> bytes:
+def _decode_hex(text: bytes) -> bytes:
     """Decode hexadecimal digits; empty if the text is malformed."""
     try:
         return bytes.fromhex(text.decode("ascii"))
--- a/badgerbend/runtime/ports.py
+++ b/badgerbend/runtime/ports.py
@@ -1,6 +1,6 @@
 """The interfaces between the driver and its environment.
 
-A front end provides a `Sink` for each query, and a protocol provides a `Transport`.
+A front end provides a `Sink` for each query, and the client side of a wire protocol provides a `Transport`.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
     query_id: int
     sent_ms: float
     timeout_ms: float
-    begin_by_ms: float = math.inf  # on the clock of sent_ms: the latest time for the first byte
+    begin_by_ms: float = math.inf  # the latest time to send the first byte, by the clock of sent_ms
     handle: object = None  # for use by the transport
 
     def time_left_ms(self, now_ms: float) -> float:
@@ -63,19 +63,20 @@
     query_id: int
     name: str
     cls: int
-    result: str
+    result: str  # a label for logs and metrics, such as "answered" or "failed"
     reason: str
     took_ms: float
     parts: int
-    extra_attempts: int  # beyond each part's first
-    failed_attempts: Sequence[tuple[Attempt, api.Outcome, float]]  # those that ended while it was open; duration in ms
+    extra_attempts: int  # attempts other than the first of a part
+    failed_attempts: Sequence[tuple[Attempt, api.Outcome, float]]  # while the query was open; duration in ms
 
 
 class Sink(Protocol):
-    """Receives the result of a query: exactly one of `answered`, `rejected` and `failed` is called, once.
+    """Receives the result of a query: one of `answered`, `rejected` and `failed` is called once.
 
-    `answered` states whether the results suffice for a complete answer. A rejected query is safe to retry; its
-    retry_after_ms is 0 if there is no advice. Parts of a failed query may have run.
+    None of them is called if the client has disconnected before. `answered` states whether the results suffice for a
+    complete answer. A rejected query is safe to retry; its retry_after_ms is 0 if the client is not told when to retry.
+    Parts of a failed query may have run.
     """
 
     def client_has_left(self) -> bool:
@@ -109,7 +110,7 @@
 
 
 class ServerList(Protocol):
-    """The list of servers, where it is polled only on request.
+    """The source of the list of servers, for lists that are polled only on request.
 
     `follow` starts or stops polling for changes; `read_list` requests the complete list now.
     """
@@ -120,7 +121,10 @@
 
 
 class Schedule(Protocol):
-    """Time. `wake` requests one call of the driver's `turn` at the given time, or as soon as possible if it is None."""
+    """The clock and the wake-ups of the driver.
+
+    `wake` requests one call of the driver's `turn` at the given time, or as soon as possible if it is None.
+    """
 
     def now_ms(self) -> float: ...
 
@@ -131,7 +135,7 @@
     """Receives what is logged and counted. It is called after decisions and never influences them.
 
     `stepped` receives the number of events of a step and the time that the aggregator took for it. `report_fault`
-    receives what an operator should know about.
+    receives the kind and the detail of a fault that an operator should know about.
     """
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, took_ms: float) -> None: ...
--- a/badgerbend/sites/status.py
+++ b/badgerbend/sites/status.py
@@ -1,4 +1,4 @@
-"""The status of sites for the HTTP page, the command line and metrics. The field names of its JSON are an interface."""
+"""The status of sites for the HTTP page, the command line and metrics. Its JSON field names are an interface."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
     state: str
     drained: bool
     share: float  # of its normal traffic that it may receive
-    ejections: float = msgspec.field(name="turns")
+    ejections: float = msgspec.field(name="turns")  # a count that decays over time
     success_rate: float | None = msgspec.field(name="success")
     utilization: float | None = msgspec.field(name="used")
     capacity_per_s: float = msgspec.field(name="room_per_s")
     full_capacity_per_s: float = msgspec.field(name="whole_per_s")
     sent_per_s: float
-    spilled_per_s: float
+    spilled_per_s: float  # sent parts that count against the spill-over limit of another site
     allowed_per_s: float | None  # None means no limit
     failing_servers: int = msgspec.field(name="failing")
 
 
 class RetainedShares(msgspec.Struct, frozen=True):
-    """The shares of its traffic that the own site keeps."""
+    """Limits on the share of its traffic that the broker's own site keeps, by utilization and by latency."""
 
     by_utilization: float = msgspec.field(name="by_load")
     by_latency: float = msgspec.field(name="by_time")
@@ -49,8 +49,8 @@
 class SitesStatus(msgspec.Struct, frozen=True):
     """All sites as one broker observes them."""
 
-    own: str
-    list_age_ms: int | None
+    own: str  # the name of the broker's own site
+    list_age_ms: int | None  # time since an update of the endpoint list last contained servers
     demand_per_s: float
     retained: RetainedShares = msgspec.field(name="keeps")
     sites: tuple[SiteStatus, ...]
--- a/badgerbend/slow_start_budget/broker.py
+++ b/badgerbend/slow_start_budget/broker.py
@@ -10,19 +10,21 @@
 from badgerbend.slow_start_budget.resources import ResourceKey
 from badgerbend.slow_start_budget.timing import BudgetTiming
 
-MAX_REQUESTS = 8  # datagrams sent at once: 128 resources, those with the largest difference of demand and own rate
-REQUEST_NUMBER_BITS = 20  # 1,048,576 numbers for each incarnation; four requests a second use 345,600 a day
-MAX_COUNTED_PARTS = 4096  # parts counted as demand for one resource between two requests
-MIN_RATE_MULTIPLIER = 1e-6
+MAX_REQUESTS = 8  # sent at once, each in one datagram: the 128 resources whose demand differs most from the own rate
+# 1,048,576 numbers for each incarnation. Four requests a second use 345,600 a day; that is the rate with the default
+# grant of one second and one datagram at a time. After the last number follow those of the next incarnation.
+REQUEST_NUMBER_BITS = 20
+MAX_COUNTED_PARTS = 4096  # per server between two requests; further parts do not count as demand
+MIN_RATE_MULTIPLIER = 1e-6  # smaller multipliers, by which demand is divided, count as this
 
 
 @dataclass(slots=True)
 class ResourceBudget:
-    """One broker's view of a resource.
+    """One broker's state of a resource: a server that is warming up, or a site that recovers.
 
     Rates are in parts per millisecond; those of a server are converted to the rates of a server that is fully warm.
-    Times are in milliseconds of the broker's clock. The demand for a server is counted in parts since the last request,
-    the demand for a site is a rate.
+    Times are in milliseconds of the broker's clock. The demand for a server is counted in parts since the last request;
+    the demand for a site is a rate. own_rate: the rate that the broker uses without a grant.
     """
 
     key: ResourceKey
@@ -33,8 +35,8 @@
     counted_parts: set[int] = field(default_factory=set)
     granted_rate: float = 0.0
     granted_until_ms: float = -math.inf
-    capped_until_ms: float = -math.inf  # until then the rate stays at or below the last grant, also once that expired
-    granted_request: int = 0  # the number of the request whose grant is in force
+    capped_until_ms: float = -math.inf  # until then the rate does not exceed the last grant, even if that has expired
+    granted_request: int = 0  # the number of the request that the last grant answers
 
     def acknowledged_request(self, now_ms: float) -> int:
         """Returns the number of the request whose grant still binds the broker; 0 for none."""
@@ -101,7 +103,7 @@
             del self.servers[number]
 
     def create_requests(self, now_ms: float) -> list[BudgetRequest]:
-        """Returns the requests to send to the allocator now; none if nothing is warming up.
+        """Returns the requests to send to the allocator now; none if no server is warming up and no site recovers.
 
         Resources without demand are reported too, since their unused rate can be granted to other brokers.
         """
@@ -118,7 +120,10 @@
         return requests
 
     def apply_reply(self, now_ms: float, reply: BudgetReply) -> None:
-        """Applies the grants of a reply that fencing admitted. Ignores replies to unknown or expired requests."""
+        """Applies the grants of a reply. Ignores replies to unknown or expired requests.
+
+        The caller has dropped replies of superseded epochs (fencing).
+        """
         requested_ms = self.request_times.get(reply.seq)
         if requested_ms is None:
             return
