--- a/badgerbend/standin/rig.py
+++ b/badgerbend/standin/fault_proxy.py
@@ -1,8 +1,9 @@
-"""What sits between processes: each is reached at a front of its own, every datagram between two passes both fronts.
+"""A datagram proxy between processes that cuts, delays and loses what it forwards.
 
-A process advertises its front. What comes to the front of B from A's real port is handed to B from the front of A, so
-that each sees the other where the other says it is. In between it may be cut (both ways or one), delayed or lost; each
-datagram is recorded with what became of it. Chance comes from the seed.
+Each process is reached at an endpoint of the proxy, and advertises that endpoint as its address. A datagram that A sends
+from its real port to the endpoint of B is forwarded to B from the endpoint of A, so both see each other at the
+advertised addresses. A link may be cut (in both directions or in one), delayed or lossy; every datagram is recorded
+together with whether it passed. Random draws come from the seed.
 """
 
 from __future__ import annotations
@@ -46,40 +47,40 @@
     loss: float = 0.0
 
 
-class Front(asyncio.DatagramProtocol):
+class ProxyEndpoint(asyncio.DatagramProtocol):
     """Where one process is reached."""
 
-    def __init__(self, rig: Rig, name: str, real: Address) -> None:
-        self.rig, self.name, self.real = rig, name, real
+    def __init__(self, proxy: FaultProxy, name: str, real: Address) -> None:
+        self.proxy, self.name, self.real = proxy, name, real
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.rig.pass_on(self, data, (addr[0], addr[1]))
+        self.proxy.forward(self, data, (addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
         """The process is down, or not up yet."""
 
 
-class Rig:
+class FaultProxy:
     """Made on a running loop. `add` each process before it starts."""
 
     def __init__(self, seed: int, record: Callable[[Line], None]) -> None:
         self.rng, self.record = random.Random(seed), record
         self.loop = asyncio.get_running_loop()
-        self.fronts: dict[str, Front] = {}
-        self.by_port: dict[int, Front] = {}  # of the real processes
+        self.endpoints: dict[str, ProxyEndpoint] = {}
+        self.by_port: dict[int, ProxyEndpoint] = {}  # of the real processes
         self.links: dict[tuple[str, str], Link] = {}
 
     async def add(self, name: str, real_port: int) -> str:
         """The address to advertise."""
-        front = Front(self, name, ("127.0.0.1", real_port))
-        await self.loop.create_datagram_endpoint(lambda: front, ("127.0.0.1", 0))
-        assert front.transport is not None
-        self.fronts[name] = self.by_port[real_port] = front
-        return f"127.0.0.1:{front.transport.get_extra_info('sockname')[1]}"
+        endpoint = ProxyEndpoint(self, name, ("127.0.0.1", real_port))
+        await self.loop.create_datagram_endpoint(lambda: endpoint, ("127.0.0.1", 0))
+        assert endpoint.transport is not None
+        self.endpoints[name] = self.by_port[real_port] = endpoint
+        return f"127.0.0.1:{endpoint.transport.get_extra_info('sockname')[1]}"
 
     def link(self, source: str, to: str) -> Link:
         return self.links.setdefault((source, to), Link())
@@ -95,7 +96,7 @@
     def heal(self) -> None:
         self.links.clear()
 
-    def pass_on(self, to: Front, data: bytes, source: Address) -> None:
+    def forward(self, to: ProxyEndpoint, data: bytes, source: Address) -> None:
         sender = self.by_port.get(source[1])
         if sender is None:
             return  # not of the scene
@@ -111,6 +112,6 @@
             sender.transport.sendto(data, to.real)
 
     def close(self) -> None:
-        for front in self.fronts.values():
-            if front.transport is not None:
-                front.transport.close()
+        for endpoint in self.endpoints.values():
+            if endpoint.transport is not None:
+                endpoint.transport.close()
--- a/badgerbend/standin/scene.py
+++ b/badgerbend/standin/scene.py
@@ -30,8 +30,8 @@
 from badgerbend.net.seal import DatagramSealer
 from badgerbend.net.udp import Address, SealedSocket
 from badgerbend.standin.acts import Judged, judge, message_of
+from badgerbend.standin.fault_proxy import FaultProxy, Line, free_port
 from badgerbend.standin.processes import BrokerProcess
-from badgerbend.standin.rig import Line, Rig, free_port
 from badgerbend.standin.work import Model
 from badgerbend.standin.world import World
 from badgerbend.wal.store import create_store
@@ -141,9 +141,9 @@
         self.names = [f"broker-{i}" for i in range(scene.brokers)]
         self.voters = self.names[: scene.voters]
         self.processes: dict[str, BrokerProcess] = {}
-        self.fronts: dict[str, str] = {}
+        self.advertised: dict[str, str] = {}
         self.down: set[str] = set()
-        self.rig = Rig(scene.seed, self.lines.append)
+        self.proxy = FaultProxy(scene.seed, self.lines.append)
         self.duties = duties
         base = load(RATES)
         self.world = World(base.layout.shards, base.layout.cells, base.layout.reach, scene.seed, lambda line: None)
@@ -157,8 +157,8 @@
         await self.world.start(3, 1, Model(part_ms=1.0, call_ms=0.2))
         ports = {name: free_port(socket.SOCK_DGRAM) for name in self.names}
         for name in self.names:
-            self.fronts[name] = await self.rig.add(name, ports[name])
-        voters = tuple(VoterAt(name, self.fronts[name]) for name in self.voters)
+            self.advertised[name] = await self.proxy.add(name, ports[name])
+        voters = tuple(VoterAt(name, self.advertised[name]) for name in self.voters)
         for index, name in enumerate(self.names):
             if name in self.voters:
                 create_store(self.folder / name, name, self.voters)
@@ -166,7 +166,7 @@
                 (str(self.folder / "key"),),
                 voters,
                 port=ports[name],
-                advertise=self.fronts[name],
+                advertise=self.advertised[name],
                 store=str(self.folder / name) if name in self.voters else None,
                 **self.duties,
             )
@@ -190,11 +190,11 @@
                 await process.start()
 
         await asyncio.gather(*(up(p) for p in self.processes.values()))
-        brokers = {name: parse_address(at) for name, at in self.fronts.items()}
+        brokers = {name: parse_address(at) for name, at in self.advertised.items()}
         self.doubter = _Doubter(brokers, tuple(self.world.servers), "probe")
         port = free_port(socket.SOCK_DGRAM)
         await self.doubter.open("127.0.0.1", port)
-        self.doubter.own_address = parse_address(await self.rig.add(DOUBTER, port))
+        self.doubter.own_address = parse_address(await self.proxy.add(DOUBTER, port))
         self.task = asyncio.ensure_future(self.doubter.run())
         async with asyncio.timeout(30.0):  # the first act: there is a holder
             await self.doubter.heard.wait()
@@ -253,7 +253,7 @@
                 await asyncio.sleep(event.for_)
                 process.send(signal.SIGCONT)
             case "heal":
-                self.rig.heal()
+                self.proxy.heal()
             case "cut" | "one-way" | "delay" | "loss" | "cut-voters":
                 state: dict[str, Any] = {"cut": True}
                 if event.do == "delay":
@@ -261,9 +261,9 @@
                 elif event.do == "loss":
                     state = {"loss": event.size}
                 to = [n for n in self.voters if n != name] if event.do == "cut-voters" else others
-                self.rig.between([name], to, event.do != "one-way", **state)
+                self.proxy.between([name], to, event.do != "one-way", **state)
                 await asyncio.sleep(event.for_)
-                self.rig.between([name], to, event.do != "one-way", cut=False, delay_s=0.0, loss=0.0)
+                self.proxy.between([name], to, event.do != "one-way", cut=False, delay_s=0.0, loss=0.0)
 
     async def stop(self) -> list[int]:
         if self.task is not None:  # else it did not come so far
@@ -272,7 +272,7 @@
         await self.world.close()
         if self.doubter is not None:
             self.doubter.close_socket()
-        self.rig.close()
+        self.proxy.close()
         return list(ends)
 
 
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -29,8 +29,8 @@
 from badgerbend.config.settings import Snapshot
 from badgerbend.standin.acts import judge
 from badgerbend.standin.client import Client
+from badgerbend.standin.fault_proxy import free_port
 from badgerbend.standin.processes import BrokerProcess
-from badgerbend.standin.rig import free_port
 from badgerbend.standin.scene import DOUBTER, RATES, Scene, Stage
 from badgerbend.standin.work import Model
 from badgerbend.standin.world import World
--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from badgerbend.feed.messages import Change
-from badgerbend.standin.rig import free_port
+from badgerbend.standin.fault_proxy import free_port
 from scale.feed import FULL_SIZES, SMALL_SIZES, plan_for
 from scale.feed_figures import MEGABYTE, SizeFigures, spent
 from scale.feed_fleet import FIRST_CHANGES_AT_ONCE, RELAY_REGIONS, Fleet
--- a/tests/broker_process.py
+++ b/tests/broker_process.py
@@ -16,8 +16,8 @@
 import msgspec
 
 from badgerbend.standin.agent import Agent
+from badgerbend.standin.fault_proxy import free_port
 from badgerbend.standin.framenode import FrameNode, Part
-from badgerbend.standin.rig import free_port
 from tests.platform_stage import CELLS, SETTINGS, file_of, query
 from tests.sockets import until
 
--- a/tests/test_crossings_signals.py
+++ b/tests/test_crossings_signals.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from badgerbend.standin.rig import free_port
+from badgerbend.standin.fault_proxy import free_port
 from tests.platform_stage import CELLS, file_of, query, run, surroundings
 from tests.replacing import replaced
 from tests.sockets import until
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -14,7 +14,7 @@
 
 from badgerbend.net.client import Pool
 from badgerbend.standin.client import LIMITS
-from badgerbend.standin.rig import free_port
+from badgerbend.standin.fault_proxy import free_port
 from tests.platform_stage import file_of, query, run, surroundings
 from tests.replacing import replaced
 from tests.sockets import until
--- a/tests/test_duty_failover.py
+++ b/tests/test_duty_failover.py
@@ -85,9 +85,9 @@
         await stage.processes[old].start()
 
         old = new  # cut off from the others, voters or not, and from nobody else
-        stage.rig.between([old], [n for n in stage.names if n != old], cut=True)
+        stage.proxy.between([old], [n for n in stage.names if n != old], cut=True)
         new = await another_holds(stage, old)
-        stage.rig.heal()
+        stage.proxy.heal()
         since = len(stage.lines)
         await until(lambda: any(r["from"] == old and r["to"] in stage.voters for r in stage.lines[since:]))
         await until(lambda: acts_of(stage, new, len(stage.lines) - 50 if len(stage.lines) > 50 else 0))
@@ -136,13 +136,13 @@
         await until(lambda: any(acts_of(stage, n, since) for n in stage.names))
         # an act under an epoch of the far future, from one without the key; and an old datagram once more
         name = stage.names[0]
-        target, front = stage.rig.fronts[name].real, stage.rig.fronts["doubter"].transport
+        target, endpoint = stage.proxy.endpoints[name].real, stage.proxy.endpoints["doubter"].transport
         act = wire.encode_peer_message(ProbeReport("doubter", "probe", 1 << 40, ()))
-        front.sendto(
+        endpoint.sendto(
             DatagramSealer((b"another key, not theirs",), 1).seal(act, sender_id(stage.doubter.own_address)), target
         )
         said = [r["data"] for r in stage.lines if (r["from"], r["to"]) == ("doubter", name)]
-        front.sendto(said[-1], target)
+        endpoint.sendto(said[-1], target)
         port = stage.processes[name].settings.listen.port
         while (await fetch(port, "/duties"))["refused"] < 2:
             await asyncio.sleep(0.01)
--- a/tests/test_feed_control.py
+++ b/tests/test_feed_control.py
@@ -5,7 +5,7 @@
 
 from badgerbend.feed.follower_types import FollowerTuning
 from badgerbend.feed.relay_types import RelayTuning
-from badgerbend.standin.rig import free_port
+from badgerbend.standin.fault_proxy import free_port
 from badgerbend.wal.store import create_store
 from tests.feed_lines import ControlSetup, FollowersSetup, Installed, Listening, Publish, Published, Submitted
 from tests.feed_processes import FeedProcess, FeedProcesses
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -19,8 +19,8 @@
 from badgerbend.discovery.directory import Directory, ListReader, decode_rows
 from badgerbend.platform import config, names
 from badgerbend.standin.agent import Agent
+from badgerbend.standin.fault_proxy import free_port
 from badgerbend.standin.framenode import FrameNode
-from badgerbend.standin.rig import free_port
 from tests.platform_stage import CELLS, SHARDS, Stage, file_of, query, run, surroundings
 from tests.replacing import replaced
 from tests.sockets import until
--- a/tests/test_public_status.py
+++ b/tests/test_public_status.py
@@ -14,7 +14,7 @@
 from badgerbend.peering.exchange import FetchError, fetch_record
 from badgerbend.sites.admission import Rejection, RejectionReason
 from badgerbend.sites.status import sites_status
-from badgerbend.standin.rig import free_port
+from badgerbend.standin.fault_proxy import free_port
 from badgerbend.wal.store import create_store as create_voter_store
 from tests.interfaces import answer_seen, committed, compare, literals, struct_schema
 from tests.sockets import EXAMPLE, BrokerFixture, run, until
