--- a/badgerbend/cli.py
+++ b/badgerbend/cli.py
@@ -288,7 +288,7 @@
 
 
 def _scene(file: Path, report: Path | None, keep: Path | None) -> None:
-    from badgerbend.standin.acts import table
+    from badgerbend.standin.duty_audit import format_rows
     from badgerbend.standin.scene import load_scene, play
 
     try:
@@ -300,18 +300,18 @@
     shown = Table(title=f"{file}: {scene.seconds:g} s, {scene.brokers} brokers, {scene.voters} voters (loopback)")
     for heading in ("duty", "epoch", "holder", "first act, s", "last", "acts", "stale"):
         shown.add_column(heading)
-    for row in table(played.judged.holdings, played.began):
+    for row in format_rows(played.audit.holdings, played.began):
         shown.add_row(*row)
     console.print(shown)
     for number, (at, what) in enumerate(played.marks):
         gap = played.after(number, GAP_S)
         console.print(f"{(at - played.began) / 1000:6.2f} s {what}: no act for {gap:.0f} ms within {GAP_S:g} s")
-    broken = [f"{f.name}: {case}" for f in played.judged.findings for case in f.cases]
+    broken = [f"{f.name}: {case}" for f in played.audit.findings for case in f.cases]
     for line in broken:
         console.print(line, highlight=False)
     if report is not None:
         report.write_text(json.dumps(played.as_json(), indent=2) + "\n", encoding="utf-8")
-    print(f"rules broken: {sum(1 for f in played.judged.findings if f.cases)} of {len(played.judged.findings)}")
+    print(f"rules broken: {sum(1 for f in played.audit.findings if f.cases)} of {len(played.audit.findings)}")
     raise typer.Exit(1 if broken else 0)
 
 
--- a/badgerbend/standin/acts.py
+++ b/badgerbend/standin/duty_audit.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Judged:
+class DutyAudit:
     """findings: a rule each. holdings: in the order of their first acts."""
 
     findings: list[Finding]
@@ -49,7 +49,7 @@
         return sorted(((b - a, a) for a, b in zip(edges, edges[1:], strict=False)), reverse=True)
 
 
-def message_of(data: bytes) -> wire.Message | None:
+def decode_datagram(data: bytes) -> wire.Message | None:
     """What a sealed datagram says; None for what is no message of duties."""
     try:
         return wire.decode(data[HEADER.size : -MAC_BYTES])
@@ -57,7 +57,7 @@
         return None
 
 
-def judge(lines: Iterable[Line]) -> Judged:
+def audit_duties(lines: Iterable[Line]) -> DutyAudit:
     """By the time of passing."""
     one, order, grants = (Finding(name) for name in ("an epoch is one holder's", "no two act at once", "grants agree"))
     holdings: dict[tuple[str, int], Holding] = {}
@@ -66,7 +66,7 @@
     granted: dict[tuple[str, int], str] = {}
     effects: dict[str, list[tuple[float, int]]] = defaultdict(list)
     for line in sorted(lines, key=lambda row: float(row["t"])):
-        message, t, sender = message_of(line["data"]), float(line["t"]), str(line["from"])
+        message, t, sender = decode_datagram(line["data"]), float(line["t"]), str(line["from"])
         if isinstance(message, LeaseReply):
             for told in message.leases if message.is_leader else ():
                 if told.holder:
@@ -103,10 +103,10 @@
             newest[to, message.duty] = message.epoch
             effects[to].append((t, message.epoch))
     rows = sorted(holdings.values(), key=lambda h: h.first)
-    return Judged([one, order, grants], rows, dict(effects))
+    return DutyAudit([one, order, grants], rows, dict(effects))
 
 
-def judge_deals(lines: Iterable[Line], slice_ms: float) -> Finding:
+def audit_budgets(lines: Iterable[Line], slice_ms: float) -> Finding:
     """What brokers were dealt of cold allowance, and what they stated as their shares, from what arrived.
 
     A slice is taken to last from when its ask passed, as its broker counts it; who was dealt less keeps to it for
@@ -119,7 +119,7 @@
     slices: dict[tuple[str, float], dict[str, tuple[float, float, float]]] = defaultdict(dict)  # pace, ask, answer
     newest: dict[str, int] = defaultdict(int)
     for line in sorted(lines, key=lambda row: float(row["t"])):
-        message, t = message_of(line["data"]), float(line["t"])
+        message, t = decode_datagram(line["data"]), float(line["t"])
         if isinstance(message, BudgetRequest):  # stated when it was sent, whether it arrived or not
             asked.setdefault((str(line["from"]), message.seq), t)
             for need in message.demands:
@@ -147,7 +147,7 @@
     return finding
 
 
-def table(holdings: Sequence[Holding], began: float) -> list[tuple[str, ...]]:
+def format_rows(holdings: Sequence[Holding], began: float) -> list[tuple[str, ...]]:
     """Rows for a person: times in seconds since the scene began."""
     return [
         (
--- a/badgerbend/standin/fault_proxy.py
+++ b/badgerbend/standin/fault_proxy.py
@@ -1,7 +1,7 @@
 """A datagram proxy between processes that cuts, delays and loses what it forwards.
 
-Each process is reached at an endpoint of the proxy, and advertises that endpoint as its address. A datagram that A sends
-from its real port to the endpoint of B is forwarded to B from the endpoint of A, so both see each other at the
+Each process is reached at an endpoint of the proxy, and advertises that endpoint as its address. A datagram that A
+sends from its real port to the endpoint of B is forwarded to B from the endpoint of A, so both see each other at the
 advertised addresses. A link may be cut (in both directions or in one), delayed or lossy; every datagram is recorded
 together with whether it passed. Random draws come from the seed.
 """
--- a/badgerbend/standin/scene.py
+++ b/badgerbend/standin/scene.py
@@ -29,7 +29,7 @@
 from badgerbend.leases.messages import LeaseReply, SuspicionReport
 from badgerbend.net.seal import DatagramSealer
 from badgerbend.net.udp import Address, SealedSocket
-from badgerbend.standin.acts import Judged, judge, message_of
+from badgerbend.standin.duty_audit import DutyAudit, audit_duties, decode_datagram
 from badgerbend.standin.fault_proxy import FaultProxy, Line, free_port
 from badgerbend.standin.processes import BrokerProcess
 from badgerbend.standin.work import Model
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class Played:
-    judged: Judged
+    audit: DutyAudit
     lines: list[Line]
     began: float  # ms of the rig's clock
     marks: list[tuple[float, str]]  # what was done, and when
@@ -82,11 +82,11 @@
     def after(self, mark: int, until_s: float) -> float:
         """The longest time in ms without an act that took effect, within so many seconds of what was done as that."""
         t = self.marks[mark][0]
-        return self.judged.gaps(t, t + until_s * 1000.0)[0][0]
+        return self.audit.gaps(t, t + until_s * 1000.0)[0][0]
 
     def as_json(self) -> dict[str, Any]:
         return {
-            "rules": [{"name": f.name, "checked": f.checked, "cases": f.cases[:20]} for f in self.judged.findings],
+            "rules": [{"name": f.name, "checked": f.checked, "cases": f.cases[:20]} for f in self.audit.findings],
             "holdings": [
                 {
                     "duty": h.duty,
@@ -97,7 +97,7 @@
                     "first_s": round((h.first - self.began) / 1000, 3),
                     "last_s": round((h.last - self.began) / 1000, 3),
                 }
-                for h in self.judged.holdings
+                for h in self.audit.holdings
             ],
             "events": [
                 {"at_s": round((at - self.began) / 1000, 3), "what": what, "gap_ms": round(self.after(n, 6.0))}
@@ -222,7 +222,7 @@
 
     def leader(self) -> str:
         for row in reversed(self.lines):
-            message = message_of(row["data"])
+            message = decode_datagram(row["data"])
             if isinstance(message, LeaseReply) and message.is_leader:
                 return message.source
         return self.voters[0]
@@ -294,4 +294,4 @@
                     raise outcome
         finally:
             ends = await stage.stop()
-        return Played(judge(stage.lines), stage.lines, began, stage.marks, ends)
+        return Played(audit_duties(stage.lines), stage.lines, began, stage.marks, ends)
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -45,9 +45,9 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot as plt
 
-    names = sorted({h.holder for h in played.judged.holdings})
+    names = sorted({h.holder for h in played.audit.holdings})
     figure, axis = plt.subplots(figsize=(10, 3))
-    for h in played.judged.holdings:
+    for h in played.audit.holdings:
         first, last = ((t - played.began) / 1000 for t in (h.first, h.last))
         axis.barh(names.index(h.holder), max(last - first, 0.05), left=first, height=0.6)
         axis.text(first, names.index(h.holder) + 0.35, f"{h.epoch}", fontsize=7)
@@ -74,8 +74,8 @@
         for seed in range(args.runs):
             played = uvloop.run(play(scene_of(kind, seed)))
             gaps += [played.after(n, 6.0) for n in range(len(played.marks))]
-            acts += sum(h.acts for h in played.judged.holdings)
-            wrong += sum(len(f.cases) for f in played.judged.findings)
+            acts += sum(h.acts for h in played.audit.holdings)
+            wrong += sum(len(f.cases) for f in played.audit.findings)
             runs += 1
         broken += wrong
         spread = f"{statistics.median(gaps):.0f} ({min(gaps):.0f} to {max(gaps):.0f})"
@@ -84,7 +84,7 @@
     if args.chart is not None:
         played = uvloop.run(play(load_scene(ALL_FAULTS)))
         chart(played, args.chart)
-        broken += sum(len(f.cases) for f in played.judged.findings)
+        broken += sum(len(f.cases) for f in played.audit.findings)
         runs += 1
     print(f"{runs} runs, {broken} acts or grants out of turn")
     return 1 if broken else 0
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -22,8 +22,8 @@
 sys.path[:0] = [str(Path(__file__).parent.parent)]
 
 from badgerbend.leases.messages import LeaseRequest, SuspicionReport  # noqa: E402
-from badgerbend.standin.acts import judge, message_of  # noqa: E402
 from badgerbend.standin.client import Client  # noqa: E402
+from badgerbend.standin.duty_audit import audit_duties, decode_datagram  # noqa: E402
 from badgerbend.standin.scene import DOUBTER, Scene, Stage  # noqa: E402
 
 QUERY = "{ fullQuote(blocks: [0], amount: 5) { id } }"
@@ -76,7 +76,7 @@
         took = time.monotonic() - t0
         used = {pid: (cpu_s(pid) - cpu) / took for pid, cpu in before.items()}
         lines, name = stage.lines[first:], stage.leader()
-        said = [(r, message_of(r["data"])) for r in lines if r["from"] != DOUBTER]
+        said = [(r, decode_datagram(r["data"])) for r in lines if r["from"] != DOUBTER]
         return {
             "brokers": brokers,
             "started_s": started,
@@ -88,7 +88,7 @@
             "doubts_s": sum(isinstance(m, SuspicionReport) for _, m in said) / took,
             "doubting": len({r["from"] for r, m in said if isinstance(m, SuspicionReport)}),
             "probes_s": sum(t >= t0 * 1000.0 for t in probes) / took,
-            "wrong": sum(len(f.cases) for f in judge(stage.lines).findings),
+            "wrong": sum(len(f.cases) for f in audit_duties(stage.lines).findings),
         }
     finally:
         await stage.stop()
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -27,8 +27,8 @@
 from badgerbend.config import decode
 from badgerbend.config.reading import load
 from badgerbend.config.settings import Snapshot
-from badgerbend.standin.acts import judge
 from badgerbend.standin.client import Client
+from badgerbend.standin.duty_audit import audit_duties
 from badgerbend.standin.fault_proxy import free_port
 from badgerbend.standin.processes import BrokerProcess
 from badgerbend.standin.scene import DOUBTER, RATES, Scene, Stage
@@ -195,7 +195,7 @@
     finally:
         ends = await stage.stop()
     learned = await take_up_snapshot(old, folder)
-    judged = judge(stage.lines)
+    judged = audit_duties(stage.lines)
     broken = [(finding.name, len(finding.cases)) for finding in judged.findings if finding.cases]
     print(f"hand-overs and leads: {seen}")
     print(f"each store read by the version that did not write it; holdings: {len(judged.holdings)}; ends: {ends}")
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -106,7 +106,7 @@
     "leases/voter_output.py",
     "leases/voter_selection.py",
     "lease_service/wire.py",
-    "standin/acts.py",
+    "standin/duty_audit.py",
     "feed/commands.py",
     "feed/configuration.py",
     "feed/control.py",
--- a/tests/test_budget_exchange.py
+++ b/tests/test_budget_exchange.py
@@ -7,8 +7,8 @@
 from badgerbend.lease_service.budget_exchange import SLOW_START_DUTY
 from badgerbend.leases.messages import BudgetDemand, BudgetGrant, BudgetReply, BudgetRequest
 from badgerbend.net.seal import HEADER, MAC_BYTES
-from badgerbend.standin.acts import judge_deals, message_of
 from badgerbend.standin.client import Client
+from badgerbend.standin.duty_audit import audit_budgets, decode_datagram
 from badgerbend.standin.scene import Scene
 from tests.sockets import until
 from tests.test_duty_failover import play
@@ -18,7 +18,7 @@
 
 def grants(stage, since):
     """Replies with grants: sender, receiver and message."""
-    found = [(r, message_of(r["data"])) for r in stage.lines[since:] if r["k"] == "passed"]
+    found = [(r, decode_datagram(r["data"])) for r in stage.lines[since:] if r["k"] == "passed"]
     return [(str(r["from"]), str(r["to"]), m) for r, m in found if isinstance(m, BudgetReply) and m.grants]
 
 
@@ -26,7 +26,7 @@
     """A broker's own rate for each resource, as last reported."""
     rates = {}
     for row in stage.lines:
-        message = message_of(row["data"]) if row["from"] == name else None
+        message = decode_datagram(row["data"]) if row["from"] == name else None
         if isinstance(message, BudgetRequest):
             rates |= {demand.resource: demand.own_rate for demand in message.demands}
     return rates
@@ -105,7 +105,7 @@
         await until(lambda: any(r["from"] == allocator for r in stage.lines[since:]))
         await until_large_grant()
         await traffic.stop()
-        seen.update(outcomes=traffic.outcomes, finding=judge_deals(stage.lines, 1000.0))
+        seen.update(outcomes=traffic.outcomes, finding=audit_budgets(stage.lines, 1000.0))
 
     judged, _ = play(tmp_path, main, Scene(seconds=1.0, brokers=4, voters=3, drift=0.01))
     finding = seen["finding"]
@@ -137,9 +137,9 @@
             line(10.0, "d", "b1", BudgetReply("d", SLOW_START_DUTY, 4, 1, (BudgetGrant("s", 1.0, rate),))),
         ]
 
-    assert judge_deals(lines(1.0), 1000.0).cases == []
-    assert len(judge_deals(lines(1.5), 1000.0).cases) == 1
+    assert audit_budgets(lines(1.0), 1000.0).cases == []
+    assert len(audit_budgets(lines(1.5), 1000.0).cases) == 1
     less = line(9.0, "d", "b0", BudgetReply("d", SLOW_START_DUTY, 4, 1, (BudgetGrant("s", 1.0, 0.5),)))
-    assert judge_deals([*lines(1.5), less], 1000.0).cases == []  # another may use what one gave up
+    assert audit_budgets([*lines(1.5), less], 1000.0).cases == []  # another may use what one gave up
     late = line(5000.0, "d", "b2", BudgetReply("d", SLOW_START_DUTY, 4, 1, (BudgetGrant("s", 1.0, 9.0),)))
-    assert judge_deals([*lines(1.0), late], 1000.0).cases == []  # expired before it arrived
+    assert audit_budgets([*lines(1.0), late], 1000.0).cases == []  # expired before it arrived
--- a/tests/test_duty_failover.py
+++ b/tests/test_duty_failover.py
@@ -10,7 +10,7 @@
 from badgerbend.net.fetch import fetch
 from badgerbend.net.seal import DatagramSealer
 from badgerbend.net.udp import sender_id
-from badgerbend.standin.acts import judge, message_of
+from badgerbend.standin.duty_audit import audit_duties, decode_datagram
 from badgerbend.standin.scene import Scene, Stage
 from tests.sockets import until
 
@@ -26,7 +26,7 @@
                 await main(stage)
             finally:
                 ends = await stage.stop()
-            return judge(stage.lines), ends
+            return audit_duties(stage.lines), ends
 
     judged, ends = uvloop.run(staged())
     assert [(f.name, f.cases) for f in judged.findings if f.cases] == []
@@ -40,14 +40,14 @@
 
 def told_to_hold(stage, name):
     """Whether a leader's last word to a broker said that it holds the lease of probing."""
-    messages = (message_of(r["data"]) for r in reversed(stage.lines) if r["to"] == name and r["k"] == "passed")
+    messages = (decode_datagram(r["data"]) for r in reversed(stage.lines) if r["to"] == name and r["k"] == "passed")
     leases = (lease for m in messages if isinstance(m, LeaseReply) and m.is_leader for lease in m.leases)
     return next((lease.holder == name for lease in leases if lease.duty == "probe"), False)
 
 
 def gave_back(stage, name, since):
     """Whether a broker has told all other voters that it departs, and that it returns its lease of probing."""
-    messages = ((r["to"], message_of(r["data"])) for r in stage.lines[since:] if r["from"] == name)
+    messages = ((r["to"], decode_datagram(r["data"])) for r in stage.lines[since:] if r["from"] == name)
     returns = ((to, m) for to, m in messages if isinstance(m, LeaseReturn) and m.is_departing)
     notified = {to for to, message in returns if "probe" in {lease.duty for lease in message.returned_leases}}
     return notified >= set(stage.voters) - {name}
@@ -103,7 +103,7 @@
         await stage.processes[leader].killed()
 
         def leads(since):
-            found = [message_of(r["data"]) for r in stage.lines[since:] if r["k"] == "passed"]
+            found = [decode_datagram(r["data"]) for r in stage.lines[since:] if r["k"] == "passed"]
             return {m.source for m in found if isinstance(m, LeaseReply) and m.is_leader}
 
         since = len(stage.lines)
