--- a/badgerbend/cli.py
+++ b/badgerbend/cli.py
@@ -295,23 +295,23 @@
         scene = load_scene(file)
     except SettingsError as err:
         exit_with_error(str(err), BAD_SETTINGS)
-    played = uvloop.run(play(scene, keep))
+    result = uvloop.run(play(scene, keep))
     console = Console(width=110)
     shown = Table(title=f"{file}: {scene.seconds:g} s, {scene.brokers} brokers, {scene.voters} voters (loopback)")
     for heading in ("duty", "epoch", "holder", "first act, s", "last", "acts", "stale"):
         shown.add_column(heading)
-    for row in format_rows(played.audit.holdings, played.began):
+    for row in format_rows(result.audit.holdings, result.began):
         shown.add_row(*row)
     console.print(shown)
-    for number, (at, what) in enumerate(played.marks):
-        gap = played.after(number, GAP_S)
-        console.print(f"{(at - played.began) / 1000:6.2f} s {what}: no act for {gap:.0f} ms within {GAP_S:g} s")
-    broken = [f"{f.name}: {case}" for f in played.audit.findings for case in f.cases]
+    for number, (at, what) in enumerate(result.events):
+        gap = result.longest_gap_ms(number, GAP_S)
+        console.print(f"{(at - result.began) / 1000:6.2f} s {what}: no act for {gap:.0f} ms within {GAP_S:g} s")
+    broken = [f"{f.name}: {case}" for f in result.audit.findings for case in f.cases]
     for line in broken:
         console.print(line, highlight=False)
     if report is not None:
-        report.write_text(json.dumps(played.as_json(), indent=2) + "\n", encoding="utf-8")
-    print(f"rules broken: {sum(1 for f in played.audit.findings if f.cases)} of {len(played.audit.findings)}")
+        report.write_text(json.dumps(result.as_json(), indent=2) + "\n", encoding="utf-8")
+    print(f"rules broken: {sum(1 for f in result.audit.findings if f.cases)} of {len(result.audit.findings)}")
     raise typer.Exit(1 if broken else 0)
 
 
--- a/badgerbend/standin/agent.py
+++ b/badgerbend/standin/agent.py
@@ -20,8 +20,8 @@
         self.rev = 0
         self.members: dict[str, dict[str, Any]] = {}
         self.changes: list[tuple[int, dict[str, Any]]] = []
-        self.waiting: list[tuple[Exchange, int]] = []
-        self.asked: list[str] = []
+        self.watches: list[tuple[Exchange, int]] = []
+        self.requests: list[str] = []
         self.silent = False
         self.answer: bytes | None = None
         self.delay_s = 0.0
@@ -50,17 +50,17 @@
         else:
             self.members[uid] = row
         self.changes.append((self.rev, row))
-        for exchange, since in self.waiting:
+        for exchange, since in self.watches:
             self._tell(exchange, since)
-        self.waiting = []
+        self.watches = []
         return row
 
-    def whole(self) -> dict[str, Any]:
+    def full_list(self) -> dict[str, Any]:
         return {"rev": self.rev, "all": True, "targets": list(self.members.values())}
 
     def _handle(self, exchange: Exchange) -> None:
         target = exchange.target.decode()
-        self.asked.append(target)
+        self.requests.append(target)
         if self.silent:
             return
         if self.delay_s:
@@ -75,18 +75,18 @@
         query = parse_qs(urlsplit(target).query)
         since = query.get("since")
         if since is None:
-            exchange.respond(200, msgspec.json.encode(self.whole()), b"application/json")
+            exchange.respond(200, msgspec.json.encode(self.full_list()), b"application/json")
         elif int(since[0]) < self.rev:
             self._tell(exchange, int(since[0]))
         else:
-            self.waiting.append((exchange, int(since[0])))
+            self.watches.append((exchange, int(since[0])))
             wait_s = int(query["timeout_ms"][0]) / 1000.0
             asyncio.get_running_loop().call_later(wait_s, self._nothing, exchange)
 
     def _nothing(self, exchange: Exchange) -> None:
-        for pair in self.waiting:
+        for pair in self.watches:
             if pair[0] is exchange:
-                self.waiting.remove(pair)
+                self.watches.remove(pair)
                 self._tell(*pair)
                 return
 
--- a/badgerbend/standin/day.py
+++ b/badgerbend/standin/day.py
@@ -24,9 +24,9 @@
 from badgerbend.config.settings import Settings
 from badgerbend.net.fetch import fetch
 from badgerbend.standin.audit import Facts, Finding, Line, audit
-from badgerbend.standin.bysite import Second, seconds
-from badgerbend.standin.processes import until_ready
+from badgerbend.standin.processes import wait_until_ready
 from badgerbend.standin.registry import Entry, Registry
+from badgerbend.standin.site_timeline import Second, seconds
 from badgerbend.standin.traffic import Asker, Flow
 from badgerbend.standin.troubles import KINDS, Trouble
 from badgerbend.standin.work import Model
@@ -210,7 +210,7 @@
             self.brokers[index] = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", *program, stderr=log, stdout=log
             )
-        await until_ready(self.ports[index])
+        await wait_until_ready(self.ports[index])
 
     async def restart_broker(self, index: int, after_s: float) -> None:
         process = self.brokers[index]
--- a/badgerbend/standin/fleet.py
+++ b/badgerbend/standin/fleet.py
@@ -63,7 +63,7 @@
             for name, value in command["faults"].items():
                 setattr(server.faults, name, frozenset(value) if name == "bad_for" else value)
         case "slower":
-            server.machine.slower = command["by"]
+            server.machine.slowdown = command["by"]
         case "pause":
             server.faults.pause_until = server.now() + command["ms"]
         case "poison":
--- a/badgerbend/standin/network.py
+++ b/badgerbend/standin/network.py
@@ -18,18 +18,18 @@
     At equal times datagrams arrive before members tick, and members tick in the order of their names.
     """
 
-    member_kind: type[Swim] = Swim
+    member_class: type[Swim] = Swim
 
     def __init__(self, seed: int, tuning: SwimConfig = SwimConfig()) -> None:  # noqa: B008 - frozen
         self.rng, self.tuning = random.Random(seed), tuning
         self.now = 0.0
         self.members: dict[str, Swim] = {}
-        self.sides: dict[str, int] = {}  # partitions: members of different sides do not hear each other
+        self.partitions: dict[str, int] = {}  # partitions: members of different sides do not hear each other
         self.loss = self.duplicates = self.corruption = 0.0
         self.delay = (0.001, 0.01)
         self.sent = self.bytes = 0
         self.events: list[tuple[float, str, MemberChanged]] = []
-        self._flying: list[tuple[float, int, str, bytes, Address]] = []
+        self._in_flight: list[tuple[float, int, str, bytes, Address]] = []
         self._wakeups: list[tuple[float, str]] = []  # a heap; an entry is stale where its member wakes at another time
         self._wakes_at: dict[str, float] = {}  # the newest entry of each member
         self._order = count()
@@ -41,9 +41,9 @@
     def start(self, name: str, seeds: tuple[str, ...] = ()) -> Swim:
         """A member begins, or begins again in a new life."""
         life = next(self._incarnations) * 1000
-        member = self.member_kind(name, self.address(name), life, "", self.tuning, self.rng.getrandbits(32))
+        member = self.member_class(name, self.address(name), life, "", self.tuning, self.rng.getrandbits(32))
         self.members[name] = member
-        self.sides.setdefault(name, 0)
+        self.partitions.setdefault(name, 0)
         member.join(self.now, tuple(self.address(s) for s in seeds))
         self._collect(name)
         return member
@@ -63,7 +63,7 @@
             self._schedule(name)
         while True:
             wakeup = self._next_wakeup()
-            arrival = self._flying[0][0] if self._flying else math.inf
+            arrival = self._in_flight[0][0] if self._in_flight else math.inf
             at = min(wakeup, arrival)
             if until is not None and at >= look:
                 look = max(at, self.now) + self.tuning.probe_interval_s / 20
@@ -103,9 +103,9 @@
         return name
 
     def _deliver(self) -> None:
-        _, _, name, data, source = heapq.heappop(self._flying)
+        _, _, name, data, source = heapq.heappop(self._in_flight)
         member = self.members.get(name)
-        if member is not None and self.sides[name] == self.sides.get(source[0], 0):
+        if member is not None and self.partitions[name] == self.partitions.get(source[0], 0):
             member.receive(self.now, data, source)
             self._collect(name)
 
@@ -131,13 +131,13 @@
                     place = self.rng.randrange(len(data))
                     payload = data[:place] + bytes([self.rng.randrange(256)]) + data[place + 1 :]
                 at = self.now + self.rng.uniform(*self.delay)
-                heapq.heappush(self._flying, (at, next(self._order), to, payload, self.address(name)))
+                heapq.heappush(self._in_flight, (at, next(self._order), to, payload, self.address(name)))
 
     def views(self) -> dict[str, dict[str, MemberState]]:
         """What each live member holds of all others."""
         return {n: {m.name: m.state for m in s.members.values()} for n, s in self.members.items()}
 
-    def agreed(self) -> bool:
+    def has_converged(self) -> bool:
         """Whether each live member holds exactly the live members alive."""
         live = set(self.members)
         return all(
--- a/badgerbend/standin/processes.py
+++ b/badgerbend/standin/processes.py
@@ -16,7 +16,7 @@
 STOP_S = 15.0
 
 
-async def until_ready(port: int) -> None:
+async def wait_until_ready(port: int) -> None:
     """Until the broker at this port serves. Raises TimeoutError."""
     async with asyncio.timeout(READY_S):
         while True:
@@ -40,7 +40,7 @@
     async def start(self) -> None:
         """Starts it, and waits until it serves. Raises TimeoutError."""
         await self.launch()
-        await until_ready(self.settings.listen.port)
+        await wait_until_ready(self.settings.listen.port)
 
     async def launch(self) -> None:
         self.conf.write_text(f"(broker\n{decode.show(self.settings, 1)}\n)\n", encoding="utf-8")
@@ -59,12 +59,12 @@
             if self.process is not None:
                 self.process.send_signal(number)
 
-    async def killed(self) -> None:
+    async def kill(self) -> None:
         self.send(signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
 
-    async def ended(self) -> int:
+    async def terminate(self) -> int:
         """Tells it to end and waits; kills it where it does not."""
         self.send(signal.SIGCONT)
         self.send(signal.SIGTERM)
@@ -72,5 +72,5 @@
         try:
             return await asyncio.wait_for(self.process.wait(), STOP_S)
         except TimeoutError:
-            await self.killed()
+            await self.kill()
             return -signal.SIGKILL
--- a/badgerbend/standin/registry.py
+++ b/badgerbend/standin/registry.py
@@ -69,7 +69,7 @@
             timer.cancel()
             self._answer(exchange)
 
-    def cut(self, down: bool) -> None:
+    def set_down(self, down: bool) -> None:
         """Out of reach, or back."""
         self.down = down
         if down:
--- a/badgerbend/standin/scene.py
+++ b/badgerbend/standin/scene.py
@@ -37,7 +37,7 @@
 from badgerbend.wal.store import create_store
 
 RATES = Path(__file__).parent / "rates" / "broker.conf"
-DOUBTER = "doubter"
+REPORTER = "doubter"
 STARTING = 16  # processes that start at once: hundreds would wait for each other longer than one may take
 KEY = b"the key of a scene and of nothing else\n"
 Who = Literal["holder", "leader", "follower", "voter", "other", "all"]
@@ -72,16 +72,16 @@
 
 
 @dataclass(slots=True)
-class Played:
+class SceneResult:
     audit: DutyAudit
     lines: list[Line]
     began: float  # ms of the rig's clock
-    marks: list[tuple[float, str]]  # what was done, and when
-    ends: list[int]  # statuses of the brokers
+    events: list[tuple[float, str]]  # what was done, and when
+    exit_statuses: list[int]  # statuses of the brokers
 
-    def after(self, mark: int, until_s: float) -> float:
+    def longest_gap_ms(self, event_index: int, until_s: float) -> float:
         """The longest time in ms without an act that took effect, within so many seconds of what was done as that."""
-        t = self.marks[mark][0]
+        t = self.events[event_index][0]
         return self.audit.gaps(t, t + until_s * 1000.0)[0][0]
 
     def as_json(self) -> dict[str, Any]:
@@ -100,10 +100,10 @@
                 for h in self.audit.holdings
             ],
             "events": [
-                {"at_s": round((at - self.began) / 1000, 3), "what": what, "gap_ms": round(self.after(n, 6.0))}
-                for n, (at, what) in enumerate(self.marks)
+                {"at_s": round((at - self.began) / 1000, 3), "what": what, "gap_ms": round(self.longest_gap_ms(n, 6.0))}
+                for n, (at, what) in enumerate(self.events)
             ],
-            "ends": self.ends,
+            "ends": self.exit_statuses,
         }
 
 
@@ -112,12 +112,12 @@
     return decode.decode(Scene, only_form(read_text(path), str(path), "scene"), str(path), "scene")
 
 
-class _Doubter(SealedSocket):
+class _SuspicionReporter(SealedSocket):
     """Doubts the same servers again and again, to every broker: whoever holds the duty heeds it."""
 
     def __init__(self, brokers: dict[str, Address], servers: tuple[str, ...], duty: str) -> None:
         super().__init__(DatagramSealer((KEY.strip(),), int(time.time() * 1000)))
-        self.brokers, self.act = brokers, wire.encode_peer_message(SuspicionReport(DOUBTER, duty, servers))
+        self.brokers, self.act = brokers, wire.encode_peer_message(SuspicionReport(REPORTER, duty, servers))
         self.heard = asyncio.Event()
 
     def body(self, body: bytes, source: Address) -> None:
@@ -137,7 +137,7 @@
         self.scene, self.folder = scene, folder
         self.rng = random.Random(scene.seed)
         self.lines: list[Line] = []
-        self.marks: list[tuple[float, str]] = []
+        self.events: list[tuple[float, str]] = []
         self.names = [f"broker-{i}" for i in range(scene.brokers)]
         self.voters = self.names[: scene.voters]
         self.processes: dict[str, BrokerProcess] = {}
@@ -147,7 +147,7 @@
         self.duties = duties
         base = load(RATES)
         self.world = World(base.layout.shards, base.layout.cells, base.layout.reach, scene.seed, lambda line: None)
-        self.doubter: _Doubter | None = None
+        self.reporter: _SuspicionReporter | None = None
         self.task: asyncio.Future[None] | None = None
 
     async def start(self) -> None:
@@ -191,13 +191,13 @@
 
         await asyncio.gather(*(up(p) for p in self.processes.values()))
         brokers = {name: parse_address(at) for name, at in self.advertised.items()}
-        self.doubter = _Doubter(brokers, tuple(self.world.servers), "probe")
+        self.reporter = _SuspicionReporter(brokers, tuple(self.world.servers), "probe")
         port = free_port(socket.SOCK_DGRAM)
-        await self.doubter.open("127.0.0.1", port)
-        self.doubter.own_address = parse_address(await self.proxy.add(DOUBTER, port))
-        self.task = asyncio.ensure_future(self.doubter.run())
+        await self.reporter.open("127.0.0.1", port)
+        self.reporter.own_address = parse_address(await self.proxy.add(REPORTER, port))
+        self.task = asyncio.ensure_future(self.reporter.run())
         async with asyncio.timeout(30.0):  # the first act: there is a holder
-            await self.doubter.heard.wait()
+            await self.reporter.heard.wait()
 
     # -- who is who, from what passed
     def who(self, who: Who) -> list[str]:
@@ -218,7 +218,7 @@
                 return list(self.names)
 
     def holder(self) -> str:
-        return next((str(r["from"]) for r in reversed(self.lines) if r["to"] == DOUBTER), self.names[0])
+        return next((str(r["from"]) for r in reversed(self.lines) if r["to"] == REPORTER), self.names[0])
 
     def leader(self) -> str:
         for row in reversed(self.lines):
@@ -231,20 +231,20 @@
     async def event(self, event: Event) -> None:
         await asyncio.sleep(event.at)
         names = self.who(event.who)
-        self.marks.append((time.monotonic() * 1000.0, f"{event.do} {' '.join(names)}"))
+        self.events.append((time.monotonic() * 1000.0, f"{event.do} {' '.join(names)}"))
         if event.do == "restart":
             for name in names:  # a rolling one
-                await self.processes[name].ended()
+                await self.processes[name].terminate()
                 await self.processes[name].start()
             return
         await asyncio.gather(*(self._do(event, name) for name in names))
 
     async def _do(self, event: Event, name: str) -> None:
-        process, others = self.processes[name], [n for n in (*self.names, DOUBTER) if n != name]
+        process, others = self.processes[name], [n for n in (*self.names, REPORTER) if n != name]
         match event.do:
             case "kill" | "end":
                 self.down.add(name)
-                await (process.killed() if event.do == "kill" else process.ended())
+                await (process.kill() if event.do == "kill" else process.terminate())
                 await asyncio.sleep(event.for_)
                 await process.start()
                 self.down.discard(name)
@@ -268,15 +268,15 @@
     async def stop(self) -> list[int]:
         if self.task is not None:  # else it did not come so far
             self.task.cancel()
-        ends = await asyncio.gather(*(p.ended() for p in self.processes.values() if p.process is not None))
+        ends = await asyncio.gather(*(p.terminate() for p in self.processes.values() if p.process is not None))
         await self.world.close()
-        if self.doubter is not None:
-            self.doubter.close_socket()
+        if self.reporter is not None:
+            self.reporter.close_socket()
         self.proxy.close()
         return list(ends)
 
 
-async def play(scene: Scene, keep: Path | None = None, **duties: Any) -> Played:
+async def play(scene: Scene, keep: Path | None = None, **duties: Any) -> SceneResult:
     """Plays a scene and judges it. keep: a folder for stores, settings and logs. duties: settings of theirs."""
     with contextlib.ExitStack() as stack:
         folder = keep or Path(stack.enter_context(tempfile.TemporaryDirectory()))
@@ -294,4 +294,4 @@
                     raise outcome
         finally:
             ends = await stage.stop()
-        return Played(audit_duties(stage.lines), stage.lines, began, stage.marks, ends)
+        return SceneResult(audit_duties(stage.lines), stage.lines, began, stage.events, ends)
--- a/badgerbend/standin/bysite.py
+++ b/badgerbend/standin/site_timeline.py
@@ -93,11 +93,11 @@
                 second.served += worth(cls, state, line["t"] - ask["t"], share)
     _rooms(out, lines, settings, model, zones, names, began)
     for second, want in zip(out, wants, strict=True):
-        second.best = best(want, sum(s.room for s in second.sites.values()))
+        second.best = max_worth(want, sum(s.room for s in second.sites.values()))
     return out
 
 
-def best(wants: Mapping[float, float], room: float) -> float:
+def max_worth(wants: Mapping[float, float], room: float) -> float:
     """What `room` parts can earn at most of the parts wanted, by what one earns: the greatest first."""
     earned = 0.0
     for each in sorted(wants, reverse=True):
--- a/badgerbend/standin/troubles.py
+++ b/badgerbend/standin/troubles.py
@@ -232,9 +232,9 @@
 
 
 async def list_gone(scene: Scene, t: Trouble) -> None:
-    scene.registry.cut(True)
+    scene.registry.set_down(True)
     await asyncio.sleep(t.for_)
-    scene.registry.cut(False)
+    scene.registry.set_down(False)
 
 
 async def list_lies(scene: Scene, t: Trouble) -> None:
--- a/badgerbend/standin/work.py
+++ b/badgerbend/standin/work.py
@@ -43,7 +43,7 @@
     model: Model
     rng: random.Random
     started_ms: float | None = None
-    slower: float = 1.0
+    slowdown: float = 1.0
     busy: int = 0
     waiting: deque[Job] = field(default_factory=deque)
     pressure: deque[tuple[float, float]] = field(default_factory=deque)
@@ -86,7 +86,7 @@
 
     def lasts(self, job: Job, now: float) -> float:
         """How long a job that starts now takes."""
-        return job.work_ms * self.slower / self.warmth(now)
+        return job.work_ms * self.slowdown / self.warmth(now)
 
     def leave(self, job: Job) -> Job | None:
         """A job ends or is called off; the next one that starts in its place, if any."""
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -17,7 +17,7 @@
 
 sys.path[:0] = [str(Path(__file__).parent.parent)]
 
-from badgerbend.standin.scene import Event, Played, Scene, load_scene, play  # noqa: E402
+from badgerbend.standin.scene import Event, Scene, SceneResult, load_scene, play  # noqa: E402
 
 ALL_FAULTS = Path(__file__).parent.parent / "examples" / "duties" / "all-faults.conf"
 KINDS = {  # name: what is done, to whom, for how many seconds
@@ -38,22 +38,22 @@
     return Scene(seconds=14.0, event=events, brokers=5, drift=0.01, seed=seed)
 
 
-def chart(played: Played, path: Path) -> None:
+def chart(result: SceneResult, path: Path) -> None:
     """Who acted when, and what was done to whom."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot as plt
 
-    names = sorted({h.holder for h in played.audit.holdings})
+    names = sorted({h.holder for h in result.audit.holdings})
     figure, axis = plt.subplots(figsize=(10, 3))
-    for h in played.audit.holdings:
-        first, last = ((t - played.began) / 1000 for t in (h.first, h.last))
+    for h in result.audit.holdings:
+        first, last = ((t - result.began) / 1000 for t in (h.first, h.last))
         axis.barh(names.index(h.holder), max(last - first, 0.05), left=first, height=0.6)
         axis.text(first, names.index(h.holder) + 0.35, f"{h.epoch}", fontsize=7)
-    for at, what in played.marks:
-        axis.axvline((at - played.began) / 1000, color="0.6", lw=0.6)
-        axis.text((at - played.began) / 1000, len(names) - 0.4, what, fontsize=6, rotation=25)
+    for at, what in result.events:
+        axis.axvline((at - result.began) / 1000, color="0.6", lw=0.6)
+        axis.text((at - result.began) / 1000, len(names) - 0.4, what, fontsize=6, rotation=25)
     axis.set_yticks(range(len(names)), names)
     axis.set_xlabel("s; bars: acts under one epoch, its number above")
     figure.tight_layout()
@@ -72,19 +72,19 @@
     for kind in args.kinds.split(","):
         gaps, acts, wrong, began = list[float](), 0, 0, time.monotonic()
         for seed in range(args.runs):
-            played = uvloop.run(play(scene_of(kind, seed)))
-            gaps += [played.after(n, 6.0) for n in range(len(played.marks))]
-            acts += sum(h.acts for h in played.audit.holdings)
-            wrong += sum(len(f.cases) for f in played.audit.findings)
+            result = uvloop.run(play(scene_of(kind, seed)))
+            gaps += [result.longest_gap_ms(n, 6.0) for n in range(len(result.events))]
+            acts += sum(h.acts for h in result.audit.holdings)
+            wrong += sum(len(f.cases) for f in result.audit.findings)
             runs += 1
         broken += wrong
         spread = f"{statistics.median(gaps):.0f} ({min(gaps):.0f} to {max(gaps):.0f})"
         print(f"| {kind} | {args.runs} | {spread} | {acts} | {wrong} |", flush=True)
         print(f"{kind}: {time.monotonic() - began:.0f} s", file=sys.stderr)
     if args.chart is not None:
-        played = uvloop.run(play(load_scene(ALL_FAULTS)))
-        chart(played, args.chart)
-        broken += sum(len(f.cases) for f in played.audit.findings)
+        result = uvloop.run(play(load_scene(ALL_FAULTS)))
+        chart(result, args.chart)
+        broken += sum(len(f.cases) for f in result.audit.findings)
         runs += 1
     print(f"{runs} runs, {broken} acts or grants out of turn")
     return 1 if broken else 0
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -24,7 +24,7 @@
 from badgerbend.leases.messages import LeaseRequest, SuspicionReport  # noqa: E402
 from badgerbend.standin.client import Client  # noqa: E402
 from badgerbend.standin.duty_audit import audit_duties, decode_datagram  # noqa: E402
-from badgerbend.standin.scene import DOUBTER, Scene, Stage  # noqa: E402
+from badgerbend.standin.scene import REPORTER, Scene, Stage  # noqa: E402
 
 QUERY = "{ fullQuote(blocks: [0], amount: 5) { id } }"
 ASKED = 40  # queries a broker: enough that it knows what is usual
@@ -63,7 +63,7 @@
         await stage.start()
         started = time.monotonic() - began
         stage.task.cancel()  # brokers doubt by themselves here
-        stage.world.servers["rates-0"].machine.slower = SLOWER
+        stage.world.servers["rates-0"].machine.slowdown = SLOWER
         ports = [p.settings.listen.port for p in stage.processes.values()]
         for i in range(0, len(ports), 20):
             await asyncio.gather(*(ask(port) for port in ports[i : i + 20]))
@@ -76,7 +76,7 @@
         took = time.monotonic() - t0
         used = {pid: (cpu_s(pid) - cpu) / took for pid, cpu in before.items()}
         lines, name = stage.lines[first:], stage.leader()
-        said = [(r, decode_datagram(r["data"])) for r in lines if r["from"] != DOUBTER]
+        said = [(r, decode_datagram(r["data"])) for r in lines if r["from"] != REPORTER]
         return {
             "brokers": brokers,
             "started_s": started,
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -28,7 +28,7 @@
     for name in names:
         net.start(name, tuple(names[:3]))
     began = net.now
-    assert net.run(300, net.agreed), "they did not meet"
+    assert net.run(300, net.has_converged), "they did not meet"
     met = net.now - began
     net.run(20)
     net.loss = loss
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -31,7 +31,7 @@
 from badgerbend.standin.duty_audit import audit_duties
 from badgerbend.standin.fault_proxy import free_port
 from badgerbend.standin.processes import BrokerProcess
-from badgerbend.standin.scene import DOUBTER, RATES, Scene, Stage
+from badgerbend.standin.scene import RATES, REPORTER, Scene, Stage
 from badgerbend.standin.work import Model
 from badgerbend.standin.world import World
 
@@ -90,7 +90,7 @@
 
     def acted_since(self, name: str, since: int) -> bool:
         """Whether an act of this broker arrived after that line of the record."""
-        return any(row["from"] == name and row["k"] == "passed" and row["to"] == DOUBTER for row in self.lines[since:])
+        return any(row["from"] == name and row["k"] == "passed" and row["to"] == REPORTER for row in self.lines[since:])
 
     async def another_acts(self, old: str) -> str:
         """Waits for an act of another broker; which one."""
@@ -113,7 +113,7 @@
         holder = stage.holder()
         leader = stage.leader()
         seen["old led" if leader == "broker-0" else "new led"] += 1
-        ending = asyncio.ensure_future(stage.processes[holder].ended())
+        ending = asyncio.ensure_future(stage.processes[holder].terminate())
         after = await stage.another_acts(holder)
         if await ending != 0:
             raise RuntimeError(f"{holder} ended with a failure")
@@ -130,7 +130,7 @@
 async def swap_versions(stage: MixedStage, old: Path) -> None:
     """Ends all processes, starts each voter's store under the other version and waits for an act."""
     for name in stage.names:
-        await stage.processes[name].ended()
+        await stage.processes[name].terminate()
     for name in stage.names:
         process = stage.processes[name]
         assert isinstance(process, VersionedProcess)
@@ -160,13 +160,13 @@
         for block in range(base.layout.shards):
             await client.query(f"{{ fullQuote(blocks: [{block}], amount: 5) {{ id }} }}")
         client.close()
-        if await process.ended() != 0:
+        if await process.terminate() != 0:
             raise RuntimeError("the broker that wrote the snapshot ended with a failure")
         process.checkout = HERE
         await process.start()
         return await servers_learned(settings.listen.port)
     finally:
-        await process.ended()
+        await process.terminate()
         await world.close()
 
 
--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -71,7 +71,7 @@
 
 
 class MeteredNetwork(Network):
-    member_kind = MeteredSwim
+    member_class = MeteredSwim
 
     def address(self, name: str) -> Address:
         return (name, PORT)
--- a/benchmarks/settle.py
+++ b/benchmarks/settle.py
@@ -102,7 +102,7 @@
     world = World(24, 12, 3, seed, lambda line: None)
     await world.start(SERVERS, 2, Model(part_ms=12.0, call_ms=1.0))
     for name in SLOW:
-        world.servers[name].machine.slower = 15.0
+        world.servers[name].machine.slowdown = 15.0
     key = folder / "key"
     key.write_bytes(b"a key of this measurement\n")
     base = load(CONF)
--- a/benchmarks/sites_simulated.py
+++ b/benchmarks/sites_simulated.py
@@ -27,7 +27,7 @@
 
 from badgerbend.sites.preference import LocalityPreference  # noqa: E402
 from badgerbend.standin.baseline import Priority, _Unlimited  # noqa: E402
-from badgerbend.standin.bysite import best  # noqa: E402
+from badgerbend.standin.site_timeline import max_worth  # noqa: E402
 
 LOST, BACK, END = 10, 25, 45
 WAYS = {
@@ -90,7 +90,7 @@
         out.append(
             {
                 "served": served[at],
-                "best": best(want, room),
+                "best": max_worth(want, room),
                 "needed": sum(want.values()),
                 "spilled": float(world.spilled_parts[1, at]),
                 "limit": world.spill_limit(1, at),
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -150,7 +150,7 @@
         self.nodes = {}
         for i in range(CELLS * self.each):
             await self.add(f"s{i}", i % CELLS)
-        file = file_of(self.agent_port, self.agent.whole() if self.known else None, **self.changes)
+        file = file_of(self.agent_port, self.agent.full_list() if self.known else None, **self.changes)
         for uid in self.drained:
             self.agent.put(uid, self.nodes[uid].port, self.nodes[uid].cell, "draining")
         self.config = replace(config.parse(file, {}), listen=("127.0.0.1", 0))
--- a/tests/test_crossings_signals.py
+++ b/tests/test_crossings_signals.py
@@ -120,12 +120,12 @@
         file = file_of(agent.http.address[1], listen=free_port(), settings={"obligations.drainGraceMs": 60_000.0})
         async with Started(tmp_path) as started:
             await started.tell(file)
-            await until(lambda: agent.asked)
+            await until(lambda: agent.requests)
             if before == "reload":  # twice, and each asks anew
                 for count in (2, 3):
                     started.process.send_signal(signal.SIGHUP)
                     await started.tell(file)
-                    await until(lambda count=count: len(agent.asked) == count)
+                    await until(lambda count=count: len(agent.requests) == count)
             started.process.send_signal(signal.SIGTERM)
             assert await started.ended() == 0
             lines = [msgspec.json.decode(line)["what"] for line in started.process.stderr]
@@ -169,7 +169,7 @@
         agent.silent = True
         for i in range(1024):
             agent.put(f"long-{i}", node.port, i % CELLS)
-        file = msgspec.json.format(file_of(agent.http.address[1], agent.whole(), listen=free_port()))
+        file = msgspec.json.format(file_of(agent.http.address[1], agent.full_list(), listen=free_port()))
         async with Started(tmp_path) as started:
             await started.tell(file)
             assert (await started.until_line("listening"))["servers"] == 1024 + CELLS
@@ -186,11 +186,11 @@
         agent, node = await surroundings()
         port = free_port()
         async with Started(tmp_path) as started:
-            await started.tell(file_of(agent.http.address[1], agent.whole(), listen=port, limits={"sockets": 128}))
+            await started.tell(file_of(agent.http.address[1], agent.full_list(), listen=port, limits={"sockets": 128}))
             await started.until_line("listening")
             resource.prlimit(started.process.pid, resource.RLIMIT_NOFILE, (128, 128))
-            await until(lambda: agent.waiting)
-            agent.silent, agent.waiting = True, []
+            await until(lambda: agent.watches)
+            agent.silent, agent.watches = True, []
             for connection in list(agent.http.connections):
                 connection.abort()  # discovery is down: the agent answers no more, and a new connection is needed
             idle = []
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -72,7 +72,7 @@
             first = [await asyncio.to_thread(process.stderr.readline) for _ in range(2)]
             assert all(line.startswith(b"{") for line in first), first  # otherwise an error in words, shown as it is
             assert [msgspec.json.decode(line)["what"] for line in first] == ["list", "listening"], first
-            await until(lambda: agent.waiting)  # the list was read, and is watched
+            await until(lambda: agent.watches)  # the list was read, and is watched
             body = query((1, 2, 3))
             head = (
                 b"POST /quote/abc HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: q1\r\nX-Service-Class: quote\r\n"
@@ -86,7 +86,7 @@
             pool.request(replaced(head, b"q1", b"q2") + body, done.set_result)
             assert (await done).status == 503
             process.send_signal(signal.SIGHUP)
-            await until(lambda: sum("since" not in path for path in agent.asked) == 2)
+            await until(lambda: sum("since" not in path for path in agent.requests) == 2)
             process.send_signal(signal.SIGTERM)
             assert await asyncio.to_thread(process.wait) == 0
             lines = [msgspec.json.decode(line) for line in process.stderr]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -187,12 +187,12 @@
             await until(lambda: node in module.endpoints.servers and module.endpoints.servers[node].ready)
             s.world.drain("rates-1")
             await until(lambda: node not in module.endpoints.servers or not module.endpoints.servers[node].ready)
-            s.world.registry.cut(True)
+            s.world.registry.set_down(True)
             await until(lambda: s.broker.watch.failures >= 2)
             _, answer, _ = await s.client.query(QUOTE)
             assert len(answer["data"]["fullQuote"]) == 4
             await s.world.restart("rates-1")
-            s.world.registry.cut(False)
+            s.world.registry.set_down(False)
             await until(lambda: node in module.endpoints.servers and module.endpoints.servers[node].ready)
             s.world.registry.extra = [None, {"Service": 3}]
             s.world.registry.changed()
@@ -217,12 +217,12 @@
 def test_a_broker_started_during_an_outage_of_the_list_recovers():
     async def main():
         async with BrokerFixture() as s:
-            s.world.registry.cut(True)
+            s.world.registry.set_down(True)
             other = Broker(s.settings, s.broker.front.subgraph)
             await other.start()
             await until(lambda: other.watch.failures)
             assert other.watch.refreshed_at is None
-            s.world.registry.cut(False)
+            s.world.registry.set_down(False)
             await until(lambda: other.watch.refreshed_at is not None)
             await other.stop()
 
--- a/tests/test_duty_failover.py
+++ b/tests/test_duty_failover.py
@@ -73,14 +73,14 @@
 
         old = new  # it is told to end: what it holds goes on at once, and not after its lease
         since = len(stage.lines)
-        ended = asyncio.ensure_future(stage.processes[old].ended())
+        ended = asyncio.ensure_future(stage.processes[old].terminate())
         new = await another_holds(stage, old)
         assert await ended == 0
         assert any(r["from"] == old and r["to"] in stage.voters for r in stage.lines[since:])
         await stage.processes[old].start()
 
         old = new
-        await stage.processes[old].killed()
+        await stage.processes[old].kill()
         new = await another_holds(stage, old)
         await stage.processes[old].start()
 
@@ -100,7 +100,7 @@
 def test_the_leader_goes_and_two_of_three_voters_and_the_duty_is_held_again(tmp_path):
     async def main(stage):
         leader = stage.leader()
-        await stage.processes[leader].killed()
+        await stage.processes[leader].kill()
 
         def leads(since):
             found = [decode_datagram(r["data"]) for r in stage.lines[since:] if r["k"] == "passed"]
@@ -111,7 +111,7 @@
         await stage.processes[leader].start()
         pair = [*[n for n in stage.voters if n != stage.leader()][:1], stage.leader()]
         holder = stage.holder()
-        await asyncio.gather(*(stage.processes[n].killed() for n in pair))
+        await asyncio.gather(*(stage.processes[n].kill() for n in pair))
         since = len(stage.lines)
         await until(lambda: sum(r["to"] in stage.voters for r in stage.lines[since:]) > 100)
         assert not leads(since)  # no majority: nobody is given anything, and whoever held has stopped or will
@@ -127,7 +127,7 @@
     async def main(stage):
         for name in stage.names:
             since, acted, held = len(stage.lines), stage.holder() == name, told_to_hold(stage, name)
-            assert await stage.processes[name].ended() == 0
+            assert await stage.processes[name].terminate() == 0
             if acted:  # back only once another acts: a leader elected a moment ago would choose it once more
                 await another_holds(stage, name)
                 assert gave_back(stage, name, since) or not held
@@ -139,7 +139,7 @@
         target, endpoint = stage.proxy.endpoints[name].real, stage.proxy.endpoints["doubter"].transport
         act = wire.encode_peer_message(ProbeReport("doubter", "probe", 1 << 40, ()))
         endpoint.sendto(
-            DatagramSealer((b"another key, not theirs",), 1).seal(act, sender_id(stage.doubter.own_address)), target
+            DatagramSealer((b"another key, not theirs",), 1).seal(act, sender_id(stage.reporter.own_address)), target
         )
         said = [r["data"] for r in stage.lines if (r["from"], r["to"]) == ("doubter", name)]
         endpoint.sendto(said[-1], target)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -201,8 +201,8 @@
     names = [f"b{number}" for number in range(8)]
     for name in names:
         network.start(name, tuple(names[:2]))
-    assert network.run(120, network.agreed)
-    network.sides = {name: number % 2 for number, name in enumerate(names)}
+    assert network.run(120, network.has_converged)
+    network.partitions = {name: number % 2 for number, name in enumerate(names)}
 
     def lowest(name):
         return min([name, *(member.name for member in network.members[name].live_members())])
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -36,42 +36,42 @@
 
 def test_members_find_each_other_through_one_seed():
     net, _ = cluster(12)
-    assert net.run(20, net.agreed)
+    assert net.run(20, net.has_converged)
 
 
 def test_a_seed_that_was_unreachable_is_found_while_the_other_seeds_are_dead():
     net, names = cluster(5)
-    net.sides["m0"] = 1
+    net.partitions["m0"] = 1
     net.run(1)
     for seed in names[:3]:
         net.crash(seed)
     net.run(60, lambda: all(view.get("m1") == MemberState.DEAD for view in net.views().values()))
-    net.sides["m0"] = 0
+    net.partitions["m0"] = 0
     net.start("m0", tuple(names[:3]))
-    assert net.run(60, net.agreed), net.views()
+    assert net.run(60, net.has_converged), net.views()
 
 
 def test_all_members_detect_a_crash_and_learn_of_a_leave_within_seconds():
     net, names = cluster(8)
-    assert net.run(20, net.agreed)
+    assert net.run(20, net.has_converged)
     net.crash("m3")
-    assert net.run(60, net.agreed)
+    assert net.run(60, net.has_converged)
     assert all(v["m3"] == MemberState.DEAD for v in net.views().values())
     net.leave("m5")
     left_at = net.now
-    assert net.run(10, net.agreed)
+    assert net.run(10, net.has_converged)
     assert net.now - left_at < 6
     assert all(v["m5"] == MemberState.LEFT for v in net.views().values())
 
 
 def test_a_restarted_member_has_a_new_incarnation():
     net, names = cluster(6)
-    assert net.run(20, net.agreed)
+    assert net.run(20, net.has_converged)
     previous = net.members["m1"].members["m4"].incarnation
     net.crash("m4")
     net.run(1.0)
     net.start("m4", ("m0",))
-    assert net.run(30, lambda: net.members["m1"].members["m4"].incarnation > previous and net.agreed())
+    assert net.run(30, lambda: net.members["m1"].members["m4"].incarnation > previous and net.has_converged())
 
 
 def test_members_agree_again_after_thirty_percent_loss():
@@ -81,26 +81,26 @@
     net.delay = (0.001, 0.2)
     net.run(120)
     net.loss = 0.0
-    assert net.run(60, net.agreed)
+    assert net.run(60, net.has_converged)
 
 
 def test_members_agree_again_after_a_partition():
     net, names = cluster(8)
-    assert net.run(20, net.agreed)
+    assert net.run(20, net.has_converged)
     for name in names[:4]:
-        net.sides[name] = 1
+        net.partitions[name] = 1
     net.run(90)
     views = net.views()
     assert all(views["m0"][n] == MemberState.DEAD for n in names[4:])
     assert all(views["m7"][n] == MemberState.DEAD for n in names[:4])
     for name in names:
-        net.sides[name] = 0
-    assert net.run(120, net.agreed)
+        net.partitions[name] = 0
+    assert net.run(120, net.has_converged)
 
 
 def test_a_false_death_is_refuted_by_a_greater_incarnation():
     net, names = cluster(5)
-    assert net.run(20, net.agreed)
+    assert net.run(20, net.has_converged)
     victim = net.members["m2"]
     before = victim.incarnation
     lie = MemberUpdate("m2", "m2", 1, MemberState.DEAD, before, "m0")
@@ -108,14 +108,14 @@
     for name in ("m1", "m3"):
         net.members[name].receive(net.now, encode(Sync(False, sender, (lie,))), ("m0", 1))
     assert net.views()["m1"]["m2"] == MemberState.DEAD
-    assert net.run(60, net.agreed)
+    assert net.run(60, net.has_converged)
     assert victim.incarnation > before
 
 
 def false_alarms(max_health_score):
     """Return how many suspicions and deaths of healthy members one with a bad connection causes in a minute."""
     net, _ = cluster(10, tuning=replace(QUICK, max_health_score=max_health_score))
-    assert net.run(20, net.agreed)
+    assert net.run(20, net.has_converged)
     lossy = net.members["m0"]
     rng = random.Random(4)
     receive = lossy.receive
@@ -125,7 +125,7 @@
     net.events.clear()
     net.run(60)
     lossy.receive = receive
-    assert net.run(120, net.agreed)
+    assert net.run(120, net.has_converged)
     states = [e.state for _, by, e in net.events if by != "m0" and e.name != "m0"]
     return states.count(MemberState.SUSPECT), states.count(MemberState.DEAD)
 
@@ -144,9 +144,9 @@
 
     def measure_datagrams():
         nonlocal biggest
-        for _, _, _, data, _ in net._flying:
+        for _, _, _, data, _ in net._in_flight:
             biggest = max(biggest, len(data))
-        return net.agreed()
+        return net.has_converged()
 
     assert net.run(120, measure_datagrams)
     assert 500 < biggest <= MAX_DATAGRAM_BYTES
@@ -222,7 +222,7 @@
 
     @rule(pick=st.integers(0, 99))
     def part(self, pick):
-        self.net.sides[self.names[pick % len(self.names)]] ^= 1
+        self.net.partitions[self.names[pick % len(self.names)]] ^= 1
 
     @invariant()
     def is_within_bounds(self):
@@ -237,12 +237,12 @@
         net.loss = 0.0
         net.delay = (0.001, 0.01)
         for name in self.names:
-            net.sides[name] = 0
+            net.partitions[name] = 0
         if not set(self.names[:3]) & set(
             net.members
         ):  # without a seed, members that do not know each other cannot meet
             net.start(self.names[0], tuple(self.names[:3]))
-        assert net.run(400, net.agreed), net.views()
+        assert net.run(400, net.has_converged), net.views()
 
 
 RandomSchedules.TestCase.settings = settings(
@@ -284,14 +284,14 @@
         seen = itertools.count()
 
         def collect_with_loss(name, net=net, seen=seen, lost=lost, collect=collect):
-            before = len(net._flying)
+            before = len(net._in_flight)
             collect(name)
-            if len(net._flying) > before:
+            if len(net._in_flight) > before:
                 n = next(seen)
                 if n < len(lost) and lost[n]:
-                    net._flying[:] = sorted(net._flying)[: len(net._flying) - 1]
+                    net._in_flight[:] = sorted(net._in_flight)[: len(net._in_flight) - 1]
 
         replace_attribute(net, "_collect", collect_with_loss)
         net.run(8)
         net._collect = collect
-        assert net.run(200, net.agreed), lost
+        assert net.run(200, net.has_converged), lost
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -85,7 +85,7 @@
     async def main():
         async with BrokerFixture() as s:
             for name in ("rates-2", "rates-7"):
-                s.world.servers[name].machine.slower = 25.0
+                s.world.servers[name].machine.slowdown = 25.0
             group = Brokers(s, keys / "key")
             first = [await group.add(i) for i in range(3)]
             await until(lambda: all(len(alive(b)) == 2 for b in first))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -494,7 +494,7 @@
 def test_a_changed_row_that_lacks_fields_still_takes_a_server_out_of_service(row):
     async def main():
         async with Stage() as s:
-            await until(lambda: s.agent.waiting)
+            await until(lambda: s.agent.watches)
             known, numbers = lambda: s.service.driver.module.endpoints.servers, {uid: s.number(uid) for uid in s.nodes}
             await until(lambda: len(known()) == len(numbers))
             s.agent.rev += 1
@@ -572,7 +572,7 @@
 def test_the_watch_continues_and_a_drained_node_receives_nothing_new():
     async def main():
         async with Stage(each=2) as s:
-            await until(lambda: s.agent.waiting)
+            await until(lambda: s.agent.watches)
             s.agent.put("s0", s.nodes["s0"].port, 0, "draining")
             await until(lambda: s.service.directory.servers["s0"].endpoint.state is api.EndpointState.DRAINING)
             for _ in range(10):
@@ -581,9 +581,9 @@
             assert s.nodes["s3"].parts()
             s.agent.put("s0", s.nodes["s0"].port, 0, "removed")
             await until(lambda: "s0" not in s.service.directory.servers)
-            whole = [path for path in s.agent.asked if "since" not in path]
+            whole = [path for path in s.agent.requests if "since" not in path]
             assert len(whole) == 1
-            assert s.agent.asked[1].startswith("/catalog/members?since=")
+            assert s.agent.requests[1].startswith("/catalog/members?since=")
 
     run(main)
 
@@ -597,8 +597,8 @@
             s.nodes["s0"] = node
             row = s.agent.put("s0", await node.start(), 0)
             s.agent.rev, s.agent.changes, s.agent.members = 0, [], {"s0": row}
-            await until(lambda: "s0" in s.service.directory.servers and s.agent.waiting)
-            assert s.agent.asked[-1].startswith("/catalog/members?since=0&")
+            await until(lambda: "s0" in s.service.directory.servers and s.agent.watches)
+            assert s.agent.requests[-1].startswith("/catalog/members?since=0&")
 
     run(main)
 
@@ -674,7 +674,7 @@
 def test_an_invalid_configuration_changes_nothing():
     async def main():
         async with Stage() as s:
-            await until(lambda: s.agent.waiting)
+            await until(lambda: s.agent.watches)
             s.service.reload(lambda: config.parse(b"{", {}))
             assert [v["kind"] for w, v in s.troubles if w == "trouble"] == ["configuration not taken"]
             s.agent.put("s0", s.nodes["s0"].port, 0, "draining")
@@ -745,10 +745,10 @@
                 "list",
                 "listening",
             ]  # the list is applied before clients are served
-            await until(lambda: agent.waiting)
+            await until(lambda: agent.watches)
             process.send_signal(signal.SIGHUP)
             await until(
-                lambda: sum("since" not in path for path in agent.asked) == 2
+                lambda: sum("since" not in path for path in agent.requests) == 2
             )  # the complete list was requested again
             process.send_signal(signal.SIGTERM)
             assert await asyncio.to_thread(process.wait) == 0
