--- a/tests/test_crossings_signals.py
+++ b/tests/test_crossings_signals.py
@@ -102,8 +102,8 @@
             await started.tell(file_of(new.http.address[1], listen=port))  # read by the reload
             await started.until_line("reloaded")
             await started.until_line("listening")
-            await until(lambda: new.waiting)
-            assert not old.waiting
+            await until(lambda: new.watches)
+            assert not old.watches
         for one in (node, other):
             one.stop()
         for agent in (old, new):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -661,7 +661,7 @@
             s.service.reload(lambda: config.parse(file_of(port), {}))
             await s.agent.close()
             assert len(s.service.directory.servers) == CELLS * 2
-            await until(lambda: other.waiting)
+            await until(lambda: other.watches)
             other.put("s0", s.nodes["s0"].port, 0, "draining")
             await until(lambda: s.service.directory.servers["s0"].endpoint.state is api.EndpointState.DRAINING)
             received_parts[0].served()
