--- a/badgerbend/feed/machine.py
+++ b/badgerbend/feed/machine.py
@@ -1,7 +1,8 @@
-"""The replicated state machine of the control machines: the log of publications beside the table of leases. Pure.
+"""The replicated state machine of the control machines: the log of publications and the table of leases.
 
-A publication is accepted only under the epoch of the current lease on `PUBLISH_LEASE`, and only as the next revision.
-A deposed publisher can therefore publish nothing more, however late its commands arrive. Every voter decides alike.
+A publication is accepted only under the epoch of the current `PUBLISH_LEASE`, and only as the next revision. Late
+commands of a publisher that has lost the lease therefore have no effect. All voters apply the same commands in the same
+order and reach the same decisions. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -18,20 +19,20 @@
 from badgerbend.feed.messages import Change, Checkpoint, Publication
 from badgerbend.leases.table import LeaseTable
 
-PUBLISH_LEASE = "publish"  # name of the lease whose holder publishes
+PUBLISH_LEASE = "publish"  # name of the publishing lease
 
 
 @dataclass(frozen=True, slots=True)
 class PublicationKey:
-    """Distinguishes the publications whose parts arrive."""
+    """Identifies the publication that a part belongs to."""
 
     epoch: int = 0
     revision: int = 0
     publication_id: bytes = b""
 
 
-class _Dump(msgspec.Struct, array_like=True):
-    """The stored state: a positional array, so that only the order of its fields matters."""
+class _StoredState(msgspec.Struct, array_like=True):
+    """The stored state, encoded as a positional array: the order of the fields is the format, not their names."""
 
     table: bytes
     checkpoint: Checkpoint
@@ -43,14 +44,14 @@
 
 
 class FeedStateMachine:
-    """A `consensus.types.StateMachine`; `on_log_change` is called after each change of the log of publications."""
+    """A `consensus.types.StateMachine` that calls `on_log_change` after each change of the log of publications."""
 
     def __init__(self, retention: Retention, on_log_change: Callable[[], None] = lambda: None) -> None:
         self.table = LeaseTable()
         self.log = PublicationLog(retention)
         self.on_log_change = on_log_change
-        self.last_error: FeedError | None = None  # why the last rejected publication was rejected
-        self._pending_key = PublicationKey()  # of the publication whose parts arrive
+        self.last_error: FeedError | None = None  # the reason for the last rejection of a publication
+        self._pending_key = PublicationKey()  # of the incomplete publication
         self._pending_parts: dict[int, bytes] = {}
 
     def apply(self, index: int, data: bytes) -> None:
@@ -59,23 +60,23 @@
         if part is None:
             self.table.apply(index, data)
         elif self.is_current_epoch(part.epoch):
-            self._add(part)
+            self._collect_part(part)
 
     def needs_part(self, command: bytes) -> bool:
-        """Whether a command is worth proposing: false for a part that is there already."""
+        """Whether a command has to be proposed; false for a part that has already been applied."""
         part = decode_part(command)
         if part is None:
             return True
-        return _key_of(part) != self._pending_key or part.part_index not in self._pending_parts
+        return _publication_key(part) != self._pending_key or part.part_index not in self._pending_parts
 
     def is_current_epoch(self, epoch: int) -> bool:
-        """Whether this is the epoch of a lease on publishing that is held now."""
+        """Whether this is the epoch of the publishing lease and the lease has a holder."""
         lease = self.table.lease(PUBLISH_LEASE)
         return bool(lease.holder) and lease.epoch == epoch
 
     def dump(self) -> bytes:
         """Encode the state for a snapshot of the replicated log."""
-        state = _Dump(
+        state = _StoredState(
             self.table.dump(),
             self.log.checkpoint,
             sorted(self.log.content.items()),
@@ -87,8 +88,8 @@
         return msgspec.msgpack.encode(state)
 
     def load(self, state: bytes) -> None:
-        """Replace the state. Raises msgspec.MsgspecError or DigestMismatchError for what `dump` never wrote."""
-        dump = msgspec.msgpack.decode(state, type=_Dump)
+        """Replace the state. Raises msgspec.MsgspecError or DigestMismatchError for invalid data."""
+        dump = msgspec.msgpack.decode(state, type=_StoredState)
         content = Content()
         content.apply(Change(key, value) for key, value in dump.entries)
         self.table.load(dump.table)
@@ -97,9 +98,9 @@
         self._pending_parts = dict(dump.pending_parts)
         self.on_log_change()
 
-    def _add(self, part: PublishPart) -> None:
-        """Collect parts in any order; a part of another publication discards those collected so far."""
-        key = _key_of(part)
+    def _collect_part(self, part: PublishPart) -> None:
+        """Collect parts in any order. A part of another publication discards the parts collected so far."""
+        key = _publication_key(part)
         if key != self._pending_key:
             self._pending_key = key
             self._pending_parts = {}
@@ -120,11 +121,11 @@
         self.on_log_change()
 
     def _check_position(self, part: PublishPart, publication: Publication) -> None:
-        """The epoch that was compared with the lease must be the signed one."""
+        """Check that the epoch that was compared with the lease is the signed one. Raises PartMismatchError."""
         checkpoint = publication.checkpoint
         if (checkpoint.epoch, checkpoint.revision) != (part.epoch, part.revision):
             raise PartMismatchError(part.epoch, part.revision)
 
 
-def _key_of(part: PublishPart) -> PublicationKey:
+def _publication_key(part: PublishPart) -> PublicationKey:
     return PublicationKey(part.epoch, part.revision, part.publication_id)
--- a/badgerbend/lease_service/http.py
+++ b/badgerbend/lease_service/http.py
@@ -1,4 +1,4 @@
-"""Leases over HTTP: `GET /duties` shows the status; `POST /duties/COMMAND` acts, for those who send the key."""
+"""Leases over HTTP: `GET /duties` returns the status; `POST /duties/COMMAND` with the key executes a command."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def handle_duties(service: LeaseService | None, exchange: Exchange, path: bytes) -> None:
-    """Answers a request for a path that begins with /duties."""
+    """Handles a request for a path that begins with /duties."""
     if service is None:
         exchange.respond(404, b"no duties are set\n", TEXT)
     elif path == STATUS_PATH:
--- a/badgerbend/standin/scene.py
+++ b/badgerbend/standin/scene.py
@@ -21,10 +21,10 @@
 import msgspec
 
 from badgerbend.config import decode
-from badgerbend.config.fleet import Duties, VoterAt
-from badgerbend.config.kinds import Count, CountOrNone, NotNegative, Positive
+from badgerbend.config.fleet import Duties, VoterEndpoint
 from badgerbend.config.reading import load, only_form, read_text
 from badgerbend.config.settings import Log, Settings
+from badgerbend.config.value_types import Count, CountOrZero, NonNegative, Positive
 from badgerbend.discovery.members import parse_address
 from badgerbend.lease_service import wire
 from badgerbend.leases.messages import LeaseReply, SuspicionReport
@@ -53,7 +53,7 @@
     """
 
     do: Do
-    at: NotNegative
+    at: NonNegative
     who: Who = "holder"
     for_: Positive = 3.0
     size: Positive = 100.0
@@ -66,8 +66,8 @@
     event: tuple[Event, ...] = ()
     brokers: Count = 5
     voters: Count = 3
-    drift: NotNegative = 0.0
-    seed: CountOrNone = 1
+    drift: NonNegative = 0.0
+    seed: CountOrZero = 1
 
     def __post_init__(self) -> None:
         if self.voters > self.brokers:
@@ -166,7 +166,7 @@
         ports = {name: free_port(socket.SOCK_DGRAM) for name in self.names}
         for name in self.names:
             self.advertised[name] = await self.proxy.add(name, ports[name])
-        voters = tuple(VoterAt(name, self.advertised[name]) for name in self.voters)
+        voters = tuple(VoterEndpoint(name, self.advertised[name]) for name in self.voters)
         for index, name in enumerate(self.names):
             if name in self.voters:
                 create_store(self.folder / name, name, self.voters)
