--- a/badgerbend/standin/duty_audit.py
+++ b/badgerbend/standin/duty_audit.py
@@ -77,7 +77,7 @@
                     first = granted.setdefault((lease.duty, lease.epoch), lease.holder)
                     if first != lease.holder:
                         grants.cases.append(
-                            f"{lease.duty} epoch {lease.epoch}: granted to {first} and to {lease.holder}"
+                            f"{lease.duty} epoch {lease.epoch}: granted to {first} and to {lease.holder} as well"
                         )
         if not isinstance(message, ProbeReport | BudgetReply):
             continue
--- a/badgerbend/standin/troubles.py
+++ b/badgerbend/standin/troubles.py
@@ -49,8 +49,7 @@
     def send_command(self, do: str, names: list[str], **more: Any) -> None:
         """Sends a command to the processes of these servers."""
 
-    async def restart_broker(self, index: int, after_s: float) -> None:
-        """Kills a broker and starts it again after a time."""
+    async def restart_broker(self, index: int, after_s: float) -> None: ...
 
 
 TroubleRunner = Callable[[DayControl, Trouble], Awaitable[None]]
