--- a/badgerbend/cli.py
+++ b/badgerbend/cli.py
@@ -292,30 +292,30 @@
 
 def _play_scene(file: Path, report: Path | None, keep: Path | None) -> None:
     """Plays a scene of duties, prints its findings, and ends the process with status 1 if a rule was broken."""
-    from badgerbend.standin.acts import table
+    from badgerbend.standin.duty_audit import format_rows
     from badgerbend.standin.scene import load_scene, play
 
     try:
         scene = load_scene(file)
     except SettingsError as err:
         exit_with_error(str(err), BAD_SETTINGS)
-    played = uvloop.run(play(scene, keep))
+    result = uvloop.run(play(scene, keep))
     console = Console(width=110)
     holdings = Table(title=f"{file}: {scene.seconds:g} s, {scene.brokers} brokers, {scene.voters} voters (loopback)")
     for heading in ("duty", "epoch", "holder", "first act, s", "last", "acts", "stale"):
         holdings.add_column(heading)
-    for row in table(played.judged.holdings, played.began):
+    for row in format_rows(result.audit.holdings, result.began):
         holdings.add_row(*row)
     console.print(holdings)
-    for number, (at, what) in enumerate(played.marks):
-        gap = played.after(number, GAP_S)
-        console.print(f"{(at - played.began) / 1000:6.2f} s {what}: no act for {gap:.0f} ms within {GAP_S:g} s")
-    broken = [f"{f.name}: {case}" for f in played.judged.findings for case in f.cases]
+    for number, (at, what) in enumerate(result.events):
+        gap = result.longest_gap_ms(number, GAP_S)
+        console.print(f"{(at - result.began) / 1000:6.2f} s {what}: no act for {gap:.0f} ms within {GAP_S:g} s")
+    broken = [f"{f.name}: {case}" for f in result.audit.findings for case in f.cases]
     for line in broken:
         console.print(line, highlight=False)
     if report is not None:
-        report.write_text(json.dumps(played.as_json(), indent=2) + "\n", encoding="utf-8")
-    print(f"rules broken: {sum(1 for f in played.judged.findings if f.cases)} of {len(played.judged.findings)}")
+        report.write_text(json.dumps(result.as_json(), indent=2) + "\n", encoding="utf-8")
+    print(f"rules broken: {sum(1 for f in result.audit.findings if f.cases)} of {len(result.audit.findings)}")
     raise typer.Exit(1 if broken else 0)
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -23,9 +23,9 @@
 sys.path[:0] = [str(Path(__file__).parent.parent)]
 
 from badgerbend.leases.messages import LeaseRequest, SuspicionReport  # noqa: E402
-from badgerbend.standin.acts import judge, message_of  # noqa: E402
 from badgerbend.standin.client import Client  # noqa: E402
-from badgerbend.standin.scene import DOUBTER, Scene, Stage  # noqa: E402
+from badgerbend.standin.duty_audit import audit_duties, decode_datagram  # noqa: E402
+from badgerbend.standin.scene import REPORTER, Scene, Stage  # noqa: E402
 
 QUERY = "{ fullQuote(blocks: [0], amount: 5) { id } }"
 WARM_UP_QUERIES = 40  # for each broker: enough for its estimate of the usual latency
@@ -65,7 +65,7 @@
         await stage.start()
         started = time.monotonic() - began
         stage.task.cancel()  # stops the scene's artificial suspicions: the brokers suspect the slow server themselves
-        stage.world.servers["rates-0"].machine.slower = SLOWER
+        stage.world.servers["rates-0"].machine.slowdown = SLOWER
         ports = [p.settings.listen.port for p in stage.processes.values()]
         for i in range(0, len(ports), 20):
             await asyncio.gather(*(send_queries(port) for port in ports[i : i + 20]))
@@ -78,7 +78,7 @@
         took = time.monotonic() - t0
         used = {pid: (cpu_s(pid) - cpu) / took for pid, cpu in before.items()}
         lines, name = stage.lines[first:], stage.leader()
-        messages = [(r, message_of(r["data"])) for r in lines if r["from"] != DOUBTER]
+        messages = [(r, decode_datagram(r["data"])) for r in lines if r["from"] != REPORTER]
         return {
             "brokers": brokers,
             "started_s": started,
@@ -90,7 +90,7 @@
             "doubts_s": sum(isinstance(m, SuspicionReport) for _, m in messages) / took,
             "doubting": len({r["from"] for r, m in messages if isinstance(m, SuspicionReport)}),
             "probes_s": sum(t >= t0 * 1000.0 for t in probes) / took,
-            "wrong": sum(len(f.cases) for f in judge(stage.lines).findings),
+            "wrong": sum(len(f.cases) for f in audit_duties(stage.lines).findings),
         }
     finally:
         await stage.stop()
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -29,7 +29,7 @@
     for name in names:
         net.start(name, tuple(names[:3]))
     began = net.now
-    assert net.run(300, net.agreed), "the members did not agree on the member list"
+    assert net.run(300, net.has_converged), "the members did not agree on the member list"
     agreed_s = net.now - began
     net.run(20)
     net.loss = loss
--- a/benchmarks/sites_simulated.py
+++ b/benchmarks/sites_simulated.py
@@ -28,7 +28,7 @@
 
 from badgerbend.sites.preference import LocalityPreference  # noqa: E402
 from badgerbend.standin.baseline import Priority, _Unlimited  # noqa: E402
-from badgerbend.standin.bysite import best  # noqa: E402
+from badgerbend.standin.site_timeline import max_worth  # noqa: E402
 
 LOST, BACK, END = 10, 25, 45
 VARIANTS = {
@@ -94,7 +94,7 @@
         out.append(
             {
                 "served": served[at],
-                "best": best(demand_now, capacity),
+                "best": max_worth(demand_now, capacity),
                 "needed": sum(demand_now.values()),
                 "spilled": float(world.spilled_parts[1, at]),
                 "limit": world.spill_limit(1, at),
--- a/tests/test_budget_exchange.py
+++ b/tests/test_budget_exchange.py
@@ -7,8 +7,8 @@
 from badgerbend.lease_service.budget_exchange import SLOW_START_DUTY
 from badgerbend.leases.messages import BudgetDemand, BudgetGrant, BudgetReply, BudgetRequest
 from badgerbend.net.seal import HEADER, MAC_BYTES
-from badgerbend.standin.acts import judge_deals, message_of
 from badgerbend.standin.client import Client
+from badgerbend.standin.duty_audit import audit_budgets, decode_datagram
 from badgerbend.standin.scene import Scene
 from tests.sockets import until
 from tests.test_duty_failover import run_scene
@@ -18,7 +18,7 @@
 
 def grants(stage, since):
     """Returns the delivered replies that contain grants: sender, receiver and message."""
-    delivered = [(row, message_of(row["data"])) for row in stage.lines[since:] if row["k"] == "passed"]
+    delivered = [(row, decode_datagram(row["data"])) for row in stage.lines[since:] if row["k"] == "passed"]
     return [
         (str(row["from"]), str(row["to"]), message)
         for row, message in delivered
@@ -30,7 +30,7 @@
     """Returns a broker's own rate for each resource, as last reported."""
     rates = {}
     for row in stage.lines:
-        message = message_of(row["data"]) if row["from"] == name else None
+        message = decode_datagram(row["data"]) if row["from"] == name else None
         if isinstance(message, BudgetRequest):
             rates |= {demand.resource: demand.own_rate for demand in message.demands}
     return rates
@@ -109,7 +109,7 @@
         await until(lambda: any(row["from"] == allocator for row in stage.lines[since:]))
         await until_large_grant()
         await traffic.stop()
-        results.update(outcomes=traffic.outcomes, finding=judge_deals(stage.lines, 1000.0))
+        results.update(outcomes=traffic.outcomes, finding=audit_budgets(stage.lines, 1000.0))
 
     judged, _ = run_scene(tmp_path, main, Scene(seconds=1.0, brokers=4, voters=3, drift=0.01))
     finding = results["finding"]
@@ -121,7 +121,7 @@
 
 
 def delivered_datagram(t, source, to, message):
-    """Returns the rig's record of a datagram that arrived."""
+    """Returns the proxy's record of a datagram that arrived."""
     data = bytes(HEADER.size) + wire.encode_peer_message(message) + bytes(MAC_BYTES)
     return {"k": "passed", "t": t, "from": source, "to": to, "data": data}
 
@@ -144,9 +144,9 @@
             ),
         ]
 
-    assert judge_deals(lines(1.0), 1000.0).cases == []
-    assert len(judge_deals(lines(1.5), 1000.0).cases) == 1
+    assert audit_budgets(lines(1.0), 1000.0).cases == []
+    assert len(audit_budgets(lines(1.5), 1000.0).cases) == 1
     less = delivered_datagram(9.0, "d", "b0", BudgetReply("d", SLOW_START_DUTY, 4, 1, (BudgetGrant("s", 1.0, 0.5),)))
-    assert judge_deals([*lines(1.5), less], 1000.0).cases == []  # one broker may use what another gave up
+    assert audit_budgets([*lines(1.5), less], 1000.0).cases == []  # one broker may use what another gave up
     late = delivered_datagram(5000.0, "d", "b2", BudgetReply("d", SLOW_START_DUTY, 4, 1, (BudgetGrant("s", 1.0, 9.0),)))
-    assert judge_deals([*lines(1.0), late], 1000.0).cases == []  # the grant has expired before it arrives
+    assert audit_budgets([*lines(1.0), late], 1000.0).cases == []  # the grant has expired before it arrives
--- a/tests/test_crossings_signals.py
+++ b/tests/test_crossings_signals.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from badgerbend.standin.rig import free_port
+from badgerbend.standin.fault_proxy import free_port
 from tests.platform_stage import CELLS, file_of, query, run, surroundings
 from tests.replacing import replaced
 from tests.sockets import until
@@ -102,8 +102,8 @@
             await started.write_configuration(file_of(new.http.address[1], listen=port))  # read by the reload
             await started.until_line("reloaded")
             await started.until_line("listening")
-            await until(lambda: new.waiting)
-            assert not old.waiting
+            await until(lambda: new.watches)
+            assert not old.watches
         for one in (node, other):
             one.stop()
         for agent in (old, new):
@@ -120,12 +120,12 @@
         file = file_of(agent.http.address[1], listen=free_port(), settings={"obligations.drainGraceMs": 60_000.0})
         async with StartedBroker(tmp_path) as started:
             await started.write_configuration(file)
-            await until(lambda: agent.asked)
+            await until(lambda: agent.requests)
             if before == "reload":  # each of two reloads sends a new discovery request
                 for count in (2, 3):
                     started.process.send_signal(signal.SIGHUP)
                     await started.write_configuration(file)
-                    await until(lambda count=count: len(agent.asked) == count)
+                    await until(lambda count=count: len(agent.requests) == count)
             started.process.send_signal(signal.SIGTERM)
             assert await started.wait() == 0
             lines = [msgspec.json.decode(line)["what"] for line in started.process.stderr]
@@ -171,7 +171,7 @@
         agent.silent = True
         for i in range(1024):
             agent.put(f"long-{i}", node.port, i % CELLS)
-        file = msgspec.json.format(file_of(agent.http.address[1], agent.whole(), listen=free_port()))
+        file = msgspec.json.format(file_of(agent.http.address[1], agent.full_list(), listen=free_port()))
         async with StartedBroker(tmp_path) as started:
             await started.write_configuration(file)
             assert (await started.until_line("listening"))["servers"] == 1024 + CELLS
@@ -189,12 +189,12 @@
         port = free_port()
         async with StartedBroker(tmp_path) as started:
             await started.write_configuration(
-                file_of(agent.http.address[1], agent.whole(), listen=port, limits={"sockets": 128})
+                file_of(agent.http.address[1], agent.full_list(), listen=port, limits={"sockets": 128})
             )
             await started.until_line("listening")
             resource.prlimit(started.process.pid, resource.RLIMIT_NOFILE, (128, 128))
-            await until(lambda: agent.waiting)
-            agent.silent, agent.waiting = True, []
+            await until(lambda: agent.watches)
+            agent.silent, agent.watches = True, []
             for connection in list(agent.http.connections):
                 connection.abort()  # discovery is down: the agent does not answer, and a new connection to it is needed
             idle = []
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -14,7 +14,7 @@
 
 from badgerbend.net.client import Pool
 from badgerbend.standin.client import LIMITS
-from badgerbend.standin.rig import free_port
+from badgerbend.standin.fault_proxy import free_port
 from tests.platform_stage import file_of, query, run, surroundings
 from tests.replacing import replaced
 from tests.sockets import until
@@ -74,7 +74,7 @@
             # A line that is not JSON is an error message, which the assertion shows.
             assert all(line.startswith(b"{") for line in first), first
             assert [msgspec.json.decode(line)["what"] for line in first] == ["list", "listening"], first
-            await until(lambda: agent.waiting)  # the list was read, and a watch on it is open
+            await until(lambda: agent.watches)  # the list was read, and a watch on it is open
             body = query((1, 2, 3))
             head = (
                 b"POST /quote/abc HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: q1\r\nX-Service-Class: quote\r\n"
@@ -88,7 +88,7 @@
             pool.request(replaced(head, b"q1", b"q2") + body, reply.set_result)
             assert (await reply).status == 503
             process.send_signal(signal.SIGHUP)
-            await until(lambda: sum("since" not in path for path in agent.asked) == 2)
+            await until(lambda: sum("since" not in path for path in agent.requests) == 2)
             process.send_signal(signal.SIGTERM)
             assert await asyncio.to_thread(process.wait) == 0
             lines = [msgspec.json.decode(line) for line in process.stderr]
