--- a/badgerbend/broker.py
+++ b/badgerbend/broker.py
@@ -40,7 +40,7 @@
 if TYPE_CHECKING:
     from badgerbend.feed_subscription.subscription import FeedSubscription
 
-SWEEP_INTERVAL_S = 0.5
+SWEEP_INTERVAL_S = 0.5  # between checks for idle connections to servers
 METRICS_CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
 
@@ -53,7 +53,8 @@
 def tune_garbage_collector() -> None:
     """Excludes the objects made at startup from garbage collection and makes collections rare.
 
-    Few objects of a broker form reference cycles, so reference counting frees almost all of them.
+    Few objects of a broker form reference cycles, so reference counting frees almost all of them. The first threshold
+    counts allocations net of deallocations; the other two count collections of the next younger generation.
     """
     gc.collect()
     gc.freeze()
@@ -63,11 +64,12 @@
 class Broker:
     """A broker with its HTTP server, connection pools, endpoint watch and optional services.
 
-    It is built and used on one running loop. The baselines that it is compared with override `decisions`,
-    `preference_type` and `preference`.
+    It is built and used on one running event loop. Subclasses that serve as baselines for comparisons override
+    `decisions`, `preference_type` and `preference`.
 
     folder: the directory that file names in the settings are relative to. clock: the clock of the leases, in seconds.
-    Raises ValueError or OSError if a key of the sites cannot be used, KeyFileError if that of the duties cannot.
+    Raises ValueError or OSError if a key of the site service or the feed cannot be used, and KeyFileError if a key of
+    the lease service (`duties` in the settings) cannot be used.
     """
 
     decisions = Aggregator
@@ -134,7 +136,7 @@
         self.watch.on_applied = self._endpoint_list_loaded
 
     def _create_keyed_list(self) -> KeyedList | Watch:
-        """The endpoint list as received from the feed."""
+        """Creates the endpoint list that the feed subscription fills."""
         return KeyedList(
             self.directory, self.loop, now_ms, time.time, self._update_endpoints, self.metrics.report_fault
         )
@@ -189,7 +191,8 @@
     async def start(self) -> int:
         """Listens and starts to watch the endpoint list; returns the port.
 
-        Raises OSError if it cannot listen, and KeyFileError or StoreError.
+        Raises OSError if it cannot listen, KeyFileError if a key file of the knowledge exchange cannot be used, and
+        StoreError if the lease service cannot use its store.
         """
         self.port = await self.server.start(self.settings.listen.host, self.settings.listen.port)
         if self.knowledge_exchange is not None:
@@ -199,7 +202,8 @@
         self.watch.start()
         if self.site_service is not None:
             self.site_service.start()
-        # A first event lets the module request the endpoint list, if that is up to it, and set its first timer.
+        # This empty update lets the decision module set its first timer and, in the `ask` mode of the discovery
+        # settings, request the endpoint list.
         self.driver.update_endpoints(api.EndpointUpdate(api.UpdateKind.CACHED, ()))
         if self.feed_subscription is not None:
             self.feed_subscription.start()
@@ -213,7 +217,7 @@
         if self.feed_subscription is not None:
             self.feed_subscription.close()
         if self.lease_service is not None:
-            await self.lease_service.close()  # first: other brokers wait for its leases
+            await self.lease_service.close()  # before open requests finish: other brokers wait for its leases
         cut_off = await self.server.close(self.settings.listen.stop_timeout_ms / 1000.0)
         self.watch.close()
         if self.site_service is not None:
--- a/badgerbend/graphql/documents.py
+++ b/badgerbend/graphql/documents.py
@@ -1,7 +1,8 @@
-"""Parses, validates and plans documents once, and keeps the results in a bounded cache.
+"""Parses, validates and plans GraphQL documents once, and keeps the results in a bounded cache for the front end.
 
-The plan of a document has, for each root field, the template of the requests for its parts. Limits are checked before
-the costly work: bytes by the HTTP server, nesting and tokens before parsing, fields before fragments are expanded.
+The plan of a document has, for each root field, the template of the requests for its parts; a part is what one block
+contributes to the field. Limits are checked before the costly work: bytes by the HTTP server, nesting before parsing,
+tokens while parsing, and the number of fields before fragments are expanded.
 """
 
 from __future__ import annotations
@@ -59,7 +60,11 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class RootField:
-    """A root field of a document, and how it is fetched."""
+    """A root field of a document, and how it is fetched.
+
+    detail: the template of the second step, which fetches the members `detail_keys` of the rows that remain after the
+    first step has ranked and limited them.
+    """
 
     key: str  # in the response
     node: FieldNode
@@ -225,7 +230,7 @@
 
 
 class _Planner:
-    """Plans the root fields of one operation."""
+    """Plans the root fields of one operation: how each is fetched and how its results are checked."""
 
     def __init__(
         self, subgraph: Subgraph, writer: SelectionWriter, operation: OperationDefinitionNode, mutation: bool
--- a/badgerbend/graphql/fetch.py
+++ b/badgerbend/graphql/fetch.py
@@ -1,4 +1,5 @@
-"""Fetches parts from servers: the parts of a call become one GraphQL request, whose response gives each part's outcome.
+"""Fetches parts of queries from servers. The parts of a call become one GraphQL request, and its response determines
+the outcome of each part.
 
 Parts that share text and variables become several representations of one `_entities` field; the others become fields
 with aliases of their own. A response counts for a part only if it matches the request: the number of entities must be
@@ -40,7 +41,10 @@
 
 
 class FetchTransport:
-    """The runtime's `Transport` over pools of HTTP connections."""
+    """The runtime's `Transport` over pools of HTTP connections.
+
+    ended: called at the end of each attempt. report: names of the load values that servers report in their responses.
+    """
 
     def __init__(
         self, pool_of: Callable[[int], Pool | None], ended: AttemptEnded, broker: int, report: tuple[str, ...]
@@ -51,6 +55,8 @@
             b"accept: application/graphql-response+json, application/json\r\n"
             b"badgerbend-broker: {broker}\r\nbadgerbend-time-left-ms: %d\r\ncontent-length: %d\r\n\r\n"
         ).replace(b"{broker}", str(broker).encode())
+        # Texts of templates with their aliases filled in, by template and number of the alias. Emptied when there are
+        # more than 10,000.
         self.texts: dict[tuple[Template, int], str] = {}
         self.cancelled_calls = 0
 
@@ -133,7 +139,7 @@
         )
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stops waiting for this part; the call is cancelled once none of its parts is waited for."""
+        """Stops waiting for an attempt, and cancels its call if no other attempt waits for it."""
         call_in_flight = attempt.handle
         if isinstance(call_in_flight, _CallInFlight) and attempt in call_in_flight.attempts:
             call_in_flight.attempts.discard(attempt)
@@ -184,6 +190,7 @@
                     self.ended(attempt, Outcome.OK if is_valid else Outcome.ERROR, result if is_valid else None, report)
 
     def _report(self, answer: dict[str, Any]) -> tuple[float, ...]:
+        """The server's load values, in the order of `report`; empty if one is missing."""
         extensions = answer.get("extensions")
         load = extensions.get("load") if isinstance(extensions, dict) else None
         if not isinstance(load, dict):
--- a/badgerbend/graphql/fields.py
+++ b/badgerbend/graphql/fields.py
@@ -1,6 +1,8 @@
-"""Root fields as queries to the decision module: their parts, and how the results of these become one value.
+"""Root fields as queries to the decision module: their parts, and how the results of the parts become one value.
 
-Each is a `Sink` of the runtime. It ends exactly once, by `on_done(field, value)`, where the value may be an error.
+A query has one part for each block that it names, a block being the data of one shard, with the shard's number. Each
+query is a `Sink` of the runtime. It calls `on_done(field, value)` once, unless the client disconnects before; the value
+may be an error.
 """
 
 from __future__ import annotations
@@ -18,7 +20,11 @@
 
 @dataclass(slots=True, eq=False)
 class RequestContext:
-    """Data of a client's request that each of its parts carries to the servers."""
+    """Data of a client's request that each of its parts carries to the servers.
+
+    trace: the trace id (W3C Trace Context). key: the client's idempotency key. is_retry: whether the client marked the
+    request as a retry.
+    """
 
     trace: str
     key: str | None
@@ -90,7 +96,11 @@
 
 
 class RowsField(FieldQuery):
-    """Rows of many blocks, ranked if the settings say so, else in the order of blocks; limited to `first`."""
+    """Rows of many blocks, in the order of `rank_by` if the settings have it, else in the order of blocks.
+
+    first: the maximum number of rows. second_step: the maximum number of blocks from which the second step fetches
+    details; 0 for none.
+    """
 
     def __init__(
         self, root: RootField, parts: list[PartPlan], on_done: DoneCallback, first: int | None, second_step: int
@@ -193,7 +203,11 @@
 
 
 class MutationField(FieldQuery):
-    """A mutation with one part for each block that it names; its value is that of the block, or a list for many."""
+    """A mutation with one part for each block that it names.
+
+    many: whether its argument is a list of blocks. The value is then the list of the blocks' values, else the value of
+    the one block.
+    """
 
     def __init__(self, root: RootField, parts: list[PartPlan], on_done: DoneCallback, many: bool) -> None:
         super().__init__(root, parts, on_done)
--- a/badgerbend/graphql/front.py
+++ b/badgerbend/graphql/front.py
@@ -1,7 +1,7 @@
 """Serves GraphQL over HTTP. Root fields become queries to the decision module; the response waits for all of them.
 
 The merged values are completed by graphql-core's executor, so that aliases, fragments, types and nulls follow the
-specification. Nothing is written after the client's deadline.
+specification. No result is written after the client's deadline.
 """
 
 from __future__ import annotations
@@ -39,6 +39,7 @@
 from badgerbend.runtime.ports import PartPlan, QueryPlan
 
 JSON, RESPONSE_JSON = b"application/json; charset=utf-8", b"application/graphql-response+json; charset=utf-8"
+# Request headers of clients.
 TIME_LEFT, RETRY, TENANT, KEY = (
     b"badgerbend-time-left-ms",
     b"badgerbend-retry",
@@ -57,14 +58,14 @@
 
 
 class FieldNameDict(dict[str, Any]):
-    """A value whose members have field names as keys; those of values from servers are response keys."""
+    """A value keyed by field names. Values from servers are plain dicts, keyed by response keys (aliases, if given)."""
 
 
 _DECODER = msgspec.json.Decoder(RequestBody)
 
 
 class GraphQLFront:
-    """Serves one subgraph by a driver. now_ms: the clock of the driver."""
+    """Serves the requests for one subgraph, whose queries it submits to a driver. now_ms: the clock of the driver."""
 
     def __init__(self, settings: Settings, subgraph: Subgraph, driver: Driver, now_ms: Callable[[], float]) -> None:
         self.settings, self.subgraph, self.driver, self.now_ms = settings, subgraph, driver, now_ms
@@ -198,7 +199,10 @@
         self._finish_if_done()
 
     def _plan(self, root: RootField, ready: list[tuple[FieldQuery, QueryPlan]]) -> None:
-        """Adds the query of a root field to `ready`; a field without one, or with invalid arguments, gets its value."""
+        """Adds the query of a root field to `ready`. `_service` and fields with invalid arguments get a value instead.
+
+        Introspection fields get neither; the executor resolves them.
+        """
         name = root.node.name.value
         try:
             if name == "_service":
@@ -422,7 +426,7 @@
 
 
 def _well_formed(err: RequestRejectedError) -> bool:
-    """Whether the document was parsed; errors then have the status 200 in application/json, as specified."""
+    """Whether no error is a syntax error; errors then have the status 200 in application/json, as specified."""
     return all("Syntax Error" not in e.message for e in err.errors)
 
 
--- a/badgerbend/metrics.py
+++ b/badgerbend/metrics.py
@@ -10,11 +10,14 @@
 from badgerbend.log import get_logger
 from badgerbend.runtime.ports import Attempt, CompletedQuery
 
-BUCKETS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
+BUCKETS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)  # seconds
 
 
 class Metrics:
-    """The runtime's `Observer`: updates the metrics, logs failed attempts, unanswered queries and faults."""
+    """The runtime's `Observer`: updates metrics, and logs failed attempts, faults and queries without a full answer.
+
+    Queries whose client has disconnected are not logged. classes: names of the query classes, by index.
+    """
 
     def __init__(self, classes: tuple[str, ...]) -> None:
         self.registry = CollectorRegistry()
--- a/badgerbend/net/acceptor.py
+++ b/badgerbend/net/acceptor.py
@@ -46,7 +46,7 @@
 
 
 class Acceptor:
-    """Creates a protocol for each incoming connection. It owns the listener and closes it."""
+    """Creates a protocol for each incoming connection. It owns the listening socket and closes it."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, listener: socket.socket, factory: Callable[[], asyncio.Protocol]
@@ -82,7 +82,10 @@
         self._listener.close()
 
     async def wait_connected(self) -> None:
-        """Waits until every accepted connection has its protocol; before that, only this object knows of it."""
+        """Waits until every accepted connection has its protocol.
+
+        Until then, only this acceptor tracks the connection.
+        """
         if self._connect_tasks:
             await asyncio.wait(self._connect_tasks)
 
--- a/badgerbend/net/client.py
+++ b/badgerbend/net/client.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 client: a pool of persistent connections to one address, with one request at a time on each.
 
 Cancelling a request closes its connection, since HTTP/1.1 has no other way to notify the server. The next request then
-needs a new handshake; `Pool.opened` counts the handshakes.
+needs a new handshake; `Pool.opened` counts the handshakes that were started, including those that failed.
 """
 
 from __future__ import annotations
@@ -188,7 +188,7 @@
         self.transport.write(call.data)
 
     def data_received(self, data: bytes) -> None:
-        if self.call is None:  # a response without a request: the connection is out of step
+        if self.call is None:  # a response without a request: responses no longer match the requests
             self.pool.unsolicited += 1
             self.abort()
             return
--- a/badgerbend/net/fetch.py
+++ b/badgerbend/net/fetch.py
@@ -1,4 +1,4 @@
-"""Sends one HTTP request to a running broker and returns its JSON response, for commands."""
+"""Sends one HTTP request to a running broker and returns its JSON response. For the command line and `standin`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 async def fetch(port: int, path: str, host: str = "127.0.0.1", method: str = "GET", token: str | None = None) -> Any:
     """Fetches the JSON at a path of a broker. token: sent as a bearer token.
 
-    Raises ConnectionError with the text of the response, unless its status is 200.
+    Raises ConnectionError if there is no valid response, or with the text of the response if its status is not 200.
     """
     replied: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
     pool = Pool(host, port, LIMITS)
--- a/badgerbend/net/receive_delay.py
+++ b/badgerbend/net/receive_delay.py
@@ -13,8 +13,8 @@
 def receive_delay_s(transport: asyncio.BaseTransport) -> float:
     """Seconds since the last bytes were received on a transport's socket; 0 if that is unknown.
 
-    A process that was stalled, or accepted a connection late, reads a request long after it was received, and the
-    client's deadline counts from then.
+    A process that was stalled, or accepted a connection late, reads a request long after the kernel received it,
+    and the client's deadline counts from the receipt.
     """
     connection = transport.get_extra_info("socket")
     if connection is None:
--- a/badgerbend/net/seal.py
+++ b/badgerbend/net/seal.py
@@ -7,7 +7,7 @@
 
 Remaining weakness: a member that has just started knows no incarnations, so an attacker on the path can replay
 datagrams of an incarnation that has ended. The member then believes that a dead member is alive, until its first probes
-of it fail. Updates carry incarnations, and those of the current incarnation win.
+of it fail. Membership updates carry incarnations, and those of the current incarnation win.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 MAC_BYTES = 16
 MIN_KEY_BYTES = 16
 WINDOW = 1024  # counters; how far datagrams of one sender may be reordered
-MAX_SENDERS = 8192  # whose counters are kept: the members of a fleet, and those replaced within a day
+MAX_SENDERS = 8192  # senders whose counters are kept: the members of a fleet, and those replaced within a day
 
 
 class KeyFileError(Exception):
@@ -38,7 +38,7 @@
 
 
 def read_key(path: str | Path) -> bytes:
-    """Reads the key in a file, without a final line end. Raises KeyFileError."""
+    """Reads the key in a file, without line ends at its end. Raises KeyFileError."""
     try:
         key = Path(path).read_bytes().rstrip(b"\r\n")
     except OSError as err:
@@ -58,7 +58,10 @@
 
 
 class DatagramSealer:
-    """Seals with the first key and accepts both, so that a key can be replaced without an interruption."""
+    """Seals with the first key and accepts either of two, so that a key can be replaced without an interruption.
+
+    incarnation: that of the own process, the time of its start in milliseconds.
+    """
 
     def __init__(self, keys: tuple[bytes, ...], incarnation: int) -> None:
         if not 1 <= len(keys) <= 2:
@@ -76,7 +79,7 @@
         return header + body + self._mac(key, header + body, sender)
 
     def open(self, data: bytes, sender: bytes) -> bytes:
-        """Returns the body of a sealed datagram. Raises UnsealError."""
+        """Returns the body of a sealed datagram. `sender`: as given to `seal`. Raises UnsealError."""
         if len(data) < HEADER.size + MAC_BYTES:
             raise UnsealError("datagram too short")
         number, incarnation, counter = HEADER.unpack_from(data)
--- a/badgerbend/net/server.py
+++ b/badgerbend/net/server.py
@@ -47,7 +47,9 @@
     read_timeout_s: float = 10.0  # to receive one request; for the first, counted from the start of the connection
     idle_timeout_s: float = 75.0  # between requests
     first_byte_timeout_s: float = 75.0  # before the first byte of the first request
-    max_keep_alive: int = 10_000  # with more connections that are not lingering, each response closes its connection
+    # Beyond this number of connections, not counting lingering ones, a connection is closed after a response unless
+    # further requests on it were received.
+    max_keep_alive: int = 10_000
 
 
 class Exchange:
@@ -91,7 +93,7 @@
         return self.disconnected or self._connection.abort_if_peer_left()
 
     def respond(self, status: int, body: bytes, content_type: bytes, extra: Headers = ()) -> bool:
-        """Writes the response. Returns False, and writes nothing, if the peer has disconnected or has its response."""
+        """Writes the response. Returns False, and writes nothing, if the peer has disconnected or was answered."""
         if self.disconnected or self._connection.active is not self:
             return False
         self._connection.write_answer(self, status, body, content_type, extra)
@@ -224,7 +226,8 @@
         self.parser = httptools.HttpRequestParser(self)
         self.active: Exchange | None = None
         self.pipelined: deque[Exchange] = deque()
-        self.phase_started_at = loop.time()  # when the current request began, or the last one ended
+        # The latest of: connection made, request begun, request received, response written, lingering close begun.
+        self.phase_started_at = loop.time()
         self.has_received_request = False  # a complete request was received
         self.reading = False
         self.write_blocked_since: float | None = None
--- a/badgerbend/net/udp.py
+++ b/badgerbend/net/udp.py
@@ -22,7 +22,7 @@
 
 
 class SealedSocket(asyncio.DatagramProtocol):
-    """Calls `body` with the body of each datagram whose seal is valid.
+    """Calls `body`, which subclasses define, with the body of each datagram whose seal is valid.
 
     own_address: the address where others reach this socket.
     """
@@ -43,9 +43,9 @@
         return bound
 
     def send(self, address: Address, body: bytes, still_valid: Callable[[], bool] | None = None) -> None:
-        """Seals and sends a body. still_valid: called last; if it returns False, nothing is sent.
+        """Seals and sends a body. still_valid: called right before sending; if it returns False, nothing is sent.
 
-        A process that was paused in between thus sends nothing that is no longer true.
+        A process that was paused after it composed the body thus sends nothing that is no longer true.
         """
         if self.transport is None:
             return
--- a/badgerbend/pools.py
+++ b/badgerbend/pools.py
@@ -52,7 +52,7 @@
 
     @property
     def opened(self) -> int:
-        """Connections opened so far by the current and the retired pools."""
+        """Handshakes started so far by the current pools and by the retired pools that are still kept."""
         return sum(pool.opened for pool in self._all_pools())
 
     def _all_pools(self) -> Iterator[Pool]:
--- a/badgerbend/process.py
+++ b/badgerbend/process.py
@@ -1,4 +1,7 @@
-"""Runs a broker as a process: signal handling, startup errors and exit statuses."""
+"""Runs a broker as a process: signal handling, startup errors and exit statuses.
+
+Used by the command line and by the programs in `standin`.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 from badgerbend.net.seal import KeyFileError
 from badgerbend.wal.errors import StoreError
 
-BAD_SETTINGS, CANNOT_START = 2, 3
+BAD_SETTINGS, CANNOT_START = 2, 3  # exit statuses
 BrokerFactory = Callable[[Settings, Subgraph, Path], Broker]
 
 
