--- a/badgerbend/benchlink.py
+++ b/badgerbend/benchlink.py
@@ -1,7 +1,8 @@
 """The simulator's adapter: translates its binary frames on standard input and output to events and actions.
 
-It makes no decisions. A batch frame contains the simulated time, event records of a fixed size and a payload that
-records refer to by offset; a reply frame contains action records and a payload. Codes and layouts are the simulator's.
+It runs as a process of its own (`sim` in `deploy/balancer.toml`) and makes no decisions. A batch frame contains the
+simulated time, event records of a fixed size and a payload that records refer to by offset; a reply frame contains
+action records and a payload. The simulator defines the codes and layouts of the records.
 """
 
 from __future__ import annotations
@@ -20,6 +21,8 @@
 from badgerbend.platform_settings import SettingError, parse_lines, read_settings
 
 BATCH_HEADER, REPLY_HEADER = Struct(">IId"), Struct(">II")
+# Sizes in bytes. The clock ends the batch header and is as long as the two integers before it. The size in the header
+# includes the clock.
 EVENT_SIZE, ENDPOINT_SIZE, CLOCK_BYTES = 48, 22, 8
 
 # Codes of the event records.
@@ -91,7 +94,7 @@
 
 @dataclass(slots=True)
 class _PendingQuery:
-    """A query whose parts are still being read, or the parts of its second step if it has no header."""
+    """A query whose parts are still being read; without a header, only the parts of a query's second step."""
 
     header: tuple[int, int, int, int, float, bool, float | None] | None
     number: int
@@ -191,7 +194,8 @@
         """Decodes one event record and appends its event.
 
         A query comes as a record with a negative shard, followed by one record for each of its parts. Records of parts
-        without a query's record before them belong to the second step of a query.
+        without a query's record before them belong to the second step of a query. In the flags, 1 means that the record
+        contains a cost hint, and 2 that the query is a retry.
         """
         at += 1
         if code == SUBMIT:
--- a/badgerbend/decisions/admission.py
+++ b/badgerbend/decisions/admission.py
@@ -22,13 +22,13 @@
 """A query is rejected if its expected latency is at least this share of its latency objective."""
 
 OBJECTIVE_SHARE_OVER_QUOTA = 0.5
-"""The same for a tenant beyond its quota, whose queries have a low value."""
+"""Replaces `OBJECTIVE_SHARE` for queries of a tenant beyond its quota, which have a low value."""
 
 CERTAIN_ADMISSION_PROBABILITY = 0.5
-"""Queries whose probability of a timely answer is lower are admitted with a probability in proportion to it."""
+"""Queries that are answered in time with a lower probability are admitted with a probability in proportion to it."""
 
 FOLLOW_UP_FACTOR = 1.5
-"""Latency of a query with two steps over that of its first step; the second has fewer and lighter parts."""
+"""Ratio of the latency of a query with two steps to that of its first step; the second has fewer and lighter parts."""
 
 RESAMPLES = 100
 """Number of resamples for an order statistic; the standard error of its mean is a tenth of the standard deviation."""
@@ -54,7 +54,10 @@
         self._order_statistics = {}
 
     def rejection(self, event: api.Query, query: QueryState, now_ms: float) -> EndReason | None:
-        """The reason to reject a query, or None if it is admitted. Also decides whether the query needs a canary."""
+        """The reason to reject a query, or None if it is admitted.
+
+        Also decides whether the query needs a canary, which is one part that is sent before the others.
+        """
         over_quota = self._is_over_quota(event.tenant, now_ms)
         fewest = query.fewest_parts(query.query_class.complete_weight)
         if self._sites and not self._sites.admits(event, over_quota, fewest):
@@ -84,16 +87,16 @@
         return self._rates.per_ms(queries, now_ms) > quota_per_ms
 
     def _latency_limit_ms(self, query: QueryState, over_quota: bool, now_ms: float) -> float:
-        """The expected latency at which a query is rejected."""
+        """A query is rejected if its expected latency is at least this; at most the time until the query must end."""
         share = OBJECTIVE_SHARE_OVER_QUOTA if over_quota else OBJECTIVE_SHARE
         return min(share * query.query_class.latency_objective_ms, query.end_at_ms - now_ms)
 
     def _expected_latency_ms(self, query: QueryState, now_ms: float) -> float:
-        """The expected time until a query admitted now has the least weight that it may be answered with.
+        """The expected time until the answered parts of a query admitted now have the least weight for an answer.
 
-        It is the mean recent response time of the shards needed for that, scaled by the order statistic of recent
-        answers over their mean, but at least the response time of the slowest of these shards. While nothing is in
-        flight it is 0, so that queries are admitted and show whether an overload has ended.
+        It is the mean recent response time of the fastest shards that are enough for that weight, times
+        `_order_statistic`, but at least the response time of the slowest of these shards. It is 0 while the latency is
+        unknown, and while nothing is in flight, so that queries are admitted and show whether an overload has ended.
         """
         if not self._latency.late_ms or not self._queries.attempts:
             return 0.0
@@ -126,17 +129,17 @@
     def _all_parts_probability(self, query: QueryState, now_ms: float) -> float:
         """The probability that all parts of a query are answered, from the recent success of its cells.
 
-        It avoids work on queries that would lose one of ten parts. The trade-off is that after a fault it takes some
-        answers, or several seconds, until all queries are admitted again.
+        Rejecting queries by it avoids work on those that would lose one of ten parts. The trade-off is that after a
+        fault it takes some answers, or several seconds, until all queries are admitted again.
         """
         return prod(self._cells.share(cell, now_ms) for cell in self._cells.cells(query))
 
     def _in_time_probability(self, query: QueryState, now_ms: float) -> float:
-        """The probability that the least weight a query may be answered with arrives before its client's deadline.
+        """The probability that a query's answered parts reach the least weight for an answer before the query must end.
 
-        It is derived from recent answers. A canary precedes the other parts, which halves the time for each. It avoids
-        work on answers that arrive after the client has left, also while nothing is in flight and no latency can be
-        expected. The trade-off is that it takes seconds to notice that answers have become faster.
+        It is derived from recent answers. A canary precedes the other parts, which halves the time for each. Rejecting
+        queries by it avoids work on answers that arrive after the client has left, also while nothing is in flight and
+        `_expected_latency_ms` is 0. The trade-off is that it takes seconds to notice that answers have become faster.
         """
         answers_ms = self._latency.sorted_answers_ms
         if not answers_ms:
--- a/badgerbend/decisions/aggregator.py
+++ b/badgerbend/decisions/aggregator.py
@@ -35,7 +35,8 @@
 
     It must be called from one thread. Status pages and tests may read its public attributes.
 
-    seed: of all random choices.
+    redundancy_type: the class that decides on surplus parts; subclasses used for comparison replace it.
+    seed: the seed of all random choices.
     sites: preference among sites; None if all servers are treated alike.
     budget: the rates to servers that are warming up, divided among brokers; None if each broker uses its own limit.
     """
@@ -88,7 +89,7 @@
         self.rates.begin(now_ms)
         if self.sites:
             self.sites.observe(now_ms, events)
-        if len(events) > 1:  # endpoint updates first: nothing may be sent to a server that drains as of this step
+        if len(events) > 1:  # endpoint updates first: nothing may be sent to a server that they list as draining
             events = sorted(events, key=lambda event: not isinstance(event, api.EndpointUpdate))
         for event in events:
             self._handle(event, now_ms)
--- a/badgerbend/decisions/attempts.py
+++ b/badgerbend/decisions/attempts.py
@@ -17,7 +17,11 @@
 from badgerbend.decisions.timing import TICK_MS
 
 ROUND_TRIP_MS = 5.0
-"""A connection that breaks within this time does so before the part can have started, which amounts to a refusal."""
+"""Assumed upper limit of a round trip to a server.
+
+A connection that breaks within this time does so before the part can have started. That amounts to a refusal of the
+part: the server is not marked as down, and the query is not suspected of crashing servers. A connection attempt that
+fails within this time of the connect timeout counts as timed out."""
 
 
 FAST_FAILURES = (Outcome.REJECTED, Outcome.ERROR, Outcome.RESET)
@@ -66,7 +70,7 @@
             self._part_failed(part, attempt, event, now_ms)
 
     def record_result(self, attempt: Attempt, now_ms: float, *, lost: bool) -> None:
-        """Records whether an attempt was answered, or was lost or is late, for its connection and its zone."""
+        """Records for the connection and the zone of an attempt whether it was lost or is late."""
         self._connections.record_result(attempt, now_ms, lost=lost)
         self._outliers.record_result(attempt.server.zone, lost=lost)
 
@@ -89,7 +93,10 @@
         self._latency.observe(attempt.server, part, latency_ms, now_ms, answered=answered, failed_fast=failed_fast)
 
     def _update_connection(self, outcome: Outcome, attempt: Attempt, latency_ms: float, now_ms: float) -> None:
-        """Records whether the connection of an attempt works, and closes it if the attempt was lost or late."""
+        """Records whether the connection of an attempt works.
+
+        If the attempt was lost or late, closes the server's idle connections unless other attempts are in flight there.
+        """
         server = attempt.server
         if outcome in (Outcome.OK, Outcome.ERROR):
             self._connections.mark_used(server, now_ms)
--- a/badgerbend/decisions/budget.py
+++ b/badgerbend/decisions/budget.py
@@ -1,4 +1,7 @@
-"""Budgets for retries and for hedged requests."""
+"""Budgets for retries and for hedged requests.
+
+A hedged request is a further attempt of a part while an earlier attempt is still in flight.
+"""
 
 from __future__ import annotations
 
@@ -7,10 +10,10 @@
 from badgerbend.decisions.timing import TICK_MS
 
 HEDGE_SHARE = 0.05
-"""Hedged requests per accepted part if no hedged request is ever the first to answer."""
+"""Credit per accepted part: the share of parts that are hedged if no hedged request is ever the first to answer."""
 
 MAX_HEDGE_CREDIT = 5.0
-"""Largest number of hedged requests that credit can accumulate for."""
+"""Limit of the accumulated credit, in hedged requests."""
 
 HEDGE_REWARD = 1.5
 """Credit for a hedged request that answered first. It exceeds the cost of one, so hedging sustains itself while two of
@@ -27,7 +30,11 @@
         self._rates = rates
 
     def allows_retry(self, now_ms: float) -> bool:
-        """Whether one more retry is within the budget. The windows differ by a tick each, to err on the safe side."""
+        """Whether one more retry is within the budget.
+
+        To err on the safe side, retries are counted over a window that is a tick longer than that of the settings, and
+        accepted work over one that is a tick shorter.
+        """
         if self._window_ms is None:
             return True
         retries = self._rates.retries.count(now_ms, self._window_ms + TICK_MS) + 1
--- a/badgerbend/decisions/cell_success.py
+++ b/badgerbend/decisions/cell_success.py
@@ -1,4 +1,8 @@
-"""The recent success of each cell: the share of queries that received all their parts in it."""
+"""The recent success of each cell: the share of queries that received all their parts in it.
+
+A cell is a group of servers. The servers of one or more consecutive cells hold a shard; here a shard counts for the
+first of them.
+"""
 
 from __future__ import annotations
 
--- a/badgerbend/decisions/completion.py
+++ b/badgerbend/decisions/completion.py
@@ -1,4 +1,7 @@
-"""The completion of queries: each ends in time with one final answer, rejection or failure."""
+"""The completion of queries.
+
+Each query ends in time with one final answer, rejection or failure, unless its client has disconnected before.
+"""
 
 from __future__ import annotations
 
@@ -86,8 +89,9 @@
     def _is_partial_answer_due(self, query: QueryState, now_ms: float) -> bool:
         """Whether a partial answer is due.
 
-        It is due at the latency objective if it has a higher value than a late complete answer. If a second step
-        follows, it is due earlier by the age at which a part is late, to leave time for that step.
+        It is due shortly before the latency objective if it has a higher value than a late complete answer. If a second
+        step follows, it is due earlier by the age at which a part is late, or by half the objective if that is less, to
+        leave time for that step.
         """
         query_class = query.query_class
         weight = query.answered_weight
--- a/badgerbend/decisions/connections.py
+++ b/badgerbend/decisions/connections.py
@@ -1,9 +1,10 @@
 """Decides which idle connections can be trusted, from the results of earlier attempts on idle connections.
 
 A middlebox between broker and servers may silently drop connections that have been idle for some time. The next part
-sent on such a connection is lost, with a reset or without any response. If most attempts on connections beyond some
-idle time are lost, connections with a longer idle time are closed before a send, for half a minute. The trade-off is an
-additional handshake for each of them, so this is not done while handshakes fail.
+sent on such a connection is lost, with a reset or without any response. If the number of attempts lost on
+connections beyond some idle time exceeds the share `LOSS_SHARE` of these attempts by more than `LOSS_EXCESS`,
+connections with a longer idle time are closed before a send, for half a minute. The trade-off is an additional
+handshake for each of them, so this is not done while handshakes fail.
 """
 
 from __future__ import annotations
--- a/badgerbend/decisions/endpoints.py
+++ b/badgerbend/decisions/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: the servers, the replicas of each shard, and the schedule of polls of discovery.
+"""The endpoint list: the servers, the replicas of each shard, and when to poll the discovery service for the list.
 
 A failed poll is repeated after a random backoff, which doubles up to the interval within which the list must be polled.
 When all brokers repeated failed polls at once, discovery remained unreachable for most of them. The trade-off is that
@@ -21,7 +21,7 @@
 """Number of doublings after which the backoff has grown from an eighth of the poll interval to the whole interval."""
 
 BACKOFF_NOTIFICATION_SHARE = 1 / 3
-"""Largest backoff as a share of the longest notification delay; the failed call and the next one take as long each."""
+"""Largest backoff as a share of the longest notification delay; the failed call and the next one take a third each."""
 
 
 class ServerStart(NamedTuple):
@@ -34,7 +34,7 @@
 class EndpointTracker:
     """The servers of the list, and removed servers that still have attempts in flight.
 
-    servers: by node number.
+    servers: all these servers, by node number.
     available_count: number of ready servers that are not down, as of the last `refresh`.
     """
 
@@ -44,7 +44,7 @@
         self._random = random
         self.servers: dict[int, Server] = {}
         self.available_count = 0
-        self._replicas_by_cell: dict[int, list[Server]] = {}  # ready servers that hold a shard, by its first cell
+        self._replicas_by_cell: dict[int, list[Server]] = {}  # ready servers of a shard, by the shard's first cell
         self._ready_by_cell: dict[int, list[tuple[int, Server]]] = {}  # with their position in the list
         self._poll_at_ms = -inf
         self._failed_polls = 0
--- a/badgerbend/decisions/intake.py
+++ b/badgerbend/decisions/intake.py
@@ -71,8 +71,8 @@
     def _reserve_parts(self, query: QueryState, now_ms: float) -> None:
         """Orders all parts of a query so that they are sent from the end of the list, and sets how many are sent.
 
-        With a site preference, parts that a nearer site can answer are sent first, and surplus parts only where sites
-        have spare capacity for them.
+        With a site preference, parts that a nearer site can answer are sent first, and surplus parts (more than a
+        complete answer needs) only where sites have spare capacity for them.
         """
         fewest = query.fewest_parts(query.query_class.complete_weight)
         query.parts_to_send = self._redundancy.parts_to_send(fewest, len(query.parts), now_ms)
--- a/badgerbend/decisions/latency.py
+++ b/badgerbend/decisions/latency.py
@@ -20,7 +20,8 @@
 from badgerbend.decisions.servers import Server
 
 MAX_SAMPLES = 400
-"""Size limit of the samples: enough for the tail that surplus parts mitigate, and cheap to sort every second."""
+"""Size limit of the samples: enough for the tail of slow parts that sending surplus parts (more than an answer needs)
+mitigates, and cheap to sort every second."""
 
 MIN_SAMPLES = 20
 """Least number of answers for an estimate; the median of twenty is stable."""
@@ -39,7 +40,7 @@
 
 
 class LatencySample(NamedTuple):
-    """A completed attempt: its end, its latency, and whether it is censored, so that the real latency is longer."""
+    """A completed attempt: the time of its end, its latency, and whether it is censored: the real latency is longer."""
 
     at_ms: float
     latency_ms: float
@@ -162,6 +163,9 @@
     ) -> None:
         """Updates the response time of a server with an attempt's latency, scaled to a typical part by its cost hint.
 
+        An attempt without an answer is used only if `late_ms` is known and the observed time exceeds the
+        server's current response time.
+
         failed_fast: the latency contains no information. The attempt counts as slower than the server's current
         response time, since a server that fails fast would otherwise appear idle and attract all parts.
         """
--- a/badgerbend/decisions/observations.py
+++ b/badgerbend/decisions/observations.py
@@ -1,7 +1,7 @@
 """Exchanges observations of servers and latencies with other brokers.
 
-Observations of others are used only where this broker has none of its own. They keep their ages, so they decay as its
-own do. The trade-off is that until the first own answer they may not apply to this broker.
+Observations of others are used only where this broker has none of its own. Imported observations keep their ages, so
+they decay as this broker's own do. The trade-off is that until its first own answer they may not apply to this broker.
 """
 
 from __future__ import annotations
--- a/badgerbend/decisions/outliers.py
+++ b/badgerbend/decisions/outliers.py
@@ -1,9 +1,10 @@
 """Detects servers that are down, zones that are unreachable, and queries that may crash servers.
 
-A poison request crashes every server that processes it. After a connection broke under a part of a query, no further
-attempt of it is sent until its parts in flight have completed; an answer clears it. After two servers went down, or the
-one that its canary was sent to, it is not sent again. While a poison request is suspected, new queries first send one
-part as a canary.
+A poison request is a query that crashes every server that processes it. After a connection broke while a server
+processed a part of a query, no part of the query is sent until its parts in flight have completed. An answer to any
+part shows that the query is no poison request. After two servers went down while they processed parts of the query, or
+the server that its canary was sent to, no part of it is sent again. While a poison request is suspected, only one part
+of each new query is sent at first, as a canary.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 """Weight of the latest part in a zone's share of lost parts; about the last twenty determine it."""
 
 POISON_SUSPICION_MS = 30_000.0
-"""How long new queries send a canary first after a query seems to have crashed a server."""
+"""How long new queries are preceded by a canary after a query seems to have crashed a server."""
 
 MAX_FAILED_SERVERS = 2
 """A query is not sent again after this many servers went down while they processed its parts."""
@@ -77,9 +78,10 @@
     def answered(self, server: Server, attempt: Attempt, now_ms: float) -> None:
         """Handles an answer of a server that was marked as down.
 
-        If the attempt was sent too soon after the broken connection for a restart, and the server refused no
-        connection, only the connection failed: the server keeps its state of warm-up, and no query crashed it. The
-        trade-off is that a server which restarts faster than that is treated as warm until the list contains its start.
+        If the attempt was sent so soon after the broken connection that a restart is taken to be impossible, and the
+        server refused no connection, only the connection failed: the server keeps its state of warm-up, and no query
+        crashed it. The trade-off is that a server which restarts faster than that is treated as warm until the list
+        contains its start.
         """
         if server.refused_connection or attempt.sent_ms > server.down_since_ms + REVIEW_INTERVAL_MS:
             if server.canary_failed:
--- a/badgerbend/decisions/queries.py
+++ b/badgerbend/decisions/queries.py
@@ -88,6 +88,8 @@
     parts_to_send: number of parts that the redundancy policy sends.
     has_canary: whether one part is sent before the others.
     complete: whether no partial answer was given so far.
+    review_at_ms: earliest time of the next search for late parts.
+    step: 1, or 2 once the follow-up parts have arrived.
     """
 
     __slots__ = (
@@ -141,7 +143,7 @@
         return min(self.query_class.complete_weight, self.query_class.minimum_weight)
 
     def fewest_parts(self, weight: float) -> int:
-        """The number of parts that have at least this weight whichever parts they are."""
+        """The least number of parts that together have this weight whichever they are; all for a weight of one."""
         sums = accumulate(sorted(part.weight for part in self.parts))
         lighter = sum(1 for total in sums if weight >= 1 or total < weight - ROUNDING)
         return min(1 + lighter, len(self.parts))
--- a/badgerbend/decisions/redundancy.py
+++ b/badgerbend/decisions/redundancy.py
@@ -1,7 +1,7 @@
 """Decides how many parts of a query are sent if any m of its k parts are enough for an answer.
 
 G. Joshi, E. Soljanin, G. Wornell, "Efficient Redundancy Techniques for Latency Reduction in Cloud Systems", ACM TOMPECS
-2(2), 2017, section 8.2, Definition 8: of the r in m..k send the one that minimizes the latency
+2(2), 2017, section 8.2, Definition 8: send r of the k parts, where r in m..k minimizes the latency
 
     T(r) = E[X_m:r] + L r E[X_m:r^2] / (2 (N - L r E[X_m:r]))    subject to    C(r) <= C(k),    C(r) = r E[X_m:r]
 
--- a/badgerbend/decisions/replicas.py
+++ b/badgerbend/decisions/replicas.py
@@ -1,5 +1,7 @@
 """Chooses the replica for an attempt: the one with the fewest of this broker's calls in flight, ties broken randomly.
 
+A call is one request to a server; it contains up to `Settings.parts_per_call` parts that are sent in the same step.
+
 No server is ejected. Instead, servers that are slow by their last answers or by the age of their attempts in flight,
 and servers in an unreachable zone, count as having additional calls in flight. Otherwise they would appear idle and
 attract all parts.
@@ -18,10 +20,12 @@
 from badgerbend.decisions.slow_start import SlowStart
 
 EXPLORATION_SHARE = 0.03
-"""Share of choices among equally loaded servers that prefer an unproven one, so that no server stays idle forever."""
+"""Share of choices among equally loaded servers that prefer one which is not proven (see `ReplicaSelector.is_proven`),
+so that no server stays idle forever."""
 
 MAX_PENALTY = 4.0
-"""Largest number of additional calls in flight that a slow server counts as having."""
+"""Largest number of additional calls in flight that a server counts as having for each of: slowness, an expected
+handshake failure, and an unreachable zone."""
 
 
 class ReplicaSelector:
--- a/badgerbend/decisions/slow_start.py
+++ b/badgerbend/decisions/slow_start.py
@@ -1,10 +1,10 @@
 """Slow start: limits the rate at which parts are sent to a server that is warming up.
 
-Each such server has a token bucket. Its rate is the rate at which this broker sends to a warm server, times a share of
-the multiple that would overload the server at its current capacity; so all brokers together stay below the overload.
-The trade-off is that parts of a shard wait while all of its replicas are warming up. If brokers divide the rate among
-them by demand, the granted rate replaces the broker's own, except for a server that this broker itself found to be
-down.
+Each such server has a token bucket for one token. Its rate is the rate at which this broker sends to a warm server,
+times a share of the multiple that would overload the server at its current capacity; so all brokers together stay below
+the overload. The trade-off is that parts of a shard wait while all of its replicas are warming up. If brokers divide
+the rate among them by demand, the granted rate replaces the broker's own, except for a server that this broker itself
+found to be down.
 """
 
 from __future__ import annotations
@@ -47,7 +47,10 @@
         server.tokens_at_ms = now_ms
 
     def capacity_fraction(self, server: Server, now_ms: float) -> float:
-        """The fraction of its capacity that a server has now; one that is down may restart unnoticed at any time."""
+        """The fraction of its capacity that a server has now.
+
+        A server that is down counts as just started, because it may restart unnoticed at any time.
+        """
         if server.down_since_ms < inf:
             return min(1.0, self._initial_share)
         if server.warming_since_ms == -inf:
--- a/badgerbend/platform_settings.py
+++ b/badgerbend/platform_settings.py
@@ -11,6 +11,7 @@
 
 from badgerbend import api
 
+# Values of `api.QueryClass.effect`, by the platform's names for the idempotency of a query class.
 EFFECTS = {"read_like": "safe", "idempotency_key": "keyed", "non_idempotent": "unsafe"}
 
 
