--- a/badgerbend/discovery/keyed.py
+++ b/badgerbend/discovery/keyed.py
@@ -77,7 +77,7 @@
         self.directory, self.clock, self.now_ms, self.unix_s = directory, clock, now_ms, unix_s
         self.on_update, self.on_fault = on_update, on_fault
         self.on_applied: Callable[[], None] = lambda: None  # called when all changes are applied and published
-        self.refreshed_at: float | None = None  # when this last happened
+        self.refreshed_at: float | None = None  # clock time in seconds at which on_applied was last called
         self._pending_rows = dict[str, bytes]()  # not read yet, in order of arrival
         self._pending_removals = dict[str, None]()  # names that left the list and have not been removed yet
         self._first_reader: ListReader | None = None  # the first list, while it is being read
--- a/badgerbend/discovery/members.py
+++ b/badgerbend/discovery/members.py
@@ -17,7 +17,7 @@
 from badgerbend.discovery.watch import Pace
 from badgerbend.net.client import Reply
 
-MAX_BYTES = 4_194_304
+MAX_BYTES = 4_194_304  # of one answer
 MIN_UPDATE_INTERVAL_S = 0.02  # well within the time in which the next poll has to follow to keep the watch alive
 # In push mode, a broker counts as notified of everything that the agent has, whether or not it has a poll open. A poll
 # that was waiting when discovery went down may never be answered. Changes that the agent receives when discovery
--- a/badgerbend/discovery/watch.py
+++ b/badgerbend/discovery/watch.py
@@ -95,7 +95,7 @@
         self.refreshed_at: float | None = None
         self.polled_at = self.answered_at = 0.0  # when the most recently answered poll was sent, and was answered
         self._applied_version: int | None = None  # the version of the list in the directory
-        self._poll: Poll | None = None  # the latest
+        self._poll: Poll | None = None  # the latest poll, while it is neither answered nor overdue
         self._overdue = OverduePolls()
         self._list_steps: Iterator[bool] | None = None  # the remaining steps of the list that is being read
         self.on_applied: Callable[[], None] = lambda: None  # called when a list is applied and published
--- a/badgerbend/platform/config.py
+++ b/badgerbend/platform/config.py
@@ -15,7 +15,7 @@
 from badgerbend.platform import names
 from badgerbend.platform_settings import SettingError, flatten, read_settings
 
-MAX_BYTES = 16_777_216
+MAX_BYTES = 16_777_216  # of the configuration file
 MAX_WRITE_DELAY_MS = 150.0  # by the platform's rules, a process on a fraction of a core may be delayed for this long
 DRAIN_GRACE_MS = 250.0  # default; short, because the agent runs on the broker's machine and is cheap to poll
 
--- a/badgerbend/platform/front.py
+++ b/badgerbend/platform/front.py
@@ -22,7 +22,7 @@
 from badgerbend.runtime.ports import PartPlan, QueryPlan
 
 JSON, TEXT = b"application/json", b"text/plain; charset=utf-8"
-ID = re.compile(rb"[0-9A-Za-z_\-]{1,128}").fullmatch  # it is part of a frame's line: no space, comma or line break
+ID = re.compile(rb"[0-9A-Za-z_\-]{1,128}").fullmatch  # stands in a frame's line: no space, comma or line break
 TOKEN = re.compile(r"[0-9A-Fa-f]{16}").fullmatch
 MAX_TIME_LEFT_DIGITS = 9  # in milliseconds: eleven days
 WEIGHT_TOLERANCE = 1e-3  # clients send rounded weights
@@ -53,7 +53,7 @@
 
 
 class Front:
-    """Serves a configuration's classes over a driver."""
+    """Turns requests for the query classes of a configuration into queries to the driver."""
 
     def __init__(self, config: Config, driver: Driver, ready: Callable[[], bool]) -> None:
         self.driver, self.ready, self.loop = driver, ready, asyncio.get_running_loop()
--- a/badgerbend/platform/service.py
+++ b/badgerbend/platform/service.py
@@ -36,8 +36,8 @@
 KEEP_ALIVE_FRACTION = 0.2
 GRACE_S = 0.65  # requests are accepted for this long after the signal to end
 # A request that arrives later than 0.7 s after the signal, on a connection that was partly read, has to be answered
-# before the process is killed. This may happen as early as this time plus 0.7 s after the signal, or after the longest
-# deadline if that is shorter.
+# before the process is killed. The kill may come as early as 0.7 s plus KILL_TIMEOUT_S after the signal, or 0.7 s plus
+# the longest deadline if that is shorter.
 KILL_TIMEOUT_S = 3.0
 KILL_MARGIN_S = 0.3  # allows for a signal that is noticed late and for the time in which the last answer is sent
 DEFAULT_CONNECT_TIMEOUT_S = 10.0  # for opening a connection if the settings state no limit
--- a/badgerbend/runtime/driver.py
+++ b/badgerbend/runtime/driver.py
@@ -27,6 +27,7 @@
     Transport,
 )
 
+# Kinds of the driver's timers. TIMER: set by the aggregator. BEGIN_DEADLINE: when an unsent attempt is taken back.
 QUERY_DEADLINE, TIMEOUT, TIMER, BEGIN_DEADLINE = 0, 1, 2, 3
 
 
@@ -325,7 +326,7 @@
         return [query_id for query_id in expired if query_id not in not_submitted]
 
     def _fail_expired(self, query_id: int) -> None:
-        """Fails a query that is still open at its deadline, as a safety net below the aggregator's decisions."""
+        """Fails a query that is still open at its deadline, in case the aggregator has not ended it."""
         query = self.queries.get(query_id)
         if query is not None:
             self.observer.report_fault("ended by the watch", f"query {query_id}")
