--- a/badgerbend/discovery/watch.py
+++ b/badgerbend/discovery/watch.py
@@ -92,7 +92,7 @@
         self.rng, self.user_agent = random.Random(seed), user_agent
         self.version: int | None = None  # the next poll requests what is newer; None: the complete list
         self.failures, self.is_following = 0, False
-        self.refreshed_at: float | None = None
+        self.refreshed_at: float | None = None  # when the list was last confirmed or applied, on `clock`
         self.polled_at = self.answered_at = 0.0  # when the most recently answered poll was sent, and was answered
         self._applied_version: int | None = None  # the version of the list in the directory
         self._poll: Poll | None = None  # the latest poll, while it is neither answered nor overdue
--- a/badgerbend/platform/log_observer.py
+++ b/badgerbend/platform/log_observer.py
@@ -120,7 +120,8 @@
     def summary(self, **values: object) -> None:
         """Logs the counts since the last summary and resets them.
 
-        A server appears under its name in the list, or under its node number once it has left the list.
+        A server appears under its name in the list, or under its node number once it has left the list. Its `served_ms`
+        is the mean of its served attempts.
         """
         self.write_line(
             "summary",
