--- a/badgerbend/discovery/keyed.py
+++ b/badgerbend/discovery/keyed.py
@@ -1,4 +1,4 @@
-"""A list of servers that arrives as changes of rows keyed by server name, as the feed delivers it.
+"""A list of servers that arrives as changes of rows keyed by server name, as the feed (`badgerbend.feed`) delivers it.
 
 A row is a JSON object, see `NodeRow`. A later row replaces an earlier row of the same name that has not been read yet,
 and the latest rows are read first, so that a drain that arrives while a long list is being read overrides that list.
