--- a/badgerbend/lease_service/budget_exchange.py
+++ b/badgerbend/lease_service/budget_exchange.py
@@ -1,7 +1,8 @@
 """One broker's part in sharing the slow-start budget: its requests, and the allocator while it holds the lease.
 
-The holder of the lease on the slow-start duty runs the allocator. It also handles its own requests, like those of any
-other broker.
+The budget limits the rates at which the brokers send parts to servers that are warming up and to sites that recover.
+The holder of the lease on the slow-start duty runs the allocator, which grants each broker its share. The holder
+requests its own share from that allocator like any other broker.
 """
 
 from __future__ import annotations
@@ -49,7 +50,7 @@
         self.now_ms = now_ms
         self.allocator = BudgetAllocator(broker_budget.name, SLOW_START_DUTY, broker_budget.timing)
         self.epoch = 0  # of the lease under which this broker allocates; 0 if it does not
-        self.unanswered_requests = 0
+        self.unanswered_requests = 0  # consecutive rounds of requests since the last reply was applied
 
     @property
     def request_interval_s(self) -> float:
@@ -76,7 +77,7 @@
     def handle_request(self, clock_ms: float, epoch: int | None, request: BudgetRequest) -> BudgetReply | None:
         """Returns the reply to a broker's request, or None.
 
-        clock_ms: time of the leases' clock. epoch: under which this broker may act on the duty now, None if it may not.
+        clock_ms: time of the leases' clock. epoch: of the lease under which this broker may allocate now, or None.
         """
         if request.duty != SLOW_START_DUTY:
             return None
--- a/badgerbend/lease_service/health_check_duty.py
+++ b/badgerbend/lease_service/health_check_duty.py
@@ -25,7 +25,7 @@
 MAX_JITTER = 1.2
 CHECK_TIMEOUT_S = 1.0
 DUE_CHECKS_INTERVAL_S = 0.05  # how often the holder looks for checks that are due
-FAILING_AFTER_S = 2.0  # a holder reports that it fails if no check has succeeded for this long
+FAILING_AFTER_S = 2.0  # a holder marks itself as failing if no check has succeeded for this long
 NEVER = -1.0  # earlier than any time of the clock
 _BODY = b'{"query":"{ __typename }"}'
 _HEAD = (
@@ -71,7 +71,7 @@
         self._checks_in_flight: set[_HealthCheck] = set()
 
     def start(self, holder: LeaseHolder) -> None:
-        """Starts reports and checks. holder: whose random generator the jitter is drawn from."""
+        """Starts reports and checks. holder: this broker's leases; the jitter uses its random generator."""
         reports = RepeatingTimer(
             self.socket.loop,
             partial(self._report_suspicions, holder),
@@ -130,7 +130,7 @@
         self._report_own_failure(holder)
 
     def _report_own_failure(self, holder: LeaseHolder) -> None:
-        """Reports that this holder fails, if no server has answered its checks for a while.
+        """Marks this broker as failing at the duty if it checks servers and none has answered for FAILING_AFTER_S.
 
         Other brokers suspect only some of the servers, so that the cause is probably at the holder.
         """
--- a/badgerbend/lease_service/http.py
+++ b/badgerbend/lease_service/http.py
@@ -1,4 +1,7 @@
-"""Leases over HTTP: `GET /duties` returns the status; `POST /duties/COMMAND` with the key executes a command."""
+"""Leases over HTTP: `GET /duties` returns the status; `POST /duties/COMMAND` executes a command.
+
+A command requires one of the keys of the lease service as bearer token.
+"""
 
 from __future__ import annotations
 
--- a/badgerbend/lease_service/local_voter.py
+++ b/badgerbend/lease_service/local_voter.py
@@ -17,7 +17,7 @@
 from badgerbend.wal.group_commit import GroupCommitWriter
 from badgerbend.wal.store import Store
 
-MAX_BROKER_ADDRESSES = 4096  # the brokers whose messages arrived last
+MAX_BROKER_ADDRESSES = 4096  # kept for replies: those of the brokers whose messages arrived last
 TRANSFER_CHECK_INTERVAL_S = 0.01
 
 LogEvent = Callable[..., None]  # takes an event and its fields, like structlog's `info`
--- a/badgerbend/lease_service/service.py
+++ b/badgerbend/lease_service/service.py
@@ -1,5 +1,8 @@
 """One broker's lease service: its candidacies, the duties on which it holds leases, and its voter if it has one.
 
+A duty is a task that one broker at a time performs for all brokers of the fleet or of a site, while it holds the lease
+on that duty: checking the health of servers, or allocating the slow-start budget.
+
 `LeaseService.body` receives and decodes datagrams; `_dispatch` passes each message to the component that handles it. No
 query ever waits for this service.
 """
@@ -57,9 +60,12 @@
 
 
 class LeaseService(SealedSocket):
-    """Created and used on one running event loop. Raises KeyFileError, StoreError or OSError if it cannot start.
+    """One broker's lease service, created and used on one running event loop.
+
+    Raises KeyFileError, StoreError or OSError if it cannot start.
 
-    folder: the base of relative paths in the settings. clock: in seconds; tests use it to make a broker's clock drift.
+    folder: the base of relative paths in the settings. pool_of: returns the connections to a server, by its number.
+    clock: in seconds; tests use it to make a broker's clock drift.
     """
 
     def __init__(
--- a/badgerbend/lease_service/setup.py
+++ b/badgerbend/lease_service/setup.py
@@ -9,7 +9,8 @@
 from badgerbend.lease_service.health_check_duty import HEALTH_CHECK_DUTY
 from badgerbend.leases.timing import LeaseTiming
 
-VOTER_SEED = 1  # numbers of the streams of random numbers
+# Numbers of the streams of random numbers, for `random_seed`.
+VOTER_SEED = 1
 HOLDER_SEED = 2
 
 
@@ -25,7 +26,7 @@
 
 
 def raft_config(duties: Duties) -> RaftConfig:
-    """Returns the timing of elections among the voters."""
+    """Returns the timing of elections and heartbeats among the voters."""
     return RaftConfig(duties.election_ms / 1000.0, duties.beat_ms / 1000.0)
 
 
@@ -38,7 +39,10 @@
 
 
 def candidacies(settings: Settings, duties: Duties, *, shares_budget: bool) -> dict[str, bool]:
-    """Returns the duties that a broker is a candidate for, each with whether it is at its own site; all of them are."""
+    """Returns the duties that a broker is a candidate for.
+
+    The value of each tells whether the broker is at the duty's own site, which holds for all of them.
+    """
     names = []
     if duties.probing:
         names.append(health_check_duty_name(settings))
--- a/badgerbend/lease_service/slow_start_duty.py
+++ b/badgerbend/lease_service/slow_start_duty.py
@@ -34,7 +34,7 @@
         self._timer: RepeatingTimer | None = None
 
     def start(self, holder: LeaseHolder) -> None:
-        """Starts sending requests. holder: whose random generator the jitter is drawn from."""
+        """Starts sending requests. holder: its random generator is used for the jitter."""
         interval_s = self.exchange.request_interval_s
         self._timer = RepeatingTimer(
             self.socket.loop, self._send_requests, lambda: interval_s * holder.rng.uniform(MIN_JITTER, MAX_JITTER)
--- a/badgerbend/lease_service/status.py
+++ b/badgerbend/lease_service/status.py
@@ -37,7 +37,10 @@
 
 
 class FollowerStatus(msgspec.Struct, frozen=True):
-    """A leader's view of another voter. match_index: the last log entry known to be on that voter's disk."""
+    """A leader's view of another voter.
+
+    match_index: the last log entry known to be on that voter's disk. silent_ms: time since its last reply.
+    """
 
     match_index: int = msgspec.field(name="match")
     silent_ms: int
--- a/badgerbend/lease_service/timers.py
+++ b/badgerbend/lease_service/timers.py
@@ -7,7 +7,7 @@
 
 
 class RepeatingTimer:
-    """Calls a function repeatedly until it is cancelled.
+    """Calls a function repeatedly until the timer is cancelled.
 
     next_delay_s: called before each call of the function; returns the time until the one after it, so that each delay
     can have its own jitter.
--- a/badgerbend/leases/duty_state.py
+++ b/badgerbend/leases/duty_state.py
@@ -21,7 +21,7 @@
     valid_until: float = -math.inf  # the broker may act under that lease before this time
     is_failing: bool = False  # the broker runs, but its work on this duty has no effect
     returned_epoch: int = 0  # of the last lease that the broker returned; no lease up to it is accepted again
-    holder: str = ""  # as last reported by the leader, with its address and epoch
+    holder: str = ""  # as last reported by the leader, like the address and the epoch below
     holder_address: str = ""
     holder_epoch: int = 0
     is_known: bool = False  # whether this incarnation of the broker has ever been notified of the duty
--- a/badgerbend/leases/fencing.py
+++ b/badgerbend/leases/fencing.py
@@ -10,7 +10,7 @@
 class FencingGuard:
     """One receiver's fencing tokens for all duties.
 
-    They must be kept at least as long as the effects of the messages that were admitted.
+    The tokens must be kept at least as long as the effects of the messages that were admitted.
     """
 
     def __init__(self) -> None:
--- a/badgerbend/leases/holder.py
+++ b/badgerbend/leases/holder.py
@@ -20,9 +20,9 @@
 from badgerbend.leases.timing import LeaseTiming
 from badgerbend.leases.voter_selection import VoterSelection
 
-MAX_REQUESTS_REMEMBERED = 64  # requests whose send time is kept, from which a renewal counts
+MAX_REQUESTS_REMEMBERED = 64  # requests whose send time is kept, since a renewal is valid from that time
 RENEWALS_PER_LEASE = 4  # requests of a holder during one lease, so that three of them may be lost
-MAX_RETRY_TIMEOUTS = 4  # the delay before a retry grows with each missed reply, up to so many timeouts
+MAX_RETRY_TIMEOUTS = 4  # the delay before a retry grows with each missed reply, up to this many reply timeouts
 MAX_REDIRECT_DELAY_S = 0.02  # spreads the requests that brokers send to a new leader
 MIN_JITTER = 0.8  # each interval is multiplied by a random factor of at least this, so that brokers do not synchronize
 MIN_RETRY_JITTER = 0.5  # the same for the delay before a request to another voter
@@ -125,7 +125,7 @@
             self._next_at = max(self._next_at, now + delay_s)
 
     def _redirect(self, now: float, leader: str) -> None:
-        """Handles the reply of a voter that does not lead. leader: which it named; empty if none."""
+        """Handles the reply of a voter that does not lead. leader: the one that it names; empty if it names none."""
         if self.voter_selection.is_redirect(leader):
             self.voter_selection.follow(leader)
             self._send_within(now, self.rng.random() * MAX_REDIRECT_DELAY_S)
--- a/badgerbend/leases/messages.py
+++ b/badgerbend/leases/messages.py
@@ -13,8 +13,8 @@
 from badgerbend.consensus.messages import MAX_COMMAND_BYTES, Number, Text, TextOrNone, decode_typed
 
 MAX_DUTIES = 16  # per broker, so that a message about all of them fits into a datagram
-MAX_REQUEST_DELAY_S = 60.0
-MAX_SERVERS = 16  # per datagram
+MAX_REQUEST_DELAY_S = 60.0  # the longest delay that a voter may impose on a candidate
+MAX_SERVERS = 16  # servers, or resources of the slow-start budget, in one datagram
 MAX_KEY_BYTES = 64
 MAX_VALUE_BYTES = MAX_COMMAND_BYTES - 200  # the rest is left for the command around the value
 Load = Annotated[float, msgspec.Meta(ge=0, le=1e9)]  # parts in flight at a broker
@@ -200,7 +200,10 @@
 
 
 class BudgetReply(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """The allocator's reply to a `BudgetRequest`, under the epoch of its lease. Its grants count from that request."""
+    """The allocator's reply to a `BudgetRequest`, under the epoch of its lease.
+
+    The broker counts the validity of the grants from when it sent that request.
+    """
 
     source: Text
     duty: Text
--- a/badgerbend/leases/table.py
+++ b/badgerbend/leases/table.py
@@ -57,7 +57,7 @@
     def apply(self, index: int, data: bytes) -> None:
         """Applies a log entry. A command that does not match the present state changes nothing.
 
-        A command that cannot be decoded changes nothing either: all voters skip a command of a later version alike.
+        A command that cannot be decoded, such as one of a later version, changes nothing either; all voters skip it.
         """
         try:
             command = decode_command(data)
--- a/badgerbend/leases/voter_selection.py
+++ b/badgerbend/leases/voter_selection.py
@@ -12,7 +12,10 @@
 
 
 class VoterSelection:
-    """One broker's choice. voters: the names to choose from. rng: of the owner, so that both draw from one sequence."""
+    """One broker's choice of a voter.
+
+    voters: the names to choose from. rng: that of the `LeaseHolder`, so that both draw from one sequence.
+    """
 
     def __init__(self, voters: tuple[str, ...], rng: random.Random) -> None:
         self.voters = voters
--- a/badgerbend/slow_start_budget/allocator.py
+++ b/badgerbend/slow_start_budget/allocator.py
@@ -49,7 +49,7 @@
         self.duty = duty
         self.timing = timing
         self.allocations: dict[ResourceKey, dict[str, BrokerAllocation]] = {}
-        self.leader_since_ms = math.inf
+        self.leader_since_ms = math.inf  # when this broker began to allocate; infinite while it does not
         self.last_sweep_ms = -math.inf
         self.grants_issued = 0
 
@@ -103,7 +103,10 @@
         return max(rates, default=0.0)
 
     def _is_capped(self, now_ms: float, acknowledged: IssuedGrant) -> bool:
-        """Returns whether the broker stays capped for the duration of a grant that is issued now."""
+        """Returns whether the broker stays capped for the duration of a grant that is issued now.
+
+        A capped broker does not exceed its last grant, even if that has expired.
+        """
         grant_end_ms = now_ms + self.timing.allocator_grant_ms
         return grant_end_ms <= acknowledged.issued_ms + self.timing.allocator_cap_ms
 
