--- a/badgerbend/leases/health_checks.py
+++ b/badgerbend/leases/health_checks.py
@@ -1,6 +1,6 @@
 """Health checks as a duty: one broker checks the servers that others suspect, and reports the results to them.
 
-While the duty has no holder no server is checked, and each broker relies only on the outcomes of its own requests,
+While the duty has no holder no server is checked, and each broker relies on the outcomes of its own requests,
 which always take precedence over reports. This is safe because a report cannot eject a server: a broker uses it only
 for servers of which it has no observations of its own.
 """
