--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -20,8 +20,13 @@
     ("badgerbend/graphql/*", "N818"),
     ("badgerbend/net/*", "N818"),
     ("badgerbend/remote/*", "D1"),
+    ("benchmarks/*", "N818"),
 ]
-FILES = sorted(path.relative_to(ROOT).as_posix() for path in (ROOT / "badgerbend").rglob("*.py"))
+FILES = sorted(
+    path.relative_to(ROOT).as_posix()
+    for folder in ("badgerbend", "benchmarks")
+    for path in (ROOT / folder).rglob("*.py")
+)
 
 
 @pytest.fixture(scope="module")
