--- a/badgerbend/standin/scene.py
+++ b/badgerbend/standin/scene.py
@@ -1,6 +1,7 @@
-"""A scene: a fleet of brokers with duties as processes, a rig between them, faults by time, then the audit.
+"""Plays a scene: brokers with duties as processes, a fault proxy between them, faults by schedule, then the audit.
 
-Somebody doubts servers all the time, so that whoever holds the duty of probing acts all the time, and is seen to.
+A reporter keeps reporting servers as suspect, so that the holder of the probe duty acts all the time and its acts
+show in the records of the proxy.
 """
 
 from __future__ import annotations
@@ -29,25 +30,27 @@
 from badgerbend.leases.messages import LeaseReply, SuspicionReport
 from badgerbend.net.seal import DatagramSealer
 from badgerbend.net.udp import Address, SealedSocket
-from badgerbend.standin.acts import Judged, judge, message_of
+from badgerbend.standin.duty_audit import DutyAudit, audit_duties, decode_datagram
+from badgerbend.standin.fault_proxy import FaultProxy, Line, free_port
 from badgerbend.standin.processes import BrokerProcess
-from badgerbend.standin.rig import Line, Rig, free_port
 from badgerbend.standin.work import Model
 from badgerbend.standin.world import World
 from badgerbend.wal.store import create_store
 
 RATES = Path(__file__).parent / "rates" / "broker.conf"
-DOUBTER = "doubter"
-STARTING = 16  # processes that start at once: hundreds would wait for each other longer than one may take
+REPORTER = "doubter"
+STARTING = 16  # processes that start at once; hundreds would slow each other beyond the time limit of a start
 KEY = b"the key of a scene and of nothing else\n"
 Who = Literal["holder", "leader", "follower", "voter", "other", "all"]
 Do = Literal["kill", "stop", "end", "restart", "cut", "one-way", "delay", "loss", "heal", "cut-voters"]
 
 
 class Event(msgspec.Struct, frozen=True):
-    """What is done, when and to whom, as they are at that moment. Times in seconds. for_: until it is made good: a
-    killed or ended process starts again, a stopped one goes on, a link heals. size: of a delay in ms, of a loss as a
-    share."""
+    """A fault, when it happens and to whom; roles are resolved at that moment. Times in seconds.
+
+    for_: how long it lasts; then a killed or ended process is started again, a stopped one resumed, a link healed.
+    size: milliseconds of a delay, or the share of a loss.
+    """
 
     do: Do
     at: NonNegative
@@ -57,7 +60,7 @@
 
 
 class Scene(msgspec.Struct, frozen=True):
-    """A scene's file. drift: clocks of brokers run off true time by up to this share, by the seed."""
+    """The file of a scene. drift: each broker's clock is fast or slow by this share; the seed decides which."""
 
     seconds: Positive
     event: tuple[Event, ...] = ()
@@ -68,25 +71,27 @@
 
     def __post_init__(self) -> None:
         if self.voters > self.brokers:
-            raise ValueError("voters are brokers too: there must be as many")
+            raise ValueError("voters are brokers: there cannot be more voters than brokers")
 
 
 @dataclass(slots=True)
-class Played:
-    judged: Judged
+class SceneResult:
+    """The outcome of a scene: its audit, the recorded datagrams and what was done to the processes."""
+
+    audit: DutyAudit
     lines: list[Line]
-    began: float  # ms of the rig's clock
-    marks: list[tuple[float, str]]  # what was done, and when
-    ends: list[int]  # statuses of the brokers
+    began: float  # ms of the proxy's clock
+    events: list[tuple[float, str]]  # when each fault began, and what it was
+    exit_statuses: list[int]  # of the brokers
 
-    def after(self, mark: int, until_s: float) -> float:
-        """The longest time in ms without an act that took effect, within so many seconds of what was done as that."""
-        t = self.marks[mark][0]
-        return self.judged.gaps(t, t + until_s * 1000.0)[0][0]
+    def longest_gap_ms(self, event_index: int, until_s: float) -> float:
+        """The longest time in ms without an act in effect, within `until_s` seconds of the event with this index."""
+        t = self.events[event_index][0]
+        return self.audit.gaps(t, t + until_s * 1000.0)[0][0]
 
     def as_json(self) -> dict[str, Any]:
         return {
-            "rules": [{"name": f.name, "checked": f.checked, "cases": f.cases[:20]} for f in self.judged.findings],
+            "rules": [{"name": f.name, "checked": f.checked, "cases": f.cases[:20]} for f in self.audit.findings],
             "holdings": [
                 {
                     "duty": h.duty,
@@ -97,57 +102,60 @@
                     "first_s": round((h.first - self.began) / 1000, 3),
                     "last_s": round((h.last - self.began) / 1000, 3),
                 }
-                for h in self.judged.holdings
+                for h in self.audit.holdings
             ],
             "events": [
-                {"at_s": round((at - self.began) / 1000, 3), "what": what, "gap_ms": round(self.after(n, 6.0))}
-                for n, (at, what) in enumerate(self.marks)
+                {"at_s": round((at - self.began) / 1000, 3), "what": what, "gap_ms": round(self.longest_gap_ms(n, 6.0))}
+                for n, (at, what) in enumerate(self.events)
             ],
-            "ends": self.ends,
+            "ends": self.exit_statuses,
         }
 
 
 def load_scene(path: Path) -> Scene:
-    """Raises SettingsError."""
+    """Reads the file of a scene. Raises SettingsError."""
     return decode.decode(Scene, only_form(read_text(path), str(path), "scene"), str(path), "scene")
 
 
-class _Doubter(SealedSocket):
-    """Doubts the same servers again and again, to every broker: whoever holds the duty heeds it."""
+class _SuspicionReporter(SealedSocket):
+    """Keeps reporting the same servers as suspect to every broker; the holder of the duty probes them."""
 
     def __init__(self, brokers: dict[str, Address], servers: tuple[str, ...], duty: str) -> None:
         super().__init__(DatagramSealer((KEY.strip(),), int(time.time() * 1000)))
-        self.brokers, self.act = brokers, wire.encode_peer_message(SuspicionReport(DOUBTER, duty, servers))
-        self.heard = asyncio.Event()
+        self.brokers, self.report = brokers, wire.encode_peer_message(SuspicionReport(REPORTER, duty, servers))
+        self.act_received = asyncio.Event()
 
     def body(self, body: bytes, source: Address) -> None:
-        self.heard.set()
+        self.act_received.set()
 
     async def run(self) -> None:
         while True:
             for address in self.brokers.values():
-                self.send(address, self.act)
+                self.send(address, self.report)
             await asyncio.sleep(0.2)
 
 
 class Stage:
-    """The processes of a scene, with servers, list, rig and doubter. duties: settings of theirs beside the defaults."""
+    """The processes of a scene, with servers, server list, fault proxy and suspicion reporter.
+
+    duties: values for the brokers' duties section that differ from its defaults.
+    """
 
     def __init__(self, scene: Scene, folder: Path, duties: dict[str, Any]) -> None:
         self.scene, self.folder = scene, folder
         self.rng = random.Random(scene.seed)
         self.lines: list[Line] = []
-        self.marks: list[tuple[float, str]] = []
+        self.events: list[tuple[float, str]] = []
         self.names = [f"broker-{i}" for i in range(scene.brokers)]
         self.voters = self.names[: scene.voters]
         self.processes: dict[str, BrokerProcess] = {}
-        self.fronts: dict[str, str] = {}
+        self.advertised: dict[str, str] = {}
         self.down: set[str] = set()
-        self.rig = Rig(scene.seed, self.lines.append)
+        self.proxy = FaultProxy(scene.seed, self.lines.append)
         self.duties = duties
         base = load(RATES)
         self.world = World(base.layout.shards, base.layout.cells, base.layout.reach, scene.seed, lambda line: None)
-        self.doubter: _Doubter | None = None
+        self.reporter: _SuspicionReporter | None = None
         self.task: asyncio.Future[None] | None = None
 
     async def start(self) -> None:
@@ -157,8 +165,8 @@
         await self.world.start(3, 1, Model(part_ms=1.0, call_ms=0.2))
         ports = {name: free_port(socket.SOCK_DGRAM) for name in self.names}
         for name in self.names:
-            self.fronts[name] = await self.rig.add(name, ports[name])
-        voters = tuple(VoterEndpoint(name, self.fronts[name]) for name in self.voters)
+            self.advertised[name] = await self.proxy.add(name, ports[name])
+        voters = tuple(VoterEndpoint(name, self.advertised[name]) for name in self.voters)
         for index, name in enumerate(self.names):
             if name in self.voters:
                 create_store(self.folder / name, name, self.voters)
@@ -166,7 +174,7 @@
                 (str(self.folder / "key"),),
                 voters,
                 port=ports[name],
-                advertise=self.fronts[name],
+                advertise=self.advertised[name],
                 store=str(self.folder / name) if name in self.voters else None,
                 **self.duties,
             )
@@ -183,23 +191,23 @@
             program = ["badgerbend", "run"] if not scene.drift else ["badgerbend.standin.drifted"]
             after = [] if not scene.drift else [str(rate)]
             self.processes[name] = BrokerProcess(settings, self.folder / f"{name}.conf", program, after)
-        turn = asyncio.Semaphore(STARTING)
+        starting = asyncio.Semaphore(STARTING)
 
-        async def up(process: BrokerProcess) -> None:
-            async with turn:
+        async def start(process: BrokerProcess) -> None:
+            async with starting:
                 await process.start()
 
-        await asyncio.gather(*(up(p) for p in self.processes.values()))
-        brokers = {name: parse_address(at) for name, at in self.fronts.items()}
-        self.doubter = _Doubter(brokers, tuple(self.world.servers), "probe")
+        await asyncio.gather(*(start(p) for p in self.processes.values()))
+        brokers = {name: parse_address(at) for name, at in self.advertised.items()}
+        self.reporter = _SuspicionReporter(brokers, tuple(self.world.servers), "probe")
         port = free_port(socket.SOCK_DGRAM)
-        await self.doubter.open("127.0.0.1", port)
-        self.doubter.own_address = parse_address(await self.rig.add(DOUBTER, port))
-        self.task = asyncio.ensure_future(self.doubter.run())
-        async with asyncio.timeout(30.0):  # the first act: there is a holder
-            await self.doubter.heard.wait()
+        await self.reporter.open("127.0.0.1", port)
+        self.reporter.own_address = parse_address(await self.proxy.add(REPORTER, port))
+        self.task = asyncio.ensure_future(self.reporter.run())
+        async with asyncio.timeout(30.0):  # the first act shows that a broker holds the duty
+            await self.reporter.act_received.wait()
 
-    # -- who is who, from what passed
+    # -- current roles, from the recorded datagrams
     def who(self, who: Who) -> list[str]:
         up = [n for n in self.names if n not in self.down]
         holder, leader = self.holder(), self.leader()
@@ -218,11 +226,11 @@
                 return list(self.names)
 
     def holder(self) -> str:
-        return next((str(r["from"]) for r in reversed(self.lines) if r["to"] == DOUBTER), self.names[0])
+        return next((str(r["from"]) for r in reversed(self.lines) if r["to"] == REPORTER), self.names[0])
 
     def leader(self) -> str:
         for row in reversed(self.lines):
-            message = message_of(row["data"])
+            message = decode_datagram(row["data"])
             if isinstance(message, LeaseReply) and message.is_leader:
                 return message.source
         return self.voters[0]
@@ -231,20 +239,20 @@
     async def event(self, event: Event) -> None:
         await asyncio.sleep(event.at)
         names = self.who(event.who)
-        self.marks.append((time.monotonic() * 1000.0, f"{event.do} {' '.join(names)}"))
+        self.events.append((time.monotonic() * 1000.0, f"{event.do} {' '.join(names)}"))
         if event.do == "restart":
-            for name in names:  # a rolling one
-                await self.processes[name].ended()
+            for name in names:  # a rolling restart
+                await self.processes[name].terminate()
                 await self.processes[name].start()
             return
         await asyncio.gather(*(self._do(event, name) for name in names))
 
     async def _do(self, event: Event, name: str) -> None:
-        process, others = self.processes[name], [n for n in (*self.names, DOUBTER) if n != name]
+        process, others = self.processes[name], [n for n in (*self.names, REPORTER) if n != name]
         match event.do:
             case "kill" | "end":
                 self.down.add(name)
-                await (process.killed() if event.do == "kill" else process.ended())
+                await (process.kill() if event.do == "kill" else process.terminate())
                 await asyncio.sleep(event.for_)
                 await process.start()
                 self.down.discard(name)
@@ -253,7 +261,7 @@
                 await asyncio.sleep(event.for_)
                 process.send(signal.SIGCONT)
             case "heal":
-                self.rig.heal()
+                self.proxy.heal()
             case "cut" | "one-way" | "delay" | "loss" | "cut-voters":
                 state: dict[str, Any] = {"cut": True}
                 if event.do == "delay":
@@ -261,23 +269,26 @@
                 elif event.do == "loss":
                     state = {"loss": event.size}
                 to = [n for n in self.voters if n != name] if event.do == "cut-voters" else others
-                self.rig.between([name], to, event.do != "one-way", **state)
+                self.proxy.between([name], to, event.do != "one-way", **state)
                 await asyncio.sleep(event.for_)
-                self.rig.between([name], to, event.do != "one-way", cut=False, delay_s=0.0, loss=0.0)
+                self.proxy.between([name], to, event.do != "one-way", cut=False, delay_s=0.0, loss=0.0)
 
     async def stop(self) -> list[int]:
-        if self.task is not None:  # else it did not come so far
+        if self.task is not None:  # None if the start failed earlier
             self.task.cancel()
-        ends = await asyncio.gather(*(p.ended() for p in self.processes.values() if p.process is not None))
+        ends = await asyncio.gather(*(p.terminate() for p in self.processes.values() if p.process is not None))
         await self.world.close()
-        if self.doubter is not None:
-            self.doubter.close_socket()
-        self.rig.close()
+        if self.reporter is not None:
+            self.reporter.close_socket()
+        self.proxy.close()
         return list(ends)
 
 
-async def play(scene: Scene, keep: Path | None = None, **duties: Any) -> Played:
-    """Plays a scene and judges it. keep: a folder for stores, settings and logs. duties: settings of theirs."""
+async def play(scene: Scene, keep: Path | None = None, **duties: Any) -> SceneResult:
+    """Plays a scene and audits it.
+
+    keep: a folder for stores, settings and logs, else they are deleted. duties: values for the brokers' duties section.
+    """
     with contextlib.ExitStack() as stack:
         folder = keep or Path(stack.enter_context(tempfile.TemporaryDirectory()))
         os.makedirs(folder, exist_ok=True)
@@ -294,4 +305,4 @@
                     raise outcome
         finally:
             ends = await stage.stop()
-        return Played(judge(stage.lines), stage.lines, began, stage.marks, ends)
+        return SceneResult(audit_duties(stage.lines), stage.lines, began, stage.events, ends)
--- a/benchmarks/redundancy.py
+++ b/benchmarks/redundancy.py
@@ -1,4 +1,6 @@
-"""The bad day with the module's r, with r = m (`least`) and with r = k (`all`): the same seed, one after the other.
+"""Runs the bad-day example with the module's choice of r, with r = m (`least`) and with r = k (`all`) on equal seeds.
+
+Of k parts, r are sent and m are needed for a complete answer.
 
 python benchmarks/redundancy.py [--rounds 3] [--report FILE] [--chart FILE.png]
 """
@@ -18,8 +20,8 @@
 from badgerbend.standin.day import load_day, play
 
 DAY = Path(__file__).parent.parent / "examples" / "bad-day" / "day.conf"
-WAYS = ("module", "least", "all")
-FIELD = "rateCompare"  # the one class of which fewer parts than all make a whole answer
+VARIANTS = ("module", "least", "all")
+FIELD = "rateCompare"  # the only class whose answer is complete with fewer than all parts
 
 
 def main() -> None:
@@ -29,13 +31,13 @@
     parser.add_argument("--chart", type=Path)
     a = parser.parse_args()
     plan = load_day(DAY)
-    found: dict[str, list[dict[str, float]]] = {way: [] for way in WAYS}
+    found: dict[str, list[dict[str, float]]] = {variant: [] for variant in VARIANTS}
     for n in range(a.rounds):
-        for way in WAYS:
-            result = uvloop.run(play(msgspec.structs.replace(plan, seed=plan.seed + n), DAY, None, way))
+        for variant in VARIANTS:
+            result = uvloop.run(play(msgspec.structs.replace(plan, seed=plan.seed + n), DAY, None, variant))
             one = result.as_json()
             compare = one["service"][FIELD]
-            found[way].append(
+            found[variant].append(
                 {
                     "compare_p50": compare["p50_ms"],
                     "compare_p99": compare["p99_ms"],
--- a/benchmarks/sites_simulated.py
+++ b/benchmarks/sites_simulated.py
@@ -1,9 +1,10 @@
-"""Losing a site in simulated time: the real driver, module and preference beside three baselines, many seeds, no noise.
+"""Compares the locality preference with three baselines when a site fails, in simulated time over many seeds.
 
-Two sites of 8 servers (50 parts a second each) and two brokers each; two classes of 4 parts, one of which any 2 answer.
-The north is lost at 10 s for 15 s and comes back cold. `of best` is worth served over what the room of all servers up
-and warm could earn, each second's parts given to the queries that earn most by a part. Users' figures: the share of
-what they ask at brokers of a site that is answered whole, from two seconds after the loss to the return.
+The driver, module and preference are the real ones. There are two sites, each with 8 servers (50 parts a second each)
+and two brokers, and two classes of 4 parts; any 2 parts complete an answer of one of them. The north site fails at 10 s
+for 15 s and returns cold. `of best` is the value served, relative to what the capacity of all servers that are up and
+warm could earn if each second's parts went to the queries that earn most by part. The users' figures are the shares of
+queries at a site's brokers that are answered completely, from two seconds after the failure to the return.
 
     python benchmarks/sites_simulated.py [--seeds 10] [--chart FILE.png]
 """
@@ -27,16 +28,16 @@
 
 from badgerbend.sites.preference import LocalityPreference  # noqa: E402
 from badgerbend.standin.baseline import Priority, _Unlimited  # noqa: E402
-from badgerbend.standin.bysite import best  # noqa: E402
+from badgerbend.standin.site_timeline import max_worth  # noqa: E402
 
 LOST, BACK, END = 10, 25, 45
-WAYS = {
+VARIANTS = {
     "preference": LocalityPreference,
     "anywhere": lambda policy, seed: None,
     "unlimited": _Unlimited,
     "priority 1.4": lambda policy, seed: Priority(policy.own.zones, seed),
 }
-DAYS = {  # needed parts a second of both sites together, of 400 that one can serve; and the growth until the return
+DAYS = {  # parts per second that both sites need (one site can serve 400), and the growth factor until the return
     "fits, 75% of one site": (300.0, 1.0),
     "just, 95%": (380.0, 1.0),
     "over, 130%": (520.0, 1.0),
@@ -44,9 +45,10 @@
 }
 
 
-def play(day: str, way: str, seed: int) -> list[dict[str, float]]:
+def play(day: str, variant: str, seed: int) -> list[dict[str, float]]:
+    """Runs one simulated day. Returns the figures of each second."""
     needed, growth = DAYS[day]
-    world = World(seed, brokers=(2, 2), make=WAYS[way])
+    world = World(seed, brokers=(2, 2), make=VARIANTS[variant])
     for home in (0, 1):
         world.add_load(home, needed / 2 / 6, ALL)
         world.add_load(home, needed / 2 / 6, ANY)
@@ -59,13 +61,15 @@
         grown = min(max(second - 5, 0) / 10, 1.0) if second < BACK else 0.0
         world.rate_factor = 1.0 + (growth - 1.0) * grown
         world.run(1000.0)
-    return seconds(world, began)
+    return figures_by_second(world, began)
 
 
-def seconds(world: World, began: float) -> list[dict[str, float]]:
+def figures_by_second(world: World, began: float) -> list[dict[str, float]]:
+    """Returns the figures of each second of a run."""
     first, out = int(began // 1000), []
     served: Counter[int] = Counter()
-    users: Counter[tuple[int, int, bool]] = Counter()  # by second, the site where they ask, and whether served
+    # Number of queries by second, site of the broker, and whether the answer was complete.
+    users: Counter[tuple[int, int, bool]] = Counter()
     for at, broker, cls, how, took in world.ends:
         c = SETTINGS.classes[cls]
         users[int(at // 1000), world.brokers[broker].home, how == "whole"] += 1
@@ -73,25 +77,25 @@
             served[int(at // 1000)] += c.priority_weight * (
                 1.0 if took <= c.latency_objective_ms else c.late_value_share
             )
-    wants: dict[int, Counter[float]] = {}
+    demand: dict[int, Counter[float]] = {}
     for at, cls, parts in world.queries:
         c = SETTINGS.classes[cls]
-        wants.setdefault(int(at // 1000), Counter())[c.priority_weight / (c.complete_weight * parts)] += (
+        demand.setdefault(int(at // 1000), Counter())[c.priority_weight / (c.complete_weight * parts)] += (
             c.complete_weight * parts
         )
     for second in range(END):
-        at, room = first + second, 0.0
+        at, capacity = first + second, 0.0
         for zone in (0, 1):
             up = 0.0 if zone == 0 and LOST <= second < BACK else 1.0
-            cold = zone == 0 and BACK <= second < BACK + 5
-            warm = 0.25 + 0.75 * (second + 0.5 - BACK) / 5 if cold else 1.0
-            room += up * warm * len(world.site_servers(zone)) * SERVER_RATE * 1000
-        want = wants.get(at, Counter())
+            warming_up = zone == 0 and BACK <= second < BACK + 5
+            warm = 0.25 + 0.75 * (second + 0.5 - BACK) / 5 if warming_up else 1.0
+            capacity += up * warm * len(world.site_servers(zone)) * SERVER_RATE * 1000
+        demand_now = demand.get(at, Counter())
         out.append(
             {
                 "served": served[at],
-                "best": best(want, room),
-                "needed": sum(want.values()),
+                "best": max_worth(demand_now, capacity),
+                "needed": sum(demand_now.values()),
                 "spilled": float(world.spilled_parts[1, at]),
                 "limit": world.spill_limit(1, at),
                 "north": float(world.own_parts[0, at] + world.spilled_parts[0, at]),
@@ -106,6 +110,8 @@
 
 
 def row(found: list[dict[str, float]]) -> dict[str, float]:
+    """Returns the figures of a run, from those of its seconds."""
+
     def total(name: str, a: int, b: int) -> float:
         return sum(s[name] for s in found[a:b])
 
@@ -141,8 +147,8 @@
         top, bottom = axes[0][column], axes[1][column]
         ours = found[day, "preference"]
         top.plot(mean(ours, "best"), color="black", linestyle=":", label="best")
-        for way in WAYS:
-            top.plot(mean(found[day, way], "served"), linewidth=1, label=way)
+        for variant in VARIANTS:
+            top.plot(mean(found[day, variant], "served"), linewidth=1, label=variant)
         top.set_title(day, fontsize=10)
         bottom.plot(mean(ours, "limit"), color="black", linestyle=":", label="spill limit")
         bottom.plot(mean(ours, "spilled"), linewidth=1, label="spilled")
@@ -166,12 +172,14 @@
     with ProcessPoolExecutor() as pool:
         seeds = range(1, a.seeds + 1)
         waiting: dict[Any, list[Any]] = {
-            (day, way): [pool.submit(play, day, way, seed) for seed in seeds] for day in DAYS for way in WAYS
+            (day, variant): [pool.submit(play, day, variant, seed) for seed in seeds]
+            for day in DAYS
+            for variant in VARIANTS
         }
         for key, runs in waiting.items():
             found[key] = [run.result() for run in runs]
     for day in DAYS:
-        rows: Runs = {way: [row(f) for f in found[day, way]] for way in WAYS}
+        rows: Runs = {variant: [row(f) for f in found[day, variant]] for variant in VARIANTS}
         print(f"\n{day}: {a.seeds} seeds, simulated, median (least to most)\n")
         table("way", rows, list(next(iter(rows.values()))[0]))
     if a.chart:
